--- /dev/null
+++ b/tests/golden/__init__.py
@@ -0,0 +1,1 @@
+"""Pinned bytes of every message and stored record, and a pinned trace of decisions."""
