--- a/benchmarks/accounting.py
+++ b/benchmarks/accounting.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
-from worksmux.store.database import open_store
-from worksmux.store.writer import Writer
-from worksmux.versions.account import Account, Record, Version, faults
-from worksmux.versions.gather import Accounts
+from worksmux.config_audit.audit_log import Account, Record, Version, faults
+from worksmux.config_audit.gather import Accounts
+from worksmux.storage.database import open_store
+from worksmux.storage.writer import Writer
 
 
 def main(jobs: int) -> None:
--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -16,9 +16,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from worksmux.admission.fair import Lines
-from worksmux.admission.gate import Asked, Gate, GateSettings, Share, Step
-from worksmux.model.sim import Sim
+from worksmux.admission.controller import Asked, Gate, GateSettings, Share, Step
+from worksmux.admission.fair_queue import Lines
+from worksmux.simulation.sim import Sim
 
 STATIONS, SERVICE, COST, CALLERS = 20, 50.0, 100.0, 1000
 CAPACITY = STATIONS / SERVICE  # calls a millisecond
--- a/benchmarks/calibration.py
+++ b/benchmarks/calibration.py
@@ -14,11 +14,11 @@
 from pathlib import Path
 from typing import Any
 
-from worksmux.audit.report import summary
-from worksmux.model.day import Model
-from worksmux.days.figures import figures_of
-from worksmux.trial.runner import play
-from worksmux.days.scenario import Scenario, load_scenario
+from worksmux.checker.report import summary
+from worksmux.fault_trial.runner import play
+from worksmux.scenarios.figures import figures_of
+from worksmux.scenarios.scenario import Scenario, load_scenario
+from worksmux.simulation.day import Model
 
 DAYS = ["examples/no-discovery-day.kdl"]
 SEEDS = 5
--- a/benchmarks/council_storms.py
+++ b/benchmarks/council_storms.py
@@ -9,7 +9,7 @@
 import time
 from concurrent.futures import ProcessPoolExecutor
 
-from worksmux.model.council import storm
+from worksmux.simulation.consensus import storm
 
 
 def one(seed: int) -> tuple[str, int, int, int]:
--- a/benchmarks/counting.py
+++ b/benchmarks/counting.py
@@ -19,11 +19,11 @@
 from worksmux.net import clock
 from worksmux.net.loop import the_reactor
 from worksmux.settings.front import Counting
-from worksmux.tokens.cache import Frequent, Recent, cost
-from worksmux.tokens.pieces import cut, render
-from worksmux.tokens.samples import SAMPLES
-from worksmux.tokens.service import Result, TokenService
-from worksmux.tokens.vocabulary import load, tokens
+from worksmux.tokenization.cache import Frequent, Recent, cost
+from worksmux.tokenization.pieces import cut, render
+from worksmux.tokenization.samples import SAMPLES
+from worksmux.tokenization.service import Result, TokenService
+from worksmux.tokenization.vocabulary import load, tokens
 
 RATE, CACHE = 150, 8 << 20
 BOUNDS = Counting(CACHE, 3, 1, 65_536, 16 << 20, 4000, 64, 200_000, 2, 5_000.0)
--- a/benchmarks/failover.py
+++ b/benchmarks/failover.py
@@ -10,11 +10,11 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import replace
 
-from worksmux.audit.report import summary
-from worksmux.days.figures import figures_of
-from worksmux.days.scenario import Scenario, Trouble, load_scenario
-from worksmux.model.conductor import MODES, Conductor
-from worksmux.model.day import Model
+from worksmux.checker.report import summary
+from worksmux.scenarios.figures import figures_of
+from worksmux.scenarios.scenario import Scenario, Trouble, load_scenario
+from worksmux.simulation.conductor import MODES, Conductor
+from worksmux.simulation.day import Model
 
 LOST = Trouble("zone-loss", 10_000.0, 12_000.0, 0.0, "", "south", -1, (), 1.0, 1.0, "", "", 1000.0, 0)
 
--- a/benchmarks/fleet_growth.py
+++ b/benchmarks/fleet_growth.py
@@ -12,12 +12,12 @@
 
 import msgspec
 
-from worksmux.council.following import Fresh
+from worksmux.consensus.replication import Fresh
 from worksmux.failover.tally import Tally, ZoneTally, added
-from worksmux.model.followers import LEASE, Following
-from worksmux.model.peers import World
-from worksmux.model.wire import Weather
-from worksmux.peers.members import State
+from worksmux.gossip.members import State
+from worksmux.simulation.followers import LEASE, Following
+from worksmux.simulation.peers import World
+from worksmux.simulation.wire import Weather
 
 PERIOD = 500.0
 
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -18,12 +18,12 @@
 from pathlib import Path
 from typing import Any
 
-from worksmux.admission.gate import Asked, Gate, Step
-from worksmux.admission.gate import Gate as RealGate
+from worksmux.admission.controller import Asked, Gate, Step
+from worksmux.admission.controller import Gate as RealGate
 from worksmux.api import embeddings
-from worksmux.audit.report import summary
-from worksmux.front import serve
-from worksmux.trial.small import FIGURES, SETTINGS, Rig
+from worksmux.checker.report import summary
+from worksmux.fault_trial.small import FIGURES, SETTINGS, Rig
+from worksmux.gateway import serve
 
 SPEED = 1_000.0  # tokens a second of an embeddings engine; two of them
 INPUTS, TOKENS = 10, 10  # of a call
--- a/benchmarks/front_against_relay.py
+++ b/benchmarks/front_against_relay.py
@@ -22,12 +22,12 @@
 from worksmux.api import engine as calls
 from worksmux.api.events import DONE, event
 from worksmux.api.listing import Line
+from worksmux.fakes.journal import Journal
+from worksmux.fakes.registry import Registry
+from worksmux.fault_trial.processes import ports_of_front
 from worksmux.net import client, clock
 from worksmux.net.loop import listen, the_reactor
 from worksmux.net.server import Exchange, Server
-from worksmux.standins.journal import Journal
-from worksmux.standins.registry import Registry
-from worksmux.trial.processes import ports_of_front
 
 TOKENS = 8
 BODY = json.dumps(
--- a/benchmarks/mass_restart.py
+++ b/benchmarks/mass_restart.py
@@ -13,11 +13,11 @@
 from dataclasses import dataclass
 
 from worksmux.api.listing import Line
-from worksmux.interface import Listed
-from worksmux.membership.trust import Saved, Turnover
-from worksmux.model.day import EPOCH, Model, Remembered
+from worksmux.endpoints.staleness import Saved, Turnover
+from worksmux.policy.interface import Listed
+from worksmux.scenarios.scenario import Scenario, read_scenario
 from worksmux.settings.document import parse
-from worksmux.days.scenario import Scenario, read_scenario
+from worksmux.simulation.day import EPOCH, Model, Remembered
 
 AGES = {"1 s": 1e3, "1 min": 6e4, "1 h": 3.6e6, "1 day": 8.64e7, "3 weeks": 1.8e9}
 PARTS = {"none": 0.0, "a tenth": 0.1, "half": 0.5, "all": 1.0}
--- a/benchmarks/module_by_size.py
+++ b/benchmarks/module_by_size.py
@@ -9,10 +9,10 @@
 import time
 from collections import deque
 
-from worksmux import interface as i
-from worksmux.rules import Front
-from worksmux.settings.front import read_front
+from worksmux.policy import interface as i
+from worksmux.policy.router import Front
 from worksmux.settings.document import load
+from worksmux.settings.front import read_front
 
 JOBS, OUT = 3000, 200
 
--- a/benchmarks/remembering.py
+++ b/benchmarks/remembering.py
@@ -16,8 +16,8 @@
 import msgspec
 
 from worksmux.api.listing import Line
-from worksmux.membership.trust import Beliefs, Saved, Turnover
-from worksmux.store.database import open_store
+from worksmux.endpoints.staleness import Beliefs, Saved, Turnover
+from worksmux.storage.database import open_store
 
 
 def timed(call: Callable[[], object], times: int = 5) -> float:
--- a/benchmarks/without_discovery.py
+++ b/benchmarks/without_discovery.py
@@ -16,11 +16,11 @@
 
 import msgspec
 
-from worksmux.front.memory import Facts
-from worksmux.membership.trust import Saved, Turnover
+from worksmux.endpoints.staleness import Saved, Turnover
+from worksmux.fault_trial.small import SETTINGS, Rig
+from worksmux.gateway.endpoint_cache import Facts
 from worksmux.net import clock
-from worksmux.store.database import open_store
-from worksmux.trial.small import SETTINGS, Rig
+from worksmux.storage.database import open_store
 
 FLEET = [("prefill", 0), ("decode", 0), ("prefill", 0), ("decode", 0), ("prefill", 0), ("decode", 0)]
 AGES = {"1 s": 1e3, "1 min": 6e4, "1 h": 3.6e6, "1 day": 8.64e7, "3 weeks": 1.8e9}
--- a/tests/golden/decision_trace.py
+++ b/tests/golden/decision_trace.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from worksmux.drill.__main__ import main
+from worksmux.bench_adapter.__main__ import main
 
 STEP_MS = 2.0
 REQUESTS = 900
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,7 +1,7 @@
 """Builds the small states that the tests start from."""
 
-from worksmux import interface as i
-from worksmux.rules import Front
+from worksmux.policy import interface as i
+from worksmux.policy.router import Front
 
 NOW = 100_000.0
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -7,11 +7,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from worksmux.admission.brownout import Brownout, Pressure
-from worksmux.admission.fair import Lines, Shared
-from worksmux.admission.gate import Asked, Gate, GateSettings, Share, Why
-from worksmux.admission.limit import Limit
-from worksmux.admission.repeats import Advice, Budget, Repeats
+from worksmux.admission.concurrency_limit import Limit
+from worksmux.admission.controller import Asked, Gate, GateSettings, Share, Why
+from worksmux.admission.fair_queue import Lines, Shared
+from worksmux.admission.overload import Brownout, Pressure
+from worksmux.admission.retry_budget import Advice, Budget, Repeats
 
 ANY = lambda cost: True  # noqa: E731
 
--- a/tests/test_audit_fleet.py
+++ b/tests/test_audit_fleet.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from worksmux.audit.fleet import first_common, one_plan, sent_abroad
-from worksmux.audit.records import Records, gather
+from worksmux.checker.fleet import first_common, one_plan, sent_abroad
+from worksmux.checker.records import Records, gather
 
 
 def lines(*trips: tuple[float, str, str, str, str]) -> Records:
--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from worksmux.batches.planner import SMALL, WAIT, Bounds, Call, Done, How, Load, Planner, Step, split
+from worksmux.batching.planner import SMALL, WAIT, Bounds, Call, Done, How, Load, Planner, Step, split
 
 BOUNDS = Bounds(100.0, 8)
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -12,8 +12,8 @@
 import pytest
 from helpers import NOW, settings
 
-from worksmux import interface as i
-from worksmux.rules import Front
+from worksmux.policy import interface as i
+from worksmux.policy.router import Front
 
 ENGINES = 10  # of each role
 RATE = 0.06  # requests a millisecond in all
--- a/tests/test_cost_by_fleet_size.py
+++ b/tests/test_cost_by_fleet_size.py
@@ -18,11 +18,11 @@
 import pytest
 from helpers import NOW, settings
 
-from worksmux import interface as i
 from worksmux.node import discovery
-from worksmux.node.contacts import Contacts
-from worksmux.node.listing import HostList
-from worksmux.rules import Front
+from worksmux.node.endpoint_list import HostList
+from worksmux.node.release_targets import Contacts
+from worksmux.policy import interface as i
+from worksmux.policy.router import Front
 
 FEW, MANY = 200, 3200
 REQUESTS, PAUSE = 6, 150.0  # milliseconds between two requests
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from worksmux.council.entries import Seats
-from worksmux.council.messages import Vote
-from worksmux.council.raft import Raft
-from worksmux.council.steps import Change, Figures, HandOver, Out, Role
-from worksmux.measure import Chance
-from worksmux.model.council import Broken, CouncilWorld, Make, SeatInTime, storm
+from worksmux.consensus.entries import Seats
+from worksmux.consensus.messages import Vote
+from worksmux.consensus.raft import Raft
+from worksmux.consensus.steps import Change, Figures, HandOver, Out, Role
+from worksmux.policy.measure import Chance
+from worksmux.simulation.consensus import Broken, CouncilWorld, Make, SeatInTime, storm
 
 SAMPLE = 60  # storms in CI; thousands are played by benchmarks/council_storms.py
 
--- a/tests/test_council_parts.py
+++ b/tests/test_council_parts.py
@@ -7,9 +7,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from worksmux.council.book import Book, Chapter, Put
-from worksmux.council.entries import CHANGE, Base, Entry, Seats, front_of, next_entry
-from worksmux.council.following import (
+from worksmux.consensus.entries import CHANGE, Base, Entry, Seats, front_of, next_entry
+from worksmux.consensus.reconfiguration import Able, founds, next_seats
+from worksmux.consensus.replication import (
     Agreed,
     Contradicts,
     Follower,
@@ -23,10 +23,9 @@
     Told,
     parent_of,
 )
-from worksmux.council.seating import Able, founds, next_seats
-from worksmux.measure import Chance
-from worksmux.model.followers import LEASE, Following
-
+from worksmux.consensus.state_machine import Book, Chapter, Put
+from worksmux.policy.measure import Chance
+from worksmux.simulation.followers import LEASE, Following
 
 # The book.
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,11 +13,11 @@
 from twisted.internet.testing import MemoryReactorClock
 from twisted.python.failure import Failure
 
-from worksmux import interface as i
 from worksmux.net import clock
 from worksmux.node import discovery as watch
 from worksmux.node.discovery import Discovery
-from worksmux.node.listing import READ_HOSTS
+from worksmux.node.endpoint_list import READ_HOSTS
+from worksmux.policy import interface as i
 
 TOLD = 6000.0  # a change counts as told that long after discovery had it and could be reached
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/tests/test_engine_index.py
+++ b/tests/test_engine_index.py
@@ -8,11 +8,11 @@
 import pytest
 from helpers import NOW, settings
 
-from worksmux import interface as i
-from worksmux.engine_index import MOST_LOOKS, RoundRobin
-from worksmux.measure import mix
-from worksmux.ranking import BUCKET, RankedEngines, rank
-from worksmux.slow_start import PRUDENCE, SlowStart
+from worksmux.policy import interface as i
+from worksmux.policy.endpoint_index import MOST_LOOKS, RoundRobin
+from worksmux.policy.measure import mix
+from worksmux.policy.rendezvous import BUCKET, RankedEngines, rank
+from worksmux.policy.slow_start import PRUDENCE, SlowStart
 
 KEYS = [mix(number, 9) for number in range(4000)]
 
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -14,8 +14,8 @@
 from worksmux.experiment.play import back_after, busiest, play
 from worksmux.experiment.runner import run_all
 from worksmux.experiment.stats import mean, paired
+from worksmux.scenarios.scenario import load_scenario
 from worksmux.settings.document import SettingsError
-from worksmux.days.scenario import load_scenario
 
 DAY = Path("examples/no-discovery-day.kdl").resolve()
 
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -8,13 +8,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from worksmux import interface as i
 from worksmux.failover.acting import told
 from worksmux.failover.plan import Plan, decode, encode
 from worksmux.failover.planner import Map, Planner
 from worksmux.failover.tally import Tally, ZoneTally, added
 from worksmux.failover.watcher import Watcher
 from worksmux.failover.zones import Phase
+from worksmux.policy import interface as i
 
 REGIONS = {"a": "west", "b": "west", "c": "east", "d": "east"}
 CREDITS = {"hint": 1.0, "explain": 2.0, "mark": 5.0}
@@ -220,7 +220,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(
-    st.lists(st.fixed_dictionaries({name: ZONE for name in REGIONS}), min_size=1, max_size=25),
+    st.lists(st.fixed_dictionaries(dict.fromkeys(REGIONS, ZONE)), min_size=1, max_size=25),
     st.sampled_from([{}, dict.fromkeys(REGIONS, 25.0)]),
 )
 def test_whatever_is_reported_the_plan_is_sound(
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -18,8 +18,8 @@
 from test_floods import small_fleet
 
 from worksmux.net.lateness import Lateness
-from worksmux.node.held import Claim, HeldState
-from worksmux.node.releases import Releases
+from worksmux.node.kv_claims import Claim, HeldState
+from worksmux.node.kv_release import Releases
 
 SEEDS, CHUNKS = 320, 8
 LARGE_SEEDS, TIMES = range(401, 411), 100  # 500 to 2,000 engines each
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,11 +11,11 @@
 import msgspec
 import pytest
 
-from worksmux.audit.fleet import one_plan
-from worksmux.audit.records import Records
-from worksmux.audit.rules import check
-from worksmux.trial.fleet import FleetRig
-from worksmux.trial.small import FIGURES as SMALL
+from worksmux.checker.fleet import one_plan
+from worksmux.checker.records import Records
+from worksmux.checker.rules import check
+from worksmux.fault_trial.fleet import FleetRig
+from worksmux.fault_trial.small import FIGURES as SMALL
 
 LEASE = 1600.0
 ALONE = "alone: what was decided in common is too old to act on"
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -15,16 +15,16 @@
 from twisted.internet import task
 from twisted.internet.base import ReactorBase
 from twisted.internet.epollreactor import EPollReactor
-from worksmux.trial.small import FIGURES, Rig
 
-from worksmux import interface as i
-from worksmux.audit.records import load
-from worksmux.audit.rules import check
-from worksmux.front.core import Core
-from worksmux.front.streams import StreamSide
+from worksmux.checker.records import load
+from worksmux.checker.rules import check
+from worksmux.fault_trial.small import FIGURES, Rig
+from worksmux.forwarding.request_lifecycle import Core
+from worksmux.forwarding.stream_relay import StreamSide
 from worksmux.net import clock
 from worksmux.net.loop import steady
-from worksmux.rules import Front
+from worksmux.policy import interface as i
+from worksmux.policy.router import Front
 
 PAIR = [("prefill", 0), ("decode", 0)]
 FLEET = [("prefill", 0), ("decode", 0), ("decode", 0), ("prefill", 1), ("decode", 1), ("mixed", 1)]
--- a/tests/test_held.py
+++ b/tests/test_held.py
@@ -10,11 +10,11 @@
 from hypothesis import strategies as st
 from twisted.internet import task
 
-from worksmux import interface as i
 from worksmux.net import client, clock
-from worksmux.node import releases as module
-from worksmux.node.held import LONGEST_SILENCE, HeldState, Presence
-from worksmux.node.releases import Releases
+from worksmux.node import kv_release as module
+from worksmux.node.kv_claims import LONGEST_SILENCE, HeldState, Presence
+from worksmux.node.kv_release import Releases
+from worksmux.policy import interface as i
 
 WITHIN = 400.0
 STEP = WITHIN / module.STEPS
--- a/tests/test_held_sockets.py
+++ b/tests/test_held_sockets.py
@@ -13,7 +13,7 @@
 from node_rig import ANSWER, NO_CONTENT, READ, Engine, Peer, Rig, ask
 
 from worksmux.node import serve
-from worksmux.node.held import LONGEST_SILENCE
+from worksmux.node.kv_claims import LONGEST_SILENCE
 
 WITHIN = 500.0  # milliseconds, as in the rig's settings
 GENEROUS = (
--- a/tests/test_in_doubt.py
+++ b/tests/test_in_doubt.py
@@ -8,12 +8,12 @@
 import pytest
 from twisted.internet import task
 
-from worksmux import interface as i
 from worksmux.net import clock
-from worksmux.node import in_doubt as module
-from worksmux.node import releases
-from worksmux.node.held import HeldState
-from worksmux.node.in_doubt import DoubtWatch
+from worksmux.node import kv_release as releases
+from worksmux.node import unresponsive_attempts as module
+from worksmux.node.kv_claims import HeldState
+from worksmux.node.unresponsive_attempts import DoubtWatch
+from worksmux.policy import interface as i
 
 WITHIN = 400.0
 STEP = WITHIN / releases.STEPS
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -12,8 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from worksmux.trial.small import Rig
-
+from worksmux.fault_trial.small import Rig
 from worksmux.load.arrivals import Phase, arrivals
 from worksmux.load.generator import LoadError, run
 from worksmux.load.page import page
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -7,14 +7,14 @@
 
 import msgspec
 import pytest
-from worksmux.trial.small import FIGURES, SETTINGS, Rig
 
-from worksmux.audit.rules import check
-from worksmux.front.memory import Facts, read_learned
-from worksmux.membership.trust import Saved, Stand, Turnover
+from worksmux.checker.rules import check
+from worksmux.endpoints.staleness import Saved, Stand, Turnover
+from worksmux.fault_trial.small import FIGURES, SETTINGS, Rig
+from worksmux.gateway.endpoint_cache import Facts, read_learned
 from worksmux.net import clock
-from worksmux.store.database import open_store
-from worksmux.store.records import Table
+from worksmux.storage.database import open_store
+from worksmux.storage.records import Table
 
 HOUR = 3_600_000.0
 FLEET = [("prefill", 0), ("decode", 0), ("prefill", 1), ("decode", 1)]
@@ -124,7 +124,7 @@
         rig.registry.listed = dict(list(rig.registry.listed.items())[:1])
 
     rig.reactor.callLater(0, age_registry)  # after the lines that the rig itself publishes
-    monkeypatch.setattr("worksmux.standins.registry.clock.wall", lambda: 5000.0)
+    monkeypatch.setattr("worksmux.fakes.registry.clock.wall", lambda: 5000.0)
     records = rig.day(length=500.0, rate=15.0)
     assert {job["how"] for job in records.jobs} == {"delivered"}
     assert len({trip.engine for trip in records.trips}) > 1
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from worksmux.audit.report import summary
-from worksmux.audit.rules import check
-from worksmux.interface import Action, Arrived, Engine, Event, Listed, Send, Settings, Trip
-from worksmux.model.day import Model, NotPlayed
-from worksmux.model.sim import Sim
-from worksmux.days.figures import figures_of
-from worksmux.days.scenario import Scenario, load_scenario, read_scenario
+from worksmux.checker.report import summary
+from worksmux.checker.rules import check
+from worksmux.policy.interface import Action, Arrived, Engine, Event, Listed, Send, Settings, Trip
+from worksmux.scenarios.figures import figures_of
+from worksmux.scenarios.scenario import Scenario, load_scenario, read_scenario
 from worksmux.settings.document import parse
+from worksmux.simulation.day import Model, NotPlayed
+from worksmux.simulation.sim import Sim
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -26,15 +26,15 @@
     chunk,
 )
 
-from worksmux import interface as i
-from worksmux.door import Door
-from worksmux.front.turns import SLOW_TURN
-from worksmux.membership.listing import ListKeeper
+from worksmux.endpoints.list_reader import ListKeeper
+from worksmux.forwarding.decision_loop import SLOW_TURN
 from worksmux.net import clock
 from worksmux.node import config, discovery, protocol, serve
-from worksmux.node.listing import Endpoint, HostList, listing
-from worksmux.node.serve import Node
 from worksmux.node.attempts import PrefillAttempt
+from worksmux.node.endpoint_list import Endpoint, HostList, listing
+from worksmux.node.serve import Node
+from worksmux.policy import interface as i
+from worksmux.policy.id_map import Door
 
 FULL = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 LOST = b"HTTP/1.1 410 Gone\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
--- a/tests/test_node_ends.py
+++ b/tests/test_node_ends.py
@@ -13,13 +13,12 @@
 from twisted.internet.error import ConnectionDone
 from twisted.internet.task import Clock
 
-from worksmux import interface as i
 from worksmux.net import server
 from worksmux.net.loop import listen
 from worksmux.net.server import BEHIND, Server
 from worksmux.node import serve
 from worksmux.node.attempts import PrefillAttempt
-
+from worksmux.policy import interface as i
 
 ALIVE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -8,11 +8,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from worksmux.measure import Chance
-from worksmux.model.peers import Peer, World
-from worksmux.model.wire import Weather
-from worksmux.peers.members import Member, Members, Rumour, State
-from worksmux.peers.swim import Outlived
+from worksmux.gossip.members import Member, Members, Rumour, State
+from worksmux.gossip.swim import Outlived
+from worksmux.policy.measure import Chance
+from worksmux.simulation.peers import Peer, World
+from worksmux.simulation.wire import Weather
 
 PERIOD = 500.0
 
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -15,8 +15,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from worksmux import interface as i
-from worksmux.rules import Front
+from worksmux.policy import interface as i
+from worksmux.policy.router import Front
 
 READERS, WRITERS = 3, 4
 PER_TOKEN = 0.06  # of reading
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -7,12 +7,12 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from worksmux.api.listing import Line, Listing
-from worksmux.interface import Began, Ended, Engine, Entry, Job, Outcome, Trip
-from worksmux.membership.damping import HOLD, PART, Damping
-from worksmux.membership.learned import FLEET, Kept, Learner, Marks, Pace, recall
-from worksmux.membership.roster import Roster
-from worksmux.membership.trust import Turnover
-from worksmux.rules import ALL, MEMORY, Front
+from worksmux.endpoints.endpoint_list import Roster
+from worksmux.endpoints.flap_damping import HOLD, PART, Damping
+from worksmux.endpoints.learned_state import FLEET, Kept, Learner, Marks, Pace, recall
+from worksmux.endpoints.staleness import Turnover
+from worksmux.policy.interface import Began, Ended, Engine, Entry, Job, Outcome, Trip
+from worksmux.policy.router import ALL, MEMORY, Front
 
 DOUBT, HALF_LIFE = 1000.0, 4000.0
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,8 +3,8 @@
 import pytest
 from helpers import NOW, ended, fleet, job, kinds, settings
 
-from worksmux import interface as i
-from worksmux.slow_start import PRUDENCE
+from worksmux.policy import interface as i
+from worksmux.policy.slow_start import PRUDENCE
 
 PAIR = ((0, 0, 0), (1, 0, 0))
 TWO_WRITERS = (*PAIR, (1, 0, 0))
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -8,9 +8,9 @@
 from worksmux.experiment.play import play
 from worksmux.experiment.search import LOADS, LONGEST, MOST, Found, Search, written
 from worksmux.experiment.worst import one
-from worksmux.model.day import PLAYED
+from worksmux.scenarios.scenario import load_scenario, read_scenario
 from worksmux.settings.document import parse
-from worksmux.days.scenario import load_scenario, read_scenario
+from worksmux.simulation.day import PLAYED
 
 FILE = Path(__file__).parent.parent / "examples" / "no-discovery-day.kdl"
 BASE = load_scenario(FILE)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -8,11 +8,11 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from worksmux.trial.small import SETTINGS
 
+from worksmux.fault_trial.small import SETTINGS
+from worksmux.scenarios.scenario import load_scenario, read_scenario
 from worksmux.settings.document import SettingsError, load, parse
 from worksmux.settings.front import read_front
-from worksmux.days.scenario import load_scenario, read_scenario
 
 
 def faults(text: str) -> list[str]:
@@ -143,13 +143,14 @@
     assert any(wanted in text for text in faults(SETTINGS + FLEET.replace(old, new)))
 
 
-@pytest.mark.parametrize("module", ["worksmux.node.serve", "worksmux.drill.__main__"])
+@pytest.mark.parametrize("module", ["worksmux.node.serve", "worksmux.bench_adapter.__main__"])
 def test_node_and_adapter_load_nothing_of_the_fleet_of_fronts(module: str) -> None:
     """There it is refused: no code, and so no socket, thread or file of it."""
     code = (
         f"import sys, {module}\n"
-        "print([name for name in sys.modules if name.startswith(('worksmux.peers', 'worksmux.council', "
-        "'worksmux.failover', 'worksmux.versions', 'worksmux.store', 'worksmux.front.peering'))])"
+        "print([name for name in sys.modules if name.startswith(('worksmux.gossip', 'worksmux.consensus', "
+        "'worksmux.failover', 'worksmux.config_audit', "
+        "'worksmux.storage', 'worksmux.gateway.fleet.peering'))])"
     )
     told = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert told.stdout.strip() == "[]"
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -16,8 +16,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from worksmux.store.database import Unusable, open_store
-from worksmux.store.records import check, checksum, seal
+from worksmux.storage.database import Unusable, open_store
+from worksmux.storage.records import check, checksum, seal
 
 LONG = bool(os.environ.get("WORKSMUX_LONG"))  # every prefix, every byte, 200 kills: some minutes
 GOOD = {f"engine-{at}": f"line {at} ".encode() * 3 for at in range(20)}
@@ -117,7 +117,7 @@
     """A process writes generations, each line of one naming it; after each kill all lines agree."""
     path = tmp_path / "s"
     code = (
-        "import sys, itertools\nfrom worksmux.store.database import open_store\n"
+        "import sys, itertools\nfrom worksmux.storage.database import open_store\n"
         "store = open_store(sys.argv[1])\nold = store.read('lines').values\n"
         "start = int(next(iter(old.values()), b'0'))\nprint('ready', flush=True)\n"
         "for n in itertools.count(start + 1):\n"
@@ -146,7 +146,7 @@
 ) -> None:
     import msgspec
 
-    from worksmux.store.records import WORD, Manifest
+    from worksmux.storage.records import WORD, Manifest
 
     rows = [(key, value, checksum("t", key, value) & (WORD >> 1)) for key, value in entries.items()]
     total = sum(checksum("t", key, value) for key, value in entries.items()) & WORD
@@ -168,7 +168,7 @@
     def refused(_: Path) -> sqlite3.Connection:
         raise sqlite3.OperationalError("attempt to write a readonly database")
 
-    monkeypatch.setattr("worksmux.store.database._connect", refused)
+    monkeypatch.setattr("worksmux.storage.database._connect", refused)
     store = open_store(path)
     assert store.read_only and store.read("lines").values == GOOD and "only read" in store.notes[0]
     with pytest.raises(sqlite3.Error):
--- a/tests/test_tokens.py
+++ b/tests/test_tokens.py
@@ -13,23 +13,23 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
-from worksmux.trial.small import SETTINGS, Rig
 from twisted.internet import task
 from twisted.internet.epollreactor import EPollReactor
 from twisted.internet.process import reapAllProcesses
 
+from worksmux.fault_trial.small import SETTINGS, Rig
 from worksmux.net import clock
 from worksmux.settings.front import Counting
-from worksmux.tokens.blocks import Shared, chain
-from worksmux.tokens.cache import Frequent, Recent, cost
-from worksmux.tokens.desk import Ask, Desk, Verdict
-from worksmux.tokens.pieces import Cuts, cut, render
-from worksmux.tokens.pool import Worker, Workers
-from worksmux.tokens.samples import SAMPLES
-from worksmux.tokens.service import Result, TokenService
-from worksmux.tokens.sketch import Sketch
-from worksmux.tokens.vocabulary import BadTokenizer, load, tokens
-from worksmux.tokens.worker import Counted, frame
+from worksmux.tokenization.blocks import Shared, chain
+from worksmux.tokenization.cache import Frequent, Recent, cost
+from worksmux.tokenization.desk import Ask, Desk, Verdict
+from worksmux.tokenization.pieces import Cuts, cut, render
+from worksmux.tokenization.pool import Worker, Workers
+from worksmux.tokenization.samples import SAMPLES
+from worksmux.tokenization.service import Result, TokenService
+from worksmux.tokenization.sketch import Sketch
+from worksmux.tokenization.vocabulary import BadTokenizer, load, tokens
+from worksmux.tokenization.worker import Counted, frame
 
 VOCABULARIES = [load(f"examples/tokenizers/{name}.json") for name in ("lab-1", "lab-2")]
 OPENED = [one.open() for one in VOCABULARIES]
@@ -511,7 +511,7 @@
         self.idle[worker.long] += 1
 
     def end(self, at: int, lost: bool) -> None:
-        from worksmux.tokens.worker import Counted
+        from worksmux.tokenization.worker import Counted
 
         long, version, texts, most, _, on_counted = self.busy.pop(at % len(self.busy))
         which = [one.version for one in VOCABULARIES].index(version)
@@ -672,7 +672,7 @@
     assert sorted(status for status, _ in heard) == [200, 400, 400]
     codes = {json.loads(reply)["error"]["code"] for status, reply in heard if status == 400}
     assert codes == {"context_length_exceeded"}
-    from worksmux.audit.records import load as records
+    from worksmux.checker.records import load as records
 
     found = records(tmp_path)
     assert len(found.trips) == 2 and found.counts and all(front == own for _, front, own in found.counts)
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -7,8 +7,8 @@
 import sys
 from pathlib import Path
 
-from worksmux.days.engines import capacity, struck
-from worksmux.days.scenario import load_scenario
+from worksmux.scenarios.engines import capacity, struck
+from worksmux.scenarios.scenario import load_scenario
 
 
 def command(*args: str) -> subprocess.CompletedProcess[str]:
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -7,7 +7,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from worksmux.api.listing import Line
-from worksmux.membership.trust import Answer, Beliefs, Saved, Stand, Turnover, trust
+from worksmux.endpoints.staleness import Answer, Beliefs, Saved, Stand, Turnover, trust
 
 HOUR = 3_600_000.0
 
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -8,17 +8,17 @@
 from typing import Any
 
 import pytest
-from worksmux.trial.small import FIGURES, SETTINGS, Rig
 
-from worksmux.admission.brownout import Pressure
+from worksmux.admission.overload import Pressure
 from worksmux.api import embeddings, rerank
 from worksmux.api.errors import BadJob
-from worksmux.audit.records import load
-from worksmux.audit.rules import check
+from worksmux.checker.records import load
+from worksmux.checker.rules import check
+from worksmux.fakes.vectors import score, vector
+from worksmux.fault_trial.small import FIGURES, SETTINGS, Rig
 from worksmux.net import clock
 from worksmux.settings.document import SettingsError, parse
 from worksmux.settings.front import read_front
-from worksmux.standins.vectors import score, vector
 
 TEXT = (
     SETTINGS
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -6,8 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from worksmux.versions.account import PAGE, Account, Jobs, Line, Record, Start, Version, faults
-from worksmux.versions.gather import Accounts
+from worksmux.config_audit.audit_log import PAGE, Account, Jobs, Line, Record, Start, Version, faults
+from worksmux.config_audit.gather import Accounts
 
 ONE, TWO = Version(1, "aa"), Version(2, "bb")
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from worksmux.drill.codec import Record, WireError, read_batch, write_reply
+from worksmux.bench_adapter.codec import Record, WireError, read_batch, write_reply
 
 
 def test_reply_is_laid_out_as_the_wire_page_shows():
@@ -31,5 +31,5 @@
 
 def test_adapter_needs_nothing_but_the_standard_library():
     """Guards against a bench that cannot start it: there no library is installed."""
-    done = subprocess.run([sys.executable, "-S", "-c", "import worksmux.drill.instance"], check=False)
+    done = subprocess.run([sys.executable, "-S", "-c", "import worksmux.bench_adapter.instance"], check=False)
     assert done.returncode == 0
--- a/tests/test_wire_forms.py
+++ b/tests/test_wire_forms.py
@@ -11,15 +11,15 @@
 from hypothesis import strategies as st
 from twisted.internet.testing import StringTransport
 
-from worksmux import interface as i
 from worksmux.api import chat
 from worksmux.api.errors import BadJob
 from worksmux.api.events import DONE, Events, TooLong, event
 from worksmux.api.listing import Line, Listing
-from worksmux.front import carriers
-from worksmux.front.carriers import Reading, Writing
-from worksmux.membership.listing import ListKeeper
+from worksmux.endpoints.list_reader import ListKeeper
+from worksmux.gateway import attempts as carriers
+from worksmux.gateway.attempts import Reading, Writing
 from worksmux.net import client, clock
+from worksmux.policy import interface as i
 
 
 class Heard:
@@ -435,6 +435,6 @@
         told = one.take(0.0, full(serial, line(name, state)) if whole else delta(serial, line(name, state)))
         if told.event:
             if told.event.scope == "full":
-                believed = {key: "gone" for key in believed}
+                believed = dict.fromkeys(believed, "gone")
             believed |= {entry.engine.id: entry.state for entry in told.event.entries}
         assert {name.encode(): known.line.state for name, known in one.known.items()} == believed
--- a/worksmux/admission/limit.py
+++ b/worksmux/admission/concurrency_limit.py
@@ -11,7 +11,7 @@
 
 from __future__ import annotations
 
-from ..measure import Ring
+from ..policy.measure import Ring
 
 TOLERATED = 2.0  # times the shortest: a token may take so long before the limit shrinks
 SHRINK = 0.9  # at a trip turned away, once in a step
--- a/worksmux/admission/gate.py
+++ b/worksmux/admission/controller.py
@@ -15,11 +15,11 @@
 from enum import Enum
 from typing import Any
 
-from ..measure import Chance
-from .brownout import Brownout, Pressure
-from .fair import Lines, Shared, Waiting
-from .limit import Limit
-from .repeats import Advice, Budget, Repeats
+from ..policy.measure import Chance
+from .concurrency_limit import Limit
+from .fair_queue import Lines, Shared, Waiting
+from .overload import Brownout, Pressure
+from .retry_budget import Advice, Budget, Repeats
 
 SAFE = 0.8  # of the time left: what is expected to take more is turned away
 UNIT = 1 / 4  # of the largest part: what counts as a small item
--- a/worksmux/admission/repeats.py
+++ b/worksmux/admission/retry_budget.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from ..measure import Chance
+from ..policy.measure import Chance
 
 SPREAD = 0.5  # of the wait that chance adds
 
--- a/worksmux/baselines/__init__.py
+++ b/worksmux/baselines/__init__.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from ..door import Maker
-from ..rules import Front
+from ..policy.id_map import Maker
+from ..policy.router import Front
 from .plain import LeastOfOurOwn, Random, RoundRobin
 
 POLICIES: dict[str, Maker] = {
--- a/worksmux/baselines/plain.py
+++ b/worksmux/baselines/plain.py
@@ -7,8 +7,8 @@
 
 from __future__ import annotations
 
-from .. import interface as i
-from ..measure import Chance
+from ..policy import interface as i
+from ..policy.measure import Chance
 
 
 class Plain:
--- a/worksmux/drill/__main__.py
+++ b/worksmux/bench_adapter/__main__.py
@@ -52,7 +52,7 @@
             sink.write(write_reply(number, answer(instances, batch.now, batch.records)))
             sink.flush()
     except WireError as error:
-        print(f"worksmux.drill: {error} (last whole batch: {number})", file=sys.stderr)
+        print(f"worksmux.bench_adapter: {error} (last whole batch: {number})", file=sys.stderr)
         return 1
     except BrokenPipeError:
         return 1
--- a/worksmux/drill/instance.py
+++ b/worksmux/bench_adapter/instance.py
@@ -5,9 +5,9 @@
 import json
 from typing import Any
 
-from .. import interface as i
-from ..door import Door
-from ..settings.told import settings_from
+from ..policy import interface as i
+from ..policy.id_map import Door
+from ..settings.platform import settings_from
 from .codec import ENTRY, Record, WireError
 
 OUTCOMES = {
--- a/worksmux/audit/records.py
+++ b/worksmux/checker/records.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..standins.journal import read
+from ..fakes.journal import read
 
 Line = dict[str, Any]
 TURNED_AWAY = frozenset({"full", "state_lost", "draining"})
--- a/worksmux/commands/experiments.py
+++ b/worksmux/commands/experiments.py
@@ -112,7 +112,7 @@
     """Look for a day on which the decisions do worst against plain policies, and make it small."""
     from ..experiment.search import Search, written
     from ..experiment.worst import Field
-    from ..days.scenario import load_scenario
+    from ..scenarios.scenario import load_scenario
 
     try:
         base = load_scenario(day)
--- a/worksmux/commands/lists.py
+++ b/worksmux/commands/lists.py
@@ -16,9 +16,9 @@
 from rich.table import Table
 
 from ..api import engine as calls
-from ..front.memory import FACTS, LINES, Facts
-from ..membership.trust import Saved, trust
-from ..store.database import Store, Unusable, open_store
+from ..endpoints.staleness import Saved, trust
+from ..gateway.endpoint_cache import FACTS, LINES, Facts
+from ..storage.database import Store, Unusable, open_store
 
 lists = typer.Typer(no_args_is_help=True, help="What a front remembers of its engines.")
 File = Annotated[Path, typer.Argument(help="the file of the front's memory")]
--- a/worksmux/commands/main.py
+++ b/worksmux/commands/main.py
@@ -11,7 +11,6 @@
 import typer
 
 from ..settings.document import SettingsError
-from . import accounts  # noqa: F401  (adds its commands to `fleet`)
 from .experiments import experiments
 from .fleet import fleet
 from .lists import lists
@@ -31,8 +30,8 @@
 @app.command()
 def serve(file: File) -> None:
     """Run one front until SIGTERM; SIGHUP reloads its settings."""
-    from ..front.serve import run
-    from ..tokens.vocabulary import BadTokenizer
+    from ..gateway.serve import run
+    from ..tokenization.vocabulary import BadTokenizer
 
     try:
         sys.exit(run(file))
@@ -54,9 +53,9 @@
 @app.command()
 def check(file: File) -> None:
     """Check a front's settings and name every fault, with line and remedy."""
-    from ..front.serve import vocabularies
+    from ..gateway.serve import vocabularies
     from ..settings.front import load_front
-    from ..tokens.vocabulary import BadTokenizer
+    from ..tokenization.vocabulary import BadTokenizer
 
     try:
         settings = load_front(file)
@@ -94,8 +93,8 @@
 
     Exit codes: 0 all rules kept, 1 a rule was broken or the day could not be run, 2 the file is wrong.
     """
-    from ..trial.runner import TrialError, play
-    from ..days.scenario import load_scenario
+    from ..fault_trial.runner import TrialError, play
+    from ..scenarios.scenario import load_scenario
     from .trials import finish, run_all
 
     try:
@@ -127,11 +126,11 @@
     """
     from dataclasses import replace
 
-    from ..audit.report import summary
-    from ..model.day import Model, NotPlayed
+    from ..checker.report import summary
+    from ..scenarios.figures import figures_of
+    from ..scenarios.scenario import load_scenario
     from ..settings.front import POLICIES
-    from ..days.figures import figures_of
-    from ..days.scenario import load_scenario
+    from ..simulation.day import Model, NotPlayed
     from .trials import finish
 
     try:
@@ -157,10 +156,10 @@
     as_json: Annotated[bool, typer.Option("--json", help="print the report as JSON")] = False,
 ) -> None:
     """Check the five rules again from the records of a day."""
-    from ..audit.records import load
-    from ..audit.report import summary
-    from ..days.figures import figures_of
-    from ..days.scenario import load_scenario
+    from ..checker.records import load
+    from ..checker.report import summary
+    from ..scenarios.figures import figures_of
+    from ..scenarios.scenario import load_scenario
     from .trials import finish
 
     try:
--- a/worksmux/commands/tokens.py
+++ b/worksmux/commands/tokens.py
@@ -13,12 +13,12 @@
 from rich.table import Table
 
 from ..api.chat import text_of
-from ..tokens.blocks import chain
-from ..tokens.cache import Frequent
-from ..tokens.pieces import cut, render
-from ..tokens.samples import SAMPLES
-from ..tokens.vocabulary import BadTokenizer, Vocabulary, load
-from ..tokens.vocabulary import tokens as ids_of
+from ..tokenization.blocks import chain
+from ..tokenization.cache import Frequent
+from ..tokenization.pieces import cut, render
+from ..tokenization.samples import SAMPLES
+from ..tokenization.vocabulary import BadTokenizer, Vocabulary, load
+from ..tokenization.vocabulary import tokens as ids_of
 
 PIECE, WIDTH = 4000, array("I").itemsize
 tokens = typer.Typer(no_args_is_help=True, help="Count prompts as a front does, and see why.")
--- a/worksmux/versions/gather.py
+++ b/worksmux/config_audit/gather.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from .account import Decision, Jobs, Line, Record, Start, Version, faults
+from .audit_log import Decision, Jobs, Line, Record, Start, Version, faults
 
 
 @dataclass(frozen=True)
--- a/worksmux/council/leader.py
+++ b/worksmux/consensus/leader.py
@@ -8,8 +8,8 @@
 
 from .entries import SEATS, Base, Entry, Seats, next_entry, seats_of
 from .messages import Append, Appended, Hurry, Install, Installed
-from .seat import Seat
 from .steps import Out, Progress, Proposed, Readable, Refused, Role
+from .voter import Seat
 
 MOST_BYTES = 48_000  # of entries or of a snapshot in one message
 NEAR = 64  # entries: a learner that lacks no more than that is up to date
--- a/worksmux/council/following.py
+++ b/worksmux/consensus/replication.py
@@ -21,9 +21,9 @@
 
 import msgspec
 
-from ..measure import Chance, mix
-from .book import Chapter
-from .seat import DRIFT
+from ..policy.measure import Chance, mix
+from .state_machine import Chapter
+from .voter import DRIFT
 
 FAN = 8  # fronts below each other
 ROUNDS = 8  # that a lease bears without an answer
--- a/worksmux/council/book.py
+++ b/worksmux/consensus/state_machine.py
@@ -81,5 +81,5 @@
     def mark(self) -> int:
         """Of all chapters: two fronts that hold the same index hold the same mark."""
         return xxhash.xxh3_64_intdigest(
-            msgspec.msgpack.encode({name: one for name, one in sorted(self.chapters.items())})
+            msgspec.msgpack.encode(dict(sorted(self.chapters.items())))
         )
--- a/worksmux/council/seat.py
+++ b/worksmux/consensus/voter.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from math import inf
 
-from ..measure import Chance
+from ..policy.measure import Chance
 from .entries import Base, Entry, Log, Saved, Write
 from .steps import Committed, Figures, Leads, Out, Progress, Refused, Role
 
--- a/worksmux/membership/roster.py
+++ b/worksmux/endpoints/endpoint_list.py
@@ -18,9 +18,9 @@
 from dataclasses import replace
 
 from ..api.listing import Listing
-from ..interface import Engine, Entry, Listed
-from .damping import Damping
-from .listing import ListKeeper, Told
+from ..policy.interface import Engine, Entry, Listed
+from .flap_damping import Damping
+from .list_reader import ListKeeper, Told
 
 HALF = 0.5  # of the engines in use: a whole list with fewer is asked for again
 ASKS = 4  # within the time of doubt
--- a/worksmux/membership/learned.py
+++ b/worksmux/endpoints/learned_state.py
@@ -17,10 +17,10 @@
 
 import msgspec
 
-from ..interface import Began, Ended, Engine, Event, Outcome, Recalled
-from ..measure import Ring
-from ..rules import ALL, BUCKETS, MEMORY, SLOWNESS
-from .trust import USEFUL, Turnover
+from ..policy.interface import Began, Ended, Engine, Event, Outcome, Recalled
+from ..policy.measure import Ring
+from ..policy.router import ALL, BUCKETS, MEMORY, SLOWNESS
+from .staleness import USEFUL, Turnover
 
 MOST = 0.5  # of a trip: what a remembered figure counts at most
 FAULTS = frozenset({Outcome.ERROR, Outcome.UNREACHABLE, Outcome.RESET, Outcome.TIMED_OUT})
--- a/worksmux/membership/listing.py
+++ b/worksmux/endpoints/list_reader.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 
 from ..api.listing import Line, Listing
-from ..interface import Engine, Entry, Listed
+from ..policy.interface import Engine, Entry, Listed
 
 
 @dataclass(slots=True)
--- a/worksmux/membership/trust.py
+++ b/worksmux/endpoints/staleness.py
@@ -23,8 +23,8 @@
 import msgspec
 
 from ..api.listing import Line
-from ..interface import Outcome
-from ..measure import Chance
+from ..policy.interface import Outcome
+from ..policy.measure import Chance
 
 SURE = 0.95  # likely enough to be used as it stands
 LIKELY = 0.5  # to be used with a cold engine's care
--- a/worksmux/experiment/plan.py
+++ b/worksmux/experiment/plan.py
@@ -18,9 +18,9 @@
 from pathlib import Path
 from typing import Any
 
+from ..scenarios.scenario import Place, Scenario, load_scenario
 from ..settings.document import Section, SettingsError, load
 from ..settings.front import POLICIES
-from ..days.scenario import Place, Scenario, load_scenario
 
 Value = float | str
 
@@ -133,7 +133,7 @@
         if not args or args[0] not in AXES:
             one.complain(f"axis: expected one of {', '.join(AXES)} and its values")
             continue
-        title, values = str(args[0]), [value for value in args[1:]]
+        title, values = str(args[0]), list(args[1:])
         axis = AXES[title]
         if not values or not all(map(axis.fits, values)):
             one.complain(f'axis "{title}": expected {axis.wanted}')
--- a/worksmux/experiment/play.py
+++ b/worksmux/experiment/play.py
@@ -5,10 +5,10 @@
 import resource
 import time
 
-from ..audit.rules import check
-from ..model.day import EPOCH, Model
-from ..days.figures import figures_of
-from ..days.scenario import Scenario
+from ..checker.rules import check
+from ..scenarios.figures import figures_of
+from ..scenarios.scenario import Scenario
+from ..simulation.day import EPOCH, Model
 
 BACK = 0.9  # of the delivered before the first trouble: service counts as whole again
 PERCENT = (50, 90, 99)
--- a/worksmux/experiment/search.py
+++ b/worksmux/experiment/search.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, replace
 
-from ..days.scenario import Scenario, Trouble
+from ..scenarios.scenario import Scenario, Trouble
 
 KINDS = (
     "crash",
--- a/worksmux/experiment/worst.py
+++ b/worksmux/experiment/worst.py
@@ -7,8 +7,8 @@
 from dataclasses import replace
 from types import TracebackType
 
+from ..scenarios.scenario import Scenario
 from ..settings.front import POLICIES
-from ..days.scenario import Scenario
 from .play import play
 from .search import Found
 
--- a/worksmux/failover/acting.py
+++ b/worksmux/failover/acting.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from ..interface import Planned
+from ..policy.interface import Planned
 from .plan import Plan
 from .tally import Tally
 
--- a/worksmux/failover/watcher.py
+++ b/worksmux/failover/watcher.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from .. import interface as i
-from ..measure import Ring
+from ..policy import interface as i
+from ..policy.measure import Ring
 from .tally import Tally, ZoneTally
 
 SPAN = 1000.0  # that a report looks back
--- a/worksmux/standins/clients.py
+++ b/worksmux/fakes/clients.py
@@ -1,7 +1,7 @@
 """Client stand-ins: open-loop arrivals, sessions whose prompts grow, patience, retries; every try is
 journalled.
 
-`python -m worksmux.standins.clients SPEC` drives the fronts it is given until its time is up and all is
+`python -m worksmux.fakes.clients SPEC` drives the fronts it is given until its time is up and all is
 answered. A job's credit follows its first try's intended time: promised time to the first token, then the
 pace of the rest.
 """
@@ -15,16 +15,15 @@
 import msgspec
 
 from ..api import chat, embeddings, errors, rerank
-from ..api.events import Events
 from ..api.engine import CHAT
-from ..front.clients import ANSWER
+from ..api.events import Events
+from ..gateway.clients import ANSWER
 from ..net import client, clock
 from ..net.loop import Reactor, the_reactor
-from ..tokens.samples import SAMPLES
+from ..tokenization.samples import SAMPLES
 from .engine import ANSWER as TRUE_ANSWER
-from .vectors import score, vector
 from .journal import Journal
-
+from .vectors import score, vector
 
 QUERY = "what went wrong in the lab"
 TEXTS = [
--- a/worksmux/standins/engine.py
+++ b/worksmux/fakes/engine.py
@@ -1,6 +1,6 @@
 """An engine stand-in in a process of its own: the chat form, the small calls, and faults by a control call.
 
-`python -m worksmux.standins.engine SPEC` takes a `Spec` in JSON, prints its port on standard output and
+`python -m worksmux.fakes.engine SPEC` takes a `Spec` in JSON, prints its port on standard output and
 serves until it is ended.  Its text is numbered words, so that who reads it can tell a gap or a repeat.
 """
 
@@ -20,10 +20,10 @@
 from ..net import client, clock
 from ..net.loop import Reactor, listen, the_reactor
 from ..net.server import Exchange, Server
-from ..tokens.pieces import render
-from ..tokens.vocabulary import load, tokens
+from ..tokenization.pieces import render
+from ..tokenization.vocabulary import load, tokens
+from .generator import EngineModel, Spec, Work
 from .journal import Journal
-from .model import EngineModel, Spec, Work
 from .vectors import Vectors
 
 BOUND = 16 * 2**20
--- a/worksmux/trial/clocked.py
+++ b/worksmux/fault_trial/clocked.py
@@ -1,7 +1,7 @@
 """Starts the program with clocks that run otherwise than the machine's.
 
-`python -m worksmux.trial.clocked CONTROL serve FILE` reads CONTROL from time to time: two numbers, by how
-many milliseconds the wall clock is off and how fast both clocks run (1 as the machine's).  The monotonic
+`python -m worksmux.fault_trial.clocked CONTROL serve FILE` reads CONTROL from time to time: two numbers, by
+how many milliseconds the wall clock is off and how fast both clocks run (1 as the machine's).  The monotonic
 clock never steps and never goes back.  The program itself knows nothing of it.
 """
 
--- a/worksmux/trial/faults.py
+++ b/worksmux/fault_trial/faults.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from ..api.listing import Line
-from ..days.scenario import Scenario, Trouble
-from ..standins.journal import Journal
+from ..fakes.journal import Journal
+from ..scenarios.scenario import Scenario, Trouble
 from .processes import Child
 from .relays import Network
 
--- a/worksmux/trial/fleet.py
+++ b/worksmux/fault_trial/fleet.py
@@ -20,13 +20,13 @@
 from twisted.internet.process import reapAllProcesses
 
 from ..api.listing import Line
-from ..audit.records import Records, load
+from ..checker.records import Records, load
+from ..fakes.clients import Clients, ClientsSpec, FrontSpec
+from ..fakes.engine import EngineProcess
+from ..fakes.generator import Spec
+from ..fakes.journal import Journal
+from ..fakes.registry import Registry
 from ..net import client, clock
-from ..standins.clients import Clients, ClientsSpec, FrontSpec
-from ..standins.engine import EngineProcess
-from ..standins.journal import Journal
-from ..standins.model import Spec
-from ..standins.registry import Registry
 from .faults import go_on, hold_lock, limit_files
 from .processes import Child
 from .relays import Network
--- a/worksmux/trial/fronts.py
+++ b/worksmux/fault_trial/fronts.py
@@ -6,9 +6,8 @@
 from dataclasses import replace
 from pathlib import Path
 
+from ..scenarios.scenario import Scenario
 from ..settings.shared import Kind, Offering
-from ..days.scenario import Scenario
-
 
 LEASE = 2500.0  # milliseconds, of what a day's fronts decide in common
 
--- a/worksmux/trial/relays.py
+++ b/worksmux/fault_trial/relays.py
@@ -13,8 +13,8 @@
 from twisted.internet.protocol import ClientFactory, Protocol, ServerFactory, connectionDone
 from twisted.python.failure import Failure
 
+from ..fakes.journal import Journal
 from ..net.loop import listen
-from ..standins.journal import Journal
 
 FORWARD, BACK = "forward", "back"
 
--- a/worksmux/trial/runner.py
+++ b/worksmux/fault_trial/runner.py
@@ -15,21 +15,21 @@
 
 from ..api import engine as calls
 from ..api.listing import Line
-from ..audit.records import load
-from ..audit.fleet import summary as fleet_summary
-from ..audit.report import summary
+from ..checker.fleet import summary as fleet_summary
+from ..checker.records import load
+from ..checker.report import summary
+from ..fakes.clients import Burst, ClientsSpec, FrontSpec, OfferingSpec
+from ..fakes.engine import Fault
+from ..fakes.journal import Journal
+from ..fakes.registry import Registry
 from ..net import client, clock
 from ..net.loop import the_reactor
-from ..standins.clients import Burst, ClientsSpec, FrontSpec, OfferingSpec
-from ..standins.engine import Fault
-from ..standins.journal import Journal
-from ..standins.registry import Registry
-from ..days.engines import spec_of, struck, struck_fronts
-from ..days.figures import figures_of
+from ..scenarios.engines import spec_of, struck, struck_fronts
+from ..scenarios.figures import figures_of
+from ..scenarios.scenario import OF_CLIENTS, OF_CLOCKS, OF_FRONTS, OF_THE_LIST, Place, Scenario, Trouble
 from .faults import SLICE, FleetNetwork, go_on, limit_files, lose_disk, slow_disk
 from .fronts import LEASE, front_file
 from .processes import Child, port_of_engine, ports_of_front
-from ..days.scenario import OF_CLIENTS, OF_CLOCKS, OF_FRONTS, OF_THE_LIST, Place, Scenario, Trouble
 
 START_WITHIN = 20_000.0  # milliseconds for all processes to tell their ports
 FAULTS = {
@@ -151,7 +151,7 @@
 
         child = Child(
             self.reactor,
-            ["-m", "worksmux.standins.engine", msgspec.json.encode(spec).decode()],
+            ["-m", "worksmux.fakes.engine", msgspec.json.encode(spec).decode()],
             self.folder / f"engine-{handle.place.id}.log",
             line,
             lambda code: ended(code),
@@ -228,7 +228,7 @@
                     self._open()
 
         clocked = any(trouble.kind in OF_CLOCKS for trouble in self.day.troubles)
-        start = ["worksmux.trial.clocked", str(self._clock(front))] if clocked else ["worksmux"]
+        start = ["worksmux.fault_trial.clocked", str(self._clock(front))] if clocked else ["worksmux"]
         child = Child(
             self.reactor,
             ["-m", *start, "serve", str(path)],
@@ -290,7 +290,7 @@
         path.write_bytes(msgspec.json.encode(spec))
         self.clients = Child(
             self.reactor,
-            ["-m", "worksmux.standins.clients", str(path)],
+            ["-m", "worksmux.fakes.clients", str(path)],
             self.folder / "clients.log",
             lambda _: None,
             self._clients_ended,
--- a/worksmux/trial/small.py
+++ b/worksmux/fault_trial/small.py
@@ -12,18 +12,18 @@
 
 from worksmux.api import engine as calls
 from worksmux.api.listing import Line
-from worksmux.audit.records import Records, load
-from worksmux.audit.rules import Figures
-from worksmux.door import Maker
-from worksmux.front.serve import FrontProcess
+from worksmux.checker.records import Records, load
+from worksmux.checker.rules import Figures
+from worksmux.fakes.clients import Clients, ClientsSpec, FrontSpec, OfferingSpec
+from worksmux.fakes.engine import EngineProcess, Fault
+from worksmux.fakes.generator import Spec
+from worksmux.fakes.journal import Journal
+from worksmux.fakes.registry import Registry
+from worksmux.gateway.serve import FrontProcess
 from worksmux.net import client, clock
+from worksmux.policy.id_map import Maker
 from worksmux.settings.document import parse
 from worksmux.settings.front import FrontSettings, read_front
-from worksmux.standins.clients import Clients, ClientsSpec, FrontSpec, OfferingSpec
-from worksmux.standins.engine import EngineProcess, Fault
-from worksmux.standins.journal import Journal
-from worksmux.standins.model import Spec
-from worksmux.standins.registry import Registry
 
 SETTINGS = """
 front "a" {
--- /dev/null
+++ b/worksmux/forwarding/__init__.py
@@ -0,0 +1,1 @@
+"""What both daemons share: requests, attempts and the loop around the decision module."""
--- a/worksmux/front/carriage.py
+++ b/worksmux/forwarding/attempt.py
@@ -7,10 +7,10 @@
 
 from typing import Any, Protocol
 
-from .. import interface as i
 from ..net import client, clock
 from ..net.loop import Reactor, Timer
 from ..net.time_out import TimeOut
+from ..policy import interface as i
 
 
 class Listener(Protocol):
--- a/worksmux/front/turns.py
+++ b/worksmux/forwarding/decision_loop.py
@@ -9,11 +9,11 @@
 
 import structlog
 
-from .. import interface as i
-from ..door import Door
 from ..net import clock
 from ..net.loop import Reactor
-from .counts import Counts
+from ..policy import interface as i
+from ..policy.id_map import Door
+from .counters import Counts
 
 LOG = structlog.get_logger()
 SLOW_TURN = 50.0  # milliseconds: a longer one is logged, with what it was about
--- a/worksmux/front/process.py
+++ b/worksmux/forwarding/process.py
@@ -10,7 +10,7 @@
 
 from ..net import clock
 from ..net.loop import Reactor
-from .logbook import Writer
+from .log_setup import Writer
 
 LOG = structlog.get_logger()
 FLUSH, LOOK = 1000.0, 5.0  # milliseconds that the last answers have to get out, and between looks
--- a/worksmux/front/case.py
+++ b/worksmux/forwarding/request_context.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from .. import interface as i
+from ..policy import interface as i
 
 
 class Client(Protocol):
--- a/worksmux/front/core.py
+++ b/worksmux/forwarding/request_lifecycle.py
@@ -13,16 +13,16 @@
 
 import structlog
 
-from .. import interface as i
-from ..door import Door
 from ..net import client, clock
 from ..net.loop import Reactor
 from ..net.time_out import TimeOut
-from .carriage import outcome_of
-from .case import Carrying, Case
-from .counts import Counts
-from .small_calls import NeverSent, OutgoingCall, SmallCall
-from .turns import Turns
+from ..policy import interface as i
+from ..policy.id_map import Door
+from .attempt import outcome_of
+from .control_call import NeverSent, OutgoingCall, SmallCall
+from .counters import Counts
+from .decision_loop import Turns
+from .request_context import Carrying, Case
 
 LOG = structlog.get_logger()
 LATE_LOOKS = 3  # turns of the reactor: a time-out looks again, is told, and the module answers
--- a/worksmux/front/streams.py
+++ b/worksmux/forwarding/stream_relay.py
@@ -4,7 +4,7 @@
 from __future__ import annotations
 
 from ..net.server import Exchange
-from .case import Case
+from .request_context import Case
 
 
 class StreamSide:
--- a/worksmux/front/holding.py
+++ b/worksmux/gateway/active_versions.py
@@ -6,10 +6,10 @@
 
 import xxhash
 
+from ..config_audit.audit_log import Version
+from ..endpoints.list_reader import ListKeeper
 from ..failover.plan import Plan, encode
-from ..membership.listing import ListKeeper
 from ..settings.front import FrontSettings
-from ..versions.account import Version
 
 
 def _mark(data: bytes) -> str:
--- a/worksmux/front/carriers.py
+++ b/worksmux/gateway/attempts.py
@@ -10,13 +10,13 @@
 
 import msgspec
 
-from .. import interface as i
 from ..api import engine as calls
 from ..api.chat import READ_CHUNK, READ_REPLY, Usage
 from ..api.errors import code_of
 from ..api.events import Events, TooLong
+from ..forwarding.attempt import Carriage, Streaming
 from ..net import client
-from .carriage import Carriage, Streaming
+from ..policy import interface as i
 
 
 def refusal(status: int, body: bytes) -> tuple[i.Outcome, int]:
--- a/worksmux/front/published.py
+++ b/worksmux/gateway/chat_engine_client.py
@@ -5,19 +5,18 @@
 
 from typing import Any
 
-from .. import interface as i
 from ..api import chat
 from ..api import engine as calls
-from ..door import Door
+from ..forwarding.request_context import Case, Client
+from ..forwarding.request_lifecycle import Core
 from ..net import client, clock
 from ..net.loop import Reactor
+from ..policy import interface as i
+from ..policy.id_map import Door
 from ..settings.front import FrontSettings
-from . import carriers
-from .case import Case, Client
-from .core import Core
+from . import attempts as carriers
 from .metrics import Metrics
 
-
 PATIENT = 20  # times the tries that a release has: what lies cut off for longer ends by its lease
 
 
--- a/worksmux/front/clients.py
+++ b/worksmux/gateway/clients.py
@@ -16,13 +16,13 @@
 from ..api.chat import Asked, Usage
 from ..api.engine import CHAT
 from ..api.events import DONE, event
+from ..forwarding.request_context import Case
+from ..forwarding.stream_relay import StreamSide
 from ..net import clock
 from ..net.server import Exchange
-from ..tokens.desk import Verdict
-from ..tokens.service import Prompt, Result, TokenService
-from .case import Case
-from .published import PublishedCore
-from .streams import StreamSide
+from ..tokenization.desk import Verdict
+from ..tokenization.service import Prompt, Result, TokenService
+from .chat_engine_client import PublishedCore
 from .vectors import PATHS, VectorSide
 
 LOG = structlog.get_logger()
--- a/worksmux/front/memory.py
+++ b/worksmux/gateway/endpoint_cache.py
@@ -8,18 +8,18 @@
 import msgspec
 import structlog
 
-from .. import interface as i
 from ..api import engine as calls
 from ..api.listing import Line
-from ..membership.learned import EVERY, FLEET, Kept, Learner, Marks, Pace, recall
-from ..membership.trust import Answer, Belief, Beliefs, Saved, Stand, Step, Turnover
+from ..endpoints.learned_state import EVERY, FLEET, Kept, Learner, Marks, Pace, recall
+from ..endpoints.staleness import Answer, Belief, Beliefs, Saved, Stand, Step, Turnover
 from ..net import client, clock
 from ..net.loop import Reactor
-from ..rules import MEMORY
+from ..policy import interface as i
+from ..policy.router import MEMORY
 from ..settings.front import MemorySettings
-from ..store.database import Store, Unusable, open_store
-from ..store.writer import Writer
-from .published import PublishedCore
+from ..storage.database import Store, Unusable, open_store
+from ..storage.writer import Writer
+from .chat_engine_client import PublishedCore
 
 LOG = structlog.get_logger()
 LINES, FACTS, LEARNED = "lines", "facts", "learned"
--- a/worksmux/front/engine_list.py
+++ b/worksmux/gateway/engine_list.py
@@ -13,15 +13,15 @@
 from twisted.protocols.basic import LineReceiver
 from twisted.python.failure import Failure
 
-from .. import interface as i
 from ..api.listing import READ_LISTING, Hello
-from ..membership.keys import key_of
-from ..membership.roster import Roster
+from ..endpoints.endpoint_list import Roster
+from ..endpoints.keys import key_of
 from ..net import clock
 from ..net.loop import Reactor, Transport
+from ..policy import interface as i
 from ..settings.front import ListSource
-from .published import PublishedCore
-from .memory import Memory
+from .chat_engine_client import PublishedCore
+from .endpoint_cache import Memory
 
 LOG = structlog.get_logger()
 
--- a/worksmux/front/account_keeper.py
+++ b/worksmux/gateway/fleet/audit_log_keeper.py
@@ -14,13 +14,13 @@
 import msgspec
 import structlog
 
-from ..net import clock
-from ..net.loop import Reactor
-from ..store.database import open_store
-from ..store.writer import Writer
-from ..versions.account import Account, Record, Version, faults
-from ..versions.copies import Have, Message, Want, keepers, page
-from ..versions.gather import Accounts
+from ...config_audit.audit_log import Account, Record, Version, faults
+from ...config_audit.copies import Have, Message, Want, keepers, page
+from ...config_audit.gather import Accounts
+from ...net import clock
+from ...net.loop import Reactor
+from ...storage.database import open_store
+from ...storage.writer import Writer
 
 LOG = structlog.get_logger()
 EVERY = 250.0  # milliseconds between two writes, and between two rounds of copying
--- a/worksmux/front/council_disk.py
+++ b/worksmux/gateway/fleet/consensus_disk.py
@@ -18,8 +18,8 @@
 import msgspec
 import structlog
 
-from ..council.entries import Base, Entry, Saved, Write
-from ..store.database import Changes, Store, open_store
+from ...consensus.entries import Base, Entry, Saved, Write
+from ...storage.database import Changes, Store, open_store
 
 LOG = structlog.get_logger()
 COUNCIL, FRONT = "council", "front"
--- a/worksmux/front/council_seat.py
+++ b/worksmux/gateway/fleet/consensus_voter.py
@@ -15,16 +15,16 @@
 import msgspec
 import structlog
 
-from ..council import following as follow
-from ..council import raft, steps
-from ..council.book import Book, Put
-from ..council.entries import CHANGE, Base, Seats, front_of
-from ..measure import mix
-from ..net import clock
-from ..net.loop import Reactor
-from ..settings.fleet import FleetSettings
+from ...consensus import raft, steps
+from ...consensus import replication as follow
+from ...consensus.entries import CHANGE, Base, Seats, front_of
+from ...consensus.state_machine import Book, Put
+from ...net import clock
+from ...net.loop import Reactor
+from ...policy.measure import mix
+from ...settings.fleet import FleetSettings
+from .consensus_disk import CouncilDisk
 from .core_timers import CoreTimers
-from .council_disk import CouncilDisk
 from .peers_link import ToSeat
 
 LOG = structlog.get_logger()
--- a/worksmux/front/core_timers.py
+++ b/worksmux/gateway/fleet/core_timers.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from math import inf
 
-from ..net import clock
-from ..net.loop import Reactor, Timer
+from ...net import clock
+from ...net.loop import Reactor, Timer
 
 
 class CoreTimers:
--- a/worksmux/front/peering.py
+++ b/worksmux/gateway/fleet/peering.py
@@ -18,29 +18,29 @@
 import msgspec
 import structlog
 
-from .. import interface as i
-from ..council import following as follow
-from ..council import steps
-from ..council.book import PLAN, Chapter, Put
-from ..council.seating import Able, founds, next_seats
-from ..failover import acting
-from ..failover.plan import Plan, decode, encode
-from ..failover.planner import Map, Planner
-from ..failover.tally import Tally, added
-from ..failover.watcher import Watcher
-from ..measure import mix
-from ..net import clock
-from ..net.loop import Reactor
-from ..peers import swim as peers
-from ..peers.members import Rumour, State
-from ..settings.front import FrontSettings
-from .account_keeper import AccountKeeper
+from ...consensus import replication as follow
+from ...consensus import steps
+from ...consensus.reconfiguration import Able, founds, next_seats
+from ...consensus.state_machine import PLAN, Chapter, Put
+from ...failover import acting
+from ...failover.plan import Plan, decode, encode
+from ...failover.planner import Map, Planner
+from ...failover.tally import Tally, added
+from ...failover.watcher import Watcher
+from ...gossip import swim as peers
+from ...gossip.members import Rumour, State
+from ...net import clock
+from ...net.loop import Reactor
+from ...policy import interface as i
+from ...policy.measure import mix
+from ...settings.front import FrontSettings
+from ..active_versions import Holding
+from ..chat_engine_client import PublishedCore
+from .audit_log_keeper import AccountKeeper
+from .consensus_disk import CouncilDisk
+from .consensus_voter import CouncilSeat
 from .core_timers import CoreTimers
-from .council_disk import CouncilDisk
-from .council_seat import CouncilSeat
-from .holding import Holding
 from .peers_link import Envelope, PeersLink, ToAccount, ToFollower, ToPeer, ToSeat
-from .published import PublishedCore
 
 LOG = structlog.get_logger()
 COUNCIL = "council"  # the chapter with the council's own mark
--- a/worksmux/front/peers_link.py
+++ b/worksmux/gateway/fleet/peers_link.py
@@ -15,13 +15,14 @@
 import msgspec
 import structlog
 
-from ..council import following, messages as council
-from ..net import client, clock
-from ..net.loop import Reactor, listen
-from ..net.server import Exchange, Server
-from ..peers import messages as peers
-from ..settings.fleet import FleetSettings
-from ..versions import copies
+from ...config_audit import copies
+from ...consensus import messages as council
+from ...consensus import replication as following
+from ...gossip import messages as peers
+from ...net import client, clock
+from ...net.loop import Reactor, listen
+from ...net.server import Exchange, Server
+from ...settings.fleet import FleetSettings
 
 LOG = structlog.get_logger()
 FORM = 1  # of messages; another one is refused by its number
--- a/worksmux/front/watchman.py
+++ b/worksmux/gateway/load_monitor.py
@@ -7,8 +7,8 @@
 
 import structlog
 
-from ..admission.brownout import Pressure
-from ..admission.gate import Gate
+from ..admission.controller import Gate
+from ..admission.overload import Pressure
 from ..net import clock
 from ..net.loop import Reactor
 from ..settings.front import Admission
--- a/worksmux/front/metrics.py
+++ b/worksmux/gateway/metrics.py
@@ -8,7 +8,7 @@
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
 if TYPE_CHECKING:
-    from ..tokens.service import TokenService
+    from ..tokenization.service import TokenService
 
 SECONDS = (0.05, 0.1, 0.25, 0.5, 1.0, 1.5, 2.0, 3.0, 5.0, 10.0, 30.0)
 TURNS = (0.0001, 0.0003, 0.001, 0.003, 0.01, 0.03, 0.1, 0.3)
--- a/worksmux/front/serve.py
+++ b/worksmux/gateway/serve.py
@@ -9,31 +9,31 @@
 import msgspec
 import structlog
 
-from ..admission.gate import Gate, GateSettings, Share
+from ..admission.controller import Gate, GateSettings, Share
 from ..api import chat
 from ..baselines import POLICIES
-from ..door import Door, Maker
+from ..forwarding.log_setup import Writer, set_up
+from ..forwarding.process import let_out, run_reactor
 from ..net.loop import Reactor, listen, the_reactor
 from ..net.server import Exchange, Server
+from ..policy.id_map import Door, Maker
 from ..settings.document import SettingsError
 from ..settings.front import Admission, FrontSettings, load_front
-from ..tokens.service import TokenService
-from ..tokens.vocabulary import BadTokenizer, Vocabulary
-from ..tokens.vocabulary import load as load_vocabulary
+from ..tokenization.service import TokenService
+from ..tokenization.vocabulary import BadTokenizer, Vocabulary
+from ..tokenization.vocabulary import load as load_vocabulary
+from .chat_engine_client import PublishedCore
 from .clients import ClientSide
-from .published import PublishedCore
+from .endpoint_cache import Memory
 from .engine_list import EngineList
-from .lane import Lane
-from .memory import Memory
-from .logbook import Writer, set_up
+from .load_monitor import Watchman
 from .metrics import Metrics
-from .process import let_out, run_reactor
+from .stage import Lane
 from .vectors import VectorSide
-from .watchman import Watchman
 
 if TYPE_CHECKING:
-    from .account_keeper import AccountKeeper
-    from .peering import Peering
+    from .fleet.audit_log_keeper import AccountKeeper
+    from .fleet.peering import Peering
 
 LOG = structlog.get_logger()
 
@@ -106,7 +106,7 @@
         self.clients = ClientSide(self.core, self.tokens)
         self.peering: Peering | None = None
         if settings.fleet:
-            from .peering import Peering  # not loaded by a front that is alone by its settings
+            from .fleet.peering import Peering
 
             self.peering = Peering(settings, self.core, reactor, seed)
             self.peering.on_outlived = self.stop
--- a/worksmux/front/lane.py
+++ b/worksmux/gateway/stage.py
@@ -11,15 +11,15 @@
 
 import structlog
 
-from .. import interface as i
 from ..api import chat, errors
 from ..api import engine as calls
-from ..door import Door, Maker
+from ..forwarding.decision_loop import Turns
 from ..net import client, clock
+from ..policy import interface as i
+from ..policy.id_map import Door, Maker
 from ..settings.front import Lane as LaneSettings
-from . import carriers
-from .published import PublishedCore
-from .turns import Turns
+from . import attempts as carriers
+from .chat_engine_client import PublishedCore
 
 LOG = structlog.get_logger()
 BAD_INPUT = frozenset({400, 413, 422})  # the engine finds fault with what it is asked
--- a/worksmux/front/vectors.py
+++ b/worksmux/gateway/vectors.py
@@ -13,18 +13,18 @@
 import structlog
 import xxhash
 
-from ..admission.gate import Asked, Gate, Refused
-from ..admission.gate import Step as GateStep
+from ..admission.controller import Asked, Gate, Refused
+from ..admission.controller import Step as GateStep
 from ..api import chat, embeddings, errors, rerank
-from ..batches.planner import Bounds, Call, Done, How, Load, Planner
-from ..batches.planner import Step as PlanStep
+from ..batching.planner import Bounds, Call, Done, How, Load, Planner
+from ..batching.planner import Step as PlanStep
 from ..net import clock
 from ..net.server import Exchange
 from ..settings.front import Admission
 from ..settings.shared import Offering
-from ..tokens.service import Prompt, Result, TokenService
-from .published import PublishedCore
-from .lane import Lane, Work
+from ..tokenization.service import Prompt, Result, TokenService
+from .chat_engine_client import PublishedCore
+from .stage import Lane, Work
 
 LOG = structlog.get_logger()
 ANSWER = "x-worksmux-answer"
--- a/worksmux/peers/swim.py
+++ b/worksmux/gossip/swim.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from ..measure import Chance
+from ..policy.measure import Chance
 from .health import Health
 from .members import PARTS, Incarnation, Member, Members, Rumour, State, part_of
 from .messages import Ack, Ask, Everyone, Message, Nack, Parts, Ping, Same, Some
--- a/worksmux/node/attempts.py
+++ b/worksmux/node/attempts.py
@@ -4,12 +4,11 @@
 
 from typing import Any
 
-from .. import interface as i
-from ..front.carriage import Carriage, Streaming
+from ..forwarding.attempt import Carriage, Streaming
 from ..net import client, clock
+from ..policy import interface as i
 from . import protocol
 
-
 TOLD_EARLY = 20.0  # milliseconds that the time told may be older than the attempt
 
 
--- a/worksmux/node/clients.py
+++ b/worksmux/node/clients.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..api import errors
-from ..front.streams import StreamSide
+from ..forwarding.stream_relay import StreamSide
 from ..net.server import Exchange
 from . import protocol
 from .core import NodeCore
--- a/worksmux/node/config.py
+++ b/worksmux/node/config.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
-from ..interface import Settings
+from ..policy.interface import Settings
 from ..settings import units
-from ..settings.told import Place, Untold, settings_from
-from .listing import HostList
+from ..settings.platform import Place, Untold, settings_from
+from .endpoint_list import HostList
 
 Address = tuple[str, int]
 FILE, NAME, LISTEN, DISCOVERY = "LB_CONFIG", "LB_NAME", "LB_LISTEN", "LB_DISCOVERY"
--- a/worksmux/node/core.py
+++ b/worksmux/node/core.py
@@ -4,21 +4,21 @@
 
 from collections import deque
 
-from .. import interface as i
-from ..door import Door
-from ..front.case import Case, Client
-from ..front.core import Core
+from ..forwarding.request_context import Case, Client
+from ..forwarding.request_lifecycle import Core
 from ..net import client, clock
 from ..net.loop import Reactor
 from ..net.time_out import TimeOut
+from ..policy import interface as i
+from ..policy.id_map import Door
 from . import protocol
-from .contacts import Contacts
-from .counts import NodeCounts
-from .held import HeldState
-from .in_doubt import DoubtWatch
-from .limits import Shares
-from .releases import Release, Releases
 from .attempts import Attempt, DecodeAttempt, PrefillAttempt
+from .counters import NodeCounts
+from .kv_claims import HeldState
+from .kv_release import Release, Releases
+from .limits import Shares
+from .release_targets import Contacts
+from .unresponsive_attempts import DoubtWatch
 
 HOST = "app.svc"
 HEAD, BODY = 2**14, 2**18  # bytes: an engine's head; a body, by the platform's page
--- a/worksmux/node/discovery.py
+++ b/worksmux/node/discovery.py
@@ -10,13 +10,13 @@
 import msgspec
 import structlog
 
-from .. import interface as i
-from ..membership.keys import key_of
-from ..membership.listing import ListKeeper
+from ..endpoints.keys import key_of
+from ..endpoints.list_reader import ListKeeper
 from ..net import client, clock
 from ..net.loop import Reactor
+from ..policy import interface as i
 from .core import HEAD, NodeCore
-from .listing import READ_HOSTS, HostList, listing
+from .endpoint_list import READ_HOSTS, HostList, listing
 
 LOG = structlog.get_logger()
 PATH = "/discovery/hosts"
--- a/worksmux/node/releases.py
+++ b/worksmux/node/kv_release.py
@@ -21,12 +21,12 @@
 
 import structlog
 
-from ..front.small_calls import OutgoingCall
-from ..interface import Engine
+from ..forwarding.control_call import OutgoingCall
 from ..net import client, clock
 from ..net.loop import Reactor, Timer
+from ..policy.interface import Engine
 from . import protocol
-from .held import HeldState
+from .kv_claims import HeldState
 
 LOG = structlog.get_logger()
 STEPS = 8  # a step, and the first pause before a repeat, is this part of the time there is
--- a/worksmux/node/protocol.py
+++ b/worksmux/node/protocol.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from .. import interface as i
-from ..membership.keys import key_of
+from ..endpoints.keys import key_of
+from ..policy import interface as i
 
 CHAT, READY, HOLDS, ALIVE, LOAD_PATH = "/v1/chat/completions", "/up", "/v1/holds/", "/alive", "/metrics/load"
 ID, OFFERING, SESSION, TIME_LEFT = "X-Request-ID", "X-Priority-Class", "X-Route-Key", "X-Timeout-Ms"
--- a/worksmux/node/serve.py
+++ b/worksmux/node/serve.py
@@ -12,20 +12,20 @@
 
 import structlog
 
-from ..door import Door
-from ..front.logbook import set_up
-from ..front.process import FLUSH, let_out, run_reactor
+from ..forwarding.log_setup import set_up
+from ..forwarding.process import FLUSH, let_out, run_reactor
 from ..net import clock
 from ..net.lateness import Lateness
 from ..net.loop import Reactor, listen, the_reactor
 from ..net.server import Server
 from ..net.time_out import TimeOut
+from ..policy.id_map import Door
 from .clients import NodeClients
 from .config import BadConfig, Config, load
 from .core import BODY, HEAD, NodeCore
-from .counts import NodeCounts
+from .counters import NodeCounts
 from .discovery import Discovery
-from .held import LONGEST_SILENCE
+from .kv_claims import LONGEST_SILENCE
 from .limits import shares
 
 LOG = structlog.get_logger()
--- a/worksmux/node/in_doubt.py
+++ b/worksmux/node/unresponsive_attempts.py
@@ -20,11 +20,11 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from ..interface import Engine
 from ..net import clock
 from ..net.loop import Reactor
-from .held import HeldState
-from .releases import Releases
+from ..policy.interface import Engine
+from .kv_claims import HeldState
+from .kv_release import Releases
 
 QUIET = 0.6  # of the time to let go: an engine that is silent for so long is in doubt
 PROBE_STEPS = 2  # steps of a release that a probe has to be answered in
--- /dev/null
+++ b/worksmux/policy/__init__.py
@@ -0,0 +1,1 @@
+"""All decisions on requests, attempts and engines; no I/O, no clock."""
--- a/worksmux/engine_index.py
+++ b/worksmux/policy/endpoint_index.py
@@ -15,7 +15,7 @@
 from typing import NamedTuple
 
 from .interface import Engine, Planned, Settings
-from .ranking import RankedEngines, Ranking
+from .rendezvous import RankedEngines, Ranking
 
 LEAN = 6.0  # times the price of moving state: what prefill engines take beyond their even share
 MOST_LOOKS = 128  # at decode engines of one circle in one search
--- a/worksmux/door.py
+++ b/worksmux/policy/id_map.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from . import interface as i
-from .rules import Front
+from .router import Front
 
 
 class Module(Protocol):
--- a/worksmux/rules.py
+++ b/worksmux/policy/router.py
@@ -3,7 +3,7 @@
     front = Front(settings, seed)            # a plain map, named as in `settings/told.py`
     actions = front.decide(now, events)      # once for each batch of events, in the order they came
 
-The types of events, actions, jobs, trips and engines are in `worksmux/interface.py`; `docs/design.md` says
+The types of events, actions, jobs, trips and engines are in `worksmux/policy/`; `docs/design.md` says
 which part of the design each piece serves.  Times are milliseconds.  A front knows only its own events; in a
 large fleet it meets an engine less than once in the time that a trouble lasts.
 """
@@ -15,7 +15,7 @@
 from itertools import chain, islice
 from math import ceil, inf
 
-from .engine_index import ANYWHERE, FURTHER_LOOKS, HEAD_LOOKS, EngineIndex, RoundRobin, Scope
+from .endpoint_index import ANYWHERE, FURTHER_LOOKS, HEAD_LOOKS, EngineIndex, RoundRobin, Scope
 from .interface import (
     Action,
     Alarm,
@@ -45,7 +45,7 @@
     Watch,
 )
 from .measure import Chance, Ring, mix, straw
-from .ranking import Ranking, rank
+from .rendezvous import Ranking, rank
 from .slow_start import SlowStart
 
 MARGIN = 0.25  # of an engine's even share, added to make its first window or its room
--- a/worksmux/days/engines.py
+++ b/worksmux/scenarios/engines.py
@@ -4,7 +4,7 @@
 
 import random
 
-from ..standins.model import Spec
+from ..fakes.generator import Spec
 from .scenario import Place, Scenario, Trouble
 
 
--- a/worksmux/days/figures.py
+++ b/worksmux/scenarios/figures.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..audit.rules import Figures
+from ..checker.rules import Figures
 from .scenario import Scenario
 
 
--- a/worksmux/settings/fleet.py
+++ b/worksmux/settings/fleet.py
@@ -6,7 +6,7 @@
     seeds "127.0.0.1:7002" "127.0.0.1:7003"  // whom to ask first
     founders "front-1" "front-2" "front-3"   // who form the council, once, when all are there
     seats 3
-    disk "/var/lib/worksmux/front-1"
+    disk "/var/lib/worksmux/gateway-1"
     lease "4s"
     carries "north" 65                       // jobs a second that a zone carries warm; learned if absent
     reach "front-2" "127.0.0.1:9002"         // another way to a front than the address it tells
--- a/worksmux/settings/front.py
+++ b/worksmux/settings/front.py
@@ -8,8 +8,8 @@
 
 from ..api.listing import Line
 from . import shared
-from .fleet import FleetSettings, read_fleet
 from .document import Section, SettingsError, load
+from .fleet import FleetSettings, read_fleet
 
 Address = tuple[str, int]
 POLICIES = ["worksmux", "random", "round-robin", "least-of-our-own"]
--- a/worksmux/settings/told.py
+++ b/worksmux/settings/platform.py
@@ -10,7 +10,7 @@
 import json
 from typing import Any
 
-from ..interface import Settings
+from ..policy.interface import Settings
 
 EFFECTS = {"free": "redoable", "guarded": "labelled", "single_shot": "irreversible"}
 MISSING: Any = object()
@@ -27,7 +27,7 @@
     4
     >>> Place({"limits": {}}, "settings").part("limits").number("tries")
     Traceback (most recent call last):
-    worksmux.settings.told.Untold: settings.limits.tries: a number was expected, it is missing
+    worksmux.settings.platform.Untold: settings.limits.tries: a number was expected, it is missing
     """
 
     def __init__(self, value: Any, place: str) -> None:
--- a/worksmux/model/clients.py
+++ b/worksmux/simulation/clients.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
+from ..scenarios.scenario import Scenario, Traffic, Trouble
 from ..settings.shared import Offering
-from ..days.scenario import Scenario, Traffic, Trouble
 from .engine import Note
 from .front import Ask, ModelFront
 from .sim import Sim
--- a/worksmux/model/conductor.py
+++ b/worksmux/simulation/conductor.py
@@ -10,13 +10,13 @@
 
 from dataclasses import dataclass
 
-from ..days.scenario import Scenario
 from ..failover.acting import told
 from ..failover.plan import Plan
 from ..failover.planner import Map, Planner
 from ..failover.tally import Tally, added
 from ..failover.watcher import ListedEngine, Watcher
-from ..interface import Planned
+from ..policy.interface import Planned
+from ..scenarios.scenario import Scenario
 from .day import Model
 from .front import ModelFront
 
--- a/worksmux/model/council.py
+++ b/worksmux/simulation/consensus.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
-from ..council.entries import CHANGE, Base, Entry, Saved, Seats, Write
-from ..council.messages import Message
-from ..council.raft import Raft
-from ..council.steps import (
+from ..consensus.entries import CHANGE, Base, Entry, Saved, Seats, Write
+from ..consensus.messages import Message
+from ..consensus.raft import Raft
+from ..consensus.steps import (
     Committed,
     Compact,
     Fact,
@@ -33,7 +33,7 @@
     What,
     Written,
 )
-from ..measure import Chance, mix
+from ..policy.measure import Chance, mix
 from .sim import Sim, Timer
 from .wire import Weather, Wire
 
--- a/worksmux/model/day.py
+++ b/worksmux/simulation/day.py
@@ -15,13 +15,13 @@
 import msgspec
 
 from ..api.listing import Line, Listing
-from ..audit.records import Records, gather
 from ..baselines import POLICIES
-from ..door import Maker
-from ..membership.learned import Kept, Learner, Marks, Pace, recall
-from ..membership.trust import Beliefs, Saved, Turnover
-from ..days.engines import spec_of, struck, struck_fronts
-from ..days.scenario import OF_CLIENTS, OF_FRONTS, OF_THE_LIST, Place, Scenario, Trouble
+from ..checker.records import Records, gather
+from ..endpoints.learned_state import Kept, Learner, Marks, Pace, recall
+from ..endpoints.staleness import Beliefs, Saved, Turnover
+from ..policy.id_map import Maker
+from ..scenarios.engines import spec_of, struck, struck_fronts
+from ..scenarios.scenario import OF_CLIENTS, OF_FRONTS, OF_THE_LIST, Place, Scenario, Trouble
 from .clients import Clients
 from .engine import ModelEngine
 from .front import ModelFront
--- a/worksmux/model/engine.py
+++ b/worksmux/simulation/engine.py
@@ -15,8 +15,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..interface import Outcome
-from ..standins.model import Spec
+from ..fakes.generator import Spec
+from ..policy.interface import Outcome
 from .sim import Sim, Timer
 
 Note = Callable[..., None]
--- a/worksmux/model/followers.py
+++ b/worksmux/simulation/followers.py
@@ -7,9 +7,9 @@
 from functools import partial
 from typing import Any
 
-from ..council.book import Chapter
-from ..council.following import Agreed, Follower, Fronts, Heard, Out, Tick
-from ..measure import Chance
+from ..consensus.replication import Agreed, Follower, Fronts, Heard, Out, Tick
+from ..consensus.state_machine import Chapter
+from ..policy.measure import Chance
 from .sim import Sim
 from .wire import Weather, Wire
 
--- a/worksmux/model/front.py
+++ b/worksmux/simulation/front.py
@@ -7,15 +7,15 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from .. import interface as i
 from ..api.listing import Listing
-from ..door import Door, Maker
+from ..endpoints.endpoint_list import Roster
+from ..endpoints.keys import key_of
+from ..endpoints.learned_state import Learner
+from ..endpoints.staleness import Answer, Beliefs, Stand, Step
 from ..failover.watcher import Watcher
-from ..membership.keys import key_of
-from ..membership.roster import Roster
-from ..membership.trust import Answer, Beliefs, Stand, Step
-from ..membership.learned import Learner
-from ..standins.model import Spec
+from ..fakes.generator import Spec
+from ..policy import interface as i
+from ..policy.id_map import Door, Maker
 from .engine import Call, ModelEngine, Note
 from .sim import Sim, Timer
 
--- a/worksmux/model/peers.py
+++ b/worksmux/simulation/peers.py
@@ -3,11 +3,11 @@
 
 from __future__ import annotations
 
-from ..days.engines import hash_of
-from ..measure import mix
-from ..peers.members import Rumour, State
-from ..peers.messages import Message
-from ..peers.swim import Changed, Fact, Heard, Leave, Outlived, Swim, Tick, What
+from ..gossip.members import Rumour, State
+from ..gossip.messages import Message
+from ..gossip.swim import Changed, Fact, Heard, Leave, Outlived, Swim, Tick, What
+from ..policy.measure import mix
+from ..scenarios.engines import hash_of
 from .sim import Sim, Timer
 from .wire import Weather, Wire
 
--- a/worksmux/model/wire.py
+++ b/worksmux/simulation/wire.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from ..measure import Chance
+from ..policy.measure import Chance
 from .sim import Sim
 
 Take = Callable[[str, Any], object]
--- a/worksmux/tokens/desk.py
+++ b/worksmux/tokenization/desk.py
@@ -16,7 +16,7 @@
 from enum import Enum
 from itertools import count
 
-from ..measure import Ring
+from ..policy.measure import Ring
 
 WAIT = 0.15  # of the promised time: a count is waited for that long
 PATIENCE = 20.0  # times the usual time for its bytes, before a worker counts as hung
--- a/worksmux/tokens/pool.py
+++ b/worksmux/tokenization/pool.py
@@ -153,7 +153,10 @@
             worker = Worker(self, long)
             self.workers[worker] = None
             self.reactor.spawnProcess(
-                worker, sys.executable, [sys.executable, "-m", "worksmux.tokens.worker"], env=dict(os.environ)
+                worker,
+                sys.executable,
+                [sys.executable, "-m", "worksmux.tokenization.worker"],
+                env=dict(os.environ),
             )
 
     def use(self, vocabularies: list[Vocabulary]) -> None:
--- a/worksmux/tokens/train.py
+++ b/worksmux/tokenization/train.py
@@ -1,4 +1,4 @@
-"""Trains the project's own small byte-level BPE vocabularies: `python -m worksmux.tokens.train FOLDER`.
+"""Trains the project's own small byte-level BPE vocabularies: `python -m worksmux.tokenization.train FOLDER`.
 
 They stand in for a model's published `tokenizer.json` in tests and scripted days; two versions, so that a
 change of version can be tried.  Training is deterministic for one version of the library.
