--- a/benchmarks/accounting.py
+++ b/benchmarks/accounting.py
@@ -19,21 +19,21 @@
 from worksmux.storage.writer import Writer
 
 
-def main(jobs: int) -> None:
+def main(requests: int) -> None:
     with tempfile.TemporaryDirectory() as folder:
         store = open_store(Path(folder) / "account.db")
         writer = Writer(store, 0.25, print)
         account, kept = Account(), []
         start, own = time.perf_counter(), time.process_time()
         kept.append(account.begins(0.0, 0.0, 1))
-        for number in range(jobs):
+        for number in range(requests):
             if number % 200 == 0:
                 plan = Version(number, f"{number:016x}")
                 line = account.acts_on(float(number), float(number), {"plan": plan})
                 if line is not None:
                     kept.append(line)
-            for trip in (0, 1, -1):
-                account.decides(f"front-1-1a2b3c4d.{number}", trip, float(number))
+            for attempt in (0, 1, -1):
+                account.decides(f"front-1-1a2b3c4d.{number}", attempt, float(number))
             if number % 100 == 99:
                 kept += account.pages(float(number), float(number))
         encoded = [msgspec.msgpack.encode(record) for record in kept]
@@ -44,8 +44,8 @@
         size = sum(map(len, encoded))
         disk = sum(path.stat().st_size for path in Path(folder).iterdir())
         print(
-            f"{jobs} jobs: {1e6 * took / jobs:.1f} us a job (CPU {1e6 * cpu / jobs:.1f}), {len(kept)} "
-            f"records, {size / jobs:.0f} bytes a job, {disk / 1e6:.0f} MB on disk"
+            f"{requests} jobs: {1e6 * took / requests:.1f} us a job (CPU {1e6 * cpu / requests:.1f}), "
+            f"{len(kept)} records, {size / requests:.0f} bytes a job, {disk / 1e6:.0f} MB on disk"
         )
         start = time.perf_counter()
         records = [msgspec.msgpack.decode(data, type=Record) for data in encoded]
--- a/benchmarks/fleet_growth.py
+++ b/benchmarks/fleet_growth.py
@@ -85,16 +85,16 @@
     parser.add_argument("--procs", type=int, default=4)
     args = parser.parse_args()
     with ProcessPoolExecutor(args.procs) as pool:
-        jobs = [
+        requests = [
             pool.submit(follow, (int(count), zones)) for count in args.follow.split(",") for zones in (2, 9)
         ]
-        jobs += [
+        requests += [
             pool.submit(peers, (int(count), loss))
             for count in args.peers.split(",")
             for loss in (0.0, 0.05, 0.2)
         ]
-        for job in jobs:
-            print(job.result(), flush=True)
+        for request in requests:
+            print(request.result(), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/mass_restart.py
+++ b/benchmarks/mass_restart.py
@@ -14,7 +14,7 @@
 
 from worksmux.api.listing import Line
 from worksmux.endpoints.staleness import Saved, Turnover
-from worksmux.policy.interface import Listed
+from worksmux.policy.events import EndpointListUpdate
 from worksmux.scenarios.scenario import Scenario, read_scenario
 from worksmux.settings.document import parse
 from worksmux.simulation.day import EPOCH, Model, Remembered
@@ -156,7 +156,7 @@
                 )
             )
         ]
-        front.tell(Listed("cached", entries))
+        front.tell(EndpointListUpdate("cached", entries))
 
 
 def row(name: str, found: Found, live: Found) -> None:
--- a/benchmarks/module_by_size.py
+++ b/benchmarks/module_by_size.py
@@ -9,69 +9,82 @@
 import time
 from collections import deque
 
-from worksmux.policy import interface as i
+from worksmux.policy.actions import AbortRequest, RejectRequest, StartAttempt
+from worksmux.policy.events import (
+    AttemptEnded,
+    EndpointEntry,
+    EndpointListUpdate,
+    Event,
+    FirstToken,
+    RequestArrived,
+)
 from worksmux.policy.router import Front
+from worksmux.policy.settings import Settings
+from worksmux.policy.state import Attempt, Engine, Outcome, Request
 from worksmux.settings.document import load
 from worksmux.settings.front import read_front
 
-JOBS, OUT = 3000, 200
+REQUESTS, OUT = 3000, 200
 
 
-def settings() -> i.Settings:
+def settings() -> Settings:
     return read_front(load("benchmarks/front.kdl")).module
 
 
-def fleet(count: int) -> list[i.Entry]:
+def fleet(count: int) -> list[EndpointEntry]:
     """Half readers, half writers, in cells of five over two zones."""
-    engines = [i.Engine(f"e{at}".encode(), at + 1) for at in range(count)]
+    engines = [Engine(f"e{at}".encode(), at + 1) for at in range(count)]
     return [
-        i.Entry(engine, "ready", 0.0, at // 5 % 2, at // 5, at % 2, 1.0) for at, engine in enumerate(engines)
+        EndpointEntry(engine, "ready", 0.0, at // 5 % 2, at // 5, at % 2, 1.0)
+        for at, engine in enumerate(engines)
     ]
 
 
-def milliseconds_a_job(engines: int) -> float:
+def milliseconds_a_request(engines: int) -> float:
     """Mean time in the module for one job with all its events."""
     chance, front, now = random.Random(1), Front(settings(), 1), 100_000.0
-    front.decide(now, [i.Listed("full", fleet(engines))])
-    line: deque[tuple[float, i.Trip]] = deque()
+    front.decide(now, [EndpointListUpdate("full", fleet(engines))])
+    line: deque[tuple[float, Attempt]] = deque()
     spent, begun, ended = 0.0, 0, 0
-    while begun < JOBS or line:
-        events: list[i.Event] = []
-        if begun < JOBS and begun - ended < OUT:
+    while begun < REQUESTS or line:
+        events: list[Event] = []
+        if begun < REQUESTS and begun - ended < OUT:
             begun += 1
             events.append(
-                i.Arrived(
-                    i.Job(begun, 0, begun % 997 + 1, begun % 50 + 1, 1000.0, 500.0, 100.0, now, now + 4000.0)
+                RequestArrived(
+                    Request(
+                        begun, 0, begun % 997 + 1, begun % 50 + 1, 1000.0, 500.0, 100.0, now, now + 4000.0
+                    )
                 )
             )
         while line and line[0][0] <= now:
-            _, trip = line.popleft()
-            if trip.reading:
-                events.append(i.Ended(trip, i.Outcome.READ, 50.0, False))
-            elif not trip.began:
-                events.append(i.Began(trip, 30.0))
-                line.append((now + 200.0, trip))
+            _, attempt = line.popleft()
+            if attempt.reading:
+                events.append(AttemptEnded(attempt, Outcome.READ, 50.0, False))
+            elif not attempt.began:
+                events.append(FirstToken(attempt, 30.0))
+                line.append((now + 200.0, attempt))
             else:
-                events.append(i.Ended(trip, i.Outcome.DELIVERED, 230.0, True))
+                events.append(AttemptEnded(attempt, Outcome.DELIVERED, 230.0, True))
                 ended += 1
         start = time.perf_counter()
         actions = front.decide(now, events)
         spent += time.perf_counter() - start
-        ended += sum(isinstance(action, (i.Defer, i.BreakOff)) for action in actions)
+        ended += sum(isinstance(action, (RejectRequest, AbortRequest)) for action in actions)
         line.extend(
-            (now + 50.0 * chance.uniform(0.9, 1.1), action.trip)
+            (now + 50.0 * chance.uniform(0.9, 1.1), action.attempt)
             for action in actions
-            if isinstance(action, i.Send)
+            if isinstance(action, StartAttempt)
         )
         now += 1.0
-    return 1000 * spent / JOBS
+    return 1000 * spent / REQUESTS
 
 
 def main() -> None:
-    base = milliseconds_a_job(14)
+    base = milliseconds_a_request(14)
     print(f"{14:6d} engines: {base:.3f} ms a job")
     for count in (70, 280, 1120):
-        cost = milliseconds_a_job(count)
+        cost = milliseconds_a_request(count)
         print(f"{count:6d} engines: {cost:.3f} ms a job, {cost / base:.1f} times that of 14")
 
 
--- a/benchmarks/without_discovery.py
+++ b/benchmarks/without_discovery.py
@@ -63,22 +63,22 @@
             rig.registry.cut()
         front = rig.front()
         lost: list[Any] = []
-        tell = front.core.on_trip
+        tell = front.core.on_attempt
 
-        def trip(engine: Any, outcome: Any) -> None:
+        def attempt(engine: Any, outcome: Any) -> None:
             if outcome.value == "unreachable":
                 lost.append(engine)
             if tell and how != "wholly":
                 tell(engine, outcome)
 
-        front.core.on_trip = trip
+        front.core.on_attempt = attempt
         if how == "wholly" and front.memory and front.memory.beliefs:
             front.memory.beliefs.due.clear()  # nothing is asked, nothing is dropped
         records = rig.day(length=3000.0, rate=20.0)
         firsts = [float(line["t"]) for line in records.lines if line["what"] == "first token"]
         start = min(float(line["t"]) for line in records.lines if line["what"] == "try")
-        done = sum(job["how"] == "delivered" for job in records.jobs)
-        return (min(firsts) - start if firsts else None), done / max(1, len(records.jobs)), len(lost)
+        done = sum(request["how"] == "delivered" for request in records.requests)
+        return (min(firsts) - start if firsts else None), done / max(1, len(records.requests)), len(lost)
 
 
 def main() -> None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,7 +1,9 @@
 """Builds the small states that the tests start from."""
 
-from worksmux.policy import interface as i
+from worksmux.policy.actions import SetTimer
+from worksmux.policy.events import AttemptEnded, EndpointEntry, EndpointListUpdate
 from worksmux.policy.router import Front
+from worksmux.policy.state import Engine, Request
 
 NOW = 100_000.0
 
@@ -56,22 +58,22 @@
 def fleet(*places, seed=1, **changes):
     """A front that knows an engine for each (kind, zone, cell), and those engines."""
     front = Front(settings(**changes), seed)
-    engines = [i.Engine(bytes([at]), at + 1) for at in range(len(places))]
+    engines = [Engine(bytes([at]), at + 1) for at in range(len(places))]
     entries = [
-        i.Entry(engine, "ready", 0.0, zone, cell, kind, 1.0)
+        EndpointEntry(engine, "ready", 0.0, zone, cell, kind, 1.0)
         for engine, (kind, zone, cell) in zip(engines, places, strict=True)
     ]
-    front.decide(NOW, [i.Listed("full", entries)])
+    front.decide(NOW, [EndpointListUpdate("full", entries)])
     return front, engines
 
 
-def job(number=1, offering=0, now=NOW, left=4000.0, session=0):
-    return i.Job(number, offering, session or number, 0, 1000.0, 0.0, 300.0, now, now + left)
+def request(number=1, request_class=0, now=NOW, left=4000.0, session=0):
+    return Request(number, request_class, session or number, 0, 1000.0, 0.0, 300.0, now, now + left)
 
 
-def ended(front, trip, outcome, after=50.0, closed=False, note=0):
-    return front.decide(trip.sent + after, [i.Ended(trip, outcome, after, closed, note)])
+def ended(front, attempt, outcome, after=50.0, closed=False, note=0):
+    return front.decide(attempt.sent + after, [AttemptEnded(attempt, outcome, after, closed, note)])
 
 
 def kinds(actions):
-    return [type(action).__name__ for action in actions if not isinstance(action, i.Alarm)]
+    return [type(action).__name__ for action in actions if not isinstance(action, SetTimer)]
--- a/tests/node_rig.py
+++ b/tests/node_rig.py
@@ -58,11 +58,11 @@
 
 
 def ask(
-    key: str = "a1", offering: str = "chat", left: str = "3000", body: bytes = BODY, more: str = ""
+    key: str = "a1", request_class: str = "chat", left: str = "3000", body: bytes = BODY, more: str = ""
 ) -> bytes:
     return (
         f"POST /v1/chat/completions HTTP/1.1\r\nHost: app.svc\r\nX-Request-ID: {key}\r\n"
-        f"X-Priority-Class: {offering}\r\nX-Route-Key: 7f\r\nX-Timeout-Ms: {left}\r\n"
+        f"X-Priority-Class: {request_class}\r\nX-Route-Key: 7f\r\nX-Timeout-Ms: {left}\r\n"
         f"X-Attrs: prefix=5c,prompt_len=500,prefix_len=100,max_out=80\r\n{more}"
         f"Content-Length: {len(body)}\r\n\r\n"
     ).encode() + body
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -26,7 +26,7 @@
 
 
 def asked(
-    offering: int = 0,
+    request_class: int = 0,
     caller: str = "c",
     cost: float = 50.0,
     now: float = 0.0,
@@ -34,7 +34,7 @@
     repeat: bool = False,
 ) -> Asked:
     return Asked(
-        offering, caller, cost, now, now + 1000.0, now + 4000.0, repeat, body or random.getrandbits(60)
+        request_class, caller, cost, now, now + 1000.0, now + 4000.0, repeat, body or random.getrandbits(60)
     )
 
 
@@ -147,7 +147,7 @@
     assert played(100, 50.0, hold=2).limit <= 8 * 10.0
 
 
-def test_trips_turned_away_shrink_the_limit_once_in_a_while() -> None:
+def test_attempts_turned_away_shrink_the_limit_once_in_a_while() -> None:
     limit = Limit(10.0, 1000.0, 1000.0)
     for _ in range(10):
         limit.sent(0.0, 10.0)
@@ -231,20 +231,20 @@
     assert not one.ended(1001.0, calls[0], 1001.0, False).go
 
 
-def test_dear_offering_gets_its_share_of_the_pool_and_another_pool_is_untouched() -> None:
+def test_dear_request_class_gets_its_share_of_the_pool_and_another_pool_is_untouched() -> None:
     one, now, sent = gate(), 0.0, [0, 0, 0]
     out: list[Asked] = []
     for step in range(4000):
         now += 1.0
-        for offering in (0, 1, 2):
-            out += one.arrived(now, asked(offering, f"c{step % 7}", 10.0, now)).go
+        for request_class in (0, 1, 2):
+            out += one.arrived(now, asked(request_class, f"c{step % 7}", 10.0, now)).go
         out += one.tick(now).go
         if step % 2:
-            done = [each for each in out if each.offering != 2][:1]
-            done += [each for each in out if each.offering == 2]
+            done = [each for each in out if each.request_class != 2][:1]
+            done += [each for each in out if each.request_class == 2]
             for each in done:
                 out.remove(each)
-                sent[each.offering] += 1
+                sent[each.request_class] += 1
                 out += one.ended(now, each, now - each.arrived, True).go
     assert 2.0 < sent[1] / sent[0] < 4.0 and sent[2] > 3900
 
--- a/tests/test_audit_fleet.py
+++ b/tests/test_audit_fleet.py
@@ -6,7 +6,7 @@
 from worksmux.checker.records import Records, gather
 
 
-def lines(*trips: tuple[float, str, str, str, str]) -> Records:
+def lines(*attempts: tuple[float, str, str, str, str]) -> Records:
     """`trips`: time, engine, job, front, plan; readers' names begin with r, zones stand behind the dash."""
     found = [
         {
@@ -18,7 +18,7 @@
             "cell": 0,
             "cold": False,
         }
-        for _, engine, *_ in trips
+        for _, engine, *_ in attempts
     ]
     found += [
         {
@@ -30,11 +30,18 @@
             "list": "delta",
             "engines": [[engine, "ready", 0.0]],
         }
-        for front in {trip[3] for trip in trips}
-        for engine in {trip[1] for trip in trips}
+        for front in {attempt[3] for attempt in attempts}
+        for engine in {attempt[1] for attempt in attempts}
     ]
-    for at, (time, engine, job, front, plan) in enumerate(trips):
-        facts = {"who": engine, "job": job, "trip": f"t{at}", "front": front, "try": job, "offering": "hint"}
+    for at, (time, engine, request, front, plan) in enumerate(attempts):
+        facts = {
+            "who": engine,
+            "job": request,
+            "trip": f"t{at}",
+            "front": front,
+            "try": request,
+            "offering": "hint",
+        }
         found.append({"t": time, "what": "got", "plan": plan, **facts})
         found.append({"t": time + 50, "what": "end", "how": "read" if engine[0] == "r" else "done", **facts})
     return gather(found)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -12,8 +12,19 @@
 import pytest
 from helpers import NOW, settings
 
-from worksmux.policy import interface as i
+from worksmux.policy.actions import CheckHealth, SetTimer, StartAttempt
+from worksmux.policy.events import (
+    AttemptEnded,
+    EndpointEntry,
+    EndpointListUpdate,
+    Event,
+    FirstToken,
+    HealthCheckEnded,
+    RequestArrived,
+    TimerFired,
+)
 from worksmux.policy.router import Front
+from worksmux.policy.state import Attempt, Engine, Outcome, Request
 
 ENGINES = 10  # of each role
 RATE = 0.06  # requests a millisecond in all
@@ -24,7 +35,7 @@
 class Instance:
     """One front; `alive` until it is killed."""
 
-    def __init__(self, front: Front, engines: list[i.Engine]) -> None:
+    def __init__(self, front: Front, engines: list[Engine]) -> None:
         self.front, self.engines, self.alive = front, engines, True
         self.told: set[int] = set()  # engines whose start it has heard of
 
@@ -51,15 +62,15 @@
     def _new(self) -> Instance:
         made = Instance(
             Front(self.settings, self.chance.getrandbits(60)),
-            [i.Engine(bytes([number]), number + 1) for number in range(2 * ENGINES)],
+            [Engine(bytes([number]), number + 1) for number in range(2 * ENGINES)],
         )
         entries = [self._entry(made.engines, one) for one in range(2 * ENGINES)]
         made.told |= self.started.keys()
-        self._tell(made, [i.Listed("full", entries)])
+        self._tell(made, [EndpointListUpdate("full", entries)])
         return made
 
-    def _entry(self, engines: list[i.Engine], number: int) -> i.Entry:
-        return i.Entry(
+    def _entry(self, engines: list[Engine], number: int) -> EndpointEntry:
+        return EndpointEntry(
             engines[number], "ready", self.started.get(number, 0.0), 0, number % 2, number // ENGINES, 1.0
         )
 
@@ -73,7 +84,9 @@
     def _told(self, at: int, numbers: list[int]) -> None:
         made = self.instances[at]
         made.told |= set(numbers)
-        self._tell(made, [i.Listed("delta", [self._entry(made.engines, number) for number in numbers])])
+        self._tell(
+            made, [EndpointListUpdate("delta", [self._entry(made.engines, number) for number in numbers])]
+        )
 
     def restart(self, part: float) -> None:
         for at in range(self.fronts):
@@ -85,37 +98,41 @@
         self._after(self.chance.expovariate(RATE), self._arrive)
         number = next(self.numbers)
         prefix = 1 + int(self.prefixes * self.chance.random() ** 2)
-        one = i.Job(number, 0, number, prefix, 1000.0, 800.0, 100.0, self.now, self.now + 4000.0)
-        self._tell(self.instances[self.chance.randrange(self.fronts)], [i.Arrived(one)])
+        one = Request(number, 0, number, prefix, 1000.0, 800.0, 100.0, self.now, self.now + 4000.0)
+        self._tell(self.instances[self.chance.randrange(self.fronts)], [RequestArrived(one)])
 
-    def _tell(self, made: Instance, events: list[i.Event]) -> None:
+    def _tell(self, made: Instance, events: list[Event]) -> None:
         for action in made.front.decide(self.now, events) if made.alive else ():
-            if isinstance(action, i.Send):
-                trip = action.trip
-                number = made.engines.index(trip.engine)
+            if isinstance(action, StartAttempt):
+                attempt = action.attempt
+                number = made.engines.index(attempt.engine)
                 self.sent[number].append(self.now)
                 if number in made.told:
                     self.sent_knowing[number].append(self.now)
                 if self.chance.random() < self.full:
-                    self._after(2.0, self._tell, made, [i.Ended(trip, i.Outcome.FULL, 2.0, False, 0, None)])
-                elif trip.reading:
-                    self._after(READ, self._tell, made, [i.Ended(trip, i.Outcome.READ, READ, False, 0, None)])
+                    self._after(
+                        2.0, self._tell, made, [AttemptEnded(attempt, Outcome.FULL, 2.0, False, 0, None)]
+                    )
+                elif attempt.reading:
+                    self._after(
+                        READ, self._tell, made, [AttemptEnded(attempt, Outcome.READ, READ, False, 0, None)]
+                    )
                 else:
-                    self._after(30.0, self._tell, made, [i.Began(trip, 30.0)])
-                    self._after(WRITE, self._done, made, trip)
-            elif isinstance(action, i.Probe):  # it costs the engine work too
+                    self._after(30.0, self._tell, made, [FirstToken(attempt, 30.0)])
+                    self._after(WRITE, self._done, made, attempt)
+            elif isinstance(action, CheckHealth):  # it costs the engine work too
                 number = made.engines.index(action.engine)
                 self.sent[number].append(self.now)
                 if number in made.told:
                     self.sent_knowing[number].append(self.now)
-                answer = i.Probed(action.engine, i.Outcome.DELIVERED, 2.0, None)
+                answer = HealthCheckEnded(action.engine, Outcome.DELIVERED, 2.0, None)
                 self._after(2.0, self._tell, made, [answer])
-            elif isinstance(action, i.Alarm):
-                self._after(action.after, self._tell, made, [i.Rang(action.token)])
+            elif isinstance(action, SetTimer):
+                self._after(action.after, self._tell, made, [TimerFired(action.token)])
 
-    def _done(self, made: Instance, trip: i.Trip) -> None:
+    def _done(self, made: Instance, attempt: Attempt) -> None:
         self.served += 1
-        self._tell(made, [i.Ended(trip, i.Outcome.DELIVERED, WRITE, True, 0, None)])
+        self._tell(made, [AttemptEnded(attempt, Outcome.DELIVERED, WRITE, True, 0, None)])
 
     def run(self, ms: float) -> None:
         end = self.now + ms
--- a/tests/test_cost_by_fleet_size.py
+++ b/tests/test_cost_by_fleet_size.py
@@ -21,8 +21,19 @@
 from worksmux.node import discovery
 from worksmux.node.endpoint_list import HostList
 from worksmux.node.release_targets import Contacts
-from worksmux.policy import interface as i
+from worksmux.policy.actions import Action, CancelAttempt, CheckHealth, SetTimer, StartAttempt
+from worksmux.policy.events import (
+    AttemptEnded,
+    EndpointEntry,
+    EndpointListUpdate,
+    Event,
+    FirstToken,
+    HealthCheckEnded,
+    RequestArrived,
+    TimerFired,
+)
 from worksmux.policy.router import Front
+from worksmux.policy.state import Attempt, Engine, Outcome, Request
 
 FEW, MANY = 200, 3200
 REQUESTS, PAUSE = 6, 150.0  # milliseconds between two requests
@@ -64,56 +75,63 @@
         self.chance = Random(7)
         self.front = Front(settings(fronts=FRONTS, roles=["read", "write"]), 1)
         self.hung, self.answered, self.effect = hung, answered, effect
-        self.engines = [i.Engine(b"%d" % at, at + 1) for at in range(engines)]
-        self.line: list[tuple[float, int, Callable[[], i.Event | None]]] = []
+        self.engines = [Engine(b"%d" % at, at + 1) for at in range(engines)]
+        self.line: list[tuple[float, int, Callable[[], Event | None]]] = []
         self.numbers = count()
         self.costs: dict[str, list[int]] = {}
-        self.tell(NOW, lambda: i.Listed("full", [self.entry(at) for at in range(engines)]))
+        self.tell(NOW, lambda: EndpointListUpdate("full", [self.entry(at) for at in range(engines)]))
         young = [at for at in range(engines) if self.chance.random() < cold]
-        self.tell(NOW + 600, lambda: i.Listed("delta", [self.entry(at, started=NOW + 590) for at in young]))
+        self.tell(
+            NOW + 600,
+            lambda: EndpointListUpdate("delta", [self.entry(at, started=NOW + 590) for at in young]),
+        )
         leaving = range(0, engines, 5)
-        self.tell(NOW + 900, lambda: i.Listed("delta", [self.entry(at, "draining") for at in leaving]))
+        self.tell(
+            NOW + 900, lambda: EndpointListUpdate("delta", [self.entry(at, "draining") for at in leaving])
+        )
         for number in range(1, REQUESTS + 1):
             self.tell(NOW + number * PAUSE, lambda number=number: self.arrival(number))
 
-    def entry(self, at: int, state: str = "ready", started: float = 0.0) -> i.Entry:
-        return i.Entry(self.engines[at], state, started, at // 10 % 3, at // 10, at % 2, 1.0)
+    def entry(self, at: int, state: str = "ready", started: float = 0.0) -> EndpointEntry:
+        return EndpointEntry(self.engines[at], state, started, at // 10 % 3, at // 10, at % 2, 1.0)
 
-    def arrival(self, number: int) -> i.Event:
+    def arrival(self, number: int) -> Event:
         now = NOW + number * PAUSE
-        return i.Arrived(
-            i.Job(number, self.effect, number, number % 7, 1000.0, 500.0, 100.0, now, now + 4000.0)
+        return RequestArrived(
+            Request(number, self.effect, number, number % 7, 1000.0, 500.0, 100.0, now, now + 4000.0)
         )
 
-    def tell(self, at: float, event: Callable[[], i.Event | None]) -> None:
+    def tell(self, at: float, event: Callable[[], Event | None]) -> None:
         heapq.heappush(self.line, (at, next(self.numbers), event))
 
-    def outcome(self, trip: i.Trip, outcome: i.Outcome, at: float) -> None:
-        def ended() -> i.Event | None:
-            if trip.outcome is not None:
+    def outcome(self, attempt: Attempt, outcome: Outcome, at: float) -> None:
+        def ended() -> Event | None:
+            if attempt.outcome is not None:
                 return None
-            return i.Ended(trip, outcome, at - trip.sent, trip.job.ended or outcome is i.Outcome.DELIVERED)
+            return AttemptEnded(
+                attempt, outcome, at - attempt.sent, attempt.request.ended or outcome is Outcome.DELIVERED
+            )
 
         self.tell(at, ended)
 
-    def send(self, trip: i.Trip, now: float) -> None:
-        if trip.engine.key % 100 < 100 * self.hung:
-            return self.outcome(trip, i.Outcome.TIMED_OUT, trip.job.give_up_at)
-        if trip.reading:
-            return self.outcome(trip, i.Outcome.READ, now + 60)
-        self.tell(now + 30, lambda: i.Began(trip, 30.0) if trip.outcome is None else None)
-        self.outcome(trip, i.Outcome.DELIVERED, now + 400)
+    def send(self, attempt: Attempt, now: float) -> None:
+        if attempt.engine.key % 100 < 100 * self.hung:
+            return self.outcome(attempt, Outcome.TIMED_OUT, attempt.request.give_up_at)
+        if attempt.reading:
+            return self.outcome(attempt, Outcome.READ, now + 60)
+        self.tell(now + 30, lambda: FirstToken(attempt, 30.0) if attempt.outcome is None else None)
+        self.outcome(attempt, Outcome.DELIVERED, now + 400)
 
-    def carry_out(self, action: i.Action, now: float) -> None:
+    def carry_out(self, action: Action, now: float) -> None:
         match action:
-            case i.Alarm(after, token):
-                self.tell(now + after, lambda: i.Rang(token))
-            case i.Probe(engine) if self.chance.random() < self.answered:
-                self.tell(now + 10, lambda: i.Probed(engine, i.Outcome.DELIVERED, 10.0))
-            case i.Send(trip):
-                self.send(trip, now)
-            case i.Cancel(trip):
-                self.outcome(trip, i.Outcome.CANCELLED, now + 1)
+            case SetTimer(after, token):
+                self.tell(now + after, lambda: TimerFired(token))
+            case CheckHealth(engine) if self.chance.random() < self.answered:
+                self.tell(now + 10, lambda: HealthCheckEnded(engine, Outcome.DELIVERED, 10.0))
+            case StartAttempt(attempt):
+                self.send(attempt, now)
+            case CancelAttempt(attempt):
+                self.outcome(attempt, Outcome.CANCELLED, now + 1)
 
     def run(self) -> Play:
         meter = Meter()
@@ -156,7 +174,7 @@
 def search_cost(engines: int) -> int:
     """Of the search for an engine that may hear a release, where those heard last are known and in vain."""
     contacts = Contacts(here=0)
-    listed = [i.Engine(b"%d" % at, at, zone=1 + at % 2, state="ready") for at in range(engines)]
+    listed = [Engine(b"%d" % at, at, zone=1 + at % 2, state="ready") for at in range(engines)]
     for engine in listed:
         contacts.listed(engine)
     for engine in listed[:9]:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -47,13 +47,13 @@
             while queue:
                 queue.pop(0)()
 
-    def to(self, point: str, offering: str = "chat", left: str = "3000") -> socket.socket:
+    def to(self, point: str, request_class: str = "chat", left: str = "3000") -> socket.socket:
         """A request whose progress is stopped at a point; gives its client's connection."""
         rig, at = self.rig, POINTS.index(point)
         if point == "waiting":
             self._no_room(True)
         client = socket.create_connection(("127.0.0.1", rig.node.port))
-        client.sendall(ask(offering=offering, left=left))
+        client.sendall(ask(request_class=request_class, left=left))
         client.setblocking(False)
         rig.until(lambda: rig.node.core.cases)
         if at >= 1:
@@ -131,11 +131,11 @@
 
 
 @pytest.mark.parametrize("point", POINTS)
-@pytest.mark.parametrize("offering", ["chat", "mark"])
+@pytest.mark.parametrize("request_class", ["chat", "mark"])
 def test_request_taken_before_sigterm_is_answered_and_the_node_ends(
-    scene: Scene, point: str, offering: str
+    scene: Scene, point: str, request_class: str
 ) -> None:
-    client = scene.to(point, offering)
+    client = scene.to(point, request_class)
     scene.rig.node.stop()
     assert not scene.ended
     scene.finish(point)
@@ -209,9 +209,9 @@
 
 
 @pytest.mark.parametrize("point", POINTS)
-@pytest.mark.parametrize("offering", ["chat", "mark"])
-def test_nothing_begins_for_a_client_who_has_left(scene: Scene, point: str, offering: str) -> None:
-    client = scene.to(point, offering)
+@pytest.mark.parametrize("request_class", ["chat", "mark"])
+def test_nothing_begins_for_a_client_who_has_left(scene: Scene, point: str, request_class: str) -> None:
+    client = scene.to(point, request_class)
     sent = [request for engine in scene.rig.engines for request in engine.asked]
     client.close()
     scene.rig.until(
@@ -250,12 +250,12 @@
 
 
 @pytest.mark.parametrize("point", ["reading", "writing"])
-@pytest.mark.parametrize("offering", ["chat", "mark"])
+@pytest.mark.parametrize("request_class", ["chat", "mark"])
 @pytest.mark.parametrize("how", ["reset", "end", "half an answer", "noise"])
 def test_broken_attempt_is_repeated_only_where_that_is_harmless(
-    scene: Scene, point: str, offering: str, how: str
+    scene: Scene, point: str, request_class: str, how: str
 ) -> None:
-    client = scene.to(point, offering)
+    client = scene.to(point, request_class)
     engine = scene.reader if point == "reading" else scene.writer
     wire: Any = engine.peers[-1].transport
     scene.reader.script, scene.writer.script = (lambda _: READ), (lambda _: ANSWER)
@@ -271,16 +271,16 @@
             wire.write(b"\x00\xff\r\n\r\n")
     status = scene.read_all(client)[9:12]
     may_have_run = point == "writing"
-    if offering == "mark" and may_have_run:
+    if request_class == "mark" and may_have_run:
         assert status == b"502" and scene.effects() == 1  # neither repeated nor refused
     else:
         assert status in (b"200", b"503") and scene.effects() <= 2
     client.close()
 
 
-@pytest.mark.parametrize("offering", ["chat", "mark"])
-def test_attempt_refused_unrun_may_always_be_followed_by_another(scene: Scene, offering: str) -> None:
-    client = scene.to("writing", offering)
+@pytest.mark.parametrize("request_class", ["chat", "mark"])
+def test_attempt_refused_unrun_may_always_be_followed_by_another(scene: Scene, request_class: str) -> None:
+    client = scene.to("writing", request_class)
     wire: Any = scene.writer.peers[-1].transport
     scene.reader.script, scene.writer.script = (lambda _: READ), (lambda _: ANSWER)
     wire.write(LOST)
@@ -291,11 +291,11 @@
 # A process that dies behind an accept.
 
 
-@pytest.mark.parametrize("offering", ["chat", "mark"])
+@pytest.mark.parametrize("request_class", ["chat", "mark"])
 @pytest.mark.parametrize("written", [False, True])
-def test_break_proves_no_more_than_it_does(scene: Scene, offering: str, written: bool) -> None:
+def test_break_proves_no_more_than_it_does(scene: Scene, request_class: str, written: bool) -> None:
     """Before the last byte has left nothing has run; after it something may have, also where nobody read."""
-    client = scene.to("connecting to write", offering)
+    client = scene.to("connecting to write", request_class)
     if written:
         scene.writer.script = lambda _: None  # read, and reset without a word
     else:
@@ -304,7 +304,7 @@
         scene.turns()
     status = scene.read_all(client)[9:12]
     assert scene.effects() == 0 if not written else scene.effects() >= 1
-    if offering == "mark" and written:
+    if request_class == "mark" and written:
         assert status == b"502" and scene.effects() == 1
     else:
         assert status == b"503"
@@ -388,29 +388,29 @@
 
 
 @pytest.mark.parametrize("point", POINTS[:5])
-@pytest.mark.parametrize("offering", ["chat", "mark"])
+@pytest.mark.parametrize("request_class", ["chat", "mark"])
 def test_late_reactor_lets_the_module_answer_a_request_whose_time_is_over(
-    scene: Scene, point: str, offering: str
+    scene: Scene, point: str, request_class: str
 ) -> None:
     """Guards against an answer that says less than is known, where all timers come due in one turn."""
-    client = scene.to(point, offering, left="400")
+    client = scene.to(point, request_class, left="400")
     (case,) = scene.rig.node.core.cases.values()
-    while clock.now() < case.job.give_up_at + 30:  # the reactor does not turn
+    while clock.now() < case.request.give_up_at + 30:  # the reactor does not turn
         pass
     scene.rig.until(lambda: case.answered)
-    may_have_run = offering == "mark" and point == "writing"
+    may_have_run = request_class == "mark" and point == "writing"
     assert case.answered == ("broken off" if may_have_run else "deferred")
     assert "overdue" not in scene.rig.node.counts.sums
     client.close()
 
 
 @pytest.mark.parametrize("point", POINTS[:5])
-@pytest.mark.parametrize("offering", ["chat", "mark"])
+@pytest.mark.parametrize("request_class", ["chat", "mark"])
 def test_request_whose_time_is_over_is_answered_before_its_client_gives_up(
-    scene: Scene, point: str, offering: str
+    scene: Scene, point: str, request_class: str
 ) -> None:
     begun = clock.now()
-    client = scene.to(point, offering, left="400")
+    client = scene.to(point, request_class, left="400")
 
     def answered() -> bool:
         try:
@@ -419,7 +419,7 @@
             return False
 
     scene.rig.until(answered)
-    may_have_run = offering == "mark" and point == "writing"
+    may_have_run = request_class == "mark" and point == "writing"
     assert client.recv(1000)[9:12] in ((b"502", b"504") if may_have_run else (b"503",))
     assert clock.now() - begun < 400 + 100  # a busy machine has its share in it
     client.close()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -17,7 +17,7 @@
 from worksmux.node import discovery as watch
 from worksmux.node.discovery import Discovery
 from worksmux.node.endpoint_list import READ_HOSTS
-from worksmux.policy import interface as i
+from worksmux.policy.state import Engine
 
 TOLD = 6000.0  # a change counts as told that long after discovery had it and could be reached
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -57,7 +57,7 @@
             forget_gone=list,
             moved=lambda *_: None,
             listed=self.lists.append,
-            door=SimpleNamespace(engine=i.Engine),
+            door=SimpleNamespace(engine=Engine),
         )
         self.discovery = Discovery(("127.0.0.1", 1), core, self.reactor, ["prefill"], ["a"])
         self.wires: list[Wire] = []
--- a/tests/test_engine_index.py
+++ b/tests/test_engine_index.py
@@ -8,18 +8,18 @@
 import pytest
 from helpers import NOW, settings
 
-from worksmux.policy import interface as i
 from worksmux.policy.endpoint_index import MOST_LOOKS, RoundRobin
 from worksmux.policy.measure import mix
 from worksmux.policy.rendezvous import BUCKET, RankedEngines, rank
 from worksmux.policy.slow_start import PRUDENCE, SlowStart
+from worksmux.policy.state import Engine
 
 KEYS = [mix(number, 9) for number in range(4000)]
 
 
-def engines(count: int, heavy: int = 0) -> list[i.Engine]:
+def engines(count: int, heavy: int = 0) -> list[Engine]:
     """The first `heavy` of them weigh three times as much."""
-    found = [i.Engine(b"%d" % at, at + 1, role="write", state="ready") for at in range(count)]
+    found = [Engine(b"%d" % at, at + 1, role="write", state="ready") for at in range(count)]
     for at, engine in enumerate(found):
         engine.salt, engine.weight = mix(engine.key, 0), 3.0 if at < heavy else 1.0
     return found
@@ -67,7 +67,7 @@
         engine.turn = float(at)
     circle, last, looks = RoundRobin(many), many[-1], 0
 
-    def fits(engine: i.Engine) -> bool:
+    def fits(engine: Engine) -> bool:
         nonlocal looks
         looks += 1
         return engine is last
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -4,7 +4,7 @@
 
 import msgspec
 import pytest
-from helpers import NOW, fleet, job
+from helpers import NOW, fleet, request
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -14,7 +14,15 @@
 from worksmux.failover.tally import Tally, ZoneTally, added
 from worksmux.failover.watcher import Watcher
 from worksmux.failover.zones import Phase
-from worksmux.policy import interface as i
+from worksmux.policy.actions import RejectRequest
+from worksmux.policy.events import (
+    AttemptEnded,
+    EndpointEntry,
+    EndpointListUpdate,
+    FailoverPlan,
+    RequestArrived,
+)
+from worksmux.policy.state import Attempt, Engine, Outcome, Request
 
 REGIONS = {"a": "west", "b": "west", "c": "east", "d": "east"}
 CREDITS = {"hint": 1.0, "explain": 2.0, "mark": 5.0}
@@ -61,7 +69,7 @@
     assert not looks(made(), 50)
 
 
-def test_lost_zone_keeps_nothing_at_once_and_its_region_takes_its_jobs() -> None:
+def test_lost_zone_keeps_nothing_at_once_and_its_region_takes_its_requests() -> None:
     planner = made()
     looks(planner, 3)
     plan = planner.look(tally(a=LOST))
@@ -75,7 +83,7 @@
     assert plan is not None and {*plan.rows["a"], *plan.rows["b"]} == {"c", "d"}
 
 
-def test_jobs_leave_the_region_only_once_it_is_full() -> None:
+def test_requests_leave_the_region_only_once_it_is_full() -> None:
     planner = made()
     looks(planner, 3)
     easy = looks(planner, 12, a=LOST)
@@ -122,7 +130,7 @@
     return count
 
 
-def test_flapping_zone_is_given_jobs_ever_more_seldom(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_flapping_zone_is_given_requests_ever_more_seldom(monkeypatch: pytest.MonkeyPatch) -> None:
     patient = returns(made())
     monkeypatch.setattr("worksmux.failover.zones.MOST_HOLD", 2.0)
     assert patient < 8 < 30 < returns(made())  # without the growing hold it is given them each time
@@ -258,19 +266,21 @@
         assert not odd.sound()
 
 
-def watched() -> tuple[Watcher, list[i.Engine]]:
+def watched() -> tuple[Watcher, list[Engine]]:
     front, engines = fleet((0, 0, 0), (1, 0, 0), (0, 1, 1), (1, 1, 1))
     watcher = Watcher(["north", "south"], ["hint", "mark", "note"], front.settings)
     watcher.saw(
         NOW,
-        i.Listed("full", [i.Entry(one, "ready", 0.0, one.zone, one.cell, one.kind, 1.0) for one in engines]),
+        EndpointListUpdate(
+            "full", [EndpointEntry(one, "ready", 0.0, one.zone, one.cell, one.kind, 1.0) for one in engines]
+        ),
     )
     return watcher, engines
 
 
-def fault(watcher: Watcher, engine: i.Engine, at: float, outcome: i.Outcome = i.Outcome.UNREACHABLE) -> None:
-    trip = i.Trip(job(), engine, 0, at - 10, True)
-    watcher.saw(at, i.Ended(trip, outcome, 10.0, False))
+def fault(watcher: Watcher, engine: Engine, at: float, outcome: Outcome = Outcome.UNREACHABLE) -> None:
+    attempt = Attempt(request(), engine, 0, at - 10, True)
+    watcher.saw(at, AttemptEnded(attempt, outcome, 10.0, False))
 
 
 def test_zone_of_which_nothing_answers_is_lost_to_who_asks_it_though_it_asks_seldom() -> None:
@@ -278,7 +288,7 @@
     watcher, (reader, writer, other, _) = watched()
     fault(watcher, reader, NOW + 500)
     fault(watcher, writer, NOW + 600)
-    fault(watcher, other, NOW + 600, i.Outcome.READ)
+    fault(watcher, other, NOW + 600, Outcome.READ)
     report = watcher.report(NOW + 900)
     assert report.zones["north"].lost == 1 and report.zones["south"].lost == 0
     assert watcher.report(NOW + 3000).zones["north"].lost == 1
@@ -289,25 +299,25 @@
     """Guards against a zone that is cut off while fronts wait for its decode engines to fail, which get no
     attempts any more: two votes of five, and no plan."""
     watcher, (reader, writer, *_) = watched()
-    fault(watcher, writer, NOW + 300, i.Outcome.DELIVERED)
+    fault(watcher, writer, NOW + 300, Outcome.DELIVERED)
     fault(watcher, reader, NOW + 500)
     report = watcher.report(NOW + 900).zones["north"]
     assert report.lost == 1 and report.spoke == 1
-    fault(watcher, writer, NOW + 950, i.Outcome.DELIVERED)
+    fault(watcher, writer, NOW + 950, Outcome.DELIVERED)
     assert watcher.report(NOW + 1500).zones["north"].lost == 0
 
 
 def test_one_engine_of_many_at_fault_loses_no_zone() -> None:
     watcher, (reader, writer, *_) = watched()
     fault(watcher, reader, NOW + 500)
-    fault(watcher, writer, NOW + 600, i.Outcome.READ)
+    fault(watcher, writer, NOW + 600, Outcome.READ)
     assert watcher.report(NOW + 900).zones["north"].lost == 0
 
 
-def test_jobs_that_wait_count_before_they_begin() -> None:
+def test_requests_that_wait_count_before_they_begin() -> None:
     watcher, _ = watched()
-    one = job(now=NOW)
-    watcher.saw(NOW, i.Arrived(one))
+    one = request(now=NOW)
+    watcher.saw(NOW, RequestArrived(one))
     zones = watcher.report(NOW + 800).zones
     assert zones["north"].press == pytest.approx(0.4) and zones["north"].begun == 0
     one.ended = True
@@ -317,7 +327,10 @@
 def test_what_a_zone_had_is_remembered_when_it_is_gone() -> None:
     watcher, engines = watched()
     watcher.report(NOW)
-    watcher.saw(NOW + 1, i.Listed("delta", [i.Entry(one, "gone", 0.0, 0, 0, 0, 1.0) for one in engines[:2]]))
+    watcher.saw(
+        NOW + 1,
+        EndpointListUpdate("delta", [EndpointEntry(one, "gone", 0.0, 0, 0, 0, 1.0) for one in engines[:2]]),
+    )
     told_zone = watcher.report(NOW + 1000).zones["north"]
     assert told_zone.ready == 0 and told_zone.had == pytest.approx(2.0, rel=0.01)
 
@@ -340,75 +353,75 @@
     plan = Plan(4, {"a": {"b": 1.0}}, {"a": {"hint": 0.5}}, 500.0)
     own = Tally(1, {"a": ZoneTally(), "b": ZoneTally(), "c": ZoneTally(1, 1)})
     event = told(plan, ["a", "b", "c"], ["hint"], True, "b", own)
-    assert event == i.Planned({0: [(1, 1.0)], 2: [(1, 1.0)]}, {0: [0.5]}, 500.0, True)
+    assert event == FailoverPlan({0: [(1, 1.0)], 2: [(1, 1.0)]}, {0: [0.5]}, 500.0, True)
 
 
 PLACES = ((0, 0, 0), (1, 0, 0), (0, 1, 1), (1, 1, 1), (0, 1, 1))
 
 
-def placed(front, count: int = 60) -> list[i.Job]:
-    jobs = [job(number, left=9000.0) for number in range(1, count + 1)]
-    for one in jobs:
-        front.decide(NOW, [i.Arrived(one)])
-        for trip in one.trips:
-            front.decide(NOW, [i.Ended(trip, i.Outcome.READ, 5.0, False)])
-    return jobs
+def placed(front, count: int = 60) -> list[Request]:
+    requests = [request(number, left=9000.0) for number in range(1, count + 1)]
+    for one in requests:
+        front.decide(NOW, [RequestArrived(one)])
+        for attempt in one.attempts:
+            front.decide(NOW, [AttemptEnded(attempt, Outcome.READ, 5.0, False)])
+    return requests
 
 
-def test_module_moves_a_lost_zones_jobs_and_leaves_the_others_where_they_were() -> None:
+def test_module_moves_a_lost_zones_requests_and_leaves_the_others_where_they_were() -> None:
     before, engines = fleet(*PLACES)
-    home = {one.id: one.trips[0].engine.zone for one in placed(before)}
+    home = {one.id: one.attempts[0].engine.zone for one in placed(before)}
     front, engines = fleet(*PLACES)
-    front.decide(NOW, [i.Planned({0: [(1, 1.0)]}, {}, 0.0)])
-    jobs = placed(front)
-    assert {one.trips[0].engine.zone for one in jobs} == {1}
+    front.decide(NOW, [FailoverPlan({0: [(1, 1.0)]}, {}, 0.0)])
+    requests = placed(front)
+    assert {one.attempts[0].engine.zone for one in requests} == {1}
     assert set(home.values()) == {0, 1}
-    assert not any(trip.engine.zone == 0 for one in jobs for trip in one.trips)
+    assert not any(attempt.engine.zone == 0 for one in requests for attempt in one.attempts)
 
 
 def test_share_that_grows_moves_no_beginning_back() -> None:
     moved: set[int] = set()
     for share in (0.2, 0.5, 0.8, 1.0):
         front, _ = fleet(*PLACES)
-        front.decide(NOW, [i.Planned({0: [(1, share), (0, 1 - share)]}, {}, 0.0)])
-        now = {one.id for one in placed(front) if one.trips and one.trips[0].engine.zone == 1}
+        front.decide(NOW, [FailoverPlan({0: [(1, share), (0, 1 - share)]}, {}, 0.0)])
+        now = {one.id for one in placed(front) if one.attempts and one.attempts[0].engine.zone == 1}
         assert moved <= now
         moved = now
 
 
 def test_module_uses_a_shut_zone_where_nothing_else_is_left() -> None:
     front, engines = fleet(*PLACES[:2])
-    front.decide(NOW, [i.Planned({0: [(1, 1.0)]}, {}, 0.0)])
-    one = job()
-    front.decide(NOW, [i.Arrived(one)])
-    assert one.trips[0].engine is engines[0]
+    front.decide(NOW, [FailoverPlan({0: [(1, 1.0)]}, {}, 0.0)])
+    one = request()
+    front.decide(NOW, [RequestArrived(one)])
+    assert one.attempts[0].engine is engines[0]
 
 
-def test_module_defers_what_the_plan_sheds_at_once_and_before_any_trip() -> None:
+def test_module_defers_what_the_plan_sheds_at_once_and_before_any_attempt() -> None:
     front, _ = fleet(*PLACES, stay_away=1.0)
-    front.decide(NOW, [i.Planned({}, {0: [1.0, 0.0, 0.0], 1: [1.0, 0.0, 0.0]}, 400.0)])
-    hint, mark = job(1), job(2, offering=1)
-    actions = front.decide(NOW, [i.Arrived(hint), i.Arrived(mark)])
-    defers = [action for action in actions if isinstance(action, i.Defer)]
-    assert [one.job for one in defers] == [hint] and 400.0 <= defers[0].stay_away <= 800.0
-    assert hint.ended and not hint.trips and mark.trips
+    front.decide(NOW, [FailoverPlan({}, {0: [1.0, 0.0, 0.0], 1: [1.0, 0.0, 0.0]}, 400.0)])
+    hint, mark = request(1), request(2, request_class=1)
+    actions = front.decide(NOW, [RequestArrived(hint), RequestArrived(mark)])
+    defers = [action for action in actions if isinstance(action, RejectRequest)]
+    assert [one.request for one in defers] == [hint] and 400.0 <= defers[0].stay_away <= 800.0
+    assert hint.ended and not hint.attempts and mark.attempts
 
 
-def test_module_alone_keeps_each_job_in_the_zone_that_reads_it() -> None:
+def test_module_alone_keeps_each_request_in_the_zone_that_reads_it() -> None:
     front, engines = fleet(*PLACES)
-    front.decide(NOW, [i.Planned({}, {}, 0.0, True)])
+    front.decide(NOW, [FailoverPlan({}, {}, 0.0, True)])
     full = engines[0]
-    jobs = (job(number) for number in range(1, 100))
-    one = next(one for one in jobs if next(iter(front._ranked(one)[2])) is full)
+    requests = (request(number) for number in range(1, 100))
+    one = next(one for one in requests if next(iter(front._ranked(one)[2])) is full)
     assert {engine.zone for engine, _ in front._order(one)} == {0}
 
 
 def test_calm_plan_changes_no_placement() -> None:
     front, _ = fleet(*PLACES)
     other, _ = fleet(*PLACES)
-    other.decide(NOW, [i.Planned({}, {}, 0.0)])
-    assert [one.trips[0].engine.id for one in placed(front)] == [
-        one.trips[0].engine.id for one in placed(other)
+    other.decide(NOW, [FailoverPlan({}, {}, 0.0)])
+    assert [one.attempts[0].engine.id for one in placed(front)] == [
+        one.attempts[0].engine.id for one in placed(other)
     ]
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -42,11 +42,13 @@
 
 
 def delivered(records: Records) -> float:
-    return sum(job["how"] in ("delivered", "late") for job in records.jobs) / len(records.jobs)
+    return sum(request["how"] in ("delivered", "late") for request in records.requests) / len(
+        records.requests
+    )
 
 
 def zones_of(rig: FleetRig, records: Records, since: float) -> set[str]:
-    return {trip.zone for trip in records.trips if trip.got > since and trip.role == "read"}
+    return {attempt.zone for attempt in records.attempts if attempt.got > since and attempt.role == "read"}
 
 
 def number(rig: FleetRig, name: str) -> int:
@@ -120,7 +122,7 @@
     rig.until(lambda: not any(rig.status(name)["alone"] for name in rig.fronts), "together again")
     records = judged(rig)
     assert delivered(records) > SERVED
-    acted_alone = {trip.front for trip in records.trips if "alone" in trip.plan}
+    acted_alone = {attempt.front for attempt in records.attempts if "alone" in attempt.plan}
     for name in acted_alone & set(others):  # its lease ended before it heard of the new leader
         assert len(rig.fronts[name].seen(ALONE)) > said_before[name]
 
@@ -197,7 +199,7 @@
     assert len({voter.rpartition("#")[0] for voter in rig.voters()}) == 3
 
 
-def test_rolling_restart_under_load_keeps_the_council_and_every_job(rig: FleetRig) -> None:
+def test_rolling_restart_under_load_keeps_the_council_and_every_request(rig: FleetRig) -> None:
     rig.ask(length=9000.0, rate=30.0)
     for name, front in rig.fronts.items():
         rig.end(name)
@@ -283,10 +285,10 @@
         spans = [span for span in found["spans"] if span["front"] == "front-4" and span["versions"]]
         assert max(span["versions"]["plan"]["number"] for span in spans) >= 1
     records = judged(rig)
-    trip = next(one for one in records.trips if one.front == "front-4" and one.plan.isdigit())
-    decisions = told(rig, "front-5", f"?job={trip.job}")["decisions"]
+    attempt = next(one for one in records.attempts if one.front == "front-4" and one.plan.isdigit())
+    decisions = told(rig, "front-5", f"?job={attempt.request}")["decisions"]
     assert {one["front"] for one in decisions} == {"front-4"}
-    assert int(trip.plan) in {one["versions"]["plan"]["number"] for one in decisions}
+    assert int(attempt.plan) in {one["versions"]["plan"]["number"] for one in decisions}
 
 
 def test_account_goes_on_over_kills_and_says_what_is_not_known(rig: FleetRig) -> None:
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -23,8 +23,33 @@
 from worksmux.forwarding.stream_relay import StreamSide
 from worksmux.net import clock
 from worksmux.net.loop import steady
-from worksmux.policy import interface as i
+from worksmux.policy.actions import (
+    AbortRequest,
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    CloseConnections,
+    FetchEndpointList,
+    RejectRequest,
+    ReleaseKvCache,
+    ReserveSlot,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+    WriteLog,
+)
+from worksmux.policy.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointListUpdate,
+    Event,
+    HealthCheckEnded,
+    RequestArrived,
+    TimerFired,
+)
 from worksmux.policy.router import Front
+from worksmux.policy.settings import Settings
+from worksmux.policy.state import Attempt, Engine, Outcome, Request
 
 PAIR = [("prefill", 0), ("decode", 0)]
 FLEET = [("prefill", 0), ("decode", 0), ("decode", 0), ("prefill", 1), ("decode", 1), ("mixed", 1)]
@@ -40,13 +65,13 @@
 
 
 def ends(records: Any) -> set[str]:
-    return {job["how"] for job in records.jobs}
+    return {request["how"] for request in records.requests}
 
 
 def test_quiet_day_delivers_all_whole_and_streamed(tmp_path: Path) -> None:
     records = Rig(tmp_path, FLEET).day()
-    assert len(records.jobs) > 10 and ends(records) == {"delivered"} and broken(records) == []
-    assert any(trip.role == "read" for trip in records.trips)
+    assert len(records.requests) > 10 and ends(records) == {"delivered"} and broken(records) == []
+    assert any(attempt.role == "read" for attempt in records.attempts)
 
 
 def test_drain_told_while_reads_are_out_is_kept(tmp_path: Path) -> None:
@@ -55,8 +80,10 @@
     rig.at(500, rig.list, rig.engines[2], "draining")
     records = rig.day(length=2000.0)
     told = records.told["a", "e1"].times[-1]
-    assert broken(records) == [] and len(records.jobs) > 20
-    assert not [trip for trip in records.trips if trip.engine in ("e1", "e2") and trip.got > told + 250]
+    assert broken(records) == [] and len(records.requests) > 20
+    assert not [
+        attempt for attempt in records.attempts if attempt.engine in ("e1", "e2") and attempt.got > told + 250
+    ]
 
 
 def test_cold_engines_under_load_are_not_pushed_over(tmp_path: Path) -> None:
@@ -65,10 +92,10 @@
     rig.at(300, rig.add, "prefill", 1, True)
     records = rig.day(length=2500.0, rate=30.0)
     assert broken(records) == [] and not records.falls
-    assert any(trip.engine in ("e6", "e7") for trip in records.trips)
+    assert any(attempt.engine in ("e6", "e7") for attempt in records.attempts)
 
 
-def test_writer_lost_with_irreversible_jobs_begun_is_not_repeated(tmp_path: Path) -> None:
+def test_writer_lost_with_irreversible_requests_begun_is_not_repeated(tmp_path: Path) -> None:
     rig = Rig(tmp_path, FLEET)
     for engine in rig.engines[1:]:
         rig.at(400, rig.fault, engine, "drop_streams", True)
@@ -90,9 +117,9 @@
 ) -> None:
     """Guards against state pinned at an engine that is cut off for longer than the quick tries last."""
     core: Any = Rig(tmp_path, PAIR).front().core
-    core.reactor, engine, tries = task.Clock(), i.Engine(b"far", 1, state="ready"), []
+    core.reactor, engine, tries = task.Clock(), Engine(b"far", 1, state="ready"), []
 
-    def call(to: i.Engine, method: str, path: str, body: bytes, on_end: Any) -> None:
+    def call(to: Engine, method: str, path: str, body: bytes, on_end: Any) -> None:
         tries.append(core.reactor.seconds())
         engine.state = state if len(tries) == 4 else engine.state
         on_end(200 if len(tries) == asked else 0, {}, b"", None)
@@ -121,11 +148,11 @@
     rig.at(0, leave)
     rig.run()
     records = load(tmp_path)
-    assert records.trips and broken(records) == [] and not front.core.cases and not heard
+    assert records.attempts and broken(records) == [] and not front.core.cases and not heard
     assert not rig.engines[0].model.states and rig.engines[0].model.used == 0
 
 
-def test_engine_that_sends_nonsense_or_vanishes_costs_its_trips_and_no_more(tmp_path: Path) -> None:
+def test_engine_that_sends_nonsense_or_vanishes_costs_its_attempts_and_no_more(tmp_path: Path) -> None:
     rig = Rig(tmp_path, FLEET)
     rig.at(200, rig.fault, rig.engines[1], "garbage")
     rig.at(200, rig.fault, rig.engines[4], "fail_fast")
@@ -151,17 +178,17 @@
 class Repeats(Front):
     """Sends again whatever happened, and promises that it was harmless."""
 
-    def _may_send(self, job: i.Job, engine: i.Engine) -> bool:
-        return engine.state == "ready" and not job.out and self._trips_left(job) > 0
+    def _may_send(self, request: Request, engine: Engine) -> bool:
+        return engine.state == "ready" and not request.out and self._attempts_left(request) > 0
 
-    def _may_defer(self, job: i.Job) -> bool:
+    def _may_defer(self, request: Request) -> bool:
         return True
 
 
 class Deaf(Front):
     """Does not hear of drains."""
 
-    def _list(self, event: i.Listed) -> None:
+    def _list(self, event: EndpointListUpdate) -> None:
         for entry in event.entries:
             entry.state = "ready"
         super()._list(event)
@@ -170,28 +197,30 @@
 class Pusher(Front):
     """Takes every engine for warm."""
 
-    def _cold(self, engine: i.Engine) -> bool:
+    def _cold(self, engine: Engine) -> bool:
         return False
 
 
 class Hoarder(Front):
     """Never lets go, and leaves read state lying."""
 
-    def decide(self, now: float, events: list[i.Event]) -> list[i.Action]:
+    def decide(self, now: float, events: list[Event]) -> list[Action]:
         actions = super().decide(now, events)
-        return [action for action in actions if not isinstance(action, i.Release)]
+        return [action for action in actions if not isinstance(action, ReleaseKvCache)]
 
 
 class Late(Front):
     """Sends for a job after its answer."""
 
-    def decide(self, now: float, events: list[i.Event]) -> list[i.Action]:
+    def decide(self, now: float, events: list[Event]) -> list[Action]:
         actions = super().decide(now, events)
         for action in list(actions):
-            if isinstance(action, i.Defer) and self.index.hosts:
-                trip = i.Trip(action.job, self.index.hosts[0], len(action.job.trips), now, True)
-                action.job.trips.append(trip)
-                actions.append(i.Send(trip))
+            if isinstance(action, RejectRequest) and self.index.hosts:
+                attempt = Attempt(
+                    action.request, self.index.hosts[0], len(action.request.attempts), now, True
+                )
+                action.request.attempts.append(attempt)
+                actions.append(StartAttempt(attempt))
         return actions
 
 
@@ -221,17 +250,19 @@
     assert 5 in found(rig.day(length=800.0, patience=0.4))
 
 
-def test_audit_names_a_job_without_its_one_answer(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_audit_names_a_request_without_its_one_answer(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     send = Core._send
 
-    def wrong(self: Core, action: i.Send) -> None:
+    def wrong(self: Core, action: StartAttempt) -> None:
         """A front that sends for jobs which are over."""
-        case = self.cases.get(action.trip.job)
+        case = self.cases.get(action.attempt.request)
         if case and case.answered:
             case.answered, kept = "", case.answered
             self.reactor.callLater(0.2, send, self, action)
             case.answered = kept
-            case.out[action.trip] = Mock()  # the module may call it off
+            case.out[action.attempt] = Mock()  # the module may call it off
             case.answered = ""
         else:
             send(self, action)
@@ -255,43 +286,43 @@
 class Scripted:
     """A module that does what a test tells it, and remembers what it was told."""
 
-    def __init__(self, settings: i.Settings, seed: int) -> None:
-        self.told: list[i.Event] = []
-        self.batches: list[list[i.Event]] = []
-        self.engines: dict[bytes, i.Engine] = {}
+    def __init__(self, settings: Settings, seed: int) -> None:
+        self.told: list[Event] = []
+        self.batches: list[list[Event]] = []
+        self.engines: dict[bytes, Engine] = {}
 
-    def decide(self, now: float, events: list[i.Event]) -> list[i.Action]:
+    def decide(self, now: float, events: list[Event]) -> list[Action]:
         self.told += events
         self.batches.append(events)
         for event in events:
-            if isinstance(event, i.Listed):
+            if isinstance(event, EndpointListUpdate):
                 self.engines |= {entry.engine.id: entry.engine for entry in event.entries}
-            if isinstance(event, i.Ended):
-                event.trip.outcome = event.outcome
+            if isinstance(event, AttemptEnded):
+                event.attempt.outcome = event.outcome
         return [action for event in events for action in self.react(now, event)]
 
-    def react(self, now: float, event: i.Event) -> list[i.Action]:
+    def react(self, now: float, event: Event) -> list[Action]:
         return []
 
-    def send(self, job: i.Job, name: bytes, now: float, reading: bool) -> i.Send:
-        trip = i.Trip(job, self.engines[name], len(job.trips), now, reading)
-        job.trips.append(trip)
-        return i.Send(trip)
+    def send(self, request: Request, name: bytes, now: float, reading: bool) -> StartAttempt:
+        attempt = Attempt(request, self.engines[name], len(request.attempts), now, reading)
+        request.attempts.append(attempt)
+        return StartAttempt(attempt)
 
 
 class Chooser(Scripted):
     """Probes e1, reads at e0 with a place held at e2, writes there; e3 is left out."""
 
-    def react(self, now: float, event: i.Event) -> list[i.Action]:
-        if isinstance(event, i.Arrived):
+    def react(self, now: float, event: Event) -> list[Action]:
+        if isinstance(event, RequestArrived):
             return [
-                self.send(event.job, b"e0", now, True),
-                i.Hold(event.job, self.engines[b"e2"]),
-                i.Probe(self.engines[b"e1"]),
+                self.send(event.request, b"e0", now, True),
+                ReserveSlot(event.request, self.engines[b"e2"]),
+                CheckHealth(self.engines[b"e1"]),
             ]
-        if isinstance(event, i.Ended) and event.outcome is i.Outcome.READ:
-            event.trip.job.holder = event.trip.engine
-            return [self.send(event.trip.job, b"e2", now, False)]
+        if isinstance(event, AttemptEnded) and event.outcome is Outcome.READ:
+            event.attempt.request.holder = event.attempt.engine
+            return [self.send(event.attempt.request, b"e2", now, False)]
         return []
 
 
@@ -299,34 +330,47 @@
     rig = Rig(tmp_path, [("prefill", 0), ("prefill", 0), ("decode", 0), ("decode", 0)], Chooser)
     records = rig.day(length=500.0)
     module: Any = rig.fronts[0].core.door.module
-    assert records.jobs and ends(records) == {"delivered"}
-    assert {trip.engine for trip in records.trips} == {"e0", "e2"}
+    assert records.requests and ends(records) == {"delivered"}
+    assert {attempt.engine for attempt in records.attempts} == {"e0", "e2"}
     assert {engine for _, engine, _, _ in records.asked_places} == {"e2"}
     kinds = [type(event).__name__ for event in module.told]
-    assert {"Listed", "Arrived", "Began", "Ended", "Probed", "Placed"} <= set(kinds)
-    jobs = len(records.jobs)
-    assert kinds.count("Began") == jobs and kinds.count("Ended") == 2 * jobs and kinds.count("Probed") == jobs
-    assert all(event.outcome is i.Outcome.DELIVERED for event in module.told if isinstance(event, i.Probed))
+    assert {
+        "EndpointListUpdate",
+        "RequestArrived",
+        "FirstToken",
+        "AttemptEnded",
+        "HealthCheckEnded",
+        "SlotReserved",
+    } <= set(kinds)
+    requests = len(records.requests)
+    assert (
+        kinds.count("FirstToken") == requests
+        and kinds.count("AttemptEnded") == 2 * requests
+        and kinds.count("HealthCheckEnded") == requests
+    )
+    assert all(
+        event.outcome is Outcome.DELIVERED for event in module.told if isinstance(event, HealthCheckEnded)
+    )
 
 
 class Doer(Scripted):
     """Asks for the list both ways, sets an alarm, reads, calls off, releases, closes and logs."""
 
-    def react(self, now: float, event: i.Event) -> list[i.Action]:
+    def react(self, now: float, event: Event) -> list[Action]:
         match event:
-            case i.Arrived(job):
-                self.job = job
+            case RequestArrived(request):
+                self.request = request
                 return [
-                    i.Watch(True),
-                    i.Fetch(),
-                    i.Log("here"),
-                    self.send(job, b"e0", now, True),
-                    i.Alarm(40.0, 9),
+                    WatchEndpoints(True),
+                    FetchEndpointList(),
+                    WriteLog("here"),
+                    self.send(request, b"e0", now, True),
+                    SetTimer(40.0, 9),
                 ]
-            case i.Rang(9):
-                return [i.Cancel(self.job.trips[0]), i.Close(self.engines[b"e0"])]
-            case i.Ended():
-                return [i.Release(self.job), i.Defer(self.job)]
+            case TimerFired(9):
+                return [CancelAttempt(self.request.attempts[0]), CloseConnections(self.engines[b"e0"])]
+            case AttemptEnded():
+                return [ReleaseKvCache(self.request), RejectRequest(self.request)]
         return []
 
 
@@ -334,9 +378,11 @@
     rig = Rig(tmp_path, PAIR, Doer, read_speed=1.0)
     status, _, _ = answer_of(rig)
     module: Any = rig.fronts[0].core.door.module
-    told = [event for event in module.told if isinstance(event, i.Ended)]
-    assert status == 503 and [event.outcome for event in told] == [i.Outcome.CANCELLED]
-    assert sum(isinstance(event, i.Listed) for event in module.told) == 3  # at first, watched, fetched
+    told = [event for event in module.told if isinstance(event, AttemptEnded)]
+    assert status == 503 and [event.outcome for event in told] == [Outcome.CANCELLED]
+    assert (
+        sum(isinstance(event, EndpointListUpdate) for event in module.told) == 3
+    )  # at first, watched, fetched
     lines = [line for line in load(tmp_path).lines if line["who"] == "e0"]
     assert {"release"} <= {line["what"] for line in lines}
     assert next(line for line in lines if line["what"] == "end")["how"] == "cut"
@@ -354,25 +400,25 @@
     rig.at(0, leave)
     rig.run()
     module: Any = front.core.door.module
-    assert sum(isinstance(event, i.Left) for event in module.told) == 1 and not front.core.cases
+    assert sum(isinstance(event, ClientDisconnected) for event in module.told) == 1 and not front.core.cases
 
 
 class OneAction(Scripted):
     """Answers each job at once in the way it was made for."""
 
-    how: type[Any] = i.Defer
+    how: type[Any] = RejectRequest
 
-    def react(self, now: float, event: i.Event) -> list[i.Action]:
-        return [self.how(event.job)] if isinstance(event, i.Arrived) else []
+    def react(self, now: float, event: Event) -> list[Action]:
+        return [self.how(event.request)] if isinstance(event, RequestArrived) else []
 
 
 class Deferring(OneAction):
-    def react(self, now: float, event: i.Event) -> list[i.Action]:
-        return [i.Defer(event.job, 1500.0)] if isinstance(event, i.Arrived) else []
+    def react(self, now: float, event: Event) -> list[Action]:
+        return [RejectRequest(event.request, 1500.0)] if isinstance(event, RequestArrived) else []
 
 
 class Breaking(OneAction):
-    how = i.BreakOff
+    how = AbortRequest
 
 
 BODY = json.dumps({"model": "hint", "messages": [{"role": "user", "content": "why?"}]}).encode()
@@ -414,17 +460,17 @@
     rig = Rig(tmp_path, PAIR, Silent)
     status, _, _ = answer_of(rig, x_worksmux_time_left_ms="300")
     module: Any = rig.fronts[0].core.door.module
-    assert status == 504 and any(isinstance(event, i.Left) for event in module.told)
+    assert status == 504 and any(isinstance(event, ClientDisconnected) for event in module.told)
 
 
 class Faulty(Scripted):
-    def react(self, now: float, event: i.Event) -> list[i.Action]:
-        if isinstance(event, i.Arrived):
+    def react(self, now: float, event: Event) -> list[Action]:
+        if isinstance(event, RequestArrived):
             raise ZeroDivisionError("a fault of the module")
         return []
 
 
-def test_module_that_fails_breaks_its_jobs_off_and_ends_the_front(tmp_path: Path) -> None:
+def test_module_that_fails_breaks_its_requests_off_and_ends_the_front(tmp_path: Path) -> None:
     rig = Rig(tmp_path, PAIR, Faulty)
     ended: list[bool] = []
     rig.front().core.on_fault = lambda: ended.append(True)
@@ -449,7 +495,7 @@
         (b'{"model": "hint", "messages": [{"role": "user", "content": "\xff"}]}', 400, None),
     ],
 )
-def test_bad_jobs_are_refused_in_the_apis_form_and_the_front_goes_on(
+def test_bad_requests_are_refused_in_the_apis_form_and_the_front_goes_on(
     tmp_path: Path, body: bytes, status: int, code: str | None
 ) -> None:
     rig = Rig(tmp_path, PAIR)
@@ -483,7 +529,7 @@
     assert status == 405 and headers["allow"] == "POST"
 
 
-def test_stop_finishes_what_is_out_and_takes_no_new_job(tmp_path: Path) -> None:
+def test_stop_finishes_what_is_out_and_takes_no_new_request(tmp_path: Path) -> None:
     rig = Rig(tmp_path, PAIR, step=30.0)
     front = rig.front()
     heard: list[tuple[int, float]] = []
--- a/tests/test_held.py
+++ b/tests/test_held.py
@@ -14,14 +14,14 @@
 from worksmux.node import kv_release as module
 from worksmux.node.kv_claims import LONGEST_SILENCE, HeldState, Presence
 from worksmux.node.kv_release import Releases
-from worksmux.policy import interface as i
+from worksmux.policy.state import Engine
 
 WITHIN = 400.0
 STEP = WITHIN / module.STEPS
 
 
-def engines_of(count: int) -> list[i.Engine]:
-    return [i.Engine(bytes([at]), at, state="ready") for at in range(count)]
+def engines_of(count: int) -> list[Engine]:
+    return [Engine(bytes([at]), at, state="ready") for at in range(count)]
 
 
 ENGINES = engines_of(4)
@@ -110,7 +110,7 @@
 
 def test_engine_that_has_started_anew_or_is_silent_for_very_long_holds_nothing() -> None:
     held = HeldState("a1")
-    engine = i.Engine(b"n", 9)
+    engine = Engine(b"n", 9)
     held.read(engine, 100.0)
     held.expire(200.0)
     assert held.claims
@@ -166,19 +166,19 @@
 class Script:
     """Calls of releases as they are made; nobody answers unless the test says so."""
 
-    def __init__(self, monkeypatch: Any, engines: list[i.Engine]) -> None:
+    def __init__(self, monkeypatch: Any, engines: list[Engine]) -> None:
         self.clock, self.engines = task.Clock(), engines
         monkeypatch.setattr(clock, "now", lambda: self.clock.seconds() * 1000)
         self.clock.advance(1.0)
-        self.asked: list[tuple[float, i.Engine, Any]] = []
-        self.out: dict[i.Engine, Any] = {}
-        self.silent: set[i.Engine] = set()
-        self.unconnected: set[i.Engine] = set()  # connections to these do not come up
+        self.asked: list[tuple[float, Engine, Any]] = []
+        self.out: dict[Engine, Any] = {}
+        self.silent: set[Engine] = set()
+        self.unconnected: set[Engine] = set()  # connections to these do not come up
         self.most_out = 0
         self.releases = Releases(self.clock, self._call, self._other, WITHIN)  # type: ignore[arg-type]
         self.held = HeldState("a1")
 
-    def _call(self, engine: i.Engine, method: str, path: str, body: bytes, on_end: Any) -> Any:
+    def _call(self, engine: Engine, method: str, path: str, body: bytes, on_end: Any) -> Any:
         assert (method, path) == ("DELETE", "/v1/holds/a1")
         self.asked.append((clock.now(), engine, on_end))
         self.out[engine] = on_end
@@ -192,12 +192,12 @@
 
         return SimpleNamespace(connected=engine not in self.unconnected, end=drop)
 
-    def end(self, engine: i.Engine, status: int, trouble: client.Trouble | None = None) -> None:
+    def end(self, engine: Engine, status: int, trouble: client.Trouble | None = None) -> None:
         on_end = self.out.pop(engine, None)
         if on_end is not None:
             on_end(status, {}, b"", trouble)
 
-    def _other(self, known: set[i.Engine]) -> i.Engine | None:
+    def _other(self, known: set[Engine]) -> Engine | None:
         return next(
             (engine for engine in self.engines if engine.state == "ready" and engine not in known), None
         )
@@ -214,7 +214,7 @@
                 self.end(engine, 204)
             self.clock.advance(0.001)
 
-    def engines_asked(self) -> list[i.Engine]:
+    def engines_asked(self) -> list[Engine]:
         return [engine for _, engine, _ in self.asked]
 
 
--- a/tests/test_in_doubt.py
+++ b/tests/test_in_doubt.py
@@ -13,12 +13,12 @@
 from worksmux.node import unresponsive_attempts as module
 from worksmux.node.kv_claims import HeldState
 from worksmux.node.unresponsive_attempts import DoubtWatch
-from worksmux.policy import interface as i
+from worksmux.policy.state import Engine
 
 WITHIN = 400.0
 STEP = WITHIN / releases.STEPS
 START = 1000.0
-EARLIER, ENGINE = i.Engine(b"earlier", 1), i.Engine(b"engine", 2)
+EARLIER, ENGINE = Engine(b"earlier", 1), Engine(b"engine", 2)
 
 
 @dataclass(eq=False)
@@ -27,7 +27,7 @@
     written_at: float
     last_sign: float = 0.0
     over: bool = False
-    engine: i.Engine = field(default_factory=lambda: ENGINE)
+    engine: Engine = field(default_factory=lambda: ENGINE)
 
 
 class Script:
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -70,18 +70,18 @@
 @pytest.mark.parametrize("age", [1000.0, 60_000.0, HOUR, 24 * HOUR, 21 * 24 * HOUR])
 def test_front_serves_from_a_list_of_any_age_while_discovery_is_dead(tmp_path: Path, age: float) -> None:
     records = made(tmp_path, age).day(length=1500.0, rate=15.0)
-    done = [job["how"] for job in records.jobs]
+    done = [request["how"] for request in records.requests]
     assert kept(records) and done.count("delivered") >= 0.9 * len(done)
 
 
 def test_drained_and_vanished_engines_of_the_list_get_next_to_nothing(tmp_path: Path) -> None:
     rig = made(tmp_path, 60_000.0, e0={"state": "draining"}, e1={"port": 1})
     records = rig.day(length=1500.0, rate=15.0)
-    assert kept(records) and not [trip for trip in records.trips if trip.engine == "e0"]
+    assert kept(records) and not [attempt for attempt in records.attempts if attempt.engine == "e0"]
     beliefs = rig.fronts[0].memory.beliefs  # type: ignore[union-attr]
     assert beliefs and beliefs.beliefs["e0"].stand is Stand.DRAINING
     assert beliefs.beliefs["e1"].stand in (Stand.ASKED, Stand.DROPPED)
-    assert {job["how"] for job in records.jobs} <= {"delivered", "late"}
+    assert {request["how"] for request in records.requests} <= {"delivered", "late"}
 
 
 def test_engine_that_started_anew_is_taken_for_cold(tmp_path: Path) -> None:
@@ -101,8 +101,10 @@
     rig.at(700, rig.registry.back)
     records = rig.day(length=2000.0, rate=15.0)
     told = records.told["a", "e1"].times[0]
-    assert kept(records) and {job["how"] for job in records.jobs} == {"delivered"}
-    assert not [trip for trip in records.trips if trip.engine == "e1" and trip.got > told + 250]
+    assert kept(records) and {request["how"] for request in records.requests} == {"delivered"}
+    assert not [
+        attempt for attempt in records.attempts if attempt.engine == "e1" and attempt.got > told + 250
+    ]
     memory = rig.fronts[0].memory
     assert memory and memory.beliefs and memory.beliefs.over
 
@@ -111,7 +113,7 @@
     rig = made(tmp_path, 1000.0, dead=False)
     rig.registry.listed = {}
     records = rig.day(length=800.0, rate=15.0)
-    assert {job["how"] for job in records.jobs} == {"delivered"}
+    assert {request["how"] for request in records.requests} == {"delivered"}
 
 
 def test_list_older_than_the_remembered_one_is_left_out(
@@ -126,8 +128,8 @@
     rig.reactor.callLater(0, age_registry)  # after the lines that the rig itself publishes
     monkeypatch.setattr("worksmux.fakes.registry.clock.wall", lambda: 5000.0)
     records = rig.day(length=500.0, rate=15.0)
-    assert {job["how"] for job in records.jobs} == {"delivered"}
-    assert len({trip.engine for trip in records.trips}) > 1
+    assert {request["how"] for request in records.requests} == {"delivered"}
+    assert len({attempt.engine for attempt in records.attempts}) > 1
     memory = rig.fronts[0].memory
     assert memory and memory.beliefs and not memory.beliefs.over
 
@@ -153,7 +155,7 @@
     rig.text = text_with(tmp_path / "memory", seeds)
     rig.registry.cut()
     records = rig.day(length=1000.0, rate=10.0)
-    assert kept(records) and "delivered" in {job["how"] for job in records.jobs}
+    assert kept(records) and "delivered" in {request["how"] for request in records.requests}
 
 
 @pytest.mark.parametrize("data", [b"", b"nonsense" * 900])
@@ -161,7 +163,7 @@
     (tmp_path / "memory").write_bytes(data)
     rig = Rig(tmp_path, FLEET, text=text_with(tmp_path / "memory"))
     records = rig.day(length=500.0)
-    assert {job["how"] for job in records.jobs} == {"delivered"}
+    assert {request["how"] for request in records.requests} == {"delivered"}
 
 
 def test_list_commands_show_verify_and_forget(tmp_path: Path) -> None:
@@ -208,7 +210,7 @@
 
     rig.at(300, emptied)
     records = rig.day(length=1200.0, rate=15.0)
-    assert kept(records) and {job["how"] for job in records.jobs} == {"delivered"}
+    assert kept(records) and {request["how"] for request in records.requests} == {"delivered"}
 
 
 def test_registry_that_hangs_or_breaks_off_is_believed_once_it_speaks(tmp_path: Path) -> None:
@@ -225,7 +227,7 @@
     rig.at(300, halves)
     rig.at(800, whole)
     records = rig.day(length=1500.0, rate=15.0)
-    assert kept(records) and {job["how"] for job in records.jobs} == {"delivered"}
+    assert kept(records) and {request["how"] for request in records.requests} == {"delivered"}
     memory = rig.fronts[0].memory
     assert memory and memory.beliefs and memory.beliefs.over
 
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -9,7 +9,10 @@
 
 from worksmux.checker.report import summary
 from worksmux.checker.rules import check
-from worksmux.policy.interface import Action, Arrived, Engine, Event, Listed, Send, Settings, Trip
+from worksmux.policy.actions import Action, StartAttempt
+from worksmux.policy.events import EndpointListUpdate, Event, RequestArrived
+from worksmux.policy.settings import Settings
+from worksmux.policy.state import Attempt, Engine
 from worksmux.scenarios.figures import figures_of
 from worksmux.scenarios.scenario import Scenario, load_scenario, read_scenario
 from worksmux.settings.document import parse
@@ -33,7 +36,7 @@
     assert one.lines == two.lines and one.lines
 
 
-def test_day_of_troubles_keeps_all_rules_and_answers_every_job() -> None:
+def test_day_of_troubles_keeps_all_rules_and_answers_every_request() -> None:
     model = Model(day())
     records = model.run()
     assert records is not None
@@ -46,8 +49,8 @@
     records = with_journal.run()
     assert records is not None and without.run() is None
     totals = without.clients.totals
-    assert totals.jobs == len(records.jobs)
-    assert abs(totals.credit - sum(job["credit"] for job in records.jobs)) < 1e-9
+    assert totals.requests == len(records.requests)
+    assert abs(totals.credit - sum(request["credit"] for request in records.requests)) < 1e-9
 
 
 class Careless:
@@ -59,13 +62,13 @@
     def decide(self, now: float, events: list[Event]) -> list[Action]:
         actions: list[Action] = []
         for event in events:
-            if isinstance(event, Listed):
+            if isinstance(event, EndpointListUpdate):
                 self.engines += [one.engine for one in event.entries if b"mixed" in one.engine.id]
-            if isinstance(event, Arrived) and self.engines:
+            if isinstance(event, RequestArrived) and self.engines:
                 for number in range(2):
-                    trip = Trip(event.job, self.engines[0], number, now)
-                    event.job.trips.append(trip)
-                    actions.append(Send(trip))
+                    attempt = Attempt(event.request, self.engines[0], number, now)
+                    event.request.attempts.append(attempt)
+                    actions.append(StartAttempt(attempt))
         return actions
 
 
@@ -87,7 +90,7 @@
     scenario = replace(day(), troubles=[])
     model = Model(scenario)
     model.run()
-    reads = [engine.counts.trips for name, engine in model.engines.items() if "prefill" in name]
+    reads = [engine.counts.attempts for name, engine in model.engines.items() if "prefill" in name]
     assert min(reads) > max(reads) / 4
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -33,8 +33,9 @@
 from worksmux.node.attempts import PrefillAttempt
 from worksmux.node.endpoint_list import Endpoint, HostList, listing
 from worksmux.node.serve import Node
-from worksmux.policy import interface as i
+from worksmux.policy.events import AttemptEnded, EndpointEntry, EndpointListUpdate, RequestArrived, TimerFired
 from worksmux.policy.id_map import Door
+from worksmux.policy.state import Attempt, Engine, Outcome, Request
 
 FULL = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 LOST = b"HTTP/1.1 410 Gone\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
@@ -105,18 +106,18 @@
         door = Door(told_to.settings, 1)
         engines = [door.engine(name, at + 1) for at, name in enumerate((b"r", b"w"))]
         entries = [
-            i.Entry(engine, "ready", 0.0, 0, 0, kind, 1.0)
+            EndpointEntry(engine, "ready", 0.0, 0, 0, kind, 1.0)
             for kind, engine in enumerate(engines)
             if kind < len(told_to.kinds)
         ]
-        job = i.Job(1, 0, 1, 0, 500.0, 0.0, 80.0, 1000.0, 4000.0)
-        door.decide(1000.0, [i.Listed("full", entries), door.arrived(job)])
+        request = Request(1, 0, 1, 0, 500.0, 0.0, 80.0, 1000.0, 4000.0)
+        door.decide(1000.0, [EndpointListUpdate("full", entries), door.arrived(request)])
         for at in range(1, 8):
             ends = [
-                i.Ended(trip, i.Outcome.READ if trip.reading else i.Outcome.RESET, 5.0, False)
-                for trip in job.out
+                AttemptEnded(attempt, Outcome.READ if attempt.reading else Outcome.RESET, 5.0, False)
+                for attempt in request.out
             ]
-            door.decide(1000.0 + 600 * at, [*ends, i.Rang(0)])
+            door.decide(1000.0 + 600 * at, [*ends, TimerFired(0)])
 
 
 def test_settings_without_zones_have_one() -> None:
@@ -124,7 +125,7 @@
     unnamed = {key: value for key, value in SETTINGS.items() if key != "zones"}
     for settings in (unnamed, {**unnamed, "zones": []}):
         told_to = config_of(settings)
-        keeper = ListKeeper(told_to.kinds, told_to.zones, lambda name: i.Engine(name.encode(), 1))
+        keeper = ListKeeper(told_to.kinds, told_to.zones, lambda name: Engine(name.encode(), 1))
         for zone in ("", "a", "b"):
             endpoint = Endpoint(f"e{zone}", "127.0.0.1:3", zone, "decode")
             event = keeper.take(1.0, listing(HostList(1, True, [endpoint]), 0, 0.0)[0]).event
@@ -146,7 +147,7 @@
             "LB_DISCOVERY": "127.0.0.1:8500",
         }
     )
-    assert (found.name, found.listen, found.offerings) == ("n3", ("127.0.0.1", 3000), ["chat", "mark"])
+    assert (found.name, found.listen, found.request_classes) == ("n3", ("127.0.0.1", 3000), ["chat", "mark"])
 
 
 def test_entries_that_make_no_sense_are_left_out_and_told() -> None:
@@ -210,7 +211,7 @@
     return rig.start()
 
 
-def test_job_is_read_and_written_with_id_and_body_unchanged() -> None:
+def test_request_is_read_and_written_with_id_and_body_unchanged() -> None:
     rig = rig_of_two()
     peer = rig.client(ask())
     assert rig.answered(peer) == b"200"
@@ -239,7 +240,7 @@
 
 
 @pytest.mark.parametrize("spoilt", SPOILT)
-def test_spoilt_opening_is_a_trip_that_may_have_run(spoilt: bytes) -> None:
+def test_spoilt_opening_is_a_attempt_that_may_have_run(spoilt: bytes) -> None:
     """A redoable job is sent again, an irreversible one is broken off and is not."""
     answers = [spoilt]
     rig = rig_of_two(lambda _: answers.pop() if answers else ANSWER)
@@ -261,7 +262,7 @@
 
 
 @pytest.mark.parametrize("extra", [ANSWER, b"HTTP/1.1 503 No\r\n\r\n", b"\x00\xff"])
-def test_second_answer_behind_the_first_harms_neither_job(extra: bytes) -> None:
+def test_second_answer_behind_the_first_harms_neither_request(extra: bytes) -> None:
     rig = rig_of_two(lambda _: b"HTTP/1.1 103 Early Hints\r\n\r\n" + ANSWER + extra)
     for key in ("a1", "a2"):
         peer = rig.client(ask(key))
@@ -291,7 +292,7 @@
         assert not any(name in call for name in (b"x-hop", b"te: tr", b"accept-encoding", b"x-bell"))
 
 
-def test_client_that_leaves_ends_its_trip_and_what_it_held_is_let_go() -> None:
+def test_client_that_leaves_ends_its_attempt_and_what_it_held_is_let_go() -> None:
     rig = rig_of_two(lambda _: b"")
     peer = rig.client(ask())
     rig.until(lambda: rig.engines[1].asked)
@@ -325,16 +326,16 @@
             later.append(call)
             return type("Timer", (), {"active": lambda self: True, "cancel": lambda self: None})()
 
-    ends: list[i.Outcome] = []
-    told: Any = type("Listener", (), {"ended": lambda self, trip, outcome, *_: ends.append(outcome)})()
-    trip = i.Trip(i.Job(1, 0, 0, 0, 1.0, 0.0, 1.0, 0.0, 1.0), i.Engine(b"e", 1), 0, 0.0, True)
-    one = PrefillAttempt(Slow(), None, trip, told, 100.0, 50.0, 300)  # type: ignore[arg-type]
+    ends: list[Outcome] = []
+    told: Any = type("Listener", (), {"ended": lambda self, attempt, outcome, *_: ends.append(outcome)})()
+    attempt = Attempt(Request(1, 0, 0, 0, 1.0, 0.0, 1.0, 0.0, 1.0), Engine(b"e", 1), 0, 0.0, True)
+    one = PrefillAttempt(Slow(), None, attempt, told, 100.0, 50.0, 300)  # type: ignore[arg-type]
     later.pop()()  # its time is up, and a reply waits at the socket
     assert not ends
     one.head(202, {})
     one.done()
     later.pop()()
-    assert ends == [i.Outcome.READ]
+    assert ends == [Outcome.READ]
 
 
 # Releases.
@@ -377,7 +378,7 @@
     rig = rig_of_two()
     core = rig.node.core
     first, *rest = [
-        i.Engine(b"%d" % zone, at, zone=zone, state="ready") for at, zone in enumerate((1, 1, 2, 0))
+        Engine(b"%d" % zone, at, zone=zone, state="ready") for at, zone in enumerate((1, 1, 2, 0))
     ]
     for engine in list(core.pools):
         core.contacts.forget(engine)
@@ -390,7 +391,7 @@
         asked.add(expected)
 
 
-def test_release_goes_out_while_a_trip_only_waits_for_its_connection() -> None:
+def test_release_goes_out_while_a_attempt_only_waits_for_its_connection() -> None:
     """Guards against a release put off by trips that never arrive, such as into a zone that is cut off."""
     rig, silent = Rig(), Silent()
     readers = [rig.engine("prefill", lambda _: None) for _ in range(2)]
@@ -409,7 +410,7 @@
     silent.close()
 
 
-def test_deferral_of_an_irreversible_job_waits_until_its_trip_is_seen_to_end() -> None:
+def test_deferral_of_an_irreversible_request_waits_until_its_attempt_is_seen_to_end() -> None:
     """Guards against a deferral that the client reads before the engine sees its read called off."""
     rig = Rig()
     rig.engine("prefill", lambda _: b"")
@@ -474,7 +475,7 @@
 ]
 
 
-def test_what_is_no_job_gets_an_error_or_a_close_and_reaches_no_engine() -> None:
+def test_what_is_no_request_gets_an_error_or_a_close_and_reaches_no_engine() -> None:
     rig = rig_of_two()
     for data in BAD:
         peer = rig.client(data)
@@ -484,7 +485,7 @@
     assert rig.answered(rig.client(ask())) == b"200"
 
 
-def test_id_of_an_open_job_is_refused_and_the_job_goes_on() -> None:
+def test_id_of_an_open_request_is_refused_and_the_request_goes_on() -> None:
     rig = rig_of_two(lambda _: b"")
     first = rig.client(ask())
     rig.until(lambda: rig.engines[1].asked)
@@ -557,7 +558,7 @@
     rig.until(lambda: old.watches[0].ended and all(engine.state == "draining" for engine in states()))
 
 
-def test_no_job_is_taken_before_discoverys_first_word_is_heard() -> None:
+def test_no_request_is_taken_before_discoverys_first_word_is_heard() -> None:
     """Guards against a job sent by the list of an earlier life to an engine that left meanwhile."""
     rig = Rig()
     leaving, staying = rig.engine("prefill"), rig.engine("prefill")
@@ -677,7 +678,7 @@
 
     def slowly(now: float, events: list[Any]) -> list[Any]:
         end = clock.now() + 2 * SLOW_TURN
-        while events and isinstance(events[0], i.Arrived) and clock.now() < end:
+        while events and isinstance(events[0], RequestArrived) and clock.now() < end:
             pass
         return list(decide(now, events))
 
@@ -685,12 +686,12 @@
     client = rig.client(ask())
     assert rig.answered(client) == b"503"
     rig.idle()
-    (job,) = [line for line in logged if line["event"] == "job"]
-    assert job["why"]
-    assert prefill.verbs().count(b"POST") == len(job["trips"])
-    assert all("ended" in trip["why"] for trip in job["trips"])
+    (request,) = [line for line in logged if line["event"] == "job"]
+    assert request["why"]
+    assert prefill.verbs().count(b"POST") == len(request["attempts"])
+    assert all("ended" in attempt["why"] for attempt in request["attempts"])
     (slow,) = [line for line in logged if line["event"] == "a turn took long"]
-    assert slow["events"] == {"Arrived": 1}
+    assert slow["events"] == {"RequestArrived": 1}
     assert slow["engines"] == 2
     assert slow["processor_ms"] > SLOW_TURN / 2
 
--- a/tests/test_node_ends.py
+++ b/tests/test_node_ends.py
@@ -18,7 +18,8 @@
 from worksmux.net.server import BEHIND, Server
 from worksmux.node import serve
 from worksmux.node.attempts import PrefillAttempt
-from worksmux.policy import interface as i
+from worksmux.policy.actions import StartAttempt
+from worksmux.policy.state import Attempt, Engine, Outcome, Request
 
 ALIVE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
@@ -66,10 +67,10 @@
     (carrier,) = case.out.values()
     client.close()
     rig.node.core._came_up(case, carrier)
-    assert case.answered == "left" and carrier.over and carrier.trip not in case.out
+    assert case.answered == "left" and carrier.over and carrier.attempt not in case.out
 
 
-def test_client_that_left_unseen_gets_no_further_trip() -> None:
+def test_client_that_left_unseen_gets_no_further_attempt() -> None:
     rig = rig_of_two()
     client = raw(rig, ask())
     rig.until(lambda: rig.node.core.cases)
@@ -77,9 +78,9 @@
     (case,) = core.cases.values()
     client.close()
     sent = len(case.out)
-    trip = i.Trip(case.job, next(iter(core.pools)), 5, 0.0, True)
-    case.job.trips.append(trip)
-    core._send(i.Send(trip, 0.0))
+    attempt = Attempt(case.request, next(iter(core.pools)), 5, 0.0, True)
+    case.request.attempts.append(attempt)
+    core._send(StartAttempt(attempt, 0.0))
     assert case.answered == "left" and len(case.out) <= sent
 
 
@@ -112,14 +113,14 @@
 def test_attempt_that_this_side_ends_before_its_last_byte_has_left_was_never_sent(written: bool) -> None:
     """Guards against time to let go that starts anew by attempts whose connections never come up, and against
     a request taken for one that may have run."""
-    for end, outcome in (("cancel", i.Outcome.CANCELLED), ("_time_is_up", i.Outcome.TIMED_OUT)):
-        ends: list[i.Outcome] = []
-        told: Any = SimpleNamespace(ended=lambda trip, outcome, *_, ends=ends: ends.append(outcome))
-        trip = i.Trip(i.Job(1, 0, 0, 0, 1.0, 0.0, 1.0, 0.0, 1.0), i.Engine(b"e", 1), 0, 0.0, False)
-        one = PrefillAttempt(Clock(), None, trip, told, 100.0, 50.0, 300)  # type: ignore[arg-type]
+    for end, outcome in (("cancel", Outcome.CANCELLED), ("_time_is_up", Outcome.TIMED_OUT)):
+        ends: list[Outcome] = []
+        told: Any = SimpleNamespace(ended=lambda attempt, outcome, *_, ends=ends: ends.append(outcome))
+        attempt = Attempt(Request(1, 0, 0, 0, 1.0, 0.0, 1.0, 0.0, 1.0), Engine(b"e", 1), 0, 0.0, False)
+        one = PrefillAttempt(Clock(), None, attempt, told, 100.0, 50.0, 300)  # type: ignore[arg-type]
         one.call = Call(written)  # type: ignore[assignment]
         getattr(one, end)()
-        assert ends == [outcome if written else i.Outcome.MOOT]
+        assert ends == [outcome if written else Outcome.MOOT]
         assert one.call.abandoned  # type: ignore[union-attr]
 
 
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -15,8 +15,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from worksmux.policy import interface as i
+from worksmux.policy.actions import Action, CancelAttempt, CheckHealth, SetTimer, StartAttempt
+from worksmux.policy.events import (
+    AttemptEnded,
+    EndpointEntry,
+    EndpointListUpdate,
+    FirstToken,
+    HealthCheckEnded,
+    RequestArrived,
+    TimerFired,
+)
 from worksmux.policy.router import Front
+from worksmux.policy.state import Engine, Outcome, Request
 
 READERS, WRITERS = 3, 4
 PER_TOKEN = 0.06  # of reading
@@ -42,8 +52,8 @@
     classes: list[Traffic]
     load: float
     seed: int
-    requests: list[i.Job] = field(default_factory=list)
-    answered: set[i.Job] = field(default_factory=set)
+    requests: list[Request] = field(default_factory=list)
+    answered: set[Request] = field(default_factory=set)
     events: list[tuple[float, int, Any]] = field(default_factory=list)
     number: int = 0
 
@@ -53,7 +63,7 @@
 
     def play(self) -> Day:
         rng = random.Random(self.seed)
-        offerings = [
+        request_classes = [
             {
                 "promised_time": one.target,
                 "outer_limit": 4 * one.target,
@@ -67,15 +77,15 @@
             }
             for one in self.classes
         ]
-        front = Front(plain(fronts=1, offerings=offerings), self.seed)
-        engines = [i.Engine(bytes([at]), at + 1) for at in range(READERS + WRITERS)]
+        front = Front(plain(fronts=1, offerings=request_classes), self.seed)
+        engines = [Engine(bytes([at]), at + 1) for at in range(READERS + WRITERS)]
         front.decide(
             0.0,
             [
-                i.Listed(
+                EndpointListUpdate(
                     "full",
                     [
-                        i.Entry(engine, "ready", 0.0, 0, at % 2, int(at >= READERS), 1.0)
+                        EndpointEntry(engine, "ready", 0.0, 0, at % 2, int(at >= READERS), 1.0)
                         for at, engine in enumerate(engines)
                     ],
                 )
@@ -90,7 +100,7 @@
             one = self.classes[at]
             # The mean is the class's; a few are several times as long.
             prompt = min(4 * one.prompt, one.prompt * rng.lognormvariate(-(one.spread**2) / 2, one.spread))
-            request = i.Job(
+            request = Request(
                 number,
                 at,
                 rng.randrange(1, REQUESTS // 3),
@@ -102,35 +112,39 @@
                 now + 4 * one.target + 2 * one.per_k * prompt / 1000,
             )
             self.requests.append(request)
-            self.at(now, i.Arrived(request))
+            self.at(now, RequestArrived(request))
         while self.events:
             now, _, event = heapq.heappop(self.events)
-            if isinstance(event, i.Began | i.Ended) and event.trip.outcome is not None:
+            if isinstance(event, FirstToken | AttemptEnded) and event.attempt.outcome is not None:
                 continue
-            if isinstance(event, i.Ended) and event.outcome is i.Outcome.DELIVERED:
-                self.answered.add(event.trip.job)
+            if isinstance(event, AttemptEnded) and event.outcome is Outcome.DELIVERED:
+                self.answered.add(event.attempt.request)
             for action in front.decide(now, [event]):
                 self._carry_out(now, action)
         return self
 
-    def _carry_out(self, now: float, action: i.Action) -> None:
+    def _carry_out(self, now: float, action: Action) -> None:
         match action:
-            case i.Send(trip) if trip.reading:
-                done = self.free[trip.engine] = max(now, self.free[trip.engine]) + 5 + PER_TOKEN * trip.work
-                self.at(done, i.Ended(trip, i.Outcome.READ, done - now, False))
-            case i.Send(trip):
-                self.at(now + FIRST, i.Began(trip, FIRST))
-                self.at(now + REST, i.Ended(trip, i.Outcome.DELIVERED, REST, True))
-            case i.Cancel(trip):
-                self.at(now, i.Ended(trip, i.Outcome.CANCELLED, now - trip.sent, False))
-            case i.Probe(engine):
-                self.at(now + 2, i.Probed(engine, i.Outcome.DELIVERED, 2.0))
-            case i.Alarm(after, token):
-                self.at(now + after, i.Rang(token))
+            case StartAttempt(attempt) if attempt.reading:
+                done = self.free[attempt.engine] = (
+                    max(now, self.free[attempt.engine]) + 5 + PER_TOKEN * attempt.work
+                )
+                self.at(done, AttemptEnded(attempt, Outcome.READ, done - now, False))
+            case StartAttempt(attempt):
+                self.at(now + FIRST, FirstToken(attempt, FIRST))
+                self.at(now + REST, AttemptEnded(attempt, Outcome.DELIVERED, REST, True))
+            case CancelAttempt(attempt):
+                self.at(now, AttemptEnded(attempt, Outcome.CANCELLED, now - attempt.sent, False))
+            case CheckHealth(engine):
+                self.at(now + 2, HealthCheckEnded(engine, Outcome.DELIVERED, 2.0))
+            case SetTimer(after, token):
+                self.at(now + after, TimerFired(token))
 
     def shares(self, at: int) -> tuple[float, float]:
         """Of a class: the share answered of the tenth with the longest prompts, and of all."""
-        of_class = sorted((one for one in self.requests if one.offering == at), key=lambda one: one.prompt)
+        of_class = sorted(
+            (one for one in self.requests if one.request_class == at), key=lambda one: one.prompt
+        )
         longest = of_class[-(len(of_class) // 10) :]
         return (
             sum(one in self.answered for one in longest) / len(longest),
@@ -176,7 +190,7 @@
     for at in range(len(classes)):
         sessions: dict[int, list[bool]] = defaultdict(list)
         for one in day.requests:
-            if one.offering == at:
+            if one.request_class == at:
                 sessions[one.session].append(one not in day.answered)
         refused = sum(map(sum, sessions.values())) / sum(map(len, sessions.values()))
         chance = sum(refused ** len(turns) for turns in sessions.values())
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -11,8 +11,9 @@
 from worksmux.endpoints.flap_damping import HOLD, PART, Damping
 from worksmux.endpoints.learned_state import FLEET, Kept, Learner, Marks, Pace, recall
 from worksmux.endpoints.staleness import Turnover
-from worksmux.policy.interface import Began, Ended, Engine, Entry, Job, Outcome, Trip
+from worksmux.policy.events import AttemptEnded, EndpointEntry, FirstToken
 from worksmux.policy.router import ALL, MEMORY, Front
+from worksmux.policy.state import Attempt, Engine, Outcome, Request
 
 DOUBT, HALF_LIFE = 1000.0, 4000.0
 
@@ -32,7 +33,7 @@
     return Listing("full", serial, None, now, [line(name) for name in names])
 
 
-def apply(view: dict[str, str], scope: str, entries: list[Entry]) -> None:
+def apply(view: dict[str, str], scope: str, entries: list[EndpointEntry]) -> None:
     if scope == "full":
         view.update(dict.fromkeys(view, "gone"))
     view.update({entry.engine.id.decode(): entry.state for entry in entries})
@@ -184,17 +185,17 @@
 # What was learned.
 
 
-def trip_at(engine: Engine, offering: int = 0, work: float = 100.0) -> Trip:
-    return Trip(Job(1, offering, 1, 0, work, 0.0, 10.0, 0.0, 9e9), engine, 0, 0.0, work=work)
+def attempt_at(engine: Engine, request_class: int = 0, work: float = 100.0) -> Attempt:
+    return Attempt(Request(1, request_class, 1, 0, work, 0.0, 10.0, 0.0, 9e9), engine, 0, 0.0, work=work)
 
 
 def taught(faults: int, good: int) -> Learner:
     learner, engine = Learner(["a", "b"]), Engine(b"e", 1)
     for at in range(faults + good):
         outcome = Outcome.ERROR if at < faults else Outcome.DELIVERED
-        learner.saw(1000.0 + at, Ended(trip_at(engine), outcome, 50.0, False))
-    learner.saw(1100.0, Ended(trip_at(engine), Outcome.READ, 200.0, False))
-    learner.saw(1200.0, Began(trip_at(engine), 900.0))
+        learner.saw(1000.0 + at, AttemptEnded(attempt_at(engine), outcome, 50.0, False))
+    learner.saw(1100.0, AttemptEnded(attempt_at(engine), Outcome.READ, 200.0, False))
+    learner.saw(1200.0, FirstToken(attempt_at(engine), 900.0))
     return learner
 
 
@@ -245,7 +246,7 @@
     assert not other.unwell and not other.good and not other.narrowed
 
 
-def test_failing_offering_is_known_after_a_restart_until_a_few_fresh_trips_go_well() -> None:
+def test_failing_request_class_is_known_after_a_restart_until_a_few_fresh_attempts_go_well() -> None:
     front, engine = told_after(500.0)
     assert front._failing(0) and not front._failing(1)
     front.fates[0].add(60.0, 0.0)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,71 +1,82 @@
 """The five rules and the mechanism, each on a state built by hand."""
 
 import pytest
-from helpers import NOW, ended, fleet, job, kinds, settings
-
-from worksmux.policy import interface as i
+from helpers import NOW, ended, fleet, kinds, request, settings
+
+from worksmux.policy.actions import CheckHealth, SetTimer
+from worksmux.policy.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointEntry,
+    EndpointListUpdate,
+    FirstToken,
+    HealthCheckEnded,
+    RequestArrived,
+    TimerFired,
+)
 from worksmux.policy.slow_start import PRUDENCE
+from worksmux.policy.state import Attempt, Outcome
 
 PAIR = ((0, 0, 0), (1, 0, 0))
 TWO_WRITERS = (*PAIR, (1, 0, 0))
 
 
 def read(front, one, now=NOW):
-    front.decide(now, [i.Arrived(one)])
-    return ended(front, one.trips[0], i.Outcome.READ)
+    front.decide(now, [RequestArrived(one)])
+    return ended(front, one.attempts[0], Outcome.READ)
 
 
 def test_ordinary_path_reads_then_writes_at_the_paired_writer():
     front, _ = fleet((0, 0, 0), (1, 0, 0), (0, 1, 1), (1, 1, 1))
-    one = job()
+    one = request()
     actions = read(front, one)
-    first, second = one.trips
-    assert (first.engine.role, second.engine.role) == ("read", "write") and kinds(actions) == ["Send"]
+    first, second = one.attempts
+    assert (first.engine.role, second.engine.role) == ("read", "write") and kinds(actions) == ["StartAttempt"]
     assert first.engine.cell == second.engine.cell
 
 
 def test_writers_take_turns_in_the_readers_cell():
     front, (_, first, second) = fleet(*TWO_WRITERS)
-    jobs = [job(number) for number in (1, 2)]
-    front.decide(NOW, [i.Arrived(one) for one in jobs])
-    assert {one.writer for one in jobs} == {first, second}
+    requests = [request(number) for number in (1, 2)]
+    front.decide(NOW, [RequestArrived(one) for one in requests])
+    assert {one.writer for one in requests} == {first, second}
 
 
-def test_full_window_makes_the_job_wait_before_its_read():
+def test_full_window_makes_the_request_wait_before_its_read():
     front, (_, writer) = fleet(*PAIR)
     writer.narrowed = 100.0
-    jobs = [job(number) for number in (1, 2)]
-    front.decide(NOW, [i.Arrived(one) for one in jobs])
-    assert [len(one.trips) for one in jobs] == [1, 0]
+    requests = [request(number) for number in (1, 2)]
+    front.decide(NOW, [RequestArrived(one) for one in requests])
+    assert [len(one.attempts) for one in requests] == [1, 0]
 
 
 def test_full_answer_marks_the_writer_and_the_next_one_gets_the_state():
     front, _ = fleet(*TWO_WRITERS)
-    one = job()
+    one = request()
     read(front, one)
-    first = one.trips[1].engine
-    ended(front, one.trips[1], i.Outcome.FULL)
+    first = one.attempts[1].engine
+    ended(front, one.attempts[1], Outcome.FULL)
     assert first.skip_until > NOW + 900 and first.narrowed > 0
-    assert one.trips[2].engine not in (first, one.trips[0].engine)
+    assert one.attempts[2].engine not in (first, one.attempts[0].engine)
 
 
 def test_lost_state_is_read_afresh_and_marks_nobody():
     front, (reader, writer) = fleet(*PAIR)
-    one = job()
+    one = request()
     read(front, one)
-    actions = ended(front, one.trips[1], i.Outcome.FULL, note=1)
-    assert writer.skip_until == 0.0 and one.trips[2].engine is reader
-    assert kinds(actions) == ["Release", "Send"]  # what a place held ahead took is let go too
+    actions = ended(front, one.attempts[1], Outcome.FULL, note=1)
+    assert writer.skip_until == 0.0 and one.attempts[2].engine is reader
+    assert kinds(actions) == ["ReleaseKvCache", "StartAttempt"]  # what a place held ahead took is let go too
 
 
-def test_mixed_engine_takes_a_whole_job():
+def test_mixed_engine_takes_a_whole_request():
     front, (mixed,) = fleet((2, 0, 0))
-    one = job()
-    front.decide(NOW, [i.Arrived(one)])
-    assert one.trips[0].engine is mixed and not one.trips[0].reading
+    one = request()
+    front.decide(NOW, [RequestArrived(one)])
+    assert one.attempts[0].engine is mixed and not one.attempts[0].reading
 
 
-def test_restarted_front_is_not_stuck_at_one_job_a_writer():
+def test_restarted_front_is_not_stuck_at_one_request_a_writer():
     front, (_, writer) = fleet(*PAIR)
     front.out = 8
     assert front._window(writer) > 8
@@ -73,36 +84,39 @@
 
 def test_writer_whose_memory_share_is_used_up_is_skipped():
     front, (_, writer) = fleet(*PAIR, kind_memory=[200_000, 10_000])
-    writer.trips = {i.Trip(job(number), writer, 0, NOW, began=NOW): None for number in range(7)}
+    writer.attempts = {Attempt(request(number), writer, 0, NOW, began=NOW): None for number in range(7)}
     front.out = 7
-    assert front._window(writer) > 8 and not front._has_window(writer, job())
+    assert front._window(writer) > 8 and not front._has_window(writer, request())
 
 
 def test_reader_with_a_waiting_line_has_no_room():
     front, (slow, quick, _) = fleet((0, 0, 0), (0, 0, 0), (1, 0, 0))
     front.now = NOW + 600
-    slow.trips, slow.quiet_since = {i.Trip(job(9), slow, 0, NOW, True): None}, NOW
-    assert front._has_room(quick, job()) and not front._has_room(slow, job())
+    slow.attempts, slow.quiet_since = {Attempt(request(9), slow, 0, NOW, True): None}, NOW
+    assert front._has_room(quick, request()) and not front._has_room(slow, request())
 
 
 def test_time_out_at_the_clients_own_limit_is_answered_at_once():
     front, _ = fleet(*PAIR)
-    one = job(left=500.0)
+    one = request(left=500.0)
     read(front, one)
-    assert kinds(ended(front, one.trips[1], i.Outcome.TIMED_OUT, after=449.0))[-2:] == ["Defer", "Release"]
+    assert kinds(ended(front, one.attempts[1], Outcome.TIMED_OUT, after=449.0))[-2:] == [
+        "RejectRequest",
+        "ReleaseKvCache",
+    ]
 
 
-def test_waiting_job_is_deferred_once_its_promised_time_is_lost():
+def test_waiting_request_is_deferred_once_its_promised_time_is_lost():
     front, _ = fleet((0, 0, 0))
-    one = job()
-    front.decide(NOW, [i.Arrived(one)])
-    assert kinds(front.decide(NOW + 990, [i.Rang(0)])) == ["Defer"] and one.ended
+    one = request()
+    front.decide(NOW, [RequestArrived(one)])
+    assert kinds(front.decide(NOW + 990, [TimerFired(0)])) == ["RejectRequest"] and one.ended
 
 
 def test_line_is_cut_by_chance_before_the_usual_need_no_longer_fits():
     front, _ = fleet((0, 0, 0))
     front.first.add(NOW, 600.0)
-    front.now, lucky, unlucky = NOW, job(1), job(2)
+    front.now, lucky, unlucky = NOW, request(1), request(2)
     lucky.promised_at = unlucky.promised_at = NOW + 1000
     lucky.luck, unlucky.luck = 0.1, 0.9
     assert not front._late(lucky) and front._late(unlucky)
@@ -113,45 +127,45 @@
 def test_trouble_that_is_over_is_forgotten():
     front, _ = fleet((0, 0, 0))
     front.first.add(NOW - 10_000, 2000.0)
-    front.now, one = NOW, job()
+    front.now, one = NOW, request()
     one.promised_at, one.luck = NOW + 1000, 0.5
     assert front._late(one)
     front.first.add(NOW, 20.0)
     assert not front._late(one)
 
 
-def test_full_reader_counts_as_a_long_wait_and_a_few_jobs_go_ahead_all_the_same():
+def test_full_reader_counts_as_a_long_wait_and_a_few_requests_go_ahead_all_the_same():
     front, _ = fleet(*PAIR)
-    one = job()
-    front.decide(NOW, [i.Arrived(one)])
-    ended(front, one.trips[0], i.Outcome.FULL)
+    one = request()
+    front.decide(NOW, [RequestArrived(one)])
+    ended(front, one.attempts[0], Outcome.FULL)
     assert one.ended and front.per_token.mean(front.now) * one.prompt == 1000.0
-    trial = job(2, now=front.now)
+    trial = request(2, now=front.now)
     trial.promised_at, trial.luck = front.now + 1000, 0.01
     assert not front._late(trial)
 
 
-def test_irreversible_job_that_may_have_run_is_broken_off():
+def test_irreversible_request_that_may_have_run_is_broken_off():
     front, _ = fleet(*TWO_WRITERS)
-    one = job(offering=1)
+    one = request(request_class=1)
     read(front, one)
-    assert "BreakOff" in kinds(ended(front, one.trips[1], i.Outcome.RESET)) and len(one.trips) == 2
+    assert "AbortRequest" in kinds(ended(front, one.attempts[1], Outcome.RESET)) and len(one.attempts) == 2
 
 
 def test_answer_of_one_token_is_counted():
     front, (_, writer) = fleet(*PAIR)
-    one = job()
+    one = request()
     read(front, one)
-    trip = one.trips[1]
-    front.decide(NOW + 60, [i.Began(trip, 10.0), i.Ended(trip, i.Outcome.DELIVERED, 10.0, True)])
-    assert one.ended and not writer.trips and not front.awaited
+    attempt = one.attempts[1]
+    front.decide(NOW + 60, [FirstToken(attempt, 10.0), AttemptEnded(attempt, Outcome.DELIVERED, 10.0, True)])
+    assert one.ended and not writer.attempts and not front.awaited
 
 
-def test_labelled_job_is_repeated_only_in_its_group_and_time():
+def test_labelled_request_is_repeated_only_in_its_group_and_time():
     front, (reader, same, other) = fleet((0, 0, 0), (1, 0, 0), (1, 0, 1))
-    one = job(offering=2)
+    one = request(request_class=2)
     read(front, one)
-    one.trips[1].engine, one.trips[1].outcome = same, i.Outcome.RESET
+    one.attempts[1].engine, one.attempts[1].outcome = same, Outcome.RESET
     front.now = NOW + 60
     assert front._may_send(one, same) and not front._may_send(one, other)
     front.now += 4500
@@ -161,52 +175,55 @@
 def test_deduplicated_request_is_read_again_within_its_group_alone():
     """Guards against a read in another zone after a write that may have run: every send counts, reads too."""
     front, engines = fleet(*((role, zone, zone) for zone in (0, 1, 2) for role in (0, 0, 1, 1)))
-    one = job(offering=2)
+    one = request(request_class=2)
     read(front, one)
-    first = one.trips[1].engine
+    first = one.attempts[1].engine
     for engine in engines:
         if engine.role == "read" and engine.zone == first.zone:
             engine.skip_until = NOW + 190.0  # readers elsewhere have room, these do not
-    ended(front, one.trips[1], i.Outcome.RESET)
-    assert kinds(ended(front, one.trips[2], i.Outcome.FULL, note=1)) == ["Release"] and one in front.waiting
-    assert kinds(front.decide(NOW + 200, [i.Rang(0)])) == ["Send"]
-    assert one.trips[3].reading and one.trips[3].engine.zone == first.zone
+    ended(front, one.attempts[1], Outcome.RESET)
+    assert (
+        kinds(ended(front, one.attempts[2], Outcome.FULL, note=1)) == ["ReleaseKvCache"]
+        and one in front.waiting
+    )
+    assert kinds(front.decide(NOW + 200, [TimerFired(0)])) == ["StartAttempt"]
+    assert one.attempts[3].reading and one.attempts[3].engine.zone == first.zone
 
 
 def test_deduplicated_request_without_a_reader_in_its_group_is_answered_at_once():
     front, (reader, *_) = fleet((0, 1, 1), (1, 0, 0), (1, 0, 0))
-    one = job(offering=2)
+    one = request(request_class=2)
     read(front, one)
-    ended(front, one.trips[1], i.Outcome.RESET)
-    actions = ended(front, one.trips[2], i.Outcome.FULL, note=1)
-    assert reader.zone != one.trips[1].engine.zone and len(one.trips) == 3
-    assert kinds(actions) == ["Release", "BreakOff", "Release"]
+    ended(front, one.attempts[1], Outcome.RESET)
+    actions = ended(front, one.attempts[2], Outcome.FULL, note=1)
+    assert reader.zone != one.attempts[1].engine.zone and len(one.attempts) == 3
+    assert kinds(actions) == ["ReleaseKvCache", "AbortRequest", "ReleaseKvCache"]
 
 
 def test_nothing_new_to_an_engine_told_draining():
     front, (_, writer) = fleet(*PAIR)
-    one = job()
-    front.decide(NOW, [i.Arrived(one)])
-    front.decide(NOW, [i.Listed("delta", [i.Entry(writer, "draining", 0.0, 0, 0, 1, 1.0)])])
-    assert kinds(ended(front, one.trips[0], i.Outcome.READ)) == []
+    one = request()
+    front.decide(NOW, [RequestArrived(one)])
+    front.decide(NOW, [EndpointListUpdate("delta", [EndpointEntry(writer, "draining", 0.0, 0, 0, 1, 1.0)])])
+    assert kinds(ended(front, one.attempts[0], Outcome.READ)) == []
 
 
 def test_engine_missing_from_a_full_list_is_gone():
     front, (reader, writer) = fleet(*PAIR)
-    front.decide(NOW, [i.Listed("full", [i.Entry(reader, "ready", 0.0, 0, 0, 0, 1.0)])])
+    front.decide(NOW, [EndpointListUpdate("full", [EndpointEntry(reader, "ready", 0.0, 0, 0, 0, 1.0)])])
     assert writer.state == "gone" and reader.state == "ready"
 
 
 def test_cold_engine_is_sent_what_the_serves_of_its_like_have_earned_it():
     front, (reader, warm, cold) = fleet(*TWO_WRITERS)
-    front.decide(NOW, [i.Listed("delta", [i.Entry(cold, "ready", NOW - 1, 0, 0, 1, 1.0)])])
+    front.decide(NOW, [EndpointListUpdate("delta", [EndpointEntry(cold, "ready", NOW - 1, 0, 0, 1, 1.0)])])
     cold.credit = 0.6
-    jobs = [job(number) for number in range(1, 4)]
-    front.decide(NOW, [i.Arrived(jobs[0]), i.Arrived(jobs[1])])
-    assert {one.writer for one in jobs[:2]} == {warm}
-    ended(front, jobs[0].trips[0], i.Outcome.READ)
-    front.decide(NOW + 60, [i.Began(jobs[0].trips[1], 10.0), i.Arrived(jobs[2])])
-    assert jobs[2].writer is cold and cold.credit < 0.1
+    requests = [request(number) for number in range(1, 4)]
+    front.decide(NOW, [RequestArrived(requests[0]), RequestArrived(requests[1])])
+    assert {one.writer for one in requests[:2]} == {warm}
+    ended(front, requests[0].attempts[0], Outcome.READ)
+    front.decide(NOW + 60, [FirstToken(requests[0].attempts[1], 10.0), RequestArrived(requests[2])])
+    assert requests[2].writer is cold and cold.credit < 0.1
 
 
 @pytest.mark.parametrize(
@@ -216,12 +233,12 @@
     """Guards against a fleet whose decode engines were all replaced: a front that meets a request in seconds
     has no serve to earn by, and refuses what they could do."""
     front, engines = fleet(*TWO_WRITERS)
-    entries = [i.Entry(engines[at], "ready", NOW - 1, 0, 0, 1, 1.0) for at in cold]
-    front.decide(NOW, [i.Listed("delta", entries)])
+    entries = [EndpointEntry(engines[at], "ready", NOW - 1, 0, 0, 1, 1.0) for at in cold]
+    front.decide(NOW, [EndpointListUpdate("delta", entries)])
     before = engines[2].credit = 0.1
-    one = job(1)
+    one = request(1)
     one.repeat = repeat
-    front.decide(NOW + 1, [i.Arrived(one)])
+    front.decide(NOW + 1, [RequestArrived(one)])
     rules = front.settings
     earned = rules["cold_share"] * rules["fall_multiple"] * PRUDENCE * share * engines[2].part
     assert front.slow_start.credit(engines[2]) == pytest.approx(before + earned)
@@ -231,24 +248,29 @@
     """A front with one warm reader and four cold ones."""
     front, engines = fleet((1, 0, 0), *[(0, 0, 0)] * 5, seed=seed)
     front.decide(
-        NOW, [i.Listed("delta", [i.Entry(engine, "ready", NOW - 1, 0, 0, 0, 1.0) for engine in engines[2:]])]
+        NOW,
+        [
+            EndpointListUpdate(
+                "delta", [EndpointEntry(engine, "ready", NOW - 1, 0, 0, 0, 1.0) for engine in engines[2:]]
+            )
+        ],
     )
     return front, engines
 
 
-def test_cold_readers_earn_their_jobs_together():
+def test_cold_readers_earn_their_requests_together():
     # Guards against budgets that hundreds of fronts hold and never spend: each waited for a job that the hash
     # sends to the very engine that had earned it, while the few warm readers were sent all.
     front, (_, warm, *cold) = cold_readers()
     front.slow_start.read_credit = 0.0
     sent = []
     for number in range(1, 41):
-        one = job(number, now=NOW + 100 * number)
-        front.decide(one.arrived, [i.Arrived(one)])
-        sent.append(one.trips[0].engine)
-        ended(front, one.trips[0], i.Outcome.READ)
-        front.decide(one.arrived + 60, [i.Began(one.trips[1], 10.0)])
-        ended(front, one.trips[1], i.Outcome.DELIVERED, closed=True)
+        one = request(number, now=NOW + 100 * number)
+        front.decide(one.arrived, [RequestArrived(one)])
+        sent.append(one.attempts[0].engine)
+        ended(front, one.attempts[0], Outcome.READ)
+        front.decide(one.arrived + 60, [FirstToken(one.attempts[1], 10.0)])
+        ended(front, one.attempts[1], Outcome.DELIVERED, closed=True)
     to_cold = sum(engine is not warm for engine in sent)
     assert 12 <= to_cold <= 40 * 0.3 * 3.0 * 0.5 * 1.25 * 0.8 + 1  # the budget of four in five
     assert len({engine for engine in sent if engine is not warm}) == len(cold)
@@ -263,7 +285,9 @@
     credits = []
     for seed in range(8):
         front, (_, writer) = fleet(*PAIR, seed=seed)
-        front.decide(NOW, [i.Listed("delta", [i.Entry(writer, "ready", NOW - 1, 0, 0, 1, 1.0)])])
+        front.decide(
+            NOW, [EndpointListUpdate("delta", [EndpointEntry(writer, "ready", NOW - 1, 0, 0, 1, 1.0)])]
+        )
         credits.append(writer.credit)
     assert max(credits) < 1 and max(credits) - min(credits) > 0.3
 
@@ -271,7 +295,7 @@
 def test_readers_of_a_cell_with_few_writers_are_read_at_less_and_send_some_away():
     front, (lean, _, rich, other, _) = fleet((0, 0, 0), (0, 0, 0), (1, 0, 0), (1, 0, 1), (1, 0, 1))
     assert front.index.keeps[0] < 0.5
-    far, near = job(1), job(2)
+    far, near = request(1), request(2)
     far.luck, near.luck = 0.9, 0.1
     assert front._writer(far, lean) is not rich and front._writer(near, lean) is rich
 
@@ -280,17 +304,17 @@
     front, readers = fleet(*[(0, 0, 0)] * 25)
     firsts = set()
     for number in range(1, 100):
-        one = job(number)
+        one = request(number)
         one.prefix = 7
         firsts.add(next(front._order(one))[0])
     assert len(firsts) == 6
 
 
-def test_offering_that_an_engine_fails_is_kept_away_from_it_alone():
+def test_request_class_that_an_engine_fails_is_kept_away_from_it_alone():
     front, (reader, writer) = fleet(*PAIR)
-    one = job()
-    front.decide(NOW, [i.Arrived(one)])
-    front._ended(i.Ended(one.trips[0], i.Outcome.ERROR, 5.0, False))
+    one = request()
+    front.decide(NOW, [RequestArrived(one)])
+    front._ended(AttemptEnded(one.attempts[0], Outcome.ERROR, 5.0, False))
     assert not front._well(reader, 0) and front._well(reader, 1)
 
 
@@ -299,28 +323,30 @@
     for writer in writers:
         writer.faults.add(NOW, 1.0, 2.0)
         front.faulty[writer] = None
-    trip = i.Trip(job(), writers[0], 0, NOW)
-    front._judge(i.Ended(trip, i.Outcome.RESET, 5.0, False))
+    attempt = Attempt(request(), writers[0], 0, NOW)
+    front._judge(AttemptEnded(attempt, Outcome.RESET, 5.0, False))
     assert front._well(writers[0], 0)
     for _ in range(2):  # now it stands out
-        front._judge(i.Ended(trip, i.Outcome.RESET, 5.0, False))
+        front._judge(AttemptEnded(attempt, Outcome.RESET, 5.0, False))
     assert not front._well(writers[0], 0)
 
 
-def test_engines_known_to_serve_come_first_while_an_offering_fails():
+def test_engines_known_to_serve_come_first_while_an_request_class_fails():
     front, (_, *writers) = fleet((0, 0, 0), (1, 0, 0), (1, 0, 0), (1, 0, 0))
     front.fates[0].add(NOW, 1.0)
     writers[2].good[0], front.good[0][writers[2]] = NOW, None
     writers[2].turn = 9.0
-    assert front._writer(job(), None) is writers[2]
+    assert front._writer(request(), None) is writers[2]
 
 
 def test_read_left_unanswered_by_an_engine_that_lives_is_called_off():
     front, (reader, _) = fleet(*PAIR)
-    one = job()
-    front.decide(NOW, [i.Arrived(one)])
-    front.decide(NOW + 700, [i.Rang(0)])
-    assert kinds(front.decide(NOW + 702, [i.Probed(reader, i.Outcome.DELIVERED, 2.0)])) == ["Cancel"]
+    one = request()
+    front.decide(NOW, [RequestArrived(one)])
+    front.decide(NOW + 700, [TimerFired(0)])
+    assert kinds(front.decide(NOW + 702, [HealthCheckEnded(reader, Outcome.DELIVERED, 2.0)])) == [
+        "CancelAttempt"
+    ]
     assert not front._well(reader, 0)
 
 
@@ -328,22 +354,24 @@
     # Guards against hundreds of fronts that call off what waits in a line and send it to the end of another.
     front, (reader, _) = fleet(*PAIR)
     front.lines.add(NOW, 400.0)
-    one = job()
-    front.decide(NOW, [i.Arrived(one)])
+    one = request()
+    front.decide(NOW, [RequestArrived(one)])
     reader.suspected = True  # only then is a probe's answer a judgement
-    assert kinds(front.decide(NOW + 700, [i.Probed(reader, i.Outcome.DELIVERED, 2.0)])) == []
+    assert kinds(front.decide(NOW + 700, [HealthCheckEnded(reader, Outcome.DELIVERED, 2.0)])) == []
     reader.suspected = True
-    assert kinds(front.decide(NOW + 2200, [i.Probed(reader, i.Outcome.DELIVERED, 2.0)])) == ["Cancel"]
+    assert kinds(front.decide(NOW + 2200, [HealthCheckEnded(reader, Outcome.DELIVERED, 2.0)])) == [
+        "CancelAttempt"
+    ]
 
 
 def test_read_that_no_other_could_replace_in_time_is_left_to_end():
     # Guards against work thrown away: what is called off too late is refused, though its answer was near.
     front, (reader, _) = fleet(*PAIR)
-    one = job()
-    front.decide(NOW, [i.Arrived(one)])
+    one = request()
+    front.decide(NOW, [RequestArrived(one)])
     reader.suspected, front.asks = True, True
-    assert kinds(front.decide(NOW + 980, [i.Probed(reader, i.Outcome.DELIVERED, 2.0)])) == []
-    assert not one.trips[0].called_off
+    assert kinds(front.decide(NOW + 980, [HealthCheckEnded(reader, Outcome.DELIVERED, 2.0)])) == []
+    assert not one.attempts[0].called_off
 
 
 def test_long_prompt_is_not_held_to_the_pace_of_prompts_that_were_found_kept():
@@ -351,19 +379,19 @@
     front, (reader, _) = fleet(*PAIR, fronts=200)
     front.asks = True
     for number, (time, kept) in enumerate([(80.0, 200), (10.0, 950), (15.0, 900)], 1):
-        trip = i.Trip(job(number), reader, 0, NOW, True, work=1000.0)
-        front._judge(i.Ended(trip, i.Outcome.READ, time, False, kept))
+        attempt = Attempt(request(number), reader, 0, NOW, True, work=1000.0)
+        front._judge(AttemptEnded(attempt, Outcome.READ, time, False, kept))
     front.decide(NOW, [])
     assert front.shortest == 0.1  # 80 ms for 800 tokens; few tokens tell nothing of pace
-    assert front._reads(i.Trip(job(4), reader, 0, NOW, True, work=1000.0)) == 4.0 * 100.0
+    assert front._reads(Attempt(request(4), reader, 0, NOW, True, work=1000.0)) == 4.0 * 100.0
 
 
 def test_pace_that_was_never_seen_is_that_of_the_settings():
     front, _ = fleet(*PAIR)
     assert front.shortest == 0.0
     changed = settings()["offerings"]
-    for offering in changed:
-        offering["promised_per_k"] = 85.0
+    for request_class in changed:
+        request_class["promised_per_k"] = 85.0
     front, _ = fleet(*PAIR, offerings=changed)
     front.asks = True
     front.decide(NOW, [])
@@ -377,7 +405,7 @@
         front.first.add(NOW, 50.0)
         front.per_token.add(NOW, 3743.0, 5405.0)
         front.anew.add(NOW, 400.0, 4700.0)
-        one = job()
+        one = request()
         one.prompt, one.luck = 4900.0, 0.9
         one.promised_at = NOW + 1600.0
         front.now, front.shortest, front.asks = NOW, front.anew.least(NOW), fronts == 200
@@ -389,88 +417,93 @@
 def test_reads_called_off_in_a_jam_count_as_waits():
     # Guards against a jam that looks quick, since only the reads that got through showed their times.
     front, (_, _) = fleet(*PAIR)
-    one = job()
-    front.decide(NOW, [i.Arrived(one)])
-    ended(front, one.trips[0], i.Outcome.CANCELLED, after=900.0)
-    assert front._late(job(2, now=NOW + 900)) and front.lines.mean(NOW + 900) == 900.0
+    one = request()
+    front.decide(NOW, [RequestArrived(one)])
+    ended(front, one.attempts[0], Outcome.CANCELLED, after=900.0)
+    assert front._late(request(2, now=NOW + 900)) and front.lines.mean(NOW + 900) == 900.0
 
 
-def test_job_whose_client_leaves_before_the_next_beat_is_answered_at_once():
+def test_request_whose_client_leaves_before_the_next_beat_is_answered_at_once():
     front, _ = fleet((0, 0, 0))
-    assert kinds(front.decide(NOW, [i.Arrived(job(left=30.0))])) == ["Defer"]
+    assert kinds(front.decide(NOW, [RequestArrived(request(left=30.0))])) == ["RejectRequest"]
 
 
 def test_reads_that_are_out_tell_of_a_jam_once_most_readers_are_cold():
     """Guards against jobs sent after others into a jam of replaced readers, where nothing has ended yet."""
-    for started, answer in ((NOW - 1000.0, ["Defer"]), (0.0, ["Send"])):
+    for started, answer in ((NOW - 1000.0, ["RejectRequest"]), (0.0, ["StartAttempt"])):
         front, engines = fleet(*[(0, 0, 0)] * 3, *[(1, 0, 0)] * 3)
         front.decide(
             NOW,
             [
-                i.Listed(
-                    "full", [i.Entry(engine, "ready", started, 0, 0, engine.kind, 1.0) for engine in engines]
+                EndpointListUpdate(
+                    "full",
+                    [EndpointEntry(engine, "ready", started, 0, 0, engine.kind, 1.0) for engine in engines],
                 )
             ],
         )
         front.slow_start.read_credit = 1.0
         for engine in engines:
             engine.credit = 1.0
-        front._send(job(1), engines[0], reading=True)
-        late = job(2, now=NOW + 900.0)
+        front._send(request(1), engines[0], reading=True)
+        late = request(2, now=NOW + 900.0)
         late.prompt, late.session = 900.0, 2
         front.decide(NOW + 900.0, [])
         front.slow_start.read_credit = 1.0
-        actions = front.decide(NOW + 900.0, [i.Arrived(late)])
+        actions = front.decide(NOW + 900.0, [RequestArrived(late)])
         late.luck = 0.5
         assert kinds(actions) == answer
 
 
 def test_front_with_nothing_to_watch_sets_no_alarm():
     front, _ = fleet(*PAIR)
-    assert front.decide(NOW, []) == [] and front.decide(NOW + 1, [i.Left(job())]) == []
+    assert front.decide(NOW, []) == [] and front.decide(NOW + 1, [ClientDisconnected(request())]) == []
 
 
 def test_bell_that_rings_a_rounding_error_early_still_counts():
     front, _ = fleet((0, 0, 0))
-    front.decide(NOW, [i.Arrived(job())])
-    assert any(isinstance(action, i.Alarm) for action in front.decide(front.alarm_at - 0.001, [i.Rang(0)]))
+    front.decide(NOW, [RequestArrived(request())])
+    assert any(
+        isinstance(action, SetTimer) for action in front.decide(front.alarm_at - 0.001, [TimerFired(0)])
+    )
 
 
 def test_unplaced_state_is_released_inside_the_limit():
     front, (_, writer) = fleet(*PAIR)
-    one = job()
-    front.decide(NOW, [i.Arrived(one)])
+    one = request()
+    front.decide(NOW, [RequestArrived(one)])
     writer.unwell = {-1: NOW + 9000}
-    ended(front, one.trips[0], i.Outcome.READ)
-    assert "Release" in kinds(front.decide(NOW + 250, [i.Rang(0)]))
+    ended(front, one.attempts[0], Outcome.READ)
+    assert "ReleaseKvCache" in kinds(front.decide(NOW + 250, [TimerFired(0)]))
 
 
-def test_time_to_let_go_runs_on_through_trips_that_never_arrived():
+def test_time_to_let_go_runs_on_through_attempts_that_never_arrived():
     """Guards against state pinned in a zone that is cut off, while one connection after the other fails."""
     front, _ = fleet(*PAIR, (1, 0, 0), (1, 0, 0))
-    one = job()
+    one = request()
     read(front, one)
-    ended(front, one.trips[1], i.Outcome.CANCELLED, after=1000.0)
+    ended(front, one.attempts[1], Outcome.CANCELLED, after=1000.0)
     held = one.held_since
-    actions = ended(front, one.trips[2], i.Outcome.UNREACHABLE, after=250.0)
-    assert one.held_since == held and "Release" in kinds(actions)
-    assert one.holder is None and not any(not trip.reading for trip in one.out)
+    actions = ended(front, one.attempts[2], Outcome.UNREACHABLE, after=250.0)
+    assert one.held_since == held and "ReleaseKvCache" in kinds(actions)
+    assert one.holder is None and not any(not attempt.reading for attempt in one.out)
 
 
 def test_state_stays_for_the_next_writer_after_a_connection_refused_at_once():
     front, (reader, *_) = fleet(*TWO_WRITERS)
-    one = job()
+    one = request()
     read(front, one)
-    actions = ended(front, one.trips[1], i.Outcome.UNREACHABLE, after=1.0)
-    assert kinds(actions) == ["Send"] and one.holder is reader and one.trips[2].engine.role == "write"
+    actions = ended(front, one.attempts[1], Outcome.UNREACHABLE, after=1.0)
+    assert (
+        kinds(actions) == ["StartAttempt"] and one.holder is reader and one.attempts[2].engine.role == "write"
+    )
 
 
 def test_state_read_for_a_client_that_left_is_released():
     front, _ = fleet(*PAIR)
-    one = job()
-    front.decide(NOW, [i.Arrived(one)])
-    front.decide(NOW + 10, [i.Left(one)])
-    assert kinds(ended(front, one.trips[0], i.Outcome.READ)) == ["Release"]
+    one = request()
+    front.decide(NOW, [RequestArrived(one)])
+    front.decide(NOW + 10, [ClientDisconnected(one)])
+    assert kinds(ended(front, one.attempts[0], Outcome.READ)) == ["ReleaseKvCache"]
 
 
 def test_failing_writer_loses_its_turns_for_longer_each_time():
@@ -488,62 +521,64 @@
 def test_last_reader_is_kept_after_an_error_but_not_when_unreachable():
     front, (reader, _) = fleet(*PAIR)
     front._strike(reader)
-    one, two = job(1), job(2)
-    front.decide(NOW, [i.Arrived(one)])
-    assert not one.trips
+    one, two = request(1), request(2)
+    front.decide(NOW, [RequestArrived(one)])
+    assert not one.attempts
     reader.unwell = {0: NOW + 9000}
-    front.decide(NOW, [i.Arrived(two)])
-    assert one.trips and not two.trips
+    front.decide(NOW, [RequestArrived(two)])
+    assert one.attempts and not two.attempts
 
 
 def test_writer_reads_in_place_only_where_it_can():
-    one, two = job(1), job(2)
-    fleet((1, 0, 0))[0].decide(NOW, [i.Arrived(one)])
+    one, two = request(1), request(2)
+    fleet((1, 0, 0))[0].decide(NOW, [RequestArrived(one)])
     front, (writer,) = fleet((1, 0, 0), writers_read=True)
-    front.decide(NOW, [i.Arrived(two)])
-    assert not one.trips and two.trips[0].engine is writer
+    front.decide(NOW, [RequestArrived(two)])
+    assert not one.attempts and two.attempts[0].engine is writer
 
 
 def test_read_that_came_too_late_is_given_up_while_others_wait():
     front, (_, writer) = fleet(*PAIR)
-    late, other = job(1), job(2)
-    front.decide(NOW, [i.Arrived(late)])
+    late, other = request(1), request(2)
+    front.decide(NOW, [RequestArrived(late)])
     writer.narrowed = 100.0
-    front.decide(NOW + 900, [i.Arrived(other)])
-    actions = front.decide(NOW + 1001, [i.Ended(late.trips[0], i.Outcome.READ, 50.0, False)])
-    assert "Defer" in kinds(actions) and not other.ended
+    front.decide(NOW + 900, [RequestArrived(other)])
+    actions = front.decide(NOW + 1001, [AttemptEnded(late.attempts[0], Outcome.READ, 50.0, False)])
+    assert "RejectRequest" in kinds(actions) and not other.ended
 
 
-def test_silent_engine_is_probed_and_its_waiting_jobs_are_rescued():
+def test_silent_engine_is_probed_and_its_waiting_requests_are_rescued():
     front, (_, first, second) = fleet(*TWO_WRITERS)
-    one = job()
+    one = request()
     read(front, one)
-    hung = one.trips[1].engine
-    assert i.Probe(hung) in front.decide(NOW + 700, [i.Rang(0)])
-    assert kinds(front.decide(NOW + 950, [i.Probed(hung, i.Outcome.TIMED_OUT, 250.0)])) == ["Cancel"]
-    ended(front, one.trips[1], i.Outcome.CANCELLED, after=905.0)
-    assert one.trips[2].engine in {first, second} - {hung}
+    hung = one.attempts[1].engine
+    assert CheckHealth(hung) in front.decide(NOW + 700, [TimerFired(0)])
+    assert kinds(front.decide(NOW + 950, [HealthCheckEnded(hung, Outcome.TIMED_OUT, 250.0)])) == [
+        "CancelAttempt"
+    ]
+    ended(front, one.attempts[1], Outcome.CANCELLED, after=905.0)
+    assert one.attempts[2].engine in {first, second} - {hung}
 
 
 def test_reader_has_room_again_after_prompts_of_fractions():
     front, (reader, _) = fleet(*PAIR)
-    one = job()
-    front.decide(NOW, [i.Arrived(one)])
+    one = request()
+    front.decide(NOW, [RequestArrived(one)])
     front.reading -= 1e-9  # what sums of fractions come to
-    ended(front, one.trips[0], i.Outcome.READ)
-    assert front._has_room(reader, job(2))
+    ended(front, one.attempts[0], Outcome.READ)
+    assert front._has_room(reader, request(2))
 
 
 def test_state_of_a_cell_whose_readers_have_all_gone_is_still_answered():
     front, engines = fleet((0, 0, 0), (1, 0, 0), (0, 1, 1), (1, 1, 1))
-    one = job()
-    front.decide(NOW, [i.Arrived(one)])
-    reader = one.trips[0].engine
-    gone = i.Entry(reader, "gone", 0.0, reader.zone, reader.cell, reader.kind, 1.0)
-    front.decide(NOW + 10, [i.Listed("delta", [gone])])
+    one = request()
+    front.decide(NOW, [RequestArrived(one)])
+    reader = one.attempts[0].engine
+    gone = EndpointEntry(reader, "gone", 0.0, reader.zone, reader.cell, reader.kind, 1.0)
+    front.decide(NOW + 10, [EndpointListUpdate("delta", [gone])])
     one.writer.suspected = True  # another writer is sought, from the reader's cell on
-    ended(front, one.trips[0], i.Outcome.READ)
-    assert [trip.engine.role for trip in one.trips] == ["read", "write"]
+    ended(front, one.attempts[0], Outcome.READ)
+    assert [attempt.engine.role for attempt in one.attempts] == ["read", "write"]
 
 
 THREE_READERS = ((0, 0, 0), (0, 0, 0), (0, 0, 0), (1, 0, 0))
@@ -552,70 +587,72 @@
 def asking(**changes):
     """One of many fronts with a job that has just come: the front, the job and the reader that was asked."""
     front, _ = fleet(*THREE_READERS, **{"fronts": 200, **changes})
-    one = job()
-    probes = [action for action in front.decide(NOW, [i.Arrived(one)]) if isinstance(action, i.Probe)]
+    one = request()
+    probes = [
+        action for action in front.decide(NOW, [RequestArrived(one)]) if isinstance(action, CheckHealth)
+    ]
     return front, one, [probe.engine for probe in probes]
 
 
 def asked_at(front, now, *events):
     actions = front.decide(now, list(events))
-    return [action.engine for action in actions if isinstance(action, i.Probe)]
+    return [action.engine for action in actions if isinstance(action, CheckHealth)]
 
 
 def test_one_of_many_fronts_asks_a_reader_before_it_sends_a_read():
     """Guards against a line of the other fronts' reads, of which this one sees nothing."""
     front, one, (reader,) = asking()
-    assert not one.trips
-    front.decide(NOW + 4, [i.Probed(reader, i.Outcome.DELIVERED, 4.0)])
-    assert [trip.engine for trip in one.trips] == [reader] and not one.asked
+    assert not one.attempts
+    front.decide(NOW + 4, [HealthCheckEnded(reader, Outcome.DELIVERED, 4.0)])
+    assert [attempt.engine for attempt in one.attempts] == [reader] and not one.asked
 
 
 def test_reader_that_does_not_answer_at_once_is_passed_by_and_the_first_to_answer_reads():
     front, one, (first,) = asking()
-    (second,) = asked_at(front, NOW + 25, i.Rang(0))
-    assert second is not first and not asked_at(front, NOW + 30, i.Rang(0))
-    front.decide(NOW + 40, [i.Probed(first, i.Outcome.DELIVERED, 40.0)])
-    assert [trip.engine for trip in one.trips] == [first]
+    (second,) = asked_at(front, NOW + 25, TimerFired(0))
+    assert second is not first and not asked_at(front, NOW + 30, TimerFired(0))
+    front.decide(NOW + 40, [HealthCheckEnded(first, Outcome.DELIVERED, 40.0)])
+    assert [attempt.engine for attempt in one.attempts] == [first]
 
 
-def test_job_goes_to_the_reader_of_its_hash_where_none_answers():
+def test_request_goes_to_the_reader_of_its_hash_where_none_answers():
     front, one, (first,) = asking()
     now, asked = NOW, [first]
-    while not one.trips and now < NOW + 1000:
+    while not one.attempts and now < NOW + 1000:
         now += 10
-        asked += asked_at(front, now, i.Rang(0))
-    assert now < NOW + 250 and len(asked) == 3 and one.trips[0].engine is next(front._order(one))[0]
+        asked += asked_at(front, now, TimerFired(0))
+    assert now < NOW + 250 and len(asked) == 3 and one.attempts[0].engine is next(front._order(one))[0]
 
 
 def test_probe_that_fails_before_a_read_marks_nobody():
     """Guards against engines set aside for a probe that waited in their line."""
     front, one, (reader,) = asking()
-    front.decide(NOW + 20, [i.Probed(reader, i.Outcome.TIMED_OUT, 20.0)])
-    assert not reader.unwell and not reader.faults.count(NOW + 20) and not one.trips
+    front.decide(NOW + 20, [HealthCheckEnded(reader, Outcome.TIMED_OUT, 20.0)])
+    assert not reader.unwell and not reader.faults.count(NOW + 20) and not one.attempts
 
 
 def test_who_sees_its_engines_or_may_not_ask_sends_at_once():
     for changes in ({"fronts": 2}, {"may_probe": False}):
         _, one, asked = asking(**changes)
-        assert len(one.trips) == 1 and not asked
+        assert len(one.attempts) == 1 and not asked
 
 
-def test_job_that_waits_for_an_answer_keeps_no_other_waiting():
+def test_request_that_waits_for_an_answer_keeps_no_other_waiting():
     front, one, (reader,) = asking()
-    other = job(2, session=77)
+    other = request(2, session=77)
     for known in front.index.readers:
         if known is not reader:
             known.reported = NOW + 1
-    front.decide(NOW + 1, [i.Arrived(other)])
-    assert other.trips or other.asked
+    front.decide(NOW + 1, [RequestArrived(other)])
+    assert other.attempts or other.asked
 
 
 def test_front_with_more_than_its_part_of_the_traffic_need_not_stand_back_while_answers_begin_at_once():
     # Guards against a busy front of hundreds that holds each writer to one answer, with memory idle.
     front, (_, writer) = fleet(*PAIR, fronts=200, kind_memory=[400_000, 570_000])
-    writer.trips = {i.Trip(job(number), writer, 0, NOW, began=NOW): None for number in range(4)}
+    writer.attempts = {Attempt(request(number), writer, 0, NOW, began=NOW): None for number in range(4)}
     front.out, front.now, front.asks = 4, NOW, True
-    one = job(9)
+    one = request(9)
     one.luck = 0.9
     front.first.add(NOW, 40.0)
     assert front._has_window(writer, one)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -38,10 +38,10 @@
     text = SETTINGS.replace('outer-limit "3s"', 'outer-limit "0.5s"', 1).replace("trips 5", "tripps 5")
     text = text.replace('effect "irreversible"', 'effect "once"').replace('keep-alive "5s"', "keep-alive 5")
     told = faults(text)
-    offering, effect, kept = (
+    request_class, effect, kept = (
         line_of(part, text) for part in ('offering "hint"', 'effect "once"', "keep-alive 5")
     )
-    assert any(one.startswith(f"f.kdl:{offering}: ") and "outer-limit" in one for one in told)
+    assert any(one.startswith(f"f.kdl:{request_class}: ") and "outer-limit" in one for one in told)
     assert any("unknown key tripps; did you mean trips?" in one for one in told)
     assert any("trips is missing" in one for one in told)
     assert any(one.startswith(f"f.kdl:{effect}: ") and "redoable, labelled" in one for one in told)
--- a/tests/test_tokens.py
+++ b/tests/test_tokens.py
@@ -322,15 +322,20 @@
 class Bench:
     """A service on a reactor of its own."""
 
-    def __init__(self, bounds: Counting = BOUNDS, offerings: int = 1) -> None:
+    def __init__(self, bounds: Counting = BOUNDS, request_classes: int = 1) -> None:
         self.reactor: Any = EPollReactor()
-        self.service = TokenService(self.reactor, bounds, [VOCABULARIES[0]] * offerings)
+        self.service = TokenService(self.reactor, bounds, [VOCABULARIES[0]] * request_classes)
         self.told: list[Result] = []
 
     def ask(
-        self, text: str, limit: int = 10**9, promised: float = 20_000.0, offering: int = 0, session: int = 0
+        self,
+        text: str,
+        limit: int = 10**9,
+        promised: float = 20_000.0,
+        request_class: int = 0,
+        session: int = 0,
     ) -> Any:
-        return self.service.count([("user", text)], offering, limit, promised, session, self.told.append)
+        return self.service.count([("user", text)], request_class, limit, promised, session, self.told.append)
 
     def run(self, until: Any, within: float = 20.0) -> None:
         end = clock.now() + within * 1000
@@ -420,11 +425,11 @@
 
 
 def test_two_versions_side_by_side_do_not_share_counts() -> None:
-    bench = Bench(offerings=2)
+    bench = Bench(request_classes=2)
     bench.service.vocabularies = VOCABULARIES
     bench.start()
     bench.ask(SAMPLES["russian"])
-    bench.ask(SAMPLES["russian"], offering=1)
+    bench.ask(SAMPLES["russian"], request_class=1)
     bench.run(lambda: len(bench.told) == 2)
     assert {one.prompt for one in bench.told} == {exact(SAMPLES["russian"]), exact(SAMPLES["russian"], 1)}
 
@@ -635,7 +640,7 @@
         tell(prompt)
         if not over:
             total = sum(len(ids) for ids in prompt.ids if ids) // 4
-            now = front.tokens.vocabularies[prompt.offering] if front.tokens else None
+            now = front.tokens.vocabularies[prompt.request_class] if front.tokens else None
             which = [one.version for one in VOCABULARIES].index(prompt.vocabulary.version)
             reference = len(tokens(OPENED[which], render(prompt.messages))) // 4
             seen.append((which, total - reference, now is prompt.vocabulary))
@@ -645,7 +650,9 @@
         rig.at(400 + 400 * at, file.write_text, new)
         rig.at(405 + 400 * at, front.reload, str(settings_file))
     records = rig.day(length=2500.0, rate=40.0)
-    assert {job["how"] for job in records.jobs} == {"delivered"} and {which for which, _, _ in seen} == {0, 1}
+    assert {request["how"] for request in records.requests} == {"delivered"} and {
+        which for which, _, _ in seen
+    } == {0, 1}
     assert all(difference == 0 and current for _, difference, current in seen)
     assert front.tokens.vocabularies[0].version == VOCABULARIES[1].version
 
@@ -675,4 +682,4 @@
     from worksmux.checker.records import load as records
 
     found = records(tmp_path)
-    assert len(found.trips) == 2 and found.counts and all(front == own for _, front, own in found.counts)
+    assert len(found.attempts) == 2 and found.counts and all(front == own for _, front, own in found.counts)
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -91,7 +91,7 @@
     assert beliefs.answered("e0", Answer("e0", "k", 0.0)).changed[0].stand is Stand.CONFIRMED
 
 
-def test_trips_that_fail_together_count_once() -> None:
+def test_attempts_that_fail_together_count_once() -> None:
     beliefs = remembered(1000.0, count=1)
     assert beliefs.refused("e0", 0.0).changed and not beliefs.refused("e0", 1.0).changed
     assert beliefs.beliefs["e0"].silent == 1 and len(beliefs.due) == 1
@@ -111,7 +111,7 @@
             assert len(times) == 300 and most <= 50 + 5 * 50**0.5
 
 
-def test_job_that_waits_has_one_of_each_kind_asked_now() -> None:
+def test_request_that_waits_has_one_of_each_kind_asked_now() -> None:
     saved = [Saved(line(f"{kind}{at}", kind), 0.0) for kind in "rw" for at in range(5)]
     beliefs = Beliefs(saved, 0.0, 1000 * HOUR, Turnover(), HOUR, 100, 1.0, True, 2)
     step = beliefs.urge(0.0, ["r", "w"])
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -11,7 +11,7 @@
 
 from worksmux.admission.overload import Pressure
 from worksmux.api import embeddings, rerank
-from worksmux.api.errors import BadJob
+from worksmux.api.errors import BadRequest
 from worksmux.checker.records import load
 from worksmux.checker.rules import check
 from worksmux.fakes.vectors import score, vector
@@ -116,8 +116,8 @@
     assert found["lists"] == [vector("vectors", [1, 2], 2), vector("vectors", [3], 2)]
     assert embeddings.pack(found["packed"][0]) == embeddings.pack(vector("vectors", "a"))
     assert asker.replies["many"][2]["usage"]["total_tokens"] == 1000
-    trips = [trip for trip in load(tmp_path).trips if trip.offering == embeddings.PATH]
-    assert {trip.engine for trip in trips} == {"e2", "e3"} and len(trips) >= 7 + 3
+    attempts = [attempt for attempt in load(tmp_path).attempts if attempt.request_class == embeddings.PATH]
+    assert {attempt.engine for attempt in attempts} == {"e2", "e3"} and len(attempts) >= 7 + 3
 
 
 def test_rerank_gives_the_most_relevant_first_whatever_the_order_of_the_engine(tmp_path: Path) -> None:
@@ -169,10 +169,12 @@
     records = load(tmp_path)
     told = records.told["a", "e4"].times[-1]
     assert all(verdict.kept for verdict in check(records, FIGURES))
-    assert not [trip for trip in records.trips if trip.engine == "e4" and trip.got > told + 250]
+    assert not [
+        attempt for attempt in records.attempts if attempt.engine == "e4" and attempt.got > told + 250
+    ]
 
 
-def test_joined_calls_share_a_trip_and_one_bad_input_harms_only_its_own(tmp_path: Path) -> None:
+def test_joined_calls_share_a_attempt_and_one_bad_input_harms_only_its_own(tmp_path: Path) -> None:
     rig, asker = rigged(tmp_path, read_speed=4000.0)
 
     def ask() -> None:
@@ -203,7 +205,7 @@
     play(rig, ask)
     assert {reply[0] for reply in asker.replies.values()} == {200}
     vectors = rig.fronts[0].clients.vectors
-    assert vectors and not vectors.open and not vectors.trips and not vectors.planner.out
+    assert vectors and not vectors.open and not vectors.attempts and not vectors.planner.out
 
 
 def test_flood_is_turned_away_early_and_chat_goes_on(tmp_path: Path) -> None:
@@ -219,14 +221,14 @@
         rig.at(300 + 25 * tick, flood, tick)
     asker.open += 1  # the day ends the run
     records = rig.day(length=2800.0, rate=15.0)
-    done = [job["how"] for job in records.jobs]  # on a busy machine the whole process may be late
+    done = [request["how"] for request in records.requests]  # on a busy machine the whole process may be late
     assert done.count("delivered") >= 0.9 * len(done)
     assert all(verdict.kept for verdict in check(records, FIGURES))
     ends = [reply[0] for reply in asker.replies.values()]
     assert ends.count(200) > 12 and ends.count(429) > 60 and set(ends) <= {200, 429, 503, 504}
     away = [int(reply[1]["retry-after-ms"]) for reply in asker.replies.values() if reply[0] == 429]
     assert min(away) >= 50 and len(set(away)) > len(away) / 4
-    chat = {trip.engine for trip in records.trips if trip.offering != embeddings.PATH}
+    chat = {attempt.engine for attempt in records.attempts if attempt.request_class != embeddings.PATH}
     assert chat == {"e0", "e1"}
 
 
@@ -243,7 +245,7 @@
     ],
 )
 def test_bad_call_is_told_what_is_wrong(body: bytes, wanted: str) -> None:
-    with pytest.raises(BadJob, match=wanted):
+    with pytest.raises(BadRequest, match=wanted):
         embeddings.asked(body)
 
 
@@ -405,6 +407,10 @@
     assert status == 200 and [one["embedding"] for one in reply["data"]] == [
         vector("vectors", one) for one in inputs
     ]
-    trips = [trip for trip in load(tmp_path).trips if trip.offering == embeddings.PATH and trip.how == "done"]
+    attempts = [
+        attempt
+        for attempt in load(tmp_path).attempts
+        if attempt.request_class == embeddings.PATH and attempt.how == "done"
+    ]
     guessed = sum(embeddings.tokens_of(one) for one in inputs)
-    assert guessed < 400 and len(trips) > 1  # by the guess it would have been one load
+    assert guessed < 400 and len(attempts) > 1  # by the guess it would have been one load
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from worksmux.config_audit.audit_log import PAGE, Account, Jobs, Line, Record, Start, Version, faults
+from worksmux.config_audit.audit_log import PAGE, Account, Line, Record, Requests, Start, Version, faults
 from worksmux.config_audit.gather import Accounts
 
 ONE, TWO = Version(1, "aa"), Version(2, "bb")
@@ -52,7 +52,7 @@
     mine.begins(0.0, 0.0, 1)
     assert mine.still(100.0, 100.0, 500.0) is None
     quiet = mine.still(600.0, 600.0, 500.0)
-    assert quiet is not None and quiet.body == Jobs(()) and mine.still(700.0, 700.0, 500.0) is None
+    assert quiet is not None and quiet.body == Requests(()) and mine.still(700.0, 700.0, 500.0) is None
 
 
 def test_whole_chain_has_no_fault() -> None:
@@ -106,7 +106,7 @@
     for at in range(3 * PAGE):
         mine.decides(f"j{at}", 0, float(at), most=2 * PAGE)
     pages = mine.pages(1.0, 1.0)
-    assert [len(page.body.decisions) for page in pages if isinstance(page.body, Jobs)] == [PAGE, PAGE]
+    assert [len(page.body.decisions) for page in pages if isinstance(page.body, Requests)] == [PAGE, PAGE]
     assert mine.lost == PAGE and not mine.pages(2.0, 2.0)
 
 
@@ -174,7 +174,7 @@
     assert any("two records" in finding.text for finding in found.faults())
 
 
-def test_job_is_explained_over_its_fronts_with_the_versions_of_each_decision() -> None:
+def test_request_is_explained_over_its_fronts_with_the_versions_of_each_decision() -> None:
     mine = Account()
     records = [mine.begins(0.0, 0.0, 1)]
     for at, version in ((1.0, ONE), (2.0, TWO)):
@@ -184,6 +184,6 @@
         mine.decides("j1", int(at) - 1, at)
     records += mine.pages(3.0, 3.0)
     told = gathered(a=records).explain("j1")
-    assert [(one.trip, versions) for _, one, versions in told] == [(0, {"plan": ONE}), (1, {"plan": TWO})]
+    assert [(one.attempt, versions) for _, one, versions in told] == [(0, {"plan": ONE}), (1, {"plan": TWO})]
     lacking = gathered(a=[record for record in records if record.index != 2]).explain("j1")
     assert lacking[0][2] is None
--- a/tests/test_wire_forms.py
+++ b/tests/test_wire_forms.py
@@ -12,14 +12,14 @@
 from twisted.internet.testing import StringTransport
 
 from worksmux.api import chat
-from worksmux.api.errors import BadJob
+from worksmux.api.errors import BadRequest
 from worksmux.api.events import DONE, Events, TooLong, event
 from worksmux.api.listing import Line, Listing
 from worksmux.endpoints.list_reader import ListKeeper
 from worksmux.gateway import attempts as carriers
 from worksmux.gateway.attempts import Reading, Writing
 from worksmux.net import client, clock
-from worksmux.policy import interface as i
+from worksmux.policy.state import Attempt, Engine, Outcome, Request
 
 
 class Heard:
@@ -198,7 +198,7 @@
     return chat.asked(json.dumps({**body, **fields}).encode(), (headers or {}).get, {"hint": 0}, [50])
 
 
-def test_defaults_come_from_the_offering_and_the_first_message() -> None:
+def test_defaults_come_from_the_request_class_and_the_first_message() -> None:
     one, other = (
         asked(),
         asked(messages=[{"role": "system", "content": "s" * 40}, {"role": "user", "content": "z"}]),
@@ -218,7 +218,7 @@
     "headers", [{chat.TIME_LEFT: "soon"}, {chat.TIME_LEFT: "-1"}, {chat.PREFIX_TOKENS: "nan"}]
 )
 def test_headers_that_are_no_figures_are_refused(headers: dict[str, str]) -> None:
-    with pytest.raises(BadJob):
+    with pytest.raises(BadRequest):
         asked(headers)
 
 
@@ -237,15 +237,15 @@
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_a_job_or_a_clear_refusal(body: bytes) -> None:
-    with pytest.raises(BadJob):
+def test_any_bytes_are_a_request_or_a_clear_refusal(body: bytes) -> None:
+    with pytest.raises(BadRequest):
         chat.asked(body, {}.get, {"hint": 0}, [50])
 
 
 # Trips.
 
 
-class Trips:
+class Attempts:
     """A listener that remembers, and a reactor that keeps time still."""
 
     def __init__(self) -> None:
@@ -256,21 +256,23 @@
         self.later = call
         return timer
 
-    def began(self, trip: i.Trip) -> None:
-        trip.began = 1.0
+    def began(self, attempt: Attempt) -> None:
+        attempt.began = 1.0
         self.heard.append("began")
 
-    def text(self, trip: i.Trip, content: str) -> None:
+    def text(self, attempt: Attempt, content: str) -> None:
         self.heard.append(content)
 
-    def ended(self, trip: i.Trip, outcome: i.Outcome, note: int, report: Any, result: Any) -> None:
+    def ended(self, attempt: Attempt, outcome: Outcome, note: int, report: Any, result: Any) -> None:
         self.heard.append((outcome, note))
 
 
-def carrier(kind: type[carriers.Carrier]) -> tuple[Any, Trips]:
-    listener = Trips()
-    job = i.Job(1, 0, 0, 0, 1.0, 0.0, 1.0, 0.0, 1.0)
-    return kind(listener, None, i.Trip(job, i.Engine(b"e", 1), 0, 0.0), listener, 100.0, 50.0, 300), listener  # type: ignore[arg-type]
+def carrier(kind: type[carriers.Carrier]) -> tuple[Any, Attempts]:
+    listener = Attempts()
+    request = Request(1, 0, 0, 0, 1.0, 0.0, 1.0, 0.0, 1.0)
+    return kind(
+        listener, None, Attempt(request, Engine(b"e", 1), 0, 0.0), listener, 100.0, 50.0, 300
+    ), listener  # type: ignore[arg-type]
 
 
 CHUNK = event(chat.chunk("c", "hint", "word "))
@@ -280,23 +282,23 @@
 @pytest.mark.parametrize(
     ("status", "pieces", "outcome", "note"),
     [
-        (200, [CHUNK, LAST, DONE], i.Outcome.DELIVERED, 0),
-        (200, [CHUNK, LAST, DONE, b"data: {junk\n\n"], i.Outcome.DELIVERED, 0),
-        (200, [CHUNK, LAST], i.Outcome.ERROR, 0),
-        (200, [DONE], i.Outcome.ERROR, 0),
-        (200, [LAST, DONE], i.Outcome.ERROR, 0),
-        (200, [b"data: {\n\n"], i.Outcome.ERROR, 0),
-        (200, [CHUNK, b'data: {"error": {"message": "x"}}\n\n'], i.Outcome.ERROR, 0),
-        (200, [b"data: " + b"x" * 400], i.Outcome.ERROR, 0),
-        (500, [b"{}"], i.Outcome.ERROR, 0),
-        (429, [b'{"error":{"message":"","type":"","code":"state_lost"}}'], i.Outcome.FULL, 1),
-        (429, [b"{}"], i.Outcome.FULL, 0),
-        (503, [b"x" * 400], i.Outcome.ERROR, 0),
-        (204, [], i.Outcome.ERROR, 0),
+        (200, [CHUNK, LAST, DONE], Outcome.DELIVERED, 0),
+        (200, [CHUNK, LAST, DONE, b"data: {junk\n\n"], Outcome.DELIVERED, 0),
+        (200, [CHUNK, LAST], Outcome.ERROR, 0),
+        (200, [DONE], Outcome.ERROR, 0),
+        (200, [LAST, DONE], Outcome.ERROR, 0),
+        (200, [b"data: {\n\n"], Outcome.ERROR, 0),
+        (200, [CHUNK, b'data: {"error": {"message": "x"}}\n\n'], Outcome.ERROR, 0),
+        (200, [b"data: " + b"x" * 400], Outcome.ERROR, 0),
+        (500, [b"{}"], Outcome.ERROR, 0),
+        (429, [b'{"error":{"message":"","type":"","code":"state_lost"}}'], Outcome.FULL, 1),
+        (429, [b"{}"], Outcome.FULL, 0),
+        (503, [b"x" * 400], Outcome.ERROR, 0),
+        (204, [], Outcome.ERROR, 0),
     ],
 )
 def test_each_outcome_comes_about_in_one_way(
-    status: int, pieces: list[bytes], outcome: i.Outcome, note: int
+    status: int, pieces: list[bytes], outcome: Outcome, note: int
 ) -> None:
     one, listener = carrier(Writing)
     one.head(status, {"content-type": "text/event-stream" if status == 200 else "application/json"})
@@ -311,12 +313,12 @@
 @pytest.mark.parametrize(
     ("trouble", "outcome"),
     [
-        (client.Unsent(""), i.Outcome.UNREACHABLE),
-        (client.Broken(""), i.Outcome.RESET),
-        (client.Malformed(""), i.Outcome.ERROR),
+        (client.Unsent(""), Outcome.UNREACHABLE),
+        (client.Broken(""), Outcome.RESET),
+        (client.Malformed(""), Outcome.ERROR),
     ],
 )
-def test_trouble_of_the_connection_is_an_outcome(trouble: client.Trouble, outcome: i.Outcome) -> None:
+def test_trouble_of_the_connection_is_an_outcome(trouble: client.Trouble, outcome: Outcome) -> None:
     one, listener = carrier(Reading)
     one.failed(trouble)
     one.cancel()
@@ -332,12 +334,12 @@
         )
     )
     one.done()
-    assert listener.heard == [(i.Outcome.READ, 4)]
+    assert listener.heard == [(Outcome.READ, 4)]
     two, listener = carrier(Reading)
     two.head(200, {})
     two.piece(b'{"choices": []}')  # an answer without a handle is none
     two.done()
-    assert listener.heard == [(i.Outcome.ERROR, 0)]
+    assert listener.heard == [(Outcome.ERROR, 0)]
 
 
 def test_stream_that_stalls_is_timed_out() -> None:
@@ -346,15 +348,15 @@
     one.piece(CHUNK)
     one.last = clock.now() - 60
     one._listen()
-    assert listener.heard == ["began", "word ", (i.Outcome.TIMED_OUT, 0)]
+    assert listener.heard == ["began", "word ", (Outcome.TIMED_OUT, 0)]
 
 
 # Lists.
 
 
 def keeper() -> ListKeeper:
-    engines: dict[str, i.Engine] = {}
-    return ListKeeper(["k"], ["z"], lambda name: engines.setdefault(name, i.Engine(name.encode(), 1)))
+    engines: dict[str, Engine] = {}
+    return ListKeeper(["k"], ["z"], lambda name: engines.setdefault(name, Engine(name.encode(), 1)))
 
 
 def line(name: str, state: Any = "ready", started: float = 0.0, kind: str = "k") -> Line:
--- a/worksmux/admission/controller.py
+++ b/worksmux/admission/controller.py
@@ -64,7 +64,7 @@
 class Asked:
     """One call at the gate."""
 
-    offering: int
+    request_class: int
     caller: Hashable
     cost: float
     arrived: float
@@ -100,13 +100,13 @@
 class Pool:
     """Offerings that are carried by the same engines: one limit, and turns among their lines."""
 
-    def __init__(self, offerings: list[int], gate: Gate) -> None:
-        self.offerings = offerings
-        shares = [gate.shares[at] for at in offerings]
+    def __init__(self, request_classes: list[int], gate: Gate) -> None:
+        self.request_classes = request_classes
+        shares = [gate.shares[at] for at in request_classes]
         largest = max(share.largest for share in shares)
         self.limit = Limit(UNIT * largest, 2 * largest, min(share.promised for share in shares))
         self.turns = Shared(
-            [gate.lines[at] for at in offerings],
+            [gate.lines[at] for at in request_classes],
             [share.weight for share in shares],
             largest / min(share.weight for share in shares),
         )
@@ -116,13 +116,13 @@
 
     def ahead(self, gate: Gate, asked: Asked) -> float:
         """About what is served before it: its own line's part, in the proportion of the lines' weights."""
-        own = gate.lines[asked.offering].ahead(asked.caller, asked.cost)
+        own = gate.lines[asked.request_class].ahead(asked.caller, asked.cost)
         busy = sum(
             weight
             for line, weight in zip(self.turns.lines, self.turns.weights, strict=True)
-            if line.count or line is gate.lines[asked.offering]
+            if line.count or line is gate.lines[asked.request_class]
         )
-        return min(self.waits() + asked.cost, own * busy / gate.shares[asked.offering].weight)
+        return min(self.waits() + asked.cost, own * busy / gate.shares[asked.request_class].weight)
 
 
 class Gate:
@@ -136,7 +136,7 @@
             Pool([at for at, share in enumerate(self.shares) if share.pool == name], self)
             for name in dict.fromkeys(share.pool for share in self.shares)
         ]
-        self.pool_of = {at: pool for pool in self.pools for at in pool.offerings}
+        self.pool_of = {at: pool for pool in self.pools for at in pool.request_classes}
         self.advice = [
             Advice(settings.least_away, settings.most_away, seed + at + 1) for at in range(len(self.shares))
         ]
@@ -149,7 +149,7 @@
     # What happens.
 
     def arrived(self, now: float, asked: Asked) -> Step:
-        step, at = Step(), asked.offering
+        step, at = Step(), asked.request_class
         line = self.lines[at]
         if self.brownout.sheds(at, self.chance.share()):
             return self._refuse(now, asked, Why.SHORT, step)
@@ -176,7 +176,7 @@
         step = Step()
         if asked.state == "out":
             asked.state = "over"
-            pool = self.pool_of[asked.offering]
+            pool = self.pool_of[asked.request_class]
             pool.limit.ended(now, asked.cost, elapsed, good)
             self._let_go(now, step, pool)
         return step
@@ -184,17 +184,17 @@
     def left(self, asked: Asked) -> None:
         """A client that waits hangs up."""
         if asked.state == "waiting" and asked.place is not None:
-            self.lines[asked.offering].drop(asked.caller, asked.place)
+            self.lines[asked.request_class].drop(asked.caller, asked.place)
             asked.state = "over"
 
-    def again(self, offering: int) -> bool:
+    def again(self, request_class: int) -> bool:
         """Whether a part that failed may be sent again: it counts as a repeat like any other."""
-        pool = self.pool_of[offering]
-        return not pool.waits() and pool.limit.fits(0.0) or self.budgets[offering].repeat()
+        pool = self.pool_of[request_class]
+        return not pool.waits() and pool.limit.fits(0.0) or self.budgets[request_class].repeat()
 
-    def is_short(self, offering: int) -> bool:
+    def is_short(self, request_class: int) -> bool:
         """Whether the front's own shortage turns away a call that does not pass the gate otherwise: chat."""
-        return self.brownout.sheds(offering, self.chance.share())
+        return self.brownout.sheds(request_class, self.chance.share())
 
     def pressed(self, now: float, pressure: Pressure) -> None:
         self.brownout.note(now, pressure)
@@ -205,7 +205,7 @@
         while self.due and (self.due[0][0] <= now or self.due[0][2].state != "waiting"):
             asked = heapq.heappop(self.due)[2]
             if asked.state == "waiting" and asked.place is not None:
-                self.lines[asked.offering].drop(asked.caller, asked.place)
+                self.lines[asked.request_class].drop(asked.caller, asked.place)
                 self._refuse(now, asked, Why.LATE, step)
         for pool in self.pools:
             self._let_go(now, step, pool)
@@ -221,25 +221,25 @@
     def _idle(self, asked: Asked) -> bool:
         """Whether it could go at once.  Guards against engines that stand idle while those who were turned
         away once are turned away again and again: a repeat does harm only where others wait."""
-        pool = self.pool_of[asked.offering]
+        pool = self.pool_of[asked.request_class]
         return not pool.waits() and pool.limit.fits(asked.cost)
 
     def _expected(self, now: float, asked: Asked) -> float:
         """The wait in the line and the trip after it, by what is served of late; 0 while that is unknown."""
-        pool = self.pool_of[asked.offering]
+        pool = self.pool_of[asked.request_class]
         rate = pool.limit.rate(now)
         if rate <= 0 or not pool.waits():
             return 0.0
-        return pool.ahead(self, asked) / rate + self._trip(now, asked)
+        return pool.ahead(self, asked) / rate + self._attempt(now, asked)
 
-    def _trip(self, now: float, asked: Asked) -> float:
+    def _attempt(self, now: float, asked: Asked) -> float:
         """The usual time past the gate."""
-        limit = self.pool_of[asked.offering].limit
+        limit = self.pool_of[asked.request_class].limit
         return limit.lately.mean(now) * (asked.cost + limit.unit)
 
     def _let_go(self, now: float, step: Step, pool: Pool) -> None:
         while (asked := pool.turns.next(pool.limit.fits)) is not None:
-            if now + self._trip(now, asked) / SAFE > asked.due:
+            if now + self._attempt(now, asked) / SAFE > asked.due:
                 self._refuse(now, asked, Why.LATE, step)  # guards against work that comes too late
                 continue
             asked.state = "out"
@@ -248,7 +248,7 @@
 
     def _refuse(self, now: float, asked: Asked, why: Why, step: Step) -> Step:
         asked.state = "over"
-        at = asked.offering
+        at = asked.request_class
         self.repeats.refused(now, asked.body)
         pool = self.pool_of[at]
         away = self.advice[at].stay_away(now, asked.cost, pool.limit.rate(now), pool.waits())
--- a/worksmux/api/chat.py
+++ b/worksmux/api/chat.py
@@ -18,7 +18,7 @@
 import msgspec
 import xxhash
 
-from .errors import BadJob
+from .errors import BadRequest
 
 Text = str | list[dict[str, Any]] | None
 TIME_LEFT, SESSION, PREFIX = "x-worksmux-time-left-ms", "x-worksmux-session", "x-worksmux-prefix"
@@ -113,7 +113,7 @@
 class Asked:
     """A client's job as the front takes it; times in milliseconds, lengths in tokens."""
 
-    offering: int
+    request_class: int
     name: str
     fields: dict[str, msgspec.Raw]
     stream: bool
@@ -142,7 +142,7 @@
     except ValueError:
         found = -1.0
     if not 0 <= found < 1e12:
-        raise BadJob(f"the header {name} must be a number from 0", name)
+        raise BadRequest(f"the header {name} must be a number from 0", name)
     return found
 
 
@@ -159,28 +159,28 @@
 
 
 def asked(
-    body: bytes, header: Callable[[str], str | None], offerings: dict[str, int], most: list[int]
+    body: bytes, header: Callable[[str], str | None], request_classes: dict[str, int], most: list[int]
 ) -> Asked:
     """Reads a client's job; `most` gives each offering's longest answer.  Raises BadJob with the remedy."""
     try:
         known, fields = READ_KNOWN.decode(body), READ_FIELDS.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise BadJob(f"the body is no chat completion: {error}") from error
-    if known.model not in offerings:
-        raise BadJob(
+        raise BadRequest(f"the body is no chat completion: {error}") from error
+    if known.model not in request_classes:
+        raise BadRequest(
             f"the model {known.model[:100]!r} does not exist; GET /v1/models lists those that do",
             "model",
             "model_not_found",
             404,
         )
     if not known.messages:
-        raise BadJob("messages must hold at least one message", "messages")
+        raise BadRequest("messages must hold at least one message", "messages")
     if known.n not in (None, 1):
-        raise BadJob("n must be 1: one job has one answer", "n")
-    at = offerings[known.model]
+        raise BadRequest("n must be 1: one job has one answer", "n")
+    at = request_classes[known.model]
     longest = known.max_completion_tokens if known.max_completion_tokens is not None else known.max_tokens
     if longest is not None and longest < 1:
-        raise BadJob("max_tokens must be at least 1", "max_tokens")
+        raise BadRequest("max_tokens must be at least 1", "max_tokens")
     parts = [(message.role, text_of(message.content)) for message in known.messages]
     lengths = [len(text.encode("utf-8", "surrogatepass")) for _, text in parts]
     first = known.messages[0]
@@ -225,32 +225,32 @@
 )
 
 
-def to_reader(job: Asked) -> bytes:
+def to_reader(request: Asked) -> bytes:
     """The body for a reader: one token, whole, and the state kept for another engine."""
-    fields = {**job.fields, "stream": FALSE, "max_tokens": ONE, "kv_transfer_params": TO_READ}
+    fields = {**request.fields, "stream": FALSE, "max_tokens": ONE, "kv_transfer_params": TO_READ}
     fields.pop("max_completion_tokens", None)
     fields.pop("stream_options", None)
     return ENCODE.encode(fields)
 
 
-def to_writer(job: Asked, state: KvParams | None) -> bytes:
+def to_writer(request: Asked, state: KvParams | None) -> bytes:
     """The body for what answers, always as a stream with usage; `state` is left out where it reads by
     itself."""
-    fields = {**job.fields, "stream": TRUE, "stream_options": USAGE, "max_tokens": _raw(job.most)}
+    fields = {**request.fields, "stream": TRUE, "stream_options": USAGE, "max_tokens": _raw(request.most)}
     fields.pop("max_completion_tokens", None)
     if state is not None:
         fields["kv_transfer_params"] = _raw(state)
     return ENCODE.encode(fields)
 
 
-def whole(job: Asked, text: str, finish: str, usage: Usage) -> bytes:
+def whole(request: Asked, text: str, finish: str, usage: Usage) -> bytes:
     """The answer of a job that asked for no stream."""
     return ENCODE.encode(
         {
-            "id": job.answer_id,
+            "id": request.answer_id,
             "object": "chat.completion",
             "created": int(time.time()),
-            "model": job.name,
+            "model": request.name,
             "choices": [
                 {
                     "index": 0,
--- a/worksmux/api/engine.py
+++ b/worksmux/api/engine.py
@@ -20,7 +20,7 @@
 )
 PULL, CONTROL = "/worksmux/state", "/worksmux/control"
 LOAD = "endpoint-load-metrics"
-JOB, FRONT, TRY = "x-worksmux-job", "x-worksmux-front", "x-worksmux-try"
+REQUEST, FRONT, TRY = "x-worksmux-job", "x-worksmux-front", "x-worksmux-try"
 PLAN = "x-worksmux-plan"  # of the fleet's plans the one acted on, and whether the front is alone
 PROMPT_TOKENS = "x-worksmux-prompt-tokens"  # as the front counted them; left out where it guessed
 FULL, STATE_LOST, DRAINING = "full", "state_lost", "draining"
@@ -29,7 +29,7 @@
 class Place(msgspec.Struct):
     """Asks to hold a slot and memory for a job's answer, and to pull its state as it is read."""
 
-    job: str
+    request: str = msgspec.field(name="job")
     tokens: float
     reader: KvParams | None = None
 
@@ -39,7 +39,7 @@
 
 
 class Release(msgspec.Struct):
-    job: str
+    request: str = msgspec.field(name="job")
 
 
 class Probed(msgspec.Struct):
--- a/worksmux/api/errors.py
+++ b/worksmux/api/errors.py
@@ -16,7 +16,7 @@
     error: ErrorBody
 
 
-class BadJob(Exception):
+class BadRequest(Exception):
     """A client's job that cannot be taken, with the status and the body to answer."""
 
     def __init__(
--- a/worksmux/baselines/plain.py
+++ b/worksmux/baselines/plain.py
@@ -7,52 +7,72 @@
 
 from __future__ import annotations
 
-from ..policy import interface as i
+from ..policy.actions import (
+    AbortRequest,
+    Action,
+    CancelAttempt,
+    RejectRequest,
+    ReleaseKvCache,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from ..policy.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointListUpdate,
+    Event,
+    FirstToken,
+    RequestArrived,
+    TimerFired,
+)
 from ..policy.measure import Chance
+from ..policy.settings import Settings
+from ..policy.state import Attempt, Engine, Outcome, Request
 
 
 class Plain:
     """What the baselines share; a subclass picks one engine of several."""
 
-    def __init__(self, settings: i.Settings, seed: int) -> None:
+    def __init__(self, settings: Settings, seed: int) -> None:
         self.settings, self.chance = settings, Chance(seed)
-        self.engines: dict[i.Engine, None] = {}
-        self.jobs: dict[i.Job, None] = {}  # unanswered, with no trip out
+        self.engines: dict[Engine, None] = {}
+        self.requests: dict[Request, None] = {}  # unanswered, with no trip out
         self.now = 0.0
         self.rings = False
-        self.actions: list[i.Action] = [i.Watch(True)] if settings["ask_for_list"] else []
+        self.actions: list[Action] = [WatchEndpoints(True)] if settings["ask_for_list"] else []
 
-    def pick(self, engines: list[i.Engine]) -> i.Engine:
+    def pick(self, engines: list[Engine]) -> Engine:
         raise NotImplementedError
 
-    def decide(self, now: float, events: list[i.Event]) -> list[i.Action]:
+    def decide(self, now: float, events: list[Event]) -> list[Action]:
         self.now = now
         for event in events:
             self._take(event)
-        for job in list(self.jobs):
-            self._forward(job)
-        if self.jobs and not self.rings:
+        for request in list(self.requests):
+            self._forward(request)
+        if self.requests and not self.rings:
             self.rings = True
-            self.actions.append(i.Alarm(self.settings["release_within"] / 6, 0))
+            self.actions.append(SetTimer(self.settings["release_within"] / 6, 0))
         actions, self.actions = self.actions, []
         return actions
 
-    def _take(self, event: i.Event) -> None:
+    def _take(self, event: Event) -> None:
         match event:
-            case i.Arrived(job):
-                self.jobs[job] = None
-            case i.Began(trip, _):
-                trip.began, trip.job.began, trip.job.holder = self.now, True, None
-            case i.Ended():
+            case RequestArrived(request):
+                self.requests[request] = None
+            case FirstToken(attempt, _):
+                attempt.began, attempt.request.began, attempt.request.holder = self.now, True, None
+            case AttemptEnded():
                 self._ended(event)
-            case i.Left(job):
-                self._drop(job)
-            case i.Rang():
+            case ClientDisconnected(request):
+                self._drop(request)
+            case TimerFired():
                 self.rings = False
-            case i.Listed():
+            case EndpointListUpdate():
                 self._list(event)
 
-    def _list(self, event: i.Listed) -> None:
+    def _list(self, event: EndpointListUpdate) -> None:
         if event.scope == "failed":
             return
         if event.scope != "delta":
@@ -65,47 +85,49 @@
             engine.zone, engine.cell, engine.kind = entry.zone, entry.cell, entry.kind
             engine.role = self.settings["roles"][entry.kind]
 
-    def _ended(self, event: i.Ended) -> None:
-        trip, job = event.trip, event.trip.job
-        trip.outcome = event.outcome
-        trip.engine.trips.pop(trip, None)
+    def _ended(self, event: AttemptEnded) -> None:
+        attempt, request = event.attempt, event.attempt.request
+        attempt.outcome = event.outcome
+        attempt.engine.attempts.pop(attempt, None)
         if event.closed:
-            job.ended = True
-        if job.ended:
-            if event.outcome is not i.Outcome.DELIVERED:
-                self.actions.append(i.Release(job))
-        elif event.outcome is i.Outcome.READ:
-            job.holder, job.held_since = trip.engine, self.now
-            self.jobs[job] = None
+            request.ended = True
+        if request.ended:
+            if event.outcome is not Outcome.DELIVERED:
+                self.actions.append(ReleaseKvCache(request))
+        elif event.outcome is Outcome.READ:
+            request.holder, request.held_since = attempt.engine, self.now
+            self.requests[request] = None
         else:
-            if job.holder and event.outcome is i.Outcome.FULL and event.note != 1:
-                job.held_since = self.now
+            if request.holder and event.outcome is Outcome.FULL and event.note != 1:
+                request.held_since = self.now
             else:
-                job.holder = None
-                self.actions.append(i.Release(job))
-            self.jobs[job] = None
-
-    def _drop(self, job: i.Job) -> None:
-        job.ended = True
-        self.jobs.pop(job, None)
-        for trip in job.out:
-            if self.settings["may_cancel"] and not trip.began and not trip.called_off:
-                trip.called_off = True
-                self.actions.append(i.Cancel(trip))
-        if job.trips and not job.out:
-            self.actions.append(i.Release(job))
-
-    def _may_repeat(self, job: i.Job) -> bool:
-        effect = self.settings["offerings"][job.offering]["effect"]
-        return not job.may_have_run or effect == "redoable"
-
-    def _forward(self, job: i.Job) -> None:
-        last = self.now > job.give_up_at - self.settings["release_within"] / 2
-        spent = len(job.trips) >= self.settings["most_trips"] or not self._may_repeat(job)
+                request.holder = None
+                self.actions.append(ReleaseKvCache(request))
+            self.requests[request] = None
+
+    def _drop(self, request: Request) -> None:
+        request.ended = True
+        self.requests.pop(request, None)
+        for attempt in request.out:
+            if self.settings["may_cancel"] and not attempt.began and not attempt.called_off:
+                attempt.called_off = True
+                self.actions.append(CancelAttempt(attempt))
+        if request.attempts and not request.out:
+            self.actions.append(ReleaseKvCache(request))
+
+    def _may_repeat(self, request: Request) -> bool:
+        effect = self.settings["offerings"][request.request_class]["effect"]
+        return not request.may_have_run or effect == "redoable"
+
+    def _forward(self, request: Request) -> None:
+        last = self.now > request.give_up_at - self.settings["release_within"] / 2
+        spent = len(request.attempts) >= self.settings["most_trips"] or not self._may_repeat(request)
         if last or spent:
-            self.actions.append(i.Defer(job) if self._may_repeat(job) else i.BreakOff(job))
-            return self._drop(job)
-        roles = ("write", "both") if job.holder else ("read", "both")
+            self.actions.append(
+                RejectRequest(request) if self._may_repeat(request) else AbortRequest(request)
+            )
+            return self._drop(request)
+        roles = ("write", "both") if request.holder else ("read", "both")
         able = [engine for engine in self.engines if engine.state == "ready" and engine.role in roles]
         warm = [
             engine
@@ -113,22 +135,22 @@
             if not engine.started or self.now >= engine.started + self.settings["warm_up"]
         ]
         if not warm:
-            if job.holder and self.now > job.held_since + self.settings["release_within"] / 2:
-                job.holder = None
-                self.actions.append(i.Release(job))
+            if request.holder and self.now > request.held_since + self.settings["release_within"] / 2:
+                request.holder = None
+                self.actions.append(ReleaseKvCache(request))
             return
         engine = self.pick(warm)
-        trip = i.Trip(job, engine, len(job.trips), self.now, engine.role == "read")
-        job.trips.append(trip)
-        engine.trips[trip] = None
-        del self.jobs[job]
-        self.actions.append(i.Send(trip))
+        attempt = Attempt(request, engine, len(request.attempts), self.now, engine.role == "read")
+        request.attempts.append(attempt)
+        engine.attempts[attempt] = None
+        del self.requests[request]
+        self.actions.append(StartAttempt(attempt))
 
 
 class Random(Plain):
     """Any engine of the role."""
 
-    def pick(self, engines: list[i.Engine]) -> i.Engine:
+    def pick(self, engines: list[Engine]) -> Engine:
         return engines[int(self.chance.share() * len(engines))]
 
 
@@ -137,7 +159,7 @@
 
     turns = 0
 
-    def pick(self, engines: list[i.Engine]) -> i.Engine:
+    def pick(self, engines: list[Engine]) -> Engine:
         self.turns += 1
         engine = min(engines, key=lambda engine: engine.turn)
         engine.turn = self.turns
@@ -147,7 +169,7 @@
 class LeastOfOurOwn(Plain):
     """The engine with the fewest of our own trips; chance decides between equals."""
 
-    def pick(self, engines: list[i.Engine]) -> i.Engine:
-        fewest = min(len(engine.trips) for engine in engines)
-        able = [engine for engine in engines if len(engine.trips) == fewest]
+    def pick(self, engines: list[Engine]) -> Engine:
+        fewest = min(len(engine.attempts) for engine in engines)
+        able = [engine for engine in engines if len(engine.attempts) == fewest]
         return able[int(self.chance.share() * len(able))]
--- a/worksmux/checker/records.py
+++ b/worksmux/checker/records.py
@@ -17,17 +17,17 @@
 
 
 @dataclass(slots=True)
-class TripRecord:
+class AttemptRecord:
     """One trip as its engine saw it."""
 
     engine: str
     role: str
     zone: str
     cell: int
-    job: str
+    request: str
     front: str
     try_id: str
-    offering: str
+    request_class: str
     got: float
     end: float | None = None
     how: str = ""
@@ -44,8 +44,8 @@
     """One try as its client saw it."""
 
     id: str
-    job: str
-    offering: str
+    request: str
+    request_class: str
     effect: str
     front: str
     sent: float
@@ -60,7 +60,7 @@
     """State or a place held for a job at an engine."""
 
     engine: str
-    job: str
+    request: str
     front: str
     what: str
     since: float
@@ -84,8 +84,8 @@
 @dataclass
 class Records:
     tries: dict[str, TryRecord] = field(default_factory=dict)
-    jobs: list[Line] = field(default_factory=list)  # ends of clients' jobs
-    trips: list[TripRecord] = field(default_factory=list)
+    requests: list[Line] = field(default_factory=list)  # ends of clients' jobs
+    attempts: list[AttemptRecord] = field(default_factory=list)
     holdings: list[Holding] = field(default_factory=list)
     asked_places: list[tuple[float, str, str, str]] = field(default_factory=list)  # time, engine, front, job
     told: dict[tuple[str, str], Told] = field(default_factory=lambda: defaultdict(Told))
@@ -98,17 +98,17 @@
     lines: list[Line] = field(default_factory=list)
 
     @property
-    def by_try(self) -> dict[str, list[TripRecord]]:
-        found: dict[str, list[TripRecord]] = defaultdict(list)
-        for trip in self.trips:
-            found[trip.try_id].append(trip)
+    def by_try(self) -> dict[str, list[AttemptRecord]]:
+        found: dict[str, list[AttemptRecord]] = defaultdict(list)
+        for attempt in self.attempts:
+            found[attempt.try_id].append(attempt)
         return found
 
     @property
-    def by_job(self) -> dict[str, list[TripRecord]]:
-        found: dict[str, list[TripRecord]] = defaultdict(list)
-        for trip in self.trips:
-            found[trip.job].append(trip)
+    def by_request(self) -> dict[str, list[AttemptRecord]]:
+        found: dict[str, list[AttemptRecord]] = defaultdict(list)
+        for attempt in self.attempts:
+            found[attempt.request].append(attempt)
         return found
 
     def killed_between(self, front: str, start: float, end: float) -> bool:
@@ -141,13 +141,13 @@
 
 def gather(lines: Iterable[Line]) -> Records:
     found = Records(lines=sorted(lines, key=lambda line: float(line["t"])))
-    open_trips: dict[str, TripRecord] = {}
+    open_attempts: dict[str, AttemptRecord] = {}
     open_holdings: dict[tuple[str, str, str], Holding] = {}
     engines: dict[str, Line] = {}
     listed: dict[str, dict[str, str]] = defaultdict(dict)
     for line in found.lines:
         found.end = max(found.end, float(line["t"]))
-        _engine_line(found, line, engines, open_trips, open_holdings)
+        _engine_line(found, line, engines, open_attempts, open_holdings)
         _client_line(found, line)
         _other_line(found, line, listed, open_holdings)
     return found
@@ -157,17 +157,17 @@
     found: Records,
     line: Line,
     engines: dict[str, Line],
-    open_trips: dict[str, TripRecord],
+    open_attempts: dict[str, AttemptRecord],
     holdings: dict[tuple[str, str, str], Holding],
 ) -> None:
     time, who = float(line["t"]), str(line["who"])
     match line["what"]:
         case "start":
             engines[who] = line
-            _close_all(who, time, holdings, open_trips)
+            _close_all(who, time, holdings, open_attempts)
         case "got":
             place = engines[who]
-            trip = TripRecord(
+            attempt = AttemptRecord(
                 who,
                 place["role"],
                 place["zone"],
@@ -179,12 +179,12 @@
                 time,
                 plan=str(line.get("plan", "")),
             )
-            open_trips[line["trip"]] = trip
-            found.trips.append(trip)
+            open_attempts[line["trip"]] = attempt
+            found.attempts.append(attempt)
             _close(holdings, who, line["job"], "place", time, "taken")
-        case "end" if line["trip"] in open_trips:
-            trip = open_trips.pop(line["trip"])
-            trip.end, trip.how, trip.made = time, line["how"], int(line.get("made", 0))
+        case "end" if line["trip"] in open_attempts:
+            attempt = open_attempts.pop(line["trip"])
+            attempt.end, attempt.how, attempt.made = time, line["how"], int(line.get("made", 0))
         case "held" | "placed":
             what = "state" if line["what"] == "held" else "place"
             holding = Holding(who, line["job"], line["front"], what, time)
@@ -203,28 +203,28 @@
             found.counts.append((line["job"], line["by_front"], line["own"]))
         case "fell":
             found.falls.append((time, who))
-            _close_all(who, time, holdings, open_trips)
+            _close_all(who, time, holdings, open_attempts)
         case _:
             pass
 
 
 def _close(
-    holdings: dict[tuple[str, str, str], Holding], who: str, job: str, what: str, time: float, why: str
+    holdings: dict[tuple[str, str, str], Holding], who: str, request: str, what: str, time: float, why: str
 ) -> None:
-    holding = holdings.pop((who, job, what), None)
+    holding = holdings.pop((who, request, what), None)
     if holding:
         holding.until, holding.why = time, why
 
 
 def _close_all(
-    who: str, time: float, holdings: dict[tuple[str, str, str], Holding], trips: dict[str, TripRecord]
+    who: str, time: float, holdings: dict[tuple[str, str, str], Holding], attempts: dict[str, AttemptRecord]
 ) -> None:
     """The process at `who` is no more: what it held is gone and its trips broke."""
     for key in [key for key in holdings if key[0] == who]:
         _close(holdings, *key, time, "died")
-    for name in [name for name, trip in trips.items() if trip.engine == who]:
-        trip = trips.pop(name)
-        trip.end, trip.how = time, "died"
+    for name in [name for name, attempt in attempts.items() if attempt.engine == who]:
+        attempt = attempts.pop(name)
+        attempt.end, attempt.how = time, "died"
 
 
 def _client_line(found: Records, line: Line) -> None:
@@ -248,7 +248,7 @@
         case "after the end" | "wrong text" if one:
             one.odd.append(line["what"])
         case "job ended":
-            found.jobs.append(line)
+            found.requests.append(line)
         case _:
             pass
 
--- a/worksmux/checker/report.py
+++ b/worksmux/checker/report.py
@@ -17,34 +17,38 @@
 def summary(records: Records, figures: Figures) -> dict[str, Any]:
     """All figures of a run as plain values."""
     verdicts = check(records, figures)
-    ends = Counter(job["how"] for job in records.jobs)
-    asked = sum(job["asked"] for job in records.jobs)
+    ends = Counter(request["how"] for request in records.requests)
+    asked = sum(request["asked"] for request in records.requests)
     firsts = HdrHistogram(1, 600_000, 3)
-    for job in records.jobs:
-        if job["first"] is not None:
-            firsts.record_value(max(1, round(job["first"])))
-    writing = [trip for trip in records.trips if trip.role != "read"]
-    reads = {trip.job: trip for trip in records.trips if trip.role == "read" and trip.how == "read"}
-    moved = [trip for trip in writing if trip.made and trip.job in reads]
-    out = [trip for trip in moved if trip.cell != reads[trip.job].cell]
-    offerings = sorted({job["offering"] for job in records.jobs})
+    for request in records.requests:
+        if request["first"] is not None:
+            firsts.record_value(max(1, round(request["first"])))
+    writing = [attempt for attempt in records.attempts if attempt.role != "read"]
+    reads = {
+        attempt.request: attempt
+        for attempt in records.attempts
+        if attempt.role == "read" and attempt.how == "read"
+    }
+    moved = [attempt for attempt in writing if attempt.made and attempt.request in reads]
+    out = [attempt for attempt in moved if attempt.cell != reads[attempt.request].cell]
+    request_classes = sorted({request["offering"] for request in records.requests})
     return {
-        "jobs": len(records.jobs),
+        "jobs": len(records.requests),
         "tries": len(records.tries),
-        "unanswered": len({one.job for one in records.tries.values()}) - len(records.jobs),
+        "unanswered": len({one.request for one in records.tries.values()}) - len(records.requests),
         "ends": dict(sorted(ends.items())),
-        "delivered_share": _part(ends["delivered"], len(records.jobs)),
-        "credit_share": _part(sum(job["credit"] for job in records.jobs), asked),
+        "delivered_share": _part(ends["delivered"], len(records.requests)),
+        "credit_share": _part(sum(request["credit"] for request in records.requests), asked),
         "credit_by_offering": {
             name: _part(
-                sum(job["credit"] for job in records.jobs if job["offering"] == name),
-                sum(job["asked"] for job in records.jobs if job["offering"] == name),
+                sum(request["credit"] for request in records.requests if request["offering"] == name),
+                sum(request["asked"] for request in records.requests if request["offering"] == name),
             )
-            for name in offerings
+            for name in request_classes
         },
         "first_ms": {f"p{at:g}": firsts.get_value_at_percentile(at) for at in (50, 90, 99)},
         "one_stage": one_stage(records),
-        "trips_a_job": _part(len(records.trips), len(records.jobs)),
+        "trips_a_job": _part(len(records.attempts), len(records.requests)),
         "counts": len(records.counts),
         "counts_wrong": sum(front != own for _, front, own in records.counts),
         "drain_last_send_ms": drain_last_send(records),
@@ -61,7 +65,9 @@
     return dict(
         sorted(
             Counter(
-                trip.how or "no end" for trip in records.trips if trip.offering.startswith("/v1/")
+                attempt.how or "no end"
+                for attempt in records.attempts
+                if attempt.request_class.startswith("/v1/")
             ).items()
         )
     )
@@ -70,11 +76,11 @@
 def drain_last_send(records: Records) -> float:
     """The longest time from telling a front of a drain to its last new trip there, in milliseconds."""
     longest = 0.0
-    for trip in records.trips:
-        told = records.told.get((trip.front, trip.engine))
-        last = told.at(trip.got) if told else None
+    for attempt in records.attempts:
+        told = records.told.get((attempt.front, attempt.engine))
+        last = told.at(attempt.got) if told else None
         if last and last[1] == "draining":
-            longest = max(longest, trip.got - last[0])
+            longest = max(longest, attempt.got - last[0])
     return round(longest, 1)
 
 
