--- a/worksmux/checker/rules.py
+++ b/worksmux/checker/rules.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, field
 
-from .records import Holding, Records, TripRecord, TryRecord
+from .records import AttemptRecord, Holding, Records, TryRecord
 
 
 @dataclass(frozen=True)
@@ -55,9 +55,9 @@
 def one_answer(records: Records, figures: Figures) -> Verdict:
     """Rule 1: one final answer in time, and nothing sent for the job after it."""
     verdict = Verdict(1, "one final answer", len(records.tries))
-    trips = records.by_try
+    attempts = records.by_try
     for one in records.tries.values():
-        names = (one.id, *{trip.job for trip in trips.get(one.id, [])})
+        names = (one.id, *{attempt.request for attempt in attempts.get(one.id, [])})
         limit = one.sent + one.left + figures.answer_slack + figures.slack
         end = one.answers[-1][0] if one.answers else records.end
         dead = records.killed_between(one.front, one.sent - figures.slack, end + figures.slack)
@@ -75,11 +75,14 @@
         elif time > limit and one.first is None:
             late = time - one.sent - one.left
             verdict.find(f"try {one.id}: answered {late:.0f} ms after its client's time", *names)
-        for trip in trips.get(one.id, []):
+        for attempt in attempts.get(one.id, []):
             # A front that was frozen reads that its client has left after what came before that.
-            if trip.got > time + figures.slack and not records.frozen_between(one.front, one.sent, trip.got):
+            if attempt.got > time + figures.slack and not records.frozen_between(
+                one.front, one.sent, attempt.got
+            ):
                 verdict.find(
-                    f"try {one.id}: sent to {trip.engine} {trip.got - time:.0f} ms after the end", *names
+                    f"try {one.id}: sent to {attempt.engine} {attempt.got - time:.0f} ms after the end",
+                    *names,
                 )
     return verdict
 
@@ -87,57 +90,68 @@
 def no_effect_twice(records: Records, figures: Figures) -> Verdict:
     """Rule 2: what may have run is not repeated, or only where its offering allows it."""
     verdict = Verdict(2, "no effect twice")
-    made: dict[str, list[TripRecord]] = {}
-    for try_id, trips in records.by_try.items():
+    made: dict[str, list[AttemptRecord]] = {}
+    for try_id, attempts in records.by_try.items():
         one = records.tries.get(try_id)
         if one is None or one.effect == "redoable":
             continue
         verdict.checked += 1
-        ran: list[TripRecord] = []
-        for trip in trips:
-            if trip.role == "read":
+        ran: list[AttemptRecord] = []
+        for attempt in attempts:
+            if attempt.role == "read":
                 continue
-            if ran and not _repeat_allowed(one, ran, trip, figures):
+            if ran and not _repeat_allowed(one, ran, attempt, figures):
                 verdict.find(
-                    f"{one.effect} try {one.id}: sent to {trip.engine}, but {ran[0].engine} may have "
+                    f"{one.effect} try {one.id}: sent to {attempt.engine}, but {ran[0].engine} may have "
                     f"run it ({ran[0].how or 'no end'})",
                     one.id,
-                    trip.job,
+                    attempt.request,
                 )
-            if trip.may_have_run:
-                ran.append(trip)
-            if trip.made:
-                made.setdefault(one.job, []).append(trip)
+            if attempt.may_have_run:
+                ran.append(attempt)
+            if attempt.made:
+                made.setdefault(one.request, []).append(attempt)
         deferred = any(how == "deferred" for _, how in one.answers)
-        if ran and deferred and (one.effect == "irreversible" or figures.groups.get(one.offering) != "all"):
+        if (
+            ran
+            and deferred
+            and (one.effect == "irreversible" or figures.groups.get(one.request_class) != "all")
+        ):
             verdict.find(
                 f"{one.effect} try {one.id}: deferred, but {ran[0].engine} may have run it",
                 one.id,
-                ran[0].job,
+                ran[0].request,
+            )
+    for request, attempts in made.items():
+        one = records.tries[attempts[0].try_id]
+        if one.effect == "irreversible" and len(attempts) > 1:
+            verdict.find(
+                f"irreversible job {request}: ran {len(attempts)} times",
+                *(attempt.try_id for attempt in attempts),
             )
-    for job, trips in made.items():
-        one = records.tries[trips[0].try_id]
-        if one.effect == "irreversible" and len(trips) > 1:
-            verdict.find(f"irreversible job {job}: ran {len(trips)} times", *(trip.try_id for trip in trips))
     return verdict
 
 
-def _repeat_allowed(one: TryRecord, ran: list[TripRecord], trip: TripRecord, figures: Figures) -> bool:
+def _repeat_allowed(
+    one: TryRecord, ran: list[AttemptRecord], attempt: AttemptRecord, figures: Figures
+) -> bool:
     if one.effect == "irreversible":
         return False
-    group = figures.groups.get(one.offering, "all")
+    group = figures.groups.get(one.request_class, "all")
     inside = all(
-        group == "all" or other.zone == trip.zone and (group == "zone" or other.cell == trip.cell)
+        group == "all" or other.zone == attempt.zone and (group == "zone" or other.cell == attempt.cell)
         for other in ran
     )
-    return inside and trip.got - ran[0].got <= figures.remembered.get(one.offering, 0.0) + figures.slack
+    return (
+        inside and attempt.got - ran[0].got <= figures.remembered.get(one.request_class, 0.0) + figures.slack
+    )
 
 
 def drains_kept(records: Records, figures: Figures) -> Verdict:
     """Rule 3: nothing new, places included, to an engine that the front was told drains or is gone."""
     verdict = Verdict(3, "drains kept")
-    sent = [(trip.got, trip.engine, trip.front, trip.job) for trip in records.trips]
-    for time, engine, front, job in sent + records.asked_places:
+    sent = [(attempt.got, attempt.engine, attempt.front, attempt.request) for attempt in records.attempts]
+    for time, engine, front, request in sent + records.asked_places:
         told = records.told.get((front, engine))
         last = told.at(time) if told else None
         if last is None:
@@ -147,24 +161,25 @@
         late = time - when - figures.drain_grace - figures.slack
         if state != "ready" and late > 0:
             verdict.find(
-                f"job {job}: {front} sent to {engine}, told '{state}' {time - when:.0f} ms before", job
+                f"job {request}: {front} sent to {engine}, told '{state}' {time - when:.0f} ms before",
+                request,
             )
     return verdict
 
 
 def no_cold_push(records: Records, figures: Figures) -> Verdict:
     """Rule 4: no engine fell over by the work of fronts that were told it had just started."""
-    verdict = Verdict(4, "no cold engine pushed over", len({trip.engine for trip in records.trips}))
+    verdict = Verdict(4, "no cold engine pushed over", len({attempt.engine for attempt in records.attempts}))
     for time, engine in records.falls:
         window = [
-            trip
-            for trip in records.trips
-            if trip.engine == engine and time - figures.fall_time <= trip.got <= time
+            attempt
+            for attempt in records.attempts
+            if attempt.engine == engine and time - figures.fall_time <= attempt.got <= time
         ]
         knew = 0
-        for trip in window:
-            told = records.told.get((trip.front, engine))
-            last = told.at(trip.got) if told else None
+        for attempt in window:
+            told = records.told.get((attempt.front, engine))
+            last = told.at(attempt.got) if told else None
             knew += bool(last and last[2] > 0)
         if window and knew >= 2 / 3 * len(window):
             verdict.find(
@@ -178,23 +193,23 @@
 def nothing_pinned(records: Records, figures: Figures) -> Verdict:
     """Rule 5: with no trip out, held state or place is taken or let go in time."""
     verdict = Verdict(5, "nothing left pinned", len(records.holdings))
-    trips = records.by_job
+    attempts = records.by_request
     for holding in records.holdings:
         until = holding.until if holding.until is not None else records.end
         if records.killed_between(holding.front, holding.since - figures.slack, until + figures.slack):
             continue
         # What lies beyond a cut cannot be let go, and a trip that vanished in one was out all the same: while
         # its front is cut off from any engine a job is not judged, the time begins when that is over.
-        out = [(trip.got, trip.end) for trip in trips.get(holding.job, [])]
+        out = [(attempt.got, attempt.end) for attempt in attempts.get(holding.request, [])]
         out += [
             span for (front, _), spans in records.cuts.items() if front == holding.front for span in spans
         ]
         gap = _longest_gap(holding, until, out)
         if gap > figures.release_within + figures.slack:
             verdict.find(
-                f"job {holding.job}: its {holding.what} lay at {holding.engine} for {gap:.0f} ms, no trip "
-                f"out ({holding.why or 'to the end'})",
-                holding.job,
+                f"job {holding.request}: its {holding.what} lay at {holding.engine} for {gap:.0f} ms, no "
+                f"trip out ({holding.why or 'to the end'})",
+                holding.request,
             )
     return verdict
 
--- a/worksmux/commands/main.py
+++ b/worksmux/commands/main.py
@@ -67,8 +67,8 @@
         raise typer.Exit(BAD_CALL) from error
     host, port = settings.source.address
     typer.echo(
-        f"{file}: front {settings.name}, {len(settings.offerings)} offerings, {len(settings.kinds)} kinds of "
-        f"engine, list from {host}:{port}: no fault"
+        f"{file}: front {settings.name}, {len(settings.request_classes)} offerings, {len(settings.kinds)} "
+        f"kinds of engine, list from {host}:{port}: no fault"
     )
 
 
--- a/worksmux/config_audit/audit_log.py
+++ b/worksmux/config_audit/audit_log.py
@@ -33,13 +33,13 @@
 class Decision(msgspec.Struct, frozen=True, array_like=True):
     """One of a job's decisions: `trip` counts from 0, -1 is its final answer."""
 
-    job: str
-    trip: int
+    request: str
+    attempt: int
     line: int
     at: float
 
 
-class Jobs(msgspec.Struct, frozen=True, tag="jobs"):
+class Requests(msgspec.Struct, frozen=True, tag="jobs"):
     decisions: tuple[Decision, ...]
 
 
@@ -56,7 +56,7 @@
     before: int
     wall: float
     steady: float
-    body: Line | Jobs | Start
+    body: Line | Requests | Start
     digest: int = 0
 
 
@@ -67,7 +67,7 @@
     return xxhash.xxh3_64_intdigest(ENCODE.encode(msgspec.structs.replace(record, digest=0)))
 
 
-def following(last: Record | None, wall: float, steady: float, body: Line | Jobs | Start) -> Record:
+def following(last: Record | None, wall: float, steady: float, body: Line | Requests | Start) -> Record:
     record = Record(last.index + 1 if last else 1, last.digest if last else 0, wall, steady, body)
     return msgspec.structs.replace(record, digest=digest_of(record))
 
@@ -128,12 +128,12 @@
         """Numbers go on over restarts: no two lines of a disk share one."""
         return self.last.index + 1 if self.last else 1
 
-    def decides(self, job: str, trip: int, at: float, most: int = 100_000) -> int:
+    def decides(self, request: str, attempt: int, at: float, most: int = 100_000) -> int:
         """A decision under the line that holds; its number.  Beyond `most` that wait to be written they are
         counted as lost, never kept without bound."""
         number = self.line.number if self.line else 0
         if len(self.pending) < most:
-            self.pending.append(Decision(job, trip, number, at))
+            self.pending.append(Decision(request, attempt, number, at))
         else:
             self.lost += 1
         return number
@@ -142,7 +142,7 @@
         """The decisions that wait, in records."""
         waiting, self.pending = self.pending, []
         return [
-            self._add(wall, steady, Jobs(tuple(waiting[at : at + PAGE])))
+            self._add(wall, steady, Requests(tuple(waiting[at : at + PAGE])))
             for at in range(0, len(waiting), PAGE)
         ]
 
@@ -151,8 +151,8 @@
         on what it acted on.  Else a quiet front would look like one that is gone."""
         if self.last is None or steady - self.last.steady < every:
             return None
-        return self._add(wall, steady, Jobs(()))
+        return self._add(wall, steady, Requests(()))
 
-    def _add(self, wall: float, steady: float, body: Line | Jobs | Start) -> Record:
+    def _add(self, wall: float, steady: float, body: Line | Requests | Start) -> Record:
         self.last = following(self.last, wall, steady, body)
         return self.last
--- a/worksmux/config_audit/gather.py
+++ b/worksmux/config_audit/gather.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from .audit_log import Decision, Jobs, Line, Record, Start, Version, faults
+from .audit_log import Decision, Line, Record, Requests, Start, Version, faults
 
 
 @dataclass(frozen=True)
@@ -120,7 +120,7 @@
             if span.versions and name in span.versions and span.versions[name].number == number
         ]
 
-    def explain(self, job: str) -> list[tuple[str, Decision, dict[str, Version] | None]]:
+    def explain(self, request: str) -> list[tuple[str, Decision, dict[str, Version] | None]]:
         """Each decision on a job, with the versions of its line; None where the line is missing."""
         found: list[tuple[str, Decision, dict[str, Version] | None]] = []
         for front in self.records:
@@ -130,8 +130,10 @@
                 if isinstance(record.body, Line)
             }
             for record in self.of(front):
-                if isinstance(record.body, Jobs):
+                if isinstance(record.body, Requests):
                     found += [
-                        (front, one, lines.get(one.line)) for one in record.body.decisions if one.job == job
+                        (front, one, lines.get(one.line))
+                        for one in record.body.decisions
+                        if one.request == request
                     ]
         return sorted(found, key=lambda entry: entry[1].at)
--- a/worksmux/consensus/state_machine.py
+++ b/worksmux/consensus/state_machine.py
@@ -80,6 +80,4 @@
 
     def mark(self) -> int:
         """Of all chapters: two fronts that hold the same index hold the same mark."""
-        return xxhash.xxh3_64_intdigest(
-            msgspec.msgpack.encode(dict(sorted(self.chapters.items())))
-        )
+        return xxhash.xxh3_64_intdigest(msgspec.msgpack.encode(dict(sorted(self.chapters.items()))))
--- a/worksmux/endpoints/endpoint_list.py
+++ b/worksmux/endpoints/endpoint_list.py
@@ -18,7 +18,8 @@
 from dataclasses import replace
 
 from ..api.listing import Listing
-from ..policy.interface import Engine, Entry, Listed
+from ..policy.events import EndpointEntry, EndpointListUpdate
+from ..policy.state import Engine
 from .flap_damping import Damping
 from .list_reader import ListKeeper, Told
 
@@ -94,7 +95,7 @@
             self.promptest = ahead if self.promptest is None else min(self.promptest, ahead)
             self.late = ahead - self.promptest
 
-    def _damp(self, now: float, event: Listed) -> None:
+    def _damp(self, now: float, event: EndpointListUpdate) -> None:
         """Replaces the entries of engines that flap; keeps what the module is told of each."""
         leaving = [entry.engine.id.decode() for entry in event.entries if entry.state != "ready"]
         if event.scope != "delta":
@@ -120,7 +121,7 @@
                     held[kind] -= was
             self.told[name] = entry.state
 
-    def _forget_gone(self, event: Listed) -> None:
+    def _forget_gone(self, event: EndpointListUpdate) -> None:
         if event.scope != "delta":
             self.told = {name: state for name, state in self.told.items() if state != "gone"}
 
@@ -134,12 +135,12 @@
                 held[known.line.kind] += self.damping.is_held(name)
         return listed, held
 
-    def remembered(self, entries: list[Entry]) -> None:
+    def remembered(self, entries: list[EndpointEntry]) -> None:
         """Lines that the module is told of before any registry has spoken."""
         for entry in entries:
             self.told[entry.engine.id.decode()] = entry.state
 
-    def tick(self, now: float) -> tuple[Listed | None, bool]:
+    def tick(self, now: float) -> tuple[EndpointListUpdate | None, bool]:
         """Engines let in again, and whether the whole list is to be asked for."""
         entries = []
         if self.damping.held:
@@ -155,7 +156,7 @@
         ask = self.ask_at is not None and self.ask_at <= now
         if ask:
             self.ask_at = None
-        return (Listed("delta", entries) if entries else None), ask
+        return (EndpointListUpdate("delta", entries) if entries else None), ask
 
     def next_time(self) -> float | None:
         """When `tick` is due."""
--- a/worksmux/endpoints/learned_state.py
+++ b/worksmux/endpoints/learned_state.py
@@ -17,9 +17,10 @@
 
 import msgspec
 
-from ..policy.interface import Began, Ended, Engine, Event, Outcome, Recalled
+from ..policy.events import AttemptEnded, Event, FirstToken, StateRestored
 from ..policy.measure import Ring
 from ..policy.router import ALL, BUCKETS, MEMORY, SLOWNESS
+from ..policy.state import Engine, Outcome
 from .staleness import USEFUL, Turnover
 
 MOST = 0.5  # of a trip: what a remembered figure counts at most
@@ -67,30 +68,30 @@
 class Learner:
     """Watches the events of one front and tells what of them is worth keeping."""
 
-    def __init__(self, offerings: list[str]) -> None:
-        self.offerings = offerings
+    def __init__(self, request_classes: list[str]) -> None:
+        self.request_classes = request_classes
         self.first, self.per_token = Ring(MEMORY, BUCKETS), Ring(MEMORY, BUCKETS)
-        self.faults = [Ring(MEMORY, BUCKETS) for _ in offerings]
+        self.faults = [Ring(MEMORY, BUCKETS) for _ in request_classes]
         self.shortest = self.shortest_at = 0.0
         self.saved: dict[str, Pace | Marks] = {}
 
     def saw(self, now: float, event: Event) -> None:
         """An event that the module is told."""
-        if isinstance(event, Began):
-            waited = event.elapsed - SLOWNESS * self.per_token.least(now) * event.trip.work
+        if isinstance(event, FirstToken):
+            waited = event.elapsed - SLOWNESS * self.per_token.least(now) * event.attempt.work
             self.first.add(now, max(0.0, waited))
-        elif isinstance(event, Ended):
+        elif isinstance(event, AttemptEnded):
             if event.outcome is Outcome.READ:
-                self.per_token.add(now, event.elapsed, max(1.0, event.trip.work))
+                self.per_token.add(now, event.elapsed, max(1.0, event.attempt.work))
             if event.outcome in FAULTS or event.outcome in (Outcome.READ, Outcome.DELIVERED):
-                self.faults[event.trip.job.offering].add(now, float(event.outcome in FAULTS))
+                self.faults[event.attempt.request.request_class].add(now, float(event.outcome in FAULTS))
 
     def pace(self, now: float, wall: float) -> Pace | None:
         """None where nothing was seen of late."""
         first, per_token = self._usual(self.first, now), self._usual(self.per_token, now)
         fates = {
             name: found
-            for name, ring in zip(self.offerings, self.faults, strict=True)
+            for name, ring in zip(self.request_classes, self.faults, strict=True)
             if (found := self._usual(ring, now)).count
         }
         if not (first.count or per_token.count or fates):
@@ -109,21 +110,21 @@
         """None where the engine is like any other.  When it served counts only while its offering has
         faults: the module asks for it then alone."""
         unwell = {
-            self._name(offering): wall + until - now
-            for offering, until in engine.unwell.items()
+            self._name(request_class): wall + until - now
+            for request_class, until in engine.unwell.items()
             if until > now
         }
         good = {
-            self.offerings[offering]: wall + time - now
-            for offering, time in engine.good.items()
-            if now - time < MEMORY and self.faults[offering].mean(now) > 0
+            self.request_classes[request_class]: wall + time - now
+            for request_class, time in engine.good.items()
+            if now - time < MEMORY and self.faults[request_class].mean(now) > 0
         }
         if not (unwell or good or engine.narrowed):
             return None
         return Marks(wall, started, unwell, good, engine.narrowed)
 
-    def _name(self, offering: int) -> str:
-        return "" if offering == ALL else self.offerings[offering]
+    def _name(self, request_class: int) -> str:
+        return "" if request_class == ALL else self.request_classes[request_class]
 
     def changes(
         self, engines: Iterable[tuple[Engine, float]], now: float, wall: float
@@ -147,15 +148,15 @@
 
 def recall(
     kept: Kept,
-    offerings: list[str],
+    request_classes: list[str],
     engines: Iterable[tuple[Engine, float]],
     wall: float,
     turnover: Turnover,
     believed_for: float,
-) -> Recalled:
+) -> StateRestored:
     """What the module is told of `kept`, by its age.  A clock that ran backwards makes all of it old: its
     size counts as the age, and no mark lasts longer than it can have been given for."""
-    seen = [(0.0, 0.0)] * (2 + len(offerings))
+    seen = [(0.0, 0.0)] * (2 + len(request_classes))
     if kept.pace is not None:
         pace, rate = kept.pace, turnover.rate(believed_for)
         weight = MOST * max(0.0, 1 - abs(wall - pace.at) / MEMORY)
@@ -164,11 +165,11 @@
         lasting = MOST * exp(-rate * abs(wall - pace.shortest_at))
         if not seen[1][1] and pace.shortest > 0 and lasting > USEFUL:
             seen[1] = pace.shortest * lasting, lasting
-        for at, name in enumerate(offerings):
+        for at, name in enumerate(request_classes):
             if name in pace.fates:
                 seen[2 + at] = _weighed(pace.fates[name], weight)
-    told = Recalled(seen, [], [], [])
-    at_of = {name: at for at, name in enumerate(offerings)} | {"": ALL}
+    told = StateRestored(seen, [], [], [])
+    at_of = {name: at for at, name in enumerate(request_classes)} | {"": ALL}
     for engine, started in engines:
         marks = kept.marks.get(engine.id.decode())
         age = abs(wall - marks.at) if marks else MEMORY
--- a/worksmux/endpoints/list_reader.py
+++ b/worksmux/endpoints/list_reader.py
@@ -14,7 +14,8 @@
 from dataclasses import dataclass, field
 
 from ..api.listing import Line, Listing
-from ..policy.interface import Engine, Entry, Listed
+from ..policy.events import EndpointEntry, EndpointListUpdate
+from ..policy.state import Engine
 
 
 @dataclass(slots=True)
@@ -30,7 +31,7 @@
 class Told:
     """What follows from one message."""
 
-    event: Listed | None = None
+    event: EndpointListUpdate | None = None
     fetch: bool = False  # ask for the whole list
     moved: list[Known] = field(default_factory=list)  # engines whose address is new
     notes: list[str] = field(default_factory=list)  # what was left out, and why
@@ -61,7 +62,7 @@
         told = Told()
         if message.scope == "failed":
             self.fetching = False
-            told.event = Listed("failed", [])
+            told.event = EndpointListUpdate("failed", [])
             return told
         if message.scope == "delta":
             return self._change(now, message, told)
@@ -73,7 +74,7 @@
         listed = {line.id for line in message.engines}
         for gone in self.known.keys() - listed:
             self.known[gone].line.state = "gone"
-        told.event = Listed("full", self._entries(now, message, told))
+        told.event = EndpointListUpdate("full", self._entries(now, message, told))
         return told
 
     def older(self, message: Listing) -> bool:
@@ -95,10 +96,10 @@
             )
         if not gap or message.serial > self.serial:
             self.serial = message.serial
-        told.event = Listed("delta", self._entries(now, message, told))
+        told.event = EndpointListUpdate("delta", self._entries(now, message, told))
         return told
 
-    def _entries(self, now: float, message: Listing, told: Told) -> list[Entry]:
+    def _entries(self, now: float, message: Listing, told: Told) -> list[EndpointEntry]:
         entries = []
         for line in message.engines:
             if not self._placed(line):
@@ -136,9 +137,9 @@
         one."""
         return max(1e-3, now - max(0.0, theirs - line.started)) if line.started else 0.0
 
-    def entry(self, known: Known, state: str) -> Entry:
+    def entry(self, known: Known, state: str) -> EndpointEntry:
         line = known.line
-        return Entry(
+        return EndpointEntry(
             known.engine,
             state,
             known.started,
@@ -148,7 +149,9 @@
             line.size,
         )
 
-    def remember(self, now: float, wall: float, line: Line, state: str, careful: bool) -> Entry | None:
+    def remember(
+        self, now: float, wall: float, line: Line, state: str, careful: bool
+    ) -> EndpointEntry | None:
         """A line that no registry has told in this life; with `careful` it counts as just started.
 
         None for a kind or zone that the settings do not know.
--- a/worksmux/endpoints/staleness.py
+++ b/worksmux/endpoints/staleness.py
@@ -23,8 +23,8 @@
 import msgspec
 
 from ..api.listing import Line
-from ..policy.interface import Outcome
 from ..policy.measure import Chance
+from ..policy.state import Outcome
 
 SURE = 0.95  # likely enough to be used as it stands
 LIKELY = 0.5  # to be used with a cold engine's care
@@ -158,7 +158,7 @@
         """What the front begins with."""
         return Step(list(self.beliefs.values()))
 
-    def job_came(self, now: float, roles: dict[str, str]) -> Step:
+    def request_came(self, now: float, roles: dict[str, str]) -> Step:
         """Where no engine of `roles` (by kind: read, write or both) can carry it, one of each kind that lacks
         is asked now."""
         if self.over:
@@ -168,7 +168,7 @@
             return Step()
         return self.urge(now, [kind for kind, role in roles.items() if role not in usable])
 
-    def trip_ended(self, name: str, outcome: Outcome, now: float) -> Step:
+    def attempt_ended(self, name: str, outcome: Outcome, now: float) -> Step:
         """What a trip tells of the line of its engine."""
         if outcome is Outcome.UNREACHABLE:
             return self.refused(name, now)
--- a/worksmux/experiment/play.py
+++ b/worksmux/experiment/play.py
@@ -23,16 +23,16 @@
     records = model.run()
     cpu = time.process_time() - start
     totals = model.clients.totals
-    jobs = max(1, totals.jobs)
+    requests = max(1, totals.requests)
     firsts = sorted(totals.firsts)
     fronts = [front for front in model.fronts if front is not None]
     engines = [engine.counts for engine in model.engines.values()]
     found = {
-        "jobs": float(totals.jobs),
+        "jobs": float(totals.requests),
         "unanswered": float(model.clients.open),
         "credit": totals.credit / (totals.asked or 1.0),
         **{
-            f"{how}_share": totals.ends.get(name, 0) / jobs
+            f"{how}_share": totals.ends.get(name, 0) / requests
             for how, name in (
                 ("delivered", "delivered"),
                 ("late", "late"),
@@ -45,19 +45,19 @@
             for how, count in totals.ends.items()
             if how not in ("delivered", "late", "deferred", "broken off")
         )
-        / jobs,
+        / requests,
         **{
             f"first_p{at}": firsts[min(len(firsts) - 1, len(firsts) * at // 100)] if firsts else 0.0
             for at in PERCENT
         },
-        "tries_job": totals.tries / jobs,
-        "trips_job": sum(front.counts.trips for front in fronts) / jobs,
-        "probes_job": sum(front.counts.probes for front in fronts) / jobs,
-        "unreachable_job": sum(front.counts.unreachable for front in fronts) / jobs,
+        "tries_job": totals.tries / requests,
+        "trips_job": sum(front.counts.attempts for front in fronts) / requests,
+        "probes_job": sum(front.counts.probes for front in fronts) / requests,
+        "unreachable_job": sum(front.counts.unreachable for front in fronts) / requests,
         "cold_peak": max((one.peak for one in engines), default=0.0),
         "falls": float(sum(one.falls for one in engines)),
-        "busiest": busiest([float(one.trips) for one in engines]),
-        "cpu_ms_job": 1000 * cpu / jobs,
+        "busiest": busiest([float(one.attempts) for one in engines]),
+        "cpu_ms_job": 1000 * cpu / requests,
         "memory_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
         "back_after": back_after(day, ends),
     }
@@ -66,9 +66,9 @@
     return found
 
 
-def busiest(trips: list[float]) -> float:
+def busiest(attempts: list[float]) -> float:
     """The busiest engine's trips over the mean: a hash that leans shows here."""
-    return max(trips) * len(trips) / sum(trips) if sum(trips) else 0.0
+    return max(attempts) * len(attempts) / sum(attempts) if sum(attempts) else 0.0
 
 
 def back_after(day: Scenario, ends: list[tuple[float, str]]) -> float:
--- a/worksmux/experiment/search.py
+++ b/worksmux/experiment/search.py
@@ -92,7 +92,7 @@
             (),
             round(chance.uniform(0.2, 1.0), 2),
             round(chance.uniform(*FACTORS.get(kind, (1.0, 1.0))), 2),
-            chance.choice(base.offerings).name if kind == "offering-fails" else "",
+            chance.choice(base.request_classes).name if kind == "offering-fails" else "",
             "",
             round(min(1000.0, length / 4)),
             0,
@@ -199,7 +199,7 @@
     for one in sorted(found.troubles, key=lambda one: one.at):
         more = "".join(
             f' {key}="{value}"'
-            for key, value in (("role", one.role), ("zone", one.zone), ("offering", one.offering))
+            for key, value in (("role", one.role), ("zone", one.zone), ("offering", one.request_class))
             if value
         )
         told.append(
--- a/worksmux/failover/acting.py
+++ b/worksmux/failover/acting.py
@@ -7,14 +7,19 @@
 
 from __future__ import annotations
 
-from ..policy.interface import Planned
+from ..policy.events import FailoverPlan
 from .plan import Plan
 from .tally import Tally
 
 
 def told(
-    plan: Plan, zones: list[str], offerings: list[str], alone: bool, home: str = "", own: Tally | None = None
-) -> Planned | None:
+    plan: Plan,
+    zones: list[str],
+    request_classes: list[str],
+    alone: bool,
+    home: str = "",
+    own: Tally | None = None,
+) -> FailoverPlan | None:
     """The event for the module; None where there is nothing to tell it, as in calm under a lease."""
     rows = plan.rows
     if alone and own is not None:
@@ -35,8 +40,8 @@
         if name in at
     }
     shed = {
-        at[name]: [one.get(offering, 0.0) for offering in offerings]
+        at[name]: [one.get(request_class, 0.0) for request_class in request_classes]
         for name, one in plan.shed.items()
         if name in at
     }
-    return Planned({zone: row for zone, row in known.items() if row}, shed, plan.stay_away, alone)
+    return FailoverPlan({zone: row for zone, row in known.items() if row}, shed, plan.stay_away, alone)
--- a/worksmux/failover/planner.py
+++ b/worksmux/failover/planner.py
@@ -219,8 +219,8 @@
         shed = {}
         for name in self.zones.views:
             found = self._shed(self.cut)
-            for offering, share in self._hold(held.get(name, 0.0)).items():
-                found[offering] = max(share, found.get(offering, 0.0))
+            for request_class, share in self._hold(held.get(name, 0.0)).items():
+                found[request_class] = max(share, found.get(request_class, 0.0))
             if found:
                 shed[name] = found
         if _near(rows, old.rows) and _near(shed, old.shed):
--- a/worksmux/failover/tally.py
+++ b/worksmux/failover/tally.py
@@ -12,7 +12,7 @@
 import msgspec
 
 MOST_ZONES = 256
-MOST_OFFERINGS = 256
+MOST_REQUEST_CLASSES = 256
 MOST_FLOW = 1e5  # jobs a second that one front may claim
 
 
@@ -46,7 +46,7 @@
         return (
             self.fronts >= 0
             and len(self.zones) <= MOST_ZONES
-            and len(self.asked) <= MOST_OFFERINGS
+            and len(self.asked) <= MOST_REQUEST_CLASSES
             and all(map(flow, self.asked.values()))
             and all(
                 0 <= votes <= self.fronts
--- a/worksmux/failover/watcher.py
+++ b/worksmux/failover/watcher.py
@@ -9,8 +9,10 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from ..policy import interface as i
+from ..policy.events import AttemptEnded, EndpointEntry, EndpointListUpdate, Event, FirstToken, RequestArrived
 from ..policy.measure import Ring
+from ..policy.settings import Settings
+from ..policy.state import Engine, Outcome, Request
 from .tally import Tally, ZoneTally
 
 SPAN = 1000.0  # that a report looks back
@@ -22,8 +24,8 @@
 MOST_ENGINES = 0.6  # of a zone's engines were last found at fault: it is lost
 GREY_FAULTS = 0.25  # of attempts fail: the zone is grey
 GREY_WAIT = 0.9  # of the latency target is spent waiting, on average: the zone is grey
-FAULTS = frozenset({i.Outcome.ERROR, i.Outcome.UNREACHABLE, i.Outcome.RESET, i.Outcome.TIMED_OUT})
-SUCCESSES = frozenset({i.Outcome.READ, i.Outcome.DELIVERED})
+FAULTS = frozenset({Outcome.ERROR, Outcome.UNREACHABLE, Outcome.RESET, Outcome.TIMED_OUT})
+SUCCESSES = frozenset({Outcome.READ, Outcome.DELIVERED})
 STAGES = ("read", "write")
 EITHER_STAGE = "both"
 ANY_ZONE = -1  # of requests that have no attempt yet
@@ -71,15 +73,15 @@
     last_success: float = 0.0
     size: float = 0.0  # the most that was listed as ready, slowly forgotten
     sized_at: float = 0.0
-    healthy: dict[i.Engine, float] = field(default_factory=dict)  # when an attempt last ended well there
-    faulty: dict[i.Engine, float] = field(default_factory=dict)  # of the others, when one ended in a fault
+    healthy: dict[Engine, float] = field(default_factory=dict)  # when an attempt last ended well there
+    faulty: dict[Engine, float] = field(default_factory=dict)  # of the others, when one ended in a fault
 
-    def succeeded(self, now: float, engine: i.Engine) -> None:
+    def succeeded(self, now: float, engine: Engine) -> None:
         self.successes.add(now)
         self.last_success = self.healthy[engine] = now
         self.faulty.pop(engine, None)
 
-    def failed(self, now: float, engine: i.Engine) -> None:
+    def failed(self, now: float, engine: Engine) -> None:
         self.faults.add(now)
         self.faulty[engine] = now
         self.healthy.pop(engine, None)
@@ -91,7 +93,7 @@
             for engine in [one for one, at in found.items() if at < now - FINDING_LIFETIME]:
                 del found[engine]
 
-    def lacks_stage(self, ready: list[i.Engine]) -> bool:
+    def lacks_stage(self, ready: list[Engine]) -> bool:
         """Whether the engines for prefill, or those for decode, were last found at fault, and nothing in the
         zone has ended well since.  Without prefill, decode engines get no attempts that could tell how they
         are."""
@@ -113,39 +115,43 @@
 class Watcher:
     """`saw` each event, in the order told; `report` what came of it."""
 
-    def __init__(self, zones: list[str], offerings: list[str], settings: i.Settings) -> None:
-        self.zones, self.offerings, self.settings = zones, offerings, settings
+    def __init__(self, zones: list[str], request_classes: list[str], settings: Settings) -> None:
+        self.zones, self.request_classes, self.settings = zones, request_classes, settings
         self.records: dict[int, ZoneRecord] = defaultdict(ZoneRecord)
-        self.arrivals = [_ring() for _ in offerings]
-        self.engines: dict[i.Engine, ListedEngine] = {}
-        self.open: dict[i.Job, float] = {}  # requests whose answer has not begun, with their latency targets
+        self.arrivals = [_ring() for _ in request_classes]
+        self.engines: dict[Engine, ListedEngine] = {}
+        self.open: dict[
+            Request, float
+        ] = {}  # requests whose answer has not begun, with their latency targets
 
-    def saw(self, now: float, event: i.Event) -> None:
+    def saw(self, now: float, event: Event) -> None:
         match event:
-            case i.Arrived(job):
-                self._arrived(now, job)
-            case i.Began(trip, _):
-                record = self.records[trip.engine.zone]
-                if target := self.open.pop(trip.job, 0.0):
-                    record.pressure.add(now, (now - trip.job.arrived) / target)
-                record.succeeded(now, trip.engine)
-            case i.Ended(trip, outcome):
-                record = self.records[trip.engine.zone]
+            case RequestArrived(request):
+                self._arrived(now, request)
+            case FirstToken(attempt, _):
+                record = self.records[attempt.engine.zone]
+                if target := self.open.pop(attempt.request, 0.0):
+                    record.pressure.add(now, (now - attempt.request.arrived) / target)
+                record.succeeded(now, attempt.engine)
+            case AttemptEnded(attempt, outcome):
+                record = self.records[attempt.engine.zone]
                 if outcome in FAULTS:
-                    record.failed(now, trip.engine)
+                    record.failed(now, attempt.engine)
                 elif outcome in SUCCESSES:
-                    record.succeeded(now, trip.engine)
-            case i.Listed(scope, entries) if scope != "failed":
+                    record.succeeded(now, attempt.engine)
+            case EndpointListUpdate(scope, entries) if scope != "failed":
                 self._listed(scope, entries)
             case _:
                 pass
 
-    def _arrived(self, now: float, job: i.Job) -> None:
-        self.arrivals[job.offering].add(now)
-        offering = self.settings["offerings"][job.offering]
-        self.open[job] = offering["promised_time"] + offering["promised_per_k"] * job.prompt / 1000
+    def _arrived(self, now: float, request: Request) -> None:
+        self.arrivals[request.request_class].add(now)
+        request_class = self.settings["offerings"][request.request_class]
+        self.open[request] = (
+            request_class["promised_time"] + request_class["promised_per_k"] * request.prompt / 1000
+        )
 
-    def _listed(self, scope: str, entries: list[i.Entry]) -> None:
+    def _listed(self, scope: str, entries: list[EndpointEntry]) -> None:
         if scope != "delta":
             self.engines = {}
         for entry in entries:
@@ -157,7 +163,8 @@
     def report(self, now: float) -> Tally:
         seconds = SPAN / 1000
         flows = {
-            name: ring.count(now) / seconds for name, ring in zip(self.offerings, self.arrivals, strict=True)
+            name: ring.count(now) / seconds
+            for name, ring in zip(self.request_classes, self.arrivals, strict=True)
         }
         waiting = self._waiting(now)
         whole = sum(one.size for one in self.engines.values() if one.state == "ready") or 1.0
@@ -193,7 +200,7 @@
             vain=record.faults.count(now) / seconds,
         )
 
-    def _vote(self, now: float, record: ZoneRecord, ready: list[i.Engine], wait: float) -> Vote:
+    def _vote(self, now: float, record: ZoneRecord, ready: list[Engine], wait: float) -> Vote:
         """Where nothing was sent, the list alone is told."""
         successes, faults = record.successes.count(now), record.faults.count(now)
         lacks_stage = record.lacks_stage(ready)
@@ -208,7 +215,7 @@
         grey = spoke and not lost and (faults > GREY_FAULTS * (successes + faults) or late)
         return Vote(spoke, lost, grey)
 
-    def _cold_size(self, now: float, engine: i.Engine) -> float:
+    def _cold_size(self, now: float, engine: Engine) -> float:
         """The part of an engine's size that has still to warm up."""
         listed, warm_up = self.engines[engine], float(self.settings["warm_up"])
         return listed.size * max(0.0, 1 - (now - listed.started) / warm_up) if listed.started > 0 else 0.0
@@ -217,10 +224,10 @@
         """Requests that have not begun, by the zone of their latest attempt.  What began tells of a jam too
         late."""
         found: dict[int, Waiting] = defaultdict(Waiting)
-        for job, target in list(self.open.items()):
-            if job.ended or job.began or now > job.give_up_at:
-                del self.open[job]
+        for request, target in list(self.open.items()):
+            if request.ended or request.began or now > request.give_up_at:
+                del self.open[request]
                 continue
-            zone = job.trips[-1].engine.zone if job.trips else ANY_ZONE
-            found[zone] = found[zone].plus(1, (now - job.arrived) / target)
+            zone = request.attempts[-1].engine.zone if request.attempts else ANY_ZONE
+            found[zone] = found[zone].plus(1, (now - request.arrived) / target)
         return found
--- a/worksmux/fakes/clients.py
+++ b/worksmux/fakes/clients.py
@@ -32,7 +32,7 @@
 ]
 
 
-class OfferingSpec(msgspec.Struct):
+class RequestClassSpec(msgspec.Struct):
     """One offering's traffic; spans are (lowest, highest), times in milliseconds."""
 
     name: str
@@ -72,7 +72,7 @@
     length: float
     factor: float = 1.0
     share: float = 1.0
-    offering: str = ""
+    request_class: str = msgspec.field(default="", name="offering")
     how: str = ""
 
 
@@ -82,7 +82,7 @@
     start: float  # on the machine's clock
     length: float
     rate: float  # jobs a second
-    offerings: list[OfferingSpec]
+    request_classes: list[RequestClassSpec] = msgspec.field(name="offerings")
     fronts: list[FrontSpec]
     bursts: list[Burst]
     retries: tuple[float, float]
@@ -94,7 +94,7 @@
 
 @dataclass(eq=False)
 class Session:
-    offering: OfferingSpec
+    request_class: RequestClassSpec
     name: str
     turns: int
     beginning: str
@@ -103,7 +103,7 @@
 
 
 @dataclass(eq=False)
-class ClientJob:
+class ClientRequest:
     """One question with all its tries."""
 
     id: str
@@ -125,8 +125,8 @@
 class Try:
     """One try on the wire: takes the reply and says once how it ended."""
 
-    def __init__(self, owner: Clients, job: ClientJob, name: str) -> None:
-        self.owner, self.job, self.name = owner, job, name
+    def __init__(self, owner: Clients, request: ClientRequest, name: str) -> None:
+        self.owner, self.request, self.name = owner, request, name
         self.sent = clock.now()
         self.status, self.headers = 0, {}  # type: int, dict[str, str]
         self.events: Events | None = None
@@ -182,7 +182,7 @@
         self.tokens += len(words)
 
     def done(self) -> None:
-        if self.job.inputs and self.status == 200:
+        if self.request.inputs and self.status == 200:
             self.checked()
             self.finish = "done"
         elif self.events is None and self.status == 200:
@@ -196,7 +196,7 @@
 
     def checked(self) -> None:
         """A whole reply of one stage: every result is what the stand-in engine gives for that input."""
-        one, inputs = self.job.session.offering, self.job.inputs
+        one, inputs = self.request.session.request_class, self.request.inputs
         now = self.first = self.last = clock.now()
         body = bytes(self.body)
         self.owner.journal.note("first token", try_id=self.name, at=now)
@@ -259,7 +259,7 @@
                 (f"{one.name}-{at}", self._text(f"{one.name} {at}", one.beginning_tokens))
                 for at in range(one.beginnings)
             ]
-            for one in spec.offerings
+            for one in spec.request_classes
         }
         self.waiting = 0
         self.over = False
@@ -292,8 +292,8 @@
         while self.next <= now and self.next < end:
             self._begin(self.next)
             burst = self._burst("burst")
-            turns = sum(one.share * sum(one.turns) / 2 for one in self.spec.offerings) / sum(
-                one.share for one in self.spec.offerings
+            turns = sum(one.share * sum(one.turns) / 2 for one in self.spec.request_classes) / sum(
+                one.share for one in self.spec.request_classes
             )
             rate = self.spec.rate * (burst.factor if burst else 1.0) / turns
             self.next += self.chance.expovariate(rate) * 1000
@@ -307,11 +307,13 @@
     def _flood(self, now: float) -> None:
         """One offering's jobs come more often: a Poisson process of its own beside the usual one."""
         flood = self._burst("flood")
-        one = next((one for one in self.spec.offerings if flood and one.name == flood.offering), None)
+        one = next(
+            (one for one in self.spec.request_classes if flood and one.name == flood.request_class), None
+        )
         if flood is None or one is None:
             self.floods.clear()
             return
-        turns = sum(other.share * sum(other.turns) / 2 for other in self.spec.offerings)
+        turns = sum(other.share * sum(other.turns) / 2 for other in self.spec.request_classes)
         rate = self.spec.rate * one.share / turns * (flood.factor - 1) / 1000
         next_at = self.floods.setdefault(one.name, now)
         while next_at <= now:
@@ -319,10 +321,10 @@
             next_at += self.chance.expovariate(rate)
         self.floods[one.name] = next_at
 
-    def _begin(self, intended: float, one: OfferingSpec | None = None) -> None:
+    def _begin(self, intended: float, one: RequestClassSpec | None = None) -> None:
         if one is None:
-            shares = [offering.share for offering in self.spec.offerings]
-            one = self.chance.choices(self.spec.offerings, shares)[0]
+            shares = [request_class.share for request_class in self.spec.request_classes]
+            one = self.chance.choices(self.spec.request_classes, shares)[0]
         self.count += 1
         prefix, beginning = "", ""
         hot = self._burst("hot_beginning")
@@ -341,14 +343,14 @@
         self._ask(session, intended)
 
     def _ask(self, session: Session, intended: float) -> None:
-        one = session.offering
+        one = session.request_class
         session.turns -= 1
         if one.call != "chat":
             return self._ask_vectors(session, intended)
         answer = max(1, min(one.most_answer, round(self._between(one.answer_tokens))))
         tokens = one.new_tokens
         tail = self._burst("heavy_tail")
-        if tail and tail.offering in ("", one.name) and self.chance.random() < tail.share:
+        if tail and tail.request_class in ("", one.name) and self.chance.random() < tail.share:
             tokens = (tokens[0] * tail.factor, tokens[1] * tail.factor)
         self.count += 1
         text = self._text(f"{session.name} {self.count}", tokens) + f" {TRUE_ANSWER}={answer} "
@@ -359,7 +361,7 @@
         hasty, leaves = self._burst("give_up"), False
         if hasty and self.chance.random() < hasty.share:
             patience, leaves = one.promised_time * hasty.factor, hasty.how == "leave"
-        job = ClientJob(
+        request = ClientRequest(
             f"j{self.spec.seed}-{self.count}",
             session,
             intended,
@@ -371,31 +373,31 @@
             self._next_front(),
             leaves,
         )
-        job.body = msgspec.json.encode(
+        request.body = msgspec.json.encode(
             {
                 "model": one.name,
                 "messages": session.messages,
-                "stream": job.stream,
+                "stream": request.stream,
                 "max_tokens": one.most_answer,
-                "stream_options": {"include_usage": True} if job.stream else None,
+                "stream_options": {"include_usage": True} if request.stream else None,
             }
         )
         self.journal.note(
-            "job", job=job.id, offering=one.name, intended=intended, prompt=prompt, answer=answer
+            "job", job=request.id, offering=one.name, intended=intended, prompt=prompt, answer=answer
         )
         self.open += 1
-        self._try(job)
+        self._try(request)
 
     def _ask_vectors(self, session: Session, intended: float) -> None:
         """A call of one stage, of many inputs."""
-        one = session.offering
+        one = session.request_class
         self.count += 1
         inputs = [
             self._text(f"{self.count} {at}", one.new_tokens)
             for at in range(max(1, round(self._between(one.inputs))))
         ]
         patience = one.outer_limit * self._between(self.spec.patience)
-        job = ClientJob(
+        request = ClientRequest(
             f"j{self.spec.seed}-{self.count}",
             session,
             intended,
@@ -413,10 +415,10 @@
             if one.call == "embeddings"
             else {"query": QUERY, "documents": inputs}
         )
-        job.body = msgspec.json.encode({"model": one.name, "user": user, **asked})
-        self.journal.note("job", job=job.id, offering=one.name, intended=intended, inputs=len(inputs))
+        request.body = msgspec.json.encode({"model": one.name, "user": user, **asked})
+        self.journal.note("job", job=request.id, offering=one.name, intended=intended, inputs=len(inputs))
         self.open += 1
-        self._try(job)
+        self._try(request)
 
     def _next_front(self) -> int:
         """In turn, but for those known to be dead."""
@@ -429,78 +431,88 @@
                 return at
         return self.turn % len(self.pools)
 
-    def _try(self, job: ClientJob) -> None:
-        job.tries += 1
-        job.left -= 1
-        one = Try(self, job, f"{job.id}.{job.tries}")
-        offering = job.session.offering
-        stays = min(job.patience, offering.outer_limit * 4)
-        left = offering.outer_limit if job.leaves else stays
+    def _try(self, request: ClientRequest) -> None:
+        request.tries += 1
+        request.left -= 1
+        one = Try(self, request, f"{request.id}.{request.tries}")
+        request_class = request.session.request_class
+        stays = min(request.patience, request_class.outer_limit * 4)
+        left = request_class.outer_limit if request.leaves else stays
         # Who wants the answer whole sees no first token: it stays for the longest answer besides.
-        whole = 0.0 if job.stream else 2 * offering.token_time * offering.most_answer
+        whole = 0.0 if request.stream else 2 * request_class.token_time * request_class.most_answer
         self.journal.note(
             "try",
             try_id=one.name,
-            job=job.id,
-            offering=offering.name,
+            job=request.id,
+            offering=request_class.name,
             left=left + whole,
-            front=self.spec.fronts[job.front].name,
-            effect=offering.effect,
+            front=self.spec.fronts[request.front].name,
+            effect=request_class.effect,
         )
         headers = [
             ("Content-Type", "application/json"),
             (chat.REQUEST_ID, one.name),
-            (chat.LABEL, job.id),
+            (chat.LABEL, request.id),
             (chat.TIME_LEFT, f"{left:.3f}"),
-            (chat.SESSION, job.session.name),
-            (chat.REPEAT, str(job.tries - 1)),
+            (chat.SESSION, request.session.name),
+            (chat.REPEAT, str(request.tries - 1)),
         ]
-        if job.session.prefix:
+        if request.session.prefix:
             headers += [
-                (chat.PREFIX, job.session.prefix),
-                (chat.PREFIX_TOKENS, str(len(job.session.beginning) / chat.BYTES_A_TOKEN)),
+                (chat.PREFIX, request.session.prefix),
+                (chat.PREFIX_TOKENS, str(len(request.session.beginning) / chat.BYTES_A_TOKEN)),
             ]
-        path = {"embeddings": embeddings.PATH, "rerank": rerank.PATH}.get(offering.call, CHAT)
-        one.call = self.pools[job.front].call("POST", path, one, headers, job.body)
+        path = {"embeddings": embeddings.PATH, "rerank": rerank.PATH}.get(request_class.call, CHAT)
+        one.call = self.pools[request.front].call("POST", path, one, headers, request.body)
         self.reactor.callLater((stays + whole) / 1000, one.give_up)
 
     def ended(self, one: Try, how: str) -> None:
-        job, offering = one.job, one.job.session.offering
+        request, request_class = one.request, one.request.session.request_class
         if how in ("unreachable", "reset"):
-            self.dead.setdefault(job.front, clock.now())
+            self.dead.setdefault(request.front, clock.now())
         else:
-            self.dead.pop(job.front, None)
-        harmless = how in ("deferred", "unreachable") or (offering.effect != "irreversible" and how != "left")
-        if how == "left" and offering.effect == "redoable":
+            self.dead.pop(request.front, None)
+        harmless = how in ("deferred", "unreachable") or (
+            request_class.effect != "irreversible" and how != "left"
+        )
+        if how == "left" and request_class.effect == "redoable":
             harmless = True
-        if how != "delivered" and harmless and job.left > 0:
-            job.front = self._next_front()
+        if how != "delivered" and harmless and request.left > 0:
+            request.front = self._next_front()
             wait = self._between(self.spec.wait)
-            if job.inputs and not self._burst("storm"):
+            if request.inputs and not self._burst("storm"):
                 wait = max(wait, one.stay_away)
-            self.reactor.callLater(wait / 1000, self._try, job)
+            self.reactor.callLater(wait / 1000, self._try, request)
             return
-        promised = offering.promised_time + offering.promised_per_k * (one.prompt or job.prompt) / 1000
-        first = one.first - job.intended
+        promised = (
+            request_class.promised_time + request_class.promised_per_k * (one.prompt or request.prompt) / 1000
+        )
+        first = one.first - request.intended
         pace = (one.last - one.first) / max(1, one.tokens - 1)
-        on_time = first <= promised and (pace <= offering.token_time or not job.stream)
-        job.ended = ("delivered" if on_time else "late") if how == "delivered" else how
+        on_time = first <= promised and (pace <= request_class.token_time or not request.stream)
+        request.ended = ("delivered" if on_time else "late") if how == "delivered" else how
         self.journal.note(
             "job ended",
-            job=job.id,
-            offering=offering.name,
-            how=job.ended,
-            tries=job.tries,
+            job=request.id,
+            offering=request_class.name,
+            how=request.ended,
+            tries=request.tries,
             first=round(first, 2) if one.first else None,
-            credit=offering.credit
-            * (1.0 if job.ended == "delivered" else offering.late_credit if job.ended == "late" else 0.0),
-            asked=offering.credit,
+            credit=request_class.credit
+            * (
+                1.0
+                if request.ended == "delivered"
+                else request_class.late_credit
+                if request.ended == "late"
+                else 0.0
+            ),
+            asked=request_class.credit,
         )
         self.open -= 1
-        session = job.session
+        session = request.session
         if how == "delivered" and session.turns > 0 and not self.over:
             session.messages.append({"role": "assistant", "content": "w " * (one.tokens * 2)})
-            think = self._between(offering.think)
+            think = self._between(request_class.think)
             self.reactor.callLater(think / 1000, self._ask_again, session, clock.now() + think)
         self._maybe_stop()
 
--- a/worksmux/fakes/engine.py
+++ b/worksmux/fakes/engine.py
@@ -31,7 +31,7 @@
 ANSWER = "x-standin-answer-tokens"  # in the session's text: how long the true answer is
 
 
-class Job(msgspec.Struct):
+class Request(msgspec.Struct):
     """What the stand-in reads of a job."""
 
     model: str
@@ -44,7 +44,7 @@
 class Pull(msgspec.Struct):
     """A writer asks a reader for a job's state."""
 
-    job: str
+    request: str = msgspec.field(name="job")
     by: str
     zone: str
     cell: int
@@ -58,7 +58,7 @@
     on: bool = True
     share: float = 1.0
     factor: float = 1.0
-    offering: str = ""
+    request_class: str = msgspec.field(default="", name="offering")
 
 
 class EngineProcess:
@@ -125,7 +125,7 @@
             elif path == calls.PLACE:
                 self._place(msgspec.json.decode(exchange.body(), type=calls.Place), exchange)
             elif path == calls.RELEASE:
-                self._release(msgspec.json.decode(exchange.body(), type=calls.Release).job)
+                self._release(msgspec.json.decode(exchange.body(), type=calls.Release).request)
                 exchange.answer(200, b"{}")
             elif path == calls.PULL:
                 self._pull(msgspec.json.decode(exchange.body(), type=Pull), exchange)
@@ -148,14 +148,14 @@
     def _hung(self, path: str, exchange: Exchange) -> None:
         """Takes what comes and answers nothing; what was sent is written down all the same."""
         if path == calls.CHAT:
-            facts = self._facts(exchange, msgspec.json.decode(exchange.body(), type=Job))
+            facts = self._facts(exchange, msgspec.json.decode(exchange.body(), type=Request))
             self.journal.note("got", **facts)
             exchange.on_gone = lambda: self.journal.note("end", how="hung", **facts)
         elif path == calls.RELEASE:
-            self.journal.note("release", job=msgspec.json.decode(exchange.body(), type=calls.Release).job)
+            self.journal.note("release", job=msgspec.json.decode(exchange.body(), type=calls.Release).request)
         elif path == calls.PLACE:
             wanted = msgspec.json.decode(exchange.body(), type=calls.Place)
-            self.journal.note("place asked", job=wanted.job, front=exchange.header(calls.FRONT) or "")
+            self.journal.note("place asked", job=wanted.request, front=exchange.header(calls.FRONT) or "")
 
     def _report(self) -> dict[str, float]:
         """The load as it was a while ago, where reports are late."""
@@ -193,40 +193,40 @@
                 pass
         exchange.answer(200, b"{}")
 
-    def _facts(self, exchange: Exchange, job: Job | None = None) -> dict[str, Any]:
+    def _facts(self, exchange: Exchange, request: Request | None = None) -> dict[str, Any]:
         return {
-            "job": exchange.header(calls.JOB) or "",
+            "job": exchange.header(calls.REQUEST) or "",
             "trip": exchange.header(chat.REQUEST_ID) or "",
             "front": exchange.header(calls.FRONT) or "",
             "try": exchange.header(calls.TRY) or "",
             "label": exchange.header(chat.LABEL) or "",
-            "offering": job.model if job else "",
+            "offering": request.model if request else "",
             **({"plan": plan} if (plan := exchange.header(calls.PLAN)) else {}),
         }
 
-    def facts(self, exchange: Exchange, offering: str) -> dict[str, Any]:
-        return {**self._facts(exchange), "offering": offering}
+    def facts(self, exchange: Exchange, request_class: str) -> dict[str, Any]:
+        return {**self._facts(exchange), "offering": request_class}
 
     def _chat(self, exchange: Exchange) -> None:
         now = clock.now()
-        job = msgspec.json.decode(exchange.body(), type=Job)
-        facts = self._facts(exchange, job)
+        request = msgspec.json.decode(exchange.body(), type=Request)
+        facts = self._facts(exchange, request)
         self.journal.note("got", **facts)
         if self.model.press(now, 1.0):
             self.journal.note("fell", front=facts["front"])
             return self.fall()
         fault = self.faults.get("fail_fast")
-        if fault and fault.offering in ("", job.model) and self.chance.random() < fault.share:
+        if fault and fault.request_class in ("", request.model) and self.chance.random() < fault.share:
             self.journal.note("end", how="error", **facts)
             return exchange.answer(500, errors.error("an injected fault", "server_error"))
         fault = self.faults.get("silence")
-        if fault and fault.offering in ("", job.model) and self.chance.random() < fault.share:
+        if fault and fault.request_class in ("", request.model) and self.chance.random() < fault.share:
             exchange.on_gone = lambda: self.journal.note("end", how="silent", **facts)
             return None
         if "drain" in self.faults:
             return self._refuse(exchange, facts, calls.DRAINING)
-        work = self._work(exchange, job, facts)
-        if self.spec.role == "write" and work.state is None and work.job not in self.model.places:
+        work = self._work(exchange, request, facts)
+        if self.spec.role == "write" and work.state is None and work.request not in self.model.places:
             return self._refuse(exchange, facts, calls.STATE_LOST)
         if not self.model.offer(work, now):
             return self._refuse(exchange, facts, calls.FULL)
@@ -234,9 +234,9 @@
         exchange.on_gone = lambda: self._gone(exchange)
         self._tick_on()
 
-    def _work(self, exchange: Exchange, job: Job, facts: dict[str, Any]) -> Work:
+    def _work(self, exchange: Exchange, request: Request, facts: dict[str, Any]) -> Work:
         """The lengths of prompt and answer, and the identities of what the prompt begins with."""
-        texts = [message.content if isinstance(message.content, str) else "" for message in job.messages]
+        texts = [message.content if isinstance(message.content, str) else "" for message in request.messages]
         prompt = max(1.0, sum(len(text.encode()) for text in texts) / chat.BYTES_A_TOKEN)
         chain, keys, parts, length = xxhash.xxh3_64(), [], [], 0.0
         for text in texts:
@@ -245,7 +245,7 @@
             keys.append(chain.intdigest())
             parts.append(length)
         if self.tokenizer is not None:  # counted whole, as the reference for the front's count
-            whole = render([(message.role, chat.text_of(message.content)) for message in job.messages])
+            whole = render([(message.role, chat.text_of(message.content)) for message in request.messages])
             scale = prompt
             prompt = float(len(tokens(self.tokenizer, whole)) // 4)
             parts = [part * prompt / scale for part in parts]
@@ -253,17 +253,17 @@
             if told is not None:
                 self.journal.note("counted", job=facts["job"], by_front=int(told), own=int(prompt))
         wanted = texts[-1].rpartition(ANSWER + "=")[2].split(" ", 1)[0]
-        answer = min(job.max_tokens, int(wanted)) if wanted.isdigit() else job.max_tokens
+        answer = min(request.max_tokens, int(wanted)) if wanted.isdigit() else request.max_tokens
         state = (
-            job.kv_transfer_params
-            if job.kv_transfer_params and not job.kv_transfer_params.get("do_remote_decode")
+            request.kv_transfer_params
+            if request.kv_transfer_params and not request.kv_transfer_params.get("do_remote_decode")
             else None
         )
         return Work(
             facts["job"],
-            job.model,
+            request.model,
             prompt,
-            job.max_tokens if self.spec.role != "read" else 1,
+            request.max_tokens if self.spec.role != "read" else 1,
             keys,
             max(1, answer),
             state,
@@ -291,7 +291,7 @@
         work = self.works.get(exchange)
         if work:
             self._end(work, "cut")
-            for waiting, _ in self.pulls.pop(work.job, []):
+            for waiting, _ in self.pulls.pop(work.request, []):
                 waiting.answer(404, b"{}")
             self._tick_on()
 
@@ -330,20 +330,20 @@
             self.reactor.callLater(TICK / 1000, self._tick)
 
     def _expire(self, now: float) -> None:
-        for job, state in list(self.model.states.items()):
+        for request, state in list(self.model.states.items()):
             if not state.asked and now > state.since + self.spec.lease:
-                self._freed(job, "lease")
-        for job, place in list(self.model.places.items()):
+                self._freed(request, "lease")
+        for request, place in list(self.model.places.items()):
             if now > place.since + self.spec.lease:
-                self._unplaced(job, "lease")
+                self._unplaced(request, "lease")
 
-    def _freed(self, job: str, why: str) -> None:
-        if self.model.free_state(job):
-            self.journal.note("freed", job=job, why=why)
+    def _freed(self, request: str, why: str) -> None:
+        if self.model.free_state(request):
+            self.journal.note("freed", job=request, why=why)
 
-    def _unplaced(self, job: str, why: str) -> None:
-        if self.model.free_place(job):
-            self.journal.note("unplaced", job=job, why=why)
+    def _unplaced(self, request: str, why: str) -> None:
+        if self.model.free_place(request):
+            self.journal.note("unplaced", job=request, why=why)
 
     def _read(self, work: Work, now: float) -> None:
         if self.spec.role == "both":
@@ -353,20 +353,20 @@
         exchange = work.door
         self.model.hold_state(work, now)
         work.memory = 0.0
-        self.journal.note("held", job=work.job, tokens=work.prompt, front=work.facts["front"])
+        self.journal.note("held", job=work.request, tokens=work.prompt, front=work.facts["front"])
         reply = chat.ReadReply(
-            chat.KvParams(self.spec.id, "127.0.0.1", self.port, [], work.job),
+            chat.KvParams(self.spec.id, "127.0.0.1", self.port, [], work.request),
             chat.Usage(int(work.prompt), 1, int(work.prompt) + 1, {"cached_tokens": int(work.cached)}),
         )
         self._end(work, "read")
         exchange.answer(200, msgspec.json.encode(reply), headers=(calls.load_header(self._report()),))
-        for waiting, pull in self.pulls.pop(work.job, []):
+        for waiting, pull in self.pulls.pop(work.request, []):
             self._hand_over(waiting, pull)
 
     def _grow(self, work: Work) -> None:
         exchange, words = work.door, []
         if not work.sent:
-            self.journal.note("first", job=work.job, trip=work.facts["trip"], front=work.facts["front"])
+            self.journal.note("first", job=work.request, trip=work.facts["trip"], front=work.facts["front"])
             exchange.begin("text/event-stream", (calls.load_header(self._report()),))
         drop = self.faults.get("drop_streams")
         if drop and work.made > work.answer / 2 and self.chance.random() < drop.share / 4:
@@ -379,14 +379,14 @@
         while work.sent < target:
             words.append(f"w{work.sent} ")
             work.sent += 1
-        exchange.more(event(chat.chunk(work.job, work.offering, "".join(words))))
+        exchange.more(event(chat.chunk(work.request, work.request_class, "".join(words))))
         if work.sent >= work.answer:
             usage = chat.Usage(
                 int(work.prompt), work.sent, int(work.prompt) + work.sent, {"cached_tokens": int(work.cached)}
             )
             exchange.more(
-                event(chat.chunk(work.job, work.offering, finish="stop"))
-                + event(chat.chunk(work.job, work.offering, usage=usage))
+                event(chat.chunk(work.request, work.request_class, finish="stop"))
+                + event(chat.chunk(work.request, work.request_class, usage=usage))
                 + DONE
             )
             self._end(work, "done")
@@ -399,9 +399,9 @@
             self.pools[host, port] = client.Pool(self.reactor, host, port, 1_000.0, 5_000.0, 16, 65_536)
         return self.pools[host, port]
 
-    def _ask(self, handle: dict[str, Any], job: str, ahead: bool, on_end: client.OnEnd) -> None:
+    def _ask(self, handle: dict[str, Any], request: str, ahead: bool, on_end: client.OnEnd) -> None:
         pool = self._pool(str(handle.get("remote_host", "127.0.0.1")), int(handle.get("remote_port") or 0))
-        body = msgspec.json.encode(Pull(job, self.spec.id, self.spec.zone, self.spec.cell, ahead))
+        body = msgspec.json.encode(Pull(request, self.spec.id, self.spec.zone, self.spec.cell, ahead))
         pool.call("POST", calls.PULL, client.Whole(BOUND, on_end), (), body)
 
     def _fetch(self, work: Work) -> None:
@@ -419,20 +419,20 @@
                 exchange.on_gone = None
                 self._refuse(exchange, facts, calls.STATE_LOST)
 
-        self._ask(work.state, work.job, False, ended)
+        self._ask(work.state, work.request, False, ended)
 
     def _pull(self, pull: Pull, exchange: Exchange) -> None:
-        if pull.job in self.model.states:
+        if pull.request in self.model.states:
             self._hand_over(exchange, pull)
-        elif pull.ahead and any(work.job == pull.job for work in self.works.values()):
-            self.pulls.setdefault(pull.job, []).append((exchange, pull))
+        elif pull.ahead and any(work.request == pull.request for work in self.works.values()):
+            self.pulls.setdefault(pull.request, []).append((exchange, pull))
         else:
             exchange.answer(404, b"{}")
 
     def _hand_over(self, exchange: Exchange, pull: Pull) -> None:
         """The state leaves over the port, or over this engine's part of the cell's link, one after the
         other."""
-        state = self.model.states[pull.job]
+        state = self.model.states[pull.request]
         state.asked = True
         near = pull.cell == self.spec.cell
         rate = (
@@ -447,37 +447,39 @@
         self.link_free[way] = max(now, self.link_free[way]) + 1000 * state.tokens / rate
 
         def moved() -> None:
-            if pull.job not in self.model.states or exchange.over:
+            if pull.request not in self.model.states or exchange.over:
                 state.asked = False
                 return exchange.answer(404, b"{}")
-            self.model.free_state(pull.job)
-            self.journal.note("pulled", job=pull.job, by=pull.by, near=near, tokens=state.tokens)
+            self.model.free_state(pull.request)
+            self.journal.note("pulled", job=pull.request, by=pull.by, near=near, tokens=state.tokens)
             exchange.answer(200, bytes(min(65_536, int(state.tokens))), "application/octet-stream")
 
         self.reactor.callLater((self.link_free[way] - now) / 1000, moved)
 
     def _place(self, wanted: calls.Place, exchange: Exchange) -> None:
-        self.journal.note("place asked", job=wanted.job, front=exchange.header(calls.FRONT) or "")
-        known = any(work.job == wanted.job for work in self.works.values())  # it came after its job's trip
+        self.journal.note("place asked", job=wanted.request, front=exchange.header(calls.FRONT) or "")
+        known = any(
+            work.request == wanted.request for work in self.works.values()
+        )  # it came after its job's trip
         held = (
             not known
             and "drain" not in self.faults
-            and self.model.place(wanted.job, wanted.tokens * 1.2, clock.now())
+            and self.model.place(wanted.request, wanted.tokens * 1.2, clock.now())
         )
         if held:
-            self.journal.note("placed", job=wanted.job, front=exchange.header(calls.FRONT) or "")
+            self.journal.note("placed", job=wanted.request, front=exchange.header(calls.FRONT) or "")
             self._tick_on()
             if wanted.reader is not None:
-                self._pull_ahead(wanted.job, wanted.reader)
+                self._pull_ahead(wanted.request, wanted.reader)
         exchange.answer(200, msgspec.json.encode(calls.Placed(held)))
 
-    def _pull_ahead(self, job: str, reader: chat.KvParams) -> None:
+    def _pull_ahead(self, request: str, reader: chat.KvParams) -> None:
         """The state comes as soon as it is read; a trip that arrives meanwhile waits for it."""
-        self.model.places[job].pulling = True
+        self.model.places[request].pulling = True
 
         def pulled(status: int, headers: dict[str, str], body: bytes, trouble: client.Trouble | None) -> None:
             here = trouble is None and status == 200
-            place, work = self.model.places.get(job), self.model.attached.pop(job, None)
+            place, work = self.model.places.get(request), self.model.attached.pop(request, None)
             if place:
                 place.pulling, place.asked = False, here
             elif work in self.model.fetching and here:
@@ -485,14 +487,16 @@
             elif work in self.model.fetching:
                 self._fetch(work)
 
-        self._ask({"remote_host": reader.remote_host, "remote_port": reader.remote_port}, job, True, pulled)
+        self._ask(
+            {"remote_host": reader.remote_host, "remote_port": reader.remote_port}, request, True, pulled
+        )
 
-    def _release(self, job: str) -> None:
-        self.journal.note("release", job=job)
-        state = self.model.states.get(job)
+    def _release(self, request: str) -> None:
+        self.journal.note("release", job=request)
+        state = self.model.states.get(request)
         if state and not state.asked:
-            self._freed(job, "release")
-        self._unplaced(job, "release")
+            self._freed(request, "release")
+        self._unplaced(request, "release")
 
 
 def main(text: str) -> None:
--- a/worksmux/fakes/generator.py
+++ b/worksmux/fakes/generator.py
@@ -51,8 +51,8 @@
 class Work:
     """One trip at this engine."""
 
-    job: str
-    offering: str
+    request: str
+    request_class: str
     prompt: float
     most: int
     keys: list[int]  # of the text it begins with
@@ -128,7 +128,7 @@
         return True
 
     def _fits(self, work: Work) -> bool:
-        held = work.job in self.places
+        held = work.request in self.places
         return held or (
             self.taken_slots < self.spec.slots and self.used + work.prompt + work.most <= self.spec.memory
         )
@@ -138,7 +138,7 @@
         fetch = []
         while self.line and self._fits(self.line[0]):
             work = self.line.popleft()
-            place = self.places.pop(work.job, None)
+            place = self.places.pop(work.request, None)
             work.memory = place.tokens if place else work.prompt + work.most
             self.used += 0.0 if place else work.memory
             if place and place.asked:  # its state was pulled ahead
@@ -146,7 +146,7 @@
                 self.answering[work] = None
             elif place and place.pulling and work.state is not None:
                 self.fetching[work] = None
-                self.attached[work.job] = work
+                self.attached[work.request] = work
             elif work.state is not None:
                 self.fetching[work] = None
                 fetch.append(work)
@@ -210,30 +210,30 @@
         """A read has ended: its memory becomes its state's."""
         self.used -= work.memory
         self.used += work.prompt
-        self.states[work.job] = State(work.prompt, now)
+        self.states[work.request] = State(work.prompt, now)
 
-    def free_state(self, job: str) -> State | None:
-        state = self.states.pop(job, None)
+    def free_state(self, request: str) -> State | None:
+        state = self.states.pop(request, None)
         if state:
             self.used -= state.tokens
         return state
 
-    def place(self, job: str, tokens: float, now: float) -> bool:
+    def place(self, request: str, tokens: float, now: float) -> bool:
         """Holds a slot and memory, if they are free at once and nothing waits."""
         if (
             self.line
             or self.spec.role == "read"
             or self.taken_slots >= self.spec.slots
             or self.used + tokens > self.spec.memory
-            or job in self.places
+            or request in self.places
         ):
             return False
         self.used += tokens
-        self.places[job] = State(tokens, now)
+        self.places[request] = State(tokens, now)
         return True
 
-    def free_place(self, job: str) -> State | None:
-        place = self.places.pop(job, None)
+    def free_place(self, request: str) -> State | None:
+        place = self.places.pop(request, None)
         if place:
             self.used -= place.tokens
         return place
--- a/worksmux/fault_trial/fleet.py
+++ b/worksmux/fault_trial/fleet.py
@@ -30,7 +30,7 @@
 from .faults import go_on, hold_lock, limit_files
 from .processes import Child
 from .relays import Network
-from .small import SETTINGS, plain_offering
+from .small import SETTINGS, plain_request_class
 
 ZONES = ("north", "south", "east")
 WITHIN = 40.0  # seconds that a test waits for what it expects to see
@@ -357,12 +357,12 @@
         self,
         length: float = 4000.0,
         rate: float = 20.0,
-        offering: str = "hint",
+        request_class: str = "hint",
         effect: str = "redoable",
         retries: float = 2.0,
     ) -> None:
         """Clients ask all fronts from now on."""
-        one = plain_offering(offering, effect, (5, 15), beginnings=6)
+        one = plain_request_class(request_class, effect, (5, 15), beginnings=6)
         spec = ClientsSpec(
             str(self.folder / "clients.jsonl"),
             3,
--- a/worksmux/fault_trial/fronts.py
+++ b/worksmux/fault_trial/fronts.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from ..scenarios.scenario import Scenario
-from ..settings.shared import Kind, Offering
+from ..settings.shared import Kind, RequestClass
 
 LEASE = 2500.0  # milliseconds, of what a day's fronts decide in common
 
@@ -20,7 +20,7 @@
     return "true" if value else "false"
 
 
-def _offering(one: Offering) -> str:
+def _request_class(one: RequestClass) -> str:
     return f"""offering {json.dumps(one.name)} {{
     promised-time {_ms(one.promised_time)}
     promised-per-1000-tokens {_ms(one.promised_per_k)}
@@ -149,8 +149,8 @@
     Without `counting` the front guesses lengths from bytes.
     """
     if not counting:
-        offerings = [replace(one, tokenizer="", most_prompt=10**9) for one in day.offerings]
-        day = replace(day, tokenizers={}, counting=None, offerings=offerings)
+        request_classes = [replace(one, tokenizer="", most_prompt=10**9) for one in day.request_classes]
+        day = replace(day, tokenizers={}, counting=None, request_classes=request_classes)
     rules, limits, bounds = day.rules, day.limits, day.transport
     zones = " ".join(json.dumps(one) for one in day.zones)
     return f"""front {json.dumps(name)} {{
@@ -173,7 +173,7 @@
 }}
 zones {zones}
 {"".join(map(_kind, day.kinds))}
-{"".join(map(_offering, day.offerings))}
+{"".join(map(_request_class, day.request_classes))}
 rules {{
     answer-slack {_ms(rules["answer_slack"])}
     drain-grace {_ms(rules["drain_grace"])}
@@ -206,7 +206,7 @@
     body "{bounds.body}B"
     head "{bounds.head}B"
     reply "{bounds.reply}B"
-    open-jobs {bounds.open_jobs}
+    open-jobs {bounds.open_requests}
     drain-time {_ms(bounds.drain_time)}
 }}
 log format="json" level="info"
--- a/worksmux/fault_trial/runner.py
+++ b/worksmux/fault_trial/runner.py
@@ -18,7 +18,7 @@
 from ..checker.fleet import summary as fleet_summary
 from ..checker.records import load
 from ..checker.report import summary
-from ..fakes.clients import Burst, ClientsSpec, FrontSpec, OfferingSpec
+from ..fakes.clients import Burst, ClientsSpec, FrontSpec, RequestClassSpec
 from ..fakes.engine import Fault
 from ..fakes.journal import Journal
 from ..fakes.registry import Registry
@@ -255,7 +255,7 @@
         self.start = clock.now() + 1000.0 + (3000.0 if self.network else 0.0)
         day = self.day
         self.journal.note("day", name=day.name, start=self.start, policy=self.policy)
-        offerings = {one.name: one for one in day.offerings}
+        request_classes = {one.name: one for one in day.request_classes}
         spec = ClientsSpec(
             str(self.folder / "clients.jsonl"),
             day.seed,
@@ -263,7 +263,9 @@
             day.length,
             day.rate,
             [
-                msgspec.convert({**asdict(offerings[one.offering]), **asdict(one)}, OfferingSpec)
+                msgspec.convert(
+                    {**asdict(request_classes[one.request_class]), **asdict(one)}, RequestClassSpec
+                )
                 for one in day.traffic
             ],
             [FrontSpec(front.name, front.port, front.zone) for front in self.fronts],
@@ -274,7 +276,7 @@
                     one.length,
                     one.factor,
                     one.share,
-                    one.offering,
+                    one.request_class,
                     one.how,
                 )
                 for one in day.troubles
@@ -465,7 +467,7 @@
                 self._fault(handle, trouble, FAULTS[kind])
 
     def _fault(self, handle: EngineHandle, trouble: Trouble, name: str) -> None:
-        fault = Fault(name, True, trouble.share, trouble.factor, trouble.offering)
+        fault = Fault(name, True, trouble.share, trouble.factor, trouble.request_class)
         self._control(handle, fault)
         self.reactor.callLater(trouble.length / 1000, self._control, handle, Fault(name, on=False))
 
--- a/worksmux/fault_trial/small.py
+++ b/worksmux/fault_trial/small.py
@@ -14,7 +14,7 @@
 from worksmux.api.listing import Line
 from worksmux.checker.records import Records, load
 from worksmux.checker.rules import Figures
-from worksmux.fakes.clients import Clients, ClientsSpec, FrontSpec, OfferingSpec
+from worksmux.fakes.clients import Clients, ClientsSpec, FrontSpec, RequestClassSpec
 from worksmux.fakes.engine import EngineProcess, Fault
 from worksmux.fakes.generator import Spec
 from worksmux.fakes.journal import Journal
@@ -97,11 +97,11 @@
 FIGURES = Figures(8.0, 250.0, 300.0, 1000.0, {"note": "cell"}, {"note": 2000.0}, slack=400.0)
 
 
-def plain_offering(
+def plain_request_class(
     name: str, effect: str, answer_tokens: tuple[float, float], beginnings: int
-) -> OfferingSpec:
+) -> RequestClassSpec:
     """Small prompts and short answers, as the rigs' clients ask them."""
-    return OfferingSpec(
+    return RequestClassSpec(
         name=name,
         share=1.0,
         promised_time=1000.0,
@@ -200,7 +200,7 @@
 
     def day(
         self,
-        offering: str = "hint",
+        request_class: str = "hint",
         length: float = 1500.0,
         rate: float = 20.0,
         retries: float = 0.0,
@@ -211,7 +211,7 @@
         """Clients ask one offering until all is answered; then a second for what is held, and the records."""
         if not self.fronts:
             self.front()
-        one = plain_offering(offering, effect, answer, beginnings=3)
+        one = plain_request_class(request_class, effect, answer, beginnings=3)
         spec = ClientsSpec(
             str(self.folder / "clients.jsonl"),
             3,
--- a/worksmux/forwarding/attempt.py
+++ b/worksmux/forwarding/attempt.py
@@ -10,26 +10,26 @@
 from ..net import client, clock
 from ..net.loop import Reactor, Timer
 from ..net.time_out import TimeOut
-from ..policy import interface as i
+from ..policy.state import Attempt, Outcome
 
 
 class Listener(Protocol):
     """Who hears of a trip; each trip has at most one `began`, and exactly one `ended`, the last."""
 
-    def began(self, trip: i.Trip) -> None: ...
+    def began(self, attempt: Attempt) -> None: ...
 
-    def text(self, trip: i.Trip, content: Any) -> None: ...
+    def text(self, attempt: Attempt, content: Any) -> None: ...
 
     def ended(
-        self, trip: i.Trip, outcome: i.Outcome, note: int, report: dict[str, float] | None, result: Any
+        self, attempt: Attempt, outcome: Outcome, note: int, report: dict[str, float] | None, result: Any
     ) -> None: ...
 
 
-def outcome_of(trouble: client.Trouble) -> i.Outcome:
+def outcome_of(trouble: client.Trouble) -> Outcome:
     """How a call without a whole reply ended."""
     if isinstance(trouble, client.Unsent):
-        return i.Outcome.UNREACHABLE
-    return i.Outcome.RESET if isinstance(trouble, client.Broken) else i.Outcome.ERROR
+        return Outcome.UNREACHABLE
+    return Outcome.RESET if isinstance(trouble, client.Broken) else Outcome.ERROR
 
 
 class Carriage:
@@ -40,13 +40,13 @@
         self,
         reactor: Reactor,
         pool: client.Pool,
-        trip: i.Trip,
+        attempt: Attempt,
         listener: Listener,
         time_out: float,
         silence: float,
         bound: int,
     ) -> None:
-        self.reactor, self.pool, self.trip, self.listener = reactor, pool, trip, listener
+        self.reactor, self.pool, self.attempt, self.listener = reactor, pool, attempt, listener
         self.silence, self.bound = silence, bound
         self.status, self.headers = 0, {}  # type: int, dict[str, str]
         self.body = bytearray()
@@ -57,7 +57,7 @@
 
     # What a protocol brings.
 
-    def _refusal(self) -> tuple[i.Outcome, int]:
+    def _refusal(self) -> tuple[Outcome, int]:
         """The outcome and note of a whole reply that is no answer."""
         raise NotImplementedError
 
@@ -70,13 +70,13 @@
     def cancel(self) -> None:
         """Calls the trip off: the connection closes, by which the engine knows."""
         self.why = self.why or "called off"
-        self._end(i.Outcome.CANCELLED if self._sent else i.Outcome.MOOT)
+        self._end(Outcome.CANCELLED if self._sent else Outcome.MOOT)
 
     def withdraw(self) -> None:
         """Ends a trip whose last byte has not left: it was never sent."""
         if not self._sent:
             self.why = self.why or "withdrawn before it was written"
-            self._end(i.Outcome.MOOT)
+            self._end(Outcome.MOOT)
 
     @property
     def _sent(self) -> bool:
@@ -85,24 +85,24 @@
 
     def _time_is_up(self) -> None:
         self.why = "its time is up"
-        self._end(i.Outcome.TIMED_OUT if self._sent else i.Outcome.MOOT)
+        self._end(Outcome.TIMED_OUT if self._sent else Outcome.MOOT)
 
-    def _end(self, outcome: i.Outcome, note: int = 0, result: Any = None) -> None:
+    def _end(self, outcome: Outcome, note: int = 0, result: Any = None) -> None:
         if self.over:
             return
         self.over = True
         if self.timer.active():
             self.timer.cancel()
-        if self.call is not None and outcome is not i.Outcome.DELIVERED:
+        if self.call is not None and outcome is not Outcome.DELIVERED:
             self.call.abandon()
-        self.listener.ended(self.trip, outcome, note, self._report(), result)
+        self.listener.ended(self.attempt, outcome, note, self._report(), result)
 
     def head(self, status: int, headers: dict[str, str]) -> None:
         self.status, self.headers = status, headers
 
     def piece(self, data: bytes) -> None:
         if len(self.body) + len(data) > self.bound:
-            self._end(i.Outcome.ERROR)
+            self._end(Outcome.ERROR)
         else:
             self.body += data
 
@@ -160,9 +160,9 @@
         if not self.last:
             self.timer.cancel()
             self.timer = self.reactor.callLater(self.silence / 1000, self._listen)
-            self.listener.began(self.trip)
+            self.listener.began(self.attempt)
         self.last = clock.now()
-        self.listener.text(self.trip, content)
+        self.listener.text(self.attempt, content)
 
     def _listen(self) -> None:
         """Guards against a stream that stalls: one timer a silence, not one a token."""
--- a/worksmux/forwarding/decision_loop.py
+++ b/worksmux/forwarding/decision_loop.py
@@ -11,7 +11,8 @@
 
 from ..net import clock
 from ..net.loop import Reactor
-from ..policy import interface as i
+from ..policy.actions import Action
+from ..policy.events import Event
 from ..policy.id_map import Door
 from .counters import Counts
 
@@ -27,10 +28,10 @@
         self.failed = False  # the module has: nothing more is asked of it
         self.on_event: Any = None  # called with the time and each event told to the module
         self.before_turn: Any = None  # called with the time, before events are taken
-        self._events: list[i.Event] = []
+        self._events: list[Event] = []
         self._due = False
 
-    def tell(self, event: i.Event) -> None:
+    def tell(self, event: Event) -> None:
         self._events.append(event)
         self._soon()
 
@@ -69,7 +70,7 @@
         self._turned()
 
     def _log_slow_turn(
-        self, start: float, decided: float, used: float, events: list[i.Event], actions: list[i.Action]
+        self, start: float, decided: float, used: float, events: list[Event], actions: list[Action]
     ) -> None:
         """`start` and `decided` are times of the clock, `used` is the processor time of this thread at the
         start, in seconds."""
@@ -87,7 +88,7 @@
         """The module's name in the log."""
         raise NotImplementedError
 
-    def _carry_out(self, action: i.Action) -> None:
+    def _carry_out(self, action: Action) -> None:
         raise NotImplementedError
 
     def _break_off(self) -> None:
--- a/worksmux/forwarding/request_context.py
+++ b/worksmux/forwarding/request_context.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from ..policy import interface as i
+from ..policy.state import Attempt, Engine, Request
 
 
 class Client(Protocol):
@@ -35,15 +35,15 @@
 
 @dataclass(eq=False, slots=True)
 class Case:
-    job: i.Job
+    request: Request
     asked: Any  # what the client asks for, in its protocol's form
     client: Client
     key: str  # the job's name towards engines
     name: str  # of its offering
     state: Any = None  # the handle of its read state, where the protocol has one
-    held: dict[i.Engine, None] = field(default_factory=dict)  # where state or a place may lie
-    place: i.Engine | None = None
-    out: dict[i.Trip, Any] = field(default_factory=dict)  # the carriers of its trips
+    held: dict[Engine, None] = field(default_factory=dict)  # where state or a place may lie
+    place: Engine | None = None
+    out: dict[Attempt, Any] = field(default_factory=dict)  # the carriers of its trips
     answered: str = ""  # delivered, deferred, broken off or left
     timed_out: bool = False
     guard: Any = None
@@ -52,4 +52,4 @@
     result: Any = None  # of the trip that delivered
     kept: int = 0  # prompt tokens that its reads found kept
     why: str = ""  # the reason of its answer, for the log
-    reasons: dict[i.Trip, str] = field(default_factory=dict)  # of its attempts' ends, for the log
+    reasons: dict[Attempt, str] = field(default_factory=dict)  # of its attempts' ends, for the log
--- a/worksmux/forwarding/request_lifecycle.py
+++ b/worksmux/forwarding/request_lifecycle.py
@@ -16,8 +16,32 @@
 from ..net import client, clock
 from ..net.loop import Reactor
 from ..net.time_out import TimeOut
-from ..policy import interface as i
+from ..policy.actions import (
+    AbortRequest,
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    CloseConnections,
+    FetchEndpointList,
+    RejectRequest,
+    ReleaseKvCache,
+    ReserveSlot,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+    WriteLog,
+)
+from ..policy.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointListUpdate,
+    Event,
+    FirstToken,
+    HealthCheckEnded,
+    TimerFired,
+)
 from ..policy.id_map import Door
+from ..policy.state import Attempt, Engine, Outcome, Request
 from .attempt import outcome_of
 from .control_call import NeverSent, OutgoingCall, SmallCall
 from .counters import Counts
@@ -32,20 +56,20 @@
     def __init__(self, door: Door, reactor: Reactor, metrics: Counts) -> None:
         super().__init__(door, reactor, metrics)
         self.module_settings = door.settings
-        self.cases: dict[i.Job, Case] = {}
-        self.pools: dict[i.Engine, client.Pool] = {}
+        self.cases: dict[Request, Case] = {}
+        self.pools: dict[Engine, client.Pool] = {}
         self.number = 0
         self.engine_list: Any = None  # the source of the list, set by who builds both
         self.on_fault: Any = None  # called when the module has failed
         self.on_decision: Any = None  # called with a job's name and a trip, -1: its answer
         self.acts_on: Any = None  # gives what of the fleet's decisions holds, for trips
-        self.on_trip: Any = None  # called with an engine and an outcome, at a trip's end
+        self.on_attempt: Any = None  # called with an engine and an outcome, at a trip's end
         self.on_empty: Any = None  # called at each end of a job
         self._closing: list[Case] = []
 
     # What a protocol brings.
 
-    def _carry(self, case: Case, trip: i.Trip, pool: client.Pool, time_out: float) -> Carrying:
+    def _carry(self, case: Case, attempt: Attempt, pool: client.Pool, time_out: float) -> Carrying:
         """Starts a trip; what it meets is told later, never before this returns."""
         raise NotImplementedError
 
@@ -62,15 +86,15 @@
 
     def _probed(
         self, status: int, headers: dict[str, str], reply: bytes
-    ) -> tuple[i.Outcome, dict[str, float] | None]:
+    ) -> tuple[Outcome, dict[str, float] | None]:
         """Outcome and load report of a whole reply to a probe."""
         raise NotImplementedError
 
-    def _hold(self, job: i.Job, engine: i.Engine) -> None:
+    def _hold(self, request: Request, engine: Engine) -> None:
         """Asks for a place ahead of a job."""
         raise NotImplementedError
 
-    def _release(self, job: i.Job) -> None:
+    def _release(self, request: Request) -> None:
         """Lets go of all that is held for a job, until that is known to have been heard."""
         raise NotImplementedError
 
@@ -87,9 +111,9 @@
         closing, self._closing = self._closing, []
         # Guards against a place held for a client who leaves while its read is out: the read is called off in
         # this turn, and what the module lets go for it in the next must find its case.
-        unheard = {event.trip.job for event in self._events if isinstance(event, i.Ended)}
+        unheard = {event.attempt.request for event in self._events if isinstance(event, AttemptEnded)}
         for case in closing:
-            if case.job in unheard:
+            if case.request in unheard:
                 self._closing.append(case)
             else:
                 self._close(case)
@@ -110,14 +134,14 @@
 
     def _take(self, case: Case) -> Case:
         """A job is told to the module; from here on it is owed one answer."""
-        job = case.job
+        request = case.request
         slack = float(self.module_settings["answer_slack"])
-        left = max(0.0, job.give_up_at + slack - clock.now())
+        left = max(0.0, request.give_up_at + slack - clock.now())
         # Where the reactor itself was late, the module first hears what has come up to now.
         case.guard = TimeOut(self.reactor, left / 1000, lambda: self._overdue(case), LATE_LOOKS)
-        self.cases[job] = case
+        self.cases[request] = case
         self.metrics.arrived(case.name)
-        self.tell(self.door.arrived(job))
+        self.tell(self.door.arrived(request))
         return case
 
     def left(self, case: Case) -> None:
@@ -125,9 +149,9 @@
         if not case.answered:
             case.why = "its client left"
             self._answer(case, "left")
-            self.tell(i.Left(case.job))
-        for trip, carrier in list(case.out.items()):
-            if trip.began or trip.job.began:
+            self.tell(ClientDisconnected(case.request))
+        for attempt, carrier in list(case.out.items()):
+            if attempt.began or attempt.request.began:
                 carrier.cancel()
             else:
                 carrier.withdraw()  # guards against trips that begin for nobody
@@ -136,11 +160,11 @@
         """Guards against a module that lets a job's time pass: the client is told, and the fault is
         counted."""
         if not case.answered and not case.first_at:
-            LOG.error("a job's time passed without an answer", job=case.key)
+            LOG.error("a job's time passed without an answer", request=case.key)
             self.metrics.overdue()
             case.timed_out, case.why = True, "its time passed without an answer"
             self._answer(case, "broken off")
-            self.tell(i.Left(case.job))
+            self.tell(ClientDisconnected(case.request))
 
     def _answer(self, case: Case, how: str, stay_away: float = 0.0, result: Any = None) -> None:
         """The one final answer."""
@@ -163,31 +187,33 @@
 
     def _close(self, case: Case) -> None:
         """Forgets a job that is answered and has no trip out; logs its end."""
-        if case.out or self.cases.pop(case.job, None) is None:
+        if case.out or self.cases.pop(case.request, None) is None:
             return
         now = clock.now()
-        first = case.first_at - case.job.arrived if case.first_at else None
-        self.metrics.ended(case.name, case.answered, now - case.job.arrived, first, len(case.job.trips))
+        first = case.first_at - case.request.arrived if case.first_at else None
+        self.metrics.ended(
+            case.name, case.answered, now - case.request.arrived, first, len(case.request.attempts)
+        )
         LOG.info(
             "job",
-            job=case.key,
-            offering=case.name,
+            request=case.key,
+            request_class=case.name,
             answer=case.answered,
-            ms=round(now - case.job.arrived, 1),
+            ms=round(now - case.request.arrived, 1),
             first_ms=round(first, 1) if first is not None else None,
-            prompt=round(case.job.prompt),
+            prompt=round(case.request.prompt),
             kept=case.kept,
             why=case.why,
             **self._ended_with(case),
-            trips=[
+            attempts=[
                 {
-                    "engine": trip.engine.id.decode(),
-                    "reading": trip.reading,
-                    "at": round(trip.sent - case.job.arrived, 1),
-                    "outcome": trip.outcome.value if trip.outcome else None,
-                    "why": case.reasons.get(trip, ""),
+                    "engine": attempt.engine.id.decode(),
+                    "reading": attempt.reading,
+                    "at": round(attempt.sent - case.request.arrived, 1),
+                    "outcome": attempt.outcome.value if attempt.outcome else None,
+                    "why": case.reasons.get(attempt, ""),
                 }
-                for trip in case.job.trips
+                for attempt in case.request.attempts
             ],
         )
         if self.on_empty:
@@ -195,139 +221,141 @@
 
     # What the carriers tell.
 
-    def began(self, trip: i.Trip) -> None:
-        case = self.cases[trip.job]
-        if trip.job.began or case.answered:  # another copy's stream has the client already
-            case.out[trip].cancel()
+    def began(self, attempt: Attempt) -> None:
+        case = self.cases[attempt.request]
+        if attempt.request.began or case.answered:  # another copy's stream has the client already
+            case.out[attempt].cancel()
             return
         now = clock.now()
-        trip.began, trip.job.began, case.first_at = now, True, now
+        attempt.began, attempt.request.began, case.first_at = now, True, now
         self._taken(case)
         if case.guard.active():
             case.guard.cancel()
-        self.tell(i.Began(trip, now - trip.sent))
+        self.tell(FirstToken(attempt, now - attempt.sent))
 
     def _taken(self, case: Case) -> None:
         """The answer has begun: what was held is taken."""
         case.held.clear()
 
-    def _may_hold(self, case: Case, trip: i.Trip, outcome: i.Outcome, carrier: Any) -> None:
+    def _may_hold(self, case: Case, attempt: Attempt, outcome: Outcome, carrier: Any) -> None:
         """A trip has ended: its engine may hold state from now on, also where the reply was lost."""
-        if trip.reading and outcome not in (i.Outcome.FULL, i.Outcome.UNREACHABLE, i.Outcome.MOOT):
-            case.held[trip.engine] = None
+        if attempt.reading and outcome not in (Outcome.FULL, Outcome.UNREACHABLE, Outcome.MOOT):
+            case.held[attempt.engine] = None
 
-    def text(self, trip: i.Trip, content: Any) -> None:
-        case = self.cases[trip.job]
-        if not case.answered and trip.began:
+    def text(self, attempt: Attempt, content: Any) -> None:
+        case = self.cases[attempt.request]
+        if not case.answered and attempt.began:
             case.client.text(content)
 
     def ended(
-        self, trip: i.Trip, outcome: i.Outcome, note: int, report: dict[str, float] | None, result: Any
+        self, attempt: Attempt, outcome: Outcome, note: int, report: dict[str, float] | None, result: Any
     ) -> None:
-        case = self.cases.get(trip.job)
+        case = self.cases.get(attempt.request)
         if case is None:  # the module has failed and all is broken off
             return
-        carrier = case.out.pop(trip, None)
+        carrier = case.out.pop(attempt, None)
         if carrier is not None and carrier.why:
-            case.reasons[trip] = carrier.why
-        self._may_hold(case, trip, outcome, carrier)
-        if outcome in (i.Outcome.CANCELLED, i.Outcome.TIMED_OUT):
+            case.reasons[attempt] = carrier.why
+        self._may_hold(case, attempt, outcome, carrier)
+        if outcome in (Outcome.CANCELLED, Outcome.TIMED_OUT):
             case.called_off = clock.now()
-        if self.on_trip:
-            self.on_trip(trip.engine, outcome)
-        if trip.reading:
-            if outcome is i.Outcome.READ:
+        if self.on_attempt:
+            self.on_attempt(attempt.engine, outcome)
+        if attempt.reading:
+            if outcome is Outcome.READ:
                 case.state = result
                 case.kept += note
-        elif outcome is i.Outcome.DELIVERED:
+        elif outcome is Outcome.DELIVERED:
             case.result = result
             self._answer(case, "delivered", result=result)
-        elif trip.began:
-            case.timed_out = outcome is i.Outcome.TIMED_OUT
+        elif attempt.began:
+            case.timed_out = outcome is Outcome.TIMED_OUT
             case.why = "its stream broke"
             self._answer(case, "broken off")  # the break of a begun stream ends its job
-        elif outcome is i.Outcome.FULL and note == 1:
+        elif outcome is Outcome.FULL and note == 1:
             case.state = None
-        case.timed_out = outcome is i.Outcome.TIMED_OUT
+        case.timed_out = outcome is Outcome.TIMED_OUT
         if case.answered:
             self._closing.append(case)
-        self.tell(i.Ended(trip, outcome, clock.now() - trip.sent, bool(case.answered), note, report))
+        self.tell(
+            AttemptEnded(attempt, outcome, clock.now() - attempt.sent, bool(case.answered), note, report)
+        )
 
     # Actions.
 
-    def _carry_out(self, action: i.Action) -> None:
+    def _carry_out(self, action: Action) -> None:
         match action:
-            case i.Send():
+            case StartAttempt():
                 self._send(action)
-            case i.Defer(job, stay_away, why):
-                self._note_reason(job, why)
-                self._final(job, "deferred", stay_away)
-            case i.BreakOff(job, why):
-                self._note_reason(job, why)
-                self._final(job, "broken off")
-            case i.Cancel(trip):
-                case = self.cases.get(trip.job)
-                if case and trip in case.out and not trip.began:
-                    case.out[trip].cancel()
-            case i.Alarm(after, token):
-                self.reactor.callLater(max(0.0, after) / 1000, self.tell, i.Rang(token))
-            case i.Probe(engine):
+            case RejectRequest(request, stay_away, why):
+                self._note_reason(request, why)
+                self._final(request, "deferred", stay_away)
+            case AbortRequest(request, why):
+                self._note_reason(request, why)
+                self._final(request, "broken off")
+            case CancelAttempt(attempt):
+                case = self.cases.get(attempt.request)
+                if case and attempt in case.out and not attempt.began:
+                    case.out[attempt].cancel()
+            case SetTimer(after, token):
+                self.reactor.callLater(max(0.0, after) / 1000, self.tell, TimerFired(token))
+            case CheckHealth(engine):
                 self.probe(engine, self.tell)
-            case i.Hold(job, engine):
-                self._hold(job, engine)
-            case i.Release(job):
-                self._release(job)
-            case i.Watch(on):
+            case ReserveSlot(request, engine):
+                self._hold(request, engine)
+            case ReleaseKvCache(request):
+                self._release(request)
+            case WatchEndpoints(on):
                 self.engine_list.watch(on)
-            case i.Fetch():
+            case FetchEndpointList():
                 self.engine_list.fetch()
-            case i.Close(engine):
+            case CloseConnections(engine):
                 self._shut(engine)
-            case i.Log(text):
+            case WriteLog(text):
                 LOG.info("module", text=text)
             case _:
                 LOG.warning("the front cannot do this", action=type(action).__name__)
 
-    def _note_reason(self, job: i.Job, why: str) -> None:
-        case = self.cases.get(job)
+    def _note_reason(self, request: Request, why: str) -> None:
+        case = self.cases.get(request)
         if case is not None and not case.answered:
             case.why = why
 
-    def _final(self, job: i.Job, how: str, stay_away: float = 0.0) -> None:
-        case = self.cases.get(job)
+    def _final(self, request: Request, how: str, stay_away: float = 0.0) -> None:
+        case = self.cases.get(request)
         if case:
             self._answer(case, how, stay_away)
 
-    def _send(self, action: i.Send) -> None:
-        trip, job = action.trip, action.trip.job
-        case = self.cases.get(job)
+    def _send(self, action: StartAttempt) -> None:
+        attempt, request = action.attempt, action.attempt.request
+        case = self.cases.get(request)
         if case is not None and not case.answered and case.client.gone():
             self.left(case)  # seen now, and not when the reactor comes to it
         now = clock.now()
-        left = job.give_up_at - now
+        left = request.give_up_at - now
         moot = (
             case is None
             or bool(case.answered)
-            or job.began
+            or request.began
             or left <= 0
-            or len(job.trips) > int(self.module_settings["most_trips"])
+            or len(request.attempts) > int(self.module_settings["most_trips"])
         )
         if moot or case is None:
-            self.metrics.trip("moot")
-            self.tell(i.Ended(trip, i.Outcome.MOOT, 0.0, case is None or bool(case.answered)))
+            self.metrics.attempt("moot")
+            self.tell(AttemptEnded(attempt, Outcome.MOOT, 0.0, case is None or bool(case.answered)))
             return
-        if trip.engine not in self.pools:
-            raise LookupError(f"the module sends to an engine without an address: {trip.engine.id!r}")
+        if attempt.engine not in self.pools:
+            raise LookupError(f"the module sends to an engine without an address: {attempt.engine.id!r}")
         if self.on_decision:
-            self.on_decision(case.key, trip.number)
+            self.on_decision(case.key, attempt.number)
         time_out = min(action.time_out, left) if action.time_out else left
-        case.out[trip] = self._carry(case, trip, self.pools[trip.engine], time_out)
-        self.metrics.trip("read" if trip.reading else "write")
+        case.out[attempt] = self._carry(case, attempt, self.pools[attempt.engine], time_out)
+        self.metrics.attempt("read" if attempt.reading else "write")
 
     # Small calls.
 
     def _small(
-        self, engine: i.Engine, method: str, path: str, body: bytes, on_end: client.OnEnd
+        self, engine: Engine, method: str, path: str, body: bytes, on_end: client.OnEnd
     ) -> OutgoingCall:
         """A call beside the jobs, with its own time-out.  One to an engine never listed is unreachable."""
         if engine not in self.pools:
@@ -337,7 +365,7 @@
             self.reactor, self.pools[engine], method, path, headers, body, bound, time_out, on_end
         )
 
-    def probe(self, engine: i.Engine, tell: Callable[[i.Event], None]) -> None:
+    def probe(self, engine: Engine, tell: Callable[[Event], None]) -> None:
         """Asks an engine how it does; `tell` gets the answer."""
         sent = clock.now()
 
@@ -346,31 +374,31 @@
             if trouble is not None:
                 outcome = outcome_of(trouble)
             elif not status:
-                outcome = i.Outcome.TIMED_OUT
+                outcome = Outcome.TIMED_OUT
             else:
                 outcome, report = self._probed(status, headers, reply)
             self.metrics.probe(outcome.value)
-            tell(i.Probed(engine, outcome, clock.now() - sent, report))
+            tell(HealthCheckEnded(engine, outcome, clock.now() - sent, report))
 
         self._small(engine, "GET", self._probe_path(), b"", ended)
 
     # The engines.
 
-    def _shut(self, engine: i.Engine) -> None:
+    def _shut(self, engine: Engine) -> None:
         """Closes the idle connections to an engine."""
         if engine in self.pools:
             self.pools[engine].close()
 
-    def listed(self, event: i.Listed) -> None:
+    def listed(self, event: EndpointListUpdate) -> None:
         for entry in event.entries:
             if entry.state == "gone":
                 self._shut(entry.engine)
         self._tell_list(event)
 
-    def _tell_list(self, event: i.Listed) -> None:
+    def _tell_list(self, event: EndpointListUpdate) -> None:
         self.tell(event)
 
-    def moved(self, engine: i.Engine, host: str, port: int) -> None:
+    def moved(self, engine: Engine, host: str, port: int) -> None:
         """An engine has a new address: trips that are out go on where they are."""
         self._shut(engine)
         self.pools[engine] = self._pool(host, port)
--- a/worksmux/forwarding/stream_relay.py
+++ b/worksmux/forwarding/stream_relay.py
@@ -31,8 +31,8 @@
     def _link(self) -> None:
         """A client that reads slowly slows its engine down, instead of filling this process."""
         if self.case is not None and not self.exchange.over:
-            for trip, carrier in self.case.out.items():
-                if trip.began:
+            for attempt, carrier in self.case.out.items():
+                if attempt.began:
                     self.exchange.registerProducer(carrier, True)
 
     def _unlink(self) -> None:
--- a/worksmux/gateway/active_versions.py
+++ b/worksmux/gateway/active_versions.py
@@ -28,7 +28,7 @@
         shared = repr(
             (
                 settings.zones,
-                settings.offerings,
+                settings.request_classes,
                 settings.kinds,
                 settings.transport,
                 settings.lanes,
--- a/worksmux/gateway/attempts.py
+++ b/worksmux/gateway/attempts.py
@@ -16,22 +16,22 @@
 from ..api.events import Events, TooLong
 from ..forwarding.attempt import Carriage, Streaming
 from ..net import client
-from ..policy import interface as i
+from ..policy.state import Outcome
 
 
-def refusal(status: int, body: bytes) -> tuple[i.Outcome, int]:
+def refusal(status: int, body: bytes) -> tuple[Outcome, int]:
     """How a whole reply without an answer ended: 429 is full, told apart by its code; all else is an
     error."""
     if status != 429:
-        return i.Outcome.ERROR, 0
-    return i.Outcome.FULL, int(code_of(body) == calls.STATE_LOST)
+        return Outcome.ERROR, 0
+    return Outcome.FULL, int(code_of(body) == calls.STATE_LOST)
 
 
 class Carrier(Carriage):
     def send(self, headers: client.Headers, body: bytes) -> None:
         self.call = self.pool.call("POST", calls.CHAT, self, headers, body)
 
-    def _refusal(self) -> tuple[i.Outcome, int]:
+    def _refusal(self) -> tuple[Outcome, int]:
         return refusal(self.status, bytes(self.body))
 
     def _report(self) -> dict[str, float] | None:
@@ -47,8 +47,8 @@
         try:
             reply = READ_REPLY.decode(bytes(self.body))
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-            return self._end(i.Outcome.ERROR)
-        self._end(i.Outcome.READ, reply.usage.cached if reply.usage else 0, reply.kv_transfer_params)
+            return self._end(Outcome.ERROR)
+        self._end(Outcome.READ, reply.usage.cached if reply.usage else 0, reply.kv_transfer_params)
 
 
 class Writing(Streaming, Carrier):
@@ -67,13 +67,13 @@
                 if self.over:
                     return
         except (TooLong, msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-            self._end(i.Outcome.ERROR)
+            self._end(Outcome.ERROR)
 
     def _event(self, data: bytes) -> None:
         if data == b"[DONE]":
-            if not (self.finish and self.trip.began):
-                return self._end(i.Outcome.ERROR)  # an end without an answer
-            return self._end(i.Outcome.DELIVERED, self.usage.cached, (self.finish, self.usage))
+            if not (self.finish and self.attempt.began):
+                return self._end(Outcome.ERROR)  # an end without an answer
+            return self._end(Outcome.DELIVERED, self.usage.cached, (self.finish, self.usage))
         chunk = READ_CHUNK.decode(data)
         if chunk.usage is not None:
             self.usage = chunk.usage
@@ -84,4 +84,4 @@
             self.finish = choice.finish_reason or self.finish
 
     def _stream_over(self) -> None:
-        self._end(i.Outcome.ERROR)  # the reply ended cleanly, yet without [DONE]
+        self._end(Outcome.ERROR)  # the reply ended cleanly, yet without [DONE]
--- a/worksmux/gateway/chat_engine_client.py
+++ b/worksmux/gateway/chat_engine_client.py
@@ -11,8 +11,9 @@
 from ..forwarding.request_lifecycle import Core
 from ..net import client, clock
 from ..net.loop import Reactor
-from ..policy import interface as i
+from ..policy.events import EndpointListUpdate, SlotReserved
 from ..policy.id_map import Door
+from ..policy.state import Attempt, Engine, Outcome, Request
 from ..settings.front import FrontSettings
 from . import attempts as carriers
 from .metrics import Metrics
@@ -33,17 +34,17 @@
 
     def arrived(self, asked: chat.Asked, client_side: Client, arrived: float) -> Case:
         """A job that came at `arrived` is told to the module; from here on it is owed one answer."""
-        offering = self.settings.offerings[asked.offering]
-        limit = offering.outer_limit + 2 * offering.promised_per_k * asked.prompt / 1000
+        request_class = self.settings.request_classes[asked.request_class]
+        limit = request_class.outer_limit + 2 * request_class.promised_per_k * asked.prompt / 1000
         left = max(
             0.0,
             min(limit, asked.time_left if asked.time_left is not None else limit)
             - self.settings.transport.answer_margin,
         )
         self.number += 1
-        job = i.Job(
+        request = Request(
             self.number,
-            asked.offering,
+            asked.request_class,
             asked.session,
             asked.prefix,
             asked.prompt,
@@ -53,33 +54,33 @@
             arrived + left,
             repeat=asked.repeat,
         )
-        case = Case(job, asked, client_side, f"{self.name}.{job.id}", asked.name)
+        case = Case(request, asked, client_side, f"{self.name}.{request.id}", asked.name)
         asked.label = asked.label or case.key
         return self._take(case)
 
     def corrected(self, case: Case) -> None:
         """The prompt of a job that went on by a bound is counted; its beginning counts until its first
         trip."""
-        job, asked = case.job, case.asked
-        job.prompt = asked.prompt
-        if not job.trips:
-            job.prefix, job.prefix_tokens = asked.prefix, asked.prefix_tokens
+        request, asked = case.request, case.asked
+        request.prompt = asked.prompt
+        if not request.attempts:
+            request.prefix, request.prefix_tokens = asked.prefix, asked.prefix_tokens
 
     def _ended_with(self, case: Case) -> dict[str, Any]:
         return {"tokens": case.result[1].completion_tokens if case.result else 0}
 
     # Trips.
 
-    def _carry(self, case: Case, trip: i.Trip, pool: client.Pool, time_out: float) -> carriers.Carrier:
-        if case.place is not None and case.place is not trip.engine and not trip.reading:
+    def _carry(self, case: Case, attempt: Attempt, pool: client.Pool, time_out: float) -> carriers.Carrier:
+        if case.place is not None and case.place is not attempt.engine and not attempt.reading:
             self._let_go(case, case.place)  # a send to another writer gives the place up
         transport, asked = self.settings.transport, case.asked
-        make = carriers.Reading if trip.reading else carriers.Writing
-        carrier = make(self.reactor, pool, trip, self, time_out, transport.stream_silence, transport.reply)
+        make = carriers.Reading if attempt.reading else carriers.Writing
+        carrier = make(self.reactor, pool, attempt, self, time_out, transport.stream_silence, transport.reply)
         headers = [
             ("Content-Type", "application/json"),
-            (chat.REQUEST_ID, f"{case.key}.{trip.number}"),
-            (calls.JOB, case.key),
+            (chat.REQUEST_ID, f"{case.key}.{attempt.number}"),
+            (calls.REQUEST, case.key),
             (calls.FRONT, self.settings.name),
             (chat.LABEL, asked.label),
         ]
@@ -89,8 +90,8 @@
             headers.append((calls.PROMPT_TOKENS, str(int(asked.prompt))))
         if asked.request_id:
             headers.append((calls.TRY, asked.request_id))
-        state = case.state if trip.job.holder is not None else None
-        carrier.send(headers, chat.to_reader(asked) if trip.reading else chat.to_writer(asked, state))
+        state = case.state if attempt.request.holder is not None else None
+        carrier.send(headers, chat.to_reader(asked) if attempt.reading else chat.to_writer(asked, state))
         return carrier
 
     # Small calls.
@@ -108,16 +109,16 @@
 
     def _probed(
         self, status: int, headers: dict[str, str], reply: bytes
-    ) -> tuple[i.Outcome, dict[str, float] | None]:
+    ) -> tuple[Outcome, dict[str, float] | None]:
         if status != 200:
             return carriers.refusal(status, reply)[0], None
-        return i.Outcome.DELIVERED, calls.load_report(headers.get(calls.LOAD))
+        return Outcome.DELIVERED, calls.load_report(headers.get(calls.LOAD))
 
-    def _hold(self, job: i.Job, engine: i.Engine) -> None:
-        case = self.cases.get(job)
+    def _hold(self, request: Request, engine: Engine) -> None:
+        case = self.cases.get(request)
         if case is None or case.answered:
             return
-        reading = next((trip for trip in case.out if trip.reading), None)
+        reading = next((attempt for attempt in case.out if attempt.reading), None)
         reader = None
         if reading is not None and reading.engine in self.pools:
             pool = self.pools[reading.engine]
@@ -139,27 +140,27 @@
                     pause = self.settings.module["release_within"] / 2
                     self.reactor.callLater(pause / 1000, self._release_until, engine, release, 1)
             if answered and reading is not None and reading.outcome is None and reading in case.out:
-                self.tell(i.Placed(reading, engine, held))
+                self.tell(SlotReserved(reading, engine, held))
 
-        body = chat.ENCODE.encode(calls.Place(case.key, job.prompt, reader))
+        body = chat.ENCODE.encode(calls.Place(case.key, request.prompt, reader))
         self._small(engine, "POST", calls.PLACE, body, ended)
 
-    def _release(self, job: i.Job) -> None:
-        case = self.cases.get(job)
+    def _release(self, request: Request) -> None:
+        case = self.cases.get(request)
         if case is None:
             return
         case.state = None
         for engine in list(case.held):
             self._let_go(case, engine)
 
-    def _let_go(self, case: Case, engine: i.Engine) -> None:
+    def _let_go(self, case: Case, engine: Engine) -> None:
         case.held.pop(engine, None)
         if case.place is engine:
             case.place = None
         self._release_until(engine, chat.ENCODE.encode(calls.Release(case.key)), 1)
         self.metrics.release()
 
-    def _release_until(self, engine: i.Engine, body: bytes, tries: int) -> None:
+    def _release_until(self, engine: Engine, body: bytes, tries: int) -> None:
         """Guards against a release that gets lost, which would leave state pinned: it is harmless to
         repeat, and only the engine that holds can be asked.  Where that one is cut off it goes on, slowly,
         until it has been heard or the engine has left the list."""
@@ -177,15 +178,17 @@
 
     # The engines.
 
-    def _tell_list(self, event: i.Listed) -> None:
+    def _tell_list(self, event: EndpointListUpdate) -> None:
         self.tell(self._of("chat", event))
         for lane in self.lanes:
             lane.tell(self._of(lane.settings.call, event))
 
-    def _of(self, call: str, event: i.Listed) -> i.Listed:
+    def _of(self, call: str, event: EndpointListUpdate) -> EndpointListUpdate:
         """The part of a list that carries a call: no lane's module knows another's engines."""
         kinds = self.settings.kinds
-        return i.Listed(event.scope, [entry for entry in event.entries if kinds[entry.kind].call == call])
+        return EndpointListUpdate(
+            event.scope, [entry for entry in event.entries if kinds[entry.kind].call == call]
+        )
 
     def _pool(self, host: str, port: int) -> client.Pool:
         bounds = self.settings.transport
--- a/worksmux/gateway/clients.py
+++ b/worksmux/gateway/clients.py
@@ -91,12 +91,12 @@
 
     def __init__(self, core: PublishedCore, tokens: TokenService | None = None) -> None:
         self.core = core
-        names = [one.name for one in core.settings.offerings]
-        self.offerings = {name: at for at, name in enumerate(names)}
-        self.most = [one.most_answer for one in core.settings.offerings]
+        names = [one.name for one in core.settings.request_classes]
+        self.request_classes = {name: at for at, name in enumerate(names)}
+        self.most = [one.most_answer for one in core.settings.request_classes]
         self.models = chat.models(names)
         self.tokens = tokens
-        self.on_job: Callable[[], None] | None = None
+        self.on_request: Callable[[], None] | None = None
         self.counting: dict[Counting, None] = {}  # their prompts are being counted
         self.stopping = False
         self.vectors: VectorSide | None = None  # set by who builds both
@@ -134,19 +134,19 @@
             return self._no(
                 exchange, 503, "the front is stopping; try another", "server_error", "deferred", away
             )
-        if len(self.core.cases) + len(self.counting) >= self.core.settings.transport.open_jobs:
+        if len(self.core.cases) + len(self.counting) >= self.core.settings.transport.open_requests:
             self.core.metrics.turned_away("too many open")
             return self._no(
                 exchange, 503, "the front holds as many jobs as it may", "server_error", "deferred", away
             )
         arrived = clock.now()
         try:
-            asked = chat.asked(exchange.body(), exchange.header, self.offerings, self.most)
-        except errors.BadJob as bad:
+            asked = chat.asked(exchange.body(), exchange.header, self.request_classes, self.most)
+        except errors.BadRequest as bad:
             self.core.metrics.turned_away("bad job")
             exchange.answer(bad.status, bad.body)
             return
-        if self.vectors is not None and self.vectors.gate.is_short(asked.offering):
+        if self.vectors is not None and self.vectors.gate.is_short(asked.request_class):
             self.core.metrics.turned_away("the front itself is short")
             return self._no(
                 exchange, 503, "the front itself is short; come back later", "server_error", "deferred", away
@@ -158,8 +158,8 @@
 
     def _take(self, exchange: Exchange, asked: Asked, arrived: float) -> Case:
         """From here on the job is the module's."""
-        if self.on_job:
-            self.on_job()
+        if self.on_request:
+            self.on_request()
         side = ChatClient(exchange, asked)
         case = side.case = self.core.arrived(asked, side, arrived)
         exchange.on_gone = lambda: self.core.left(case)
@@ -180,14 +180,15 @@
 
     def start(self) -> None:
         asked = self.asked
-        offering = self.side.core.settings.offerings[asked.offering]
+        request_class = self.side.core.settings.request_classes[asked.request_class]
         promised = min(
-            offering.promised_time, offering.promised_time if asked.time_left is None else asked.time_left
+            request_class.promised_time,
+            request_class.promised_time if asked.time_left is None else asked.time_left,
         )
         self.side.counting[self] = None
         self.exchange.on_gone = self._gone
         self.prompt = self.tokens.count(
-            asked.parts, asked.offering, offering.most_prompt, promised, asked.session, self._result
+            asked.parts, asked.request_class, request_class.most_prompt, promised, asked.session, self._result
         )
 
     def _gone(self) -> None:
@@ -213,7 +214,7 @@
             return
         match told.verdict:
             case Verdict.TOO_LONG:
-                limit = core.settings.offerings[asked.offering].most_prompt
+                limit = core.settings.request_classes[asked.request_class].most_prompt
                 number = f"{told.least}" if told.exact else f"at least {told.least}"
                 core.metrics.turned_away("prompt too long")
                 self.exchange.answer(
--- a/worksmux/gateway/endpoint_cache.py
+++ b/worksmux/gateway/endpoint_cache.py
@@ -14,8 +14,9 @@
 from ..endpoints.staleness import Answer, Belief, Beliefs, Saved, Stand, Step, Turnover
 from ..net import client, clock
 from ..net.loop import Reactor
-from ..policy import interface as i
+from ..policy.events import EndpointEntry, EndpointListUpdate
 from ..policy.router import MEMORY
+from ..policy.state import Engine, Outcome
 from ..settings.front import MemorySettings
 from ..storage.database import Store, Unusable, open_store
 from ..storage.writer import Writer
@@ -56,7 +57,7 @@
         self.kept: dict[str, Line] = {}  # as the registry last told, for turnover
         self.told_at = 0.0
         self.beliefs: Beliefs | None = None
-        self.learner = Learner([one.name for one in core.settings.offerings])
+        self.learner = Learner([one.name for one in core.settings.request_classes])
         self.timer: Any = None
         self.keep_timer: Any = None
         self.engine_list: Any = None  # set by who builds both
@@ -104,7 +105,7 @@
         self.core.tell(
             recall(
                 kept,
-                self.learner.offerings,
+                self.learner.request_classes,
                 self._engines(),
                 clock.wall(),
                 self.facts.turnover,
@@ -115,7 +116,7 @@
         self._watch()
         self._keep_later()
 
-    def _engines(self) -> list[tuple[i.Engine, float]]:
+    def _engines(self) -> list[tuple[Engine, float]]:
         """Each engine with its start as it was listed."""
         return [(known.engine, known.line.started) for known in self.engine_list.keeper.known.values()]
 
@@ -156,16 +157,16 @@
             LOG.warning("remembered list", note=note)
         if step.changed or scope == "cached":
             entries = [entry for belief in step.changed if (entry := self._entry(belief)) is not None]
-            self.core.listed(i.Listed(scope, entries))
+            self.core.listed(EndpointListUpdate(scope, entries))
         for line in step.ask:
             self._probe(line)
 
-    def _entry(self, belief: Belief) -> i.Entry | None:
+    def _entry(self, belief: Belief) -> EndpointEntry | None:
         state = belief.stand.listed
         if state == "gone" and belief.line.id not in self.engine_list.keeper.known:
             self.core.moved(self.engine_list.engine(belief.line.id), belief.line.host, belief.line.port)
             return None  # an address to ask; the module has never heard of it
-        entry: i.Entry | None = self.engine_list.keeper.remember(
+        entry: EndpointEntry | None = self.engine_list.keeper.remember(
             clock.now(), clock.wall(), belief.line, state, careful=belief.stand is Stand.LIKELY
         )
         if entry is not None:
@@ -210,19 +211,19 @@
 
     # While it serves.
 
-    def job_came(self) -> None:
+    def request_came(self) -> None:
         """Of chat: the calls of one stage have the gate before them."""
         if self.beliefs is not None and not self.beliefs.over:
             roles = {kind.name: kind.role for kind in self.core.settings.kinds if kind.call == "chat"}
-            step = self.beliefs.job_came(clock.now(), roles)
+            step = self.beliefs.request_came(clock.now(), roles)
             self._apply(step)
             if step.ask:  # what is asked now is no longer due
                 self._watch()
 
-    def trip_ended(self, engine: i.Engine, outcome: i.Outcome) -> None:
+    def attempt_ended(self, engine: Engine, outcome: Outcome) -> None:
         if self.beliefs is not None and not self.beliefs.over:
-            self._apply(self.beliefs.trip_ended(engine.id.decode(), outcome, clock.now()))
-            if outcome is i.Outcome.UNREACHABLE:
+            self._apply(self.beliefs.attempt_ended(engine.id.decode(), outcome, clock.now()))
+            if outcome is Outcome.UNREACHABLE:
                 self._watch()
 
     # What the registry tells.
--- a/worksmux/gateway/engine_list.py
+++ b/worksmux/gateway/engine_list.py
@@ -18,7 +18,8 @@
 from ..endpoints.keys import key_of
 from ..net import clock
 from ..net.loop import Reactor, Transport
-from ..policy import interface as i
+from ..policy.events import EndpointListUpdate
+from ..policy.state import Engine
 from ..settings.front import ListSource
 from .chat_engine_client import PublishedCore
 from .endpoint_cache import Memory
@@ -81,7 +82,7 @@
         self.look: Any = None  # what the roster wants done later
         self.since = 0.0  # the connection's start
 
-    def engine(self, name: str) -> i.Engine:
+    def engine(self, name: str) -> Engine:
         address = name.encode()
         return self.core.door.engine(address, key_of(address))
 
@@ -148,7 +149,7 @@
             serial=self.keeper.serial,
         )
         if self.source.ask:
-            self.core.tell(i.Listed("failed", []))
+            self.core.tell(EndpointListUpdate("failed", []))
         if clock.now() - self.since > self.source.most_pause:
             self.pause = self.source.least_pause  # one that flaps is not asked in a loop
         self._again()
@@ -223,4 +224,4 @@
         if self.link is not None:
             self.link.say(Hello(fetch=True))
         else:
-            self.core.tell(i.Listed("failed", []))
+            self.core.tell(EndpointListUpdate("failed", []))
--- a/worksmux/gateway/fleet/audit_log_keeper.py
+++ b/worksmux/gateway/fleet/audit_log_keeper.py
@@ -195,21 +195,21 @@
             found.take(front, [msgspec.msgpack.decode(data, type=Record) for data in kept.values()])
         return found
 
-    def told(self, at: float | None, job: str) -> dict[str, Any]:
+    def told(self, at: float | None, request: str) -> dict[str, Any]:
         """What all accounts say, as far as they are known here."""
         accounts, until = self.accounts(), clock.wall()
-        if job:
+        if request:
             return {
-                "job": job,
+                "job": request,
                 "decisions": [
                     {
                         "front": front,
-                        "trip": one.trip,
+                        "trip": one.attempt,
                         "at": one.at,
                         "line": one.line,
                         "versions": msgspec.to_builtins(versions),
                     }
-                    for front, one, versions in accounts.explain(job)
+                    for front, one, versions in accounts.explain(request)
                 ],
             }
         fronts = sorted(accounts.records)
--- a/worksmux/gateway/fleet/peering.py
+++ b/worksmux/gateway/fleet/peering.py
@@ -31,7 +31,7 @@
 from ...gossip.members import Rumour, State
 from ...net import clock
 from ...net.loop import Reactor
-from ...policy import interface as i
+from ...policy.events import Event, FailoverPlan
 from ...policy.measure import mix
 from ...settings.front import FrontSettings
 from ..active_versions import Holding
@@ -66,10 +66,12 @@
         self.council.on_step, self.council.on_leader = self._tell_follower, self._forget_planner
         self.swim: peers.Swim | None = None
         self.follower = follow.Follower(settings.name, fleet.lease, mix(seed, 2), clock.now(), self._report)
-        self.watcher = Watcher(settings.zones, [one.name for one in settings.offerings], settings.module)
+        self.watcher = Watcher(
+            settings.zones, [one.name for one in settings.request_classes], settings.module
+        )
         self.map = Map(
             {zone: settings.regions.get(zone, "") for zone in settings.zones},
-            {one.name: one.credit for one in settings.offerings},
+            {one.name: one.credit for one in settings.request_classes},
             settings.module["cold_share"],
             fleet.look,
             fleet.carries,
@@ -79,7 +81,7 @@
         self.planner: Planner | None = None
         self.plan = Plan()
         self.alone = True
-        self.told: i.Planned | None = None
+        self.told: FailoverPlan | None = None
         self.history: deque[dict[str, Any]] = deque(maxlen=KEPT)
         self.own = Tally(zones={}, asked={})  # this front's latest report
         self.proposed_at = -inf
@@ -121,8 +123,8 @@
         self._follow(follow.Tick())
         self._look()
 
-    def _both(self, other: Callable[[float, i.Event], None]) -> Callable[[float, i.Event], None]:
-        def saw(now: float, event: i.Event) -> None:
+    def _both(self, other: Callable[[float, Event], None]) -> Callable[[float, Event], None]:
+        def saw(now: float, event: Event) -> None:
             other(now, event)
             self.watcher.saw(now, event)
 
@@ -392,18 +394,18 @@
         event = acting.told(
             self.plan,
             self.settings.zones,
-            [one.name for one in self.settings.offerings],
+            [one.name for one in self.settings.request_classes],
             alone,
             self.settings.zones[self.settings.module["zone"]],
             self.own,
         )
         if event != self.told:
             self.told = event
-            self.core.tell(event or i.Planned({}, {}, 0.0))
+            self.core.tell(event or FailoverPlan({}, {}, 0.0))
         self.keeper.acts_on(self.holding.versions(self.plan, alone, self.core.engine_list.keeper))
 
-    def _decided(self, job: str, trip: int) -> None:
-        self.keeper.account.decides(job, trip, clock.wall())
+    def _decided(self, request: str, attempt: int) -> None:
+        self.keeper.account.decides(request, attempt, clock.wall())
 
     def acts_on(self) -> str:
         return f"{self.plan.number} alone" if self.alone else str(self.plan.number)
--- a/worksmux/gateway/metrics.py
+++ b/worksmux/gateway/metrics.py
@@ -41,7 +41,7 @@
             buckets=SECONDS,
             registry=self.registry,
         )
-        self._trips = Counter("worksmux_trips", "Trips sent, by stage", ["stage"], registry=self.registry)
+        self._attempts = Counter("worksmux_trips", "Trips sent, by stage", ["stage"], registry=self.registry)
         self._tries = Histogram(
             "worksmux_trips_a_job",
             "Trips that a job took",
@@ -122,17 +122,19 @@
         self._level.set(level)
         self._lag.set(lag / 1000)
 
-    def arrived(self, offering: str) -> None:
-        self._arrived.labels(offering).inc()
+    def arrived(self, request_class: str) -> None:
+        self._arrived.labels(request_class).inc()
         self.open.inc()
 
-    def ended(self, offering: str, answer: str, ms: float, first_ms: float | None, trips: int) -> None:
+    def ended(
+        self, request_class: str, answer: str, ms: float, first_ms: float | None, attempts: int
+    ) -> None:
         self.open.dec()
-        self._ended.labels(offering, answer).inc()
-        self._whole.labels(offering).observe(ms / 1000)
-        self._tries.observe(trips)
+        self._ended.labels(request_class, answer).inc()
+        self._whole.labels(request_class).observe(ms / 1000)
+        self._tries.observe(attempts)
         if first_ms is not None:
-            self._first.labels(offering).observe(first_ms / 1000)
+            self._first.labels(request_class).observe(first_ms / 1000)
 
     def counted(self, verdict: str, ms: float) -> None:
         self._counted.labels(verdict).inc()
@@ -187,8 +189,8 @@
     def turned_away(self, why: str) -> None:
         self._turned_away.labels(why).inc()
 
-    def trip(self, stage: str) -> None:
-        self._trips.labels(stage).inc()
+    def attempt(self, stage: str) -> None:
+        self._attempts.labels(stage).inc()
 
     def probe(self, outcome: str) -> None:
         self._probes.labels(outcome).inc()
--- a/worksmux/gateway/serve.py
+++ b/worksmux/gateway/serve.py
@@ -47,7 +47,10 @@
     plain = next(iter(read.values()))  # of one-stage offerings without a tokenizer; never asked
     return [
         read.get(one.tokenizer, plain)
-        for one in (*settings.offerings, *(one for lane in settings.lanes for one in lane.offerings))
+        for one in (
+            *settings.request_classes,
+            *(one for lane in settings.lanes for one in lane.request_classes),
+        )
     ]
 
 
@@ -55,7 +58,7 @@
     """The gate's shares: those of chat come first, for the front's own shortage alone."""
     shares = [
         Share(one.name, one.credit, one.share, float(bounds.load_tokens), 0.0, 0, one.promised_time, "chat")
-        for one in settings.offerings
+        for one in settings.request_classes
     ]
     shares += [
         Share(
@@ -69,7 +72,7 @@
             lane.call,
         )
         for lane in settings.lanes
-        for one in lane.offerings
+        for one in lane.request_classes
     ]
     return GateSettings(
         shares,
@@ -98,7 +101,7 @@
         if settings.memory:
             self.memory = self.engine_list.memory = Memory(settings.memory, self.core, reactor, seed)
             self.memory.engine_list = self.engine_list
-            self.core.on_trip = self.memory.trip_ended
+            self.core.on_attempt = self.memory.attempt_ended
         self.core.on_empty = self._emptied
         self.tokens: TokenService | None = None
         if settings.counting:
@@ -135,10 +138,10 @@
         self.core.lanes = list(lanes.values())
         gate = Gate(gate_settings(settings, bounds), seed)
         self.clients.vectors = VectorSide(
-            self.core, lanes, gate, bounds, len(settings.offerings), self.tokens
+            self.core, lanes, gate, bounds, len(settings.request_classes), self.tokens
         )
         self.clients.models = chat.models(
-            [*(one.name for one in settings.offerings), *self.clients.vectors.names()]
+            [*(one.name for one in settings.request_classes), *self.clients.vectors.names()]
         )
         self.watchman = Watchman(self.reactor, gate, bounds, self.metrics, self._sockets)
 
@@ -155,7 +158,7 @@
         self.core.tell_start()
         if self.memory:
             self.memory.start()
-            self.clients.on_job = self.memory.job_came
+            self.clients.on_request = self.memory.request_came
         if self.peering:
             self.peering.start()
         self.engine_list.start()
@@ -197,8 +200,8 @@
             at = float(asked["at"]) if "at" in asked else None
         except ValueError:
             return exchange.answer(400, b"at: expected milliseconds since 1970\n", "text/plain")
-        job = asked.get("job", "")
-        keeper.gather(lambda: exchange.answer(200, msgspec.json.encode(keeper.told(at, job))))
+        request = asked.get("job", "")
+        keeper.gather(lambda: exchange.answer(200, msgspec.json.encode(keeper.told(at, request))))
 
     def stop(self) -> None:
         if self.stopping:
@@ -284,7 +287,7 @@
             )
             if getattr(old, name) != getattr(fresh, name)
         ]
-        if [one.name for one in old.offerings] != [one.name for one in fresh.offerings]:
+        if [one.name for one in old.request_classes] != [one.name for one in fresh.request_classes]:
             fixed.append("offerings")
         if (old.counting is None) != (fresh.counting is None):
             fixed.append("counting")
@@ -301,9 +304,9 @@
                 new.version != one.version for new, one in zip(told, self.tokens.vocabularies, strict=True)
             )
             self.tokens.use(told)
-            LOG.info("tokenizers read again", offerings_changed=changed)
+            LOG.info("tokenizers read again", request_classes_changed=changed)
         self.settings = self.core.settings = fresh
-        self.clients.most = [one.most_answer for one in fresh.offerings]
+        self.clients.most = [one.most_answer for one in fresh.request_classes]
         for server, bound in (
             (self.client_server, fresh.transport.body),
             (self.watch_server, fresh.transport.head),
--- a/worksmux/gateway/stage.py
+++ b/worksmux/gateway/stage.py
@@ -15,8 +15,19 @@
 from ..api import engine as calls
 from ..forwarding.decision_loop import Turns
 from ..net import client, clock
-from ..policy import interface as i
+from ..policy.actions import (
+    AbortRequest,
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    RejectRequest,
+    SetTimer,
+    StartAttempt,
+    WriteLog,
+)
+from ..policy.events import AttemptEnded, ClientDisconnected, FirstToken, TimerFired
 from ..policy.id_map import Door, Maker
+from ..policy.state import Attempt, Outcome, Request
 from ..settings.front import Lane as LaneSettings
 from . import attempts as carriers
 from .chat_engine_client import PublishedCore
@@ -58,9 +69,9 @@
             return
         if self.status == 200:
             complete = self.errand.replied(bytes(self.body))
-            self._end(i.Outcome.DELIVERED if complete else i.Outcome.ERROR, 0, "")
+            self._end(Outcome.DELIVERED if complete else Outcome.ERROR, 0, "")
         elif self.status in BAD_INPUT:
-            self._end(i.Outcome.DELIVERED, 0, errors.message_of(bytes(self.body)) or "bad input")
+            self._end(Outcome.DELIVERED, 0, errors.message_of(bytes(self.body)) or "bad input")
         else:
             super().done()
 
@@ -68,11 +79,11 @@
 class Work:
     """A job of the lane: its errand and the trips that are out."""
 
-    __slots__ = ("job", "errand", "key", "out", "over")
+    __slots__ = ("request", "errand", "key", "out", "over")
 
-    def __init__(self, job: i.Job, errand: Errand, key: str) -> None:
-        self.job, self.errand, self.key = job, errand, key
-        self.out: dict[i.Trip, Whole] = {}
+    def __init__(self, request: Request, errand: Errand, key: str) -> None:
+        self.request, self.errand, self.key = request, errand, key
+        self.out: dict[Attempt, Whole] = {}
         self.over = False
 
 
@@ -80,7 +91,7 @@
     def __init__(self, settings: LaneSettings, core: PublishedCore, seed: int, make: Maker) -> None:
         super().__init__(Door(settings.module, seed, make), core.reactor, core.metrics)
         self.settings, self.core = settings, core
-        self.works: dict[i.Job, Work] = {}
+        self.works: dict[Request, Work] = {}
         self.number = 0
 
     def _called(self) -> str:
@@ -94,28 +105,28 @@
 
     # Jobs.
 
-    def take(self, offering: int, errand: Errand, cost: float, give_up_at: float, session: int) -> Work:
+    def take(self, request_class: int, errand: Errand, cost: float, give_up_at: float, session: int) -> Work:
         """From here on the errand is owed one end: delivered, refused or failed."""
         self.number += 1
         now = clock.now()
-        job = i.Job(self.number, offering, session, 0, max(1.0, cost), 0.0, 0.0, now, give_up_at)
-        work = Work(job, errand, f"{self.core.name}.{self.settings.call}.{self.number}")
-        self.works[job] = work
-        self.tell(self.door.arrived(job))
+        request = Request(self.number, request_class, session, 0, max(1.0, cost), 0.0, 0.0, now, give_up_at)
+        work = Work(request, errand, f"{self.core.name}.{self.settings.call}.{self.number}")
+        self.works[request] = work
+        self.tell(self.door.arrived(request))
         return work
 
     def drop(self, work: Work) -> None:
         """Nobody wants it any more."""
         if not work.over:
             work.over = True
-            self.tell(i.Left(work.job))
+            self.tell(ClientDisconnected(work.request))
             for carrier in list(work.out.values()):
                 carrier.cancel()
             self._close(work)
 
     def _close(self, work: Work) -> None:
         if work.over and not work.out:
-            self.works.pop(work.job, None)
+            self.works.pop(work.request, None)
 
     def _final(self, work: Work | None, deferred: bool) -> None:
         if work is not None and not work.over:
@@ -127,30 +138,30 @@
 
     # What the carriers tell.
 
-    def began(self, trip: i.Trip) -> None:
+    def began(self, attempt: Attempt) -> None:
         """A whole reply has no beginning of its own."""
 
-    def text(self, trip: i.Trip, content: str) -> None:
+    def text(self, attempt: Attempt, content: str) -> None:
         """Nor any text before its end."""
 
     def ended(
-        self, trip: i.Trip, outcome: i.Outcome, note: int, report: dict[str, float] | None, result: Any
+        self, attempt: Attempt, outcome: Outcome, note: int, report: dict[str, float] | None, result: Any
     ) -> None:
-        work = self.works.get(trip.job)
+        work = self.works.get(attempt.request)
         if work is None:
             return
-        work.out.pop(trip, None)
-        if self.core.on_trip:
-            self.core.on_trip(trip.engine, outcome)
+        work.out.pop(attempt, None)
+        if self.core.on_attempt:
+            self.core.on_attempt(attempt.engine, outcome)
         now = clock.now()
         closed = work.over
-        if outcome is i.Outcome.DELIVERED and not work.over:
+        if outcome is Outcome.DELIVERED and not work.over:
             closed = work.over = True
-            trip.began, trip.job.began = now, True
-            self.tell(i.Began(trip, now - trip.sent))  # so that the module sees the time it took
-        self.tell(i.Ended(trip, outcome, now - trip.sent, closed, note, report))
+            attempt.began, attempt.request.began = now, True
+            self.tell(FirstToken(attempt, now - attempt.sent))  # so that the module sees the time it took
+        self.tell(AttemptEnded(attempt, outcome, now - attempt.sent, closed, note, report))
         self._close(work)
-        if outcome is i.Outcome.DELIVERED and closed:
+        if outcome is Outcome.DELIVERED and closed:
             if result:
                 work.errand.refused(result)
             else:
@@ -158,52 +169,52 @@
 
     # Actions.
 
-    def _carry_out(self, action: i.Action) -> None:
+    def _carry_out(self, action: Action) -> None:
         match action:
-            case i.Send():
+            case StartAttempt():
                 self._send(action)
-            case i.Defer(job, _):
-                self._final(self.works.get(job), deferred=True)
-            case i.BreakOff(job):
-                self._final(self.works.get(job), deferred=False)
-            case i.Cancel(trip):
-                work = self.works.get(trip.job)
-                if work is not None and trip in work.out:
-                    work.out[trip].cancel()
-            case i.Alarm(after, token):
-                self.reactor.callLater(max(0.0, after) / 1000, self.tell, i.Rang(token))
-            case i.Probe(engine):
+            case RejectRequest(request, _):
+                self._final(self.works.get(request), deferred=True)
+            case AbortRequest(request):
+                self._final(self.works.get(request), deferred=False)
+            case CancelAttempt(attempt):
+                work = self.works.get(attempt.request)
+                if work is not None and attempt in work.out:
+                    work.out[attempt].cancel()
+            case SetTimer(after, token):
+                self.reactor.callLater(max(0.0, after) / 1000, self.tell, TimerFired(token))
+            case CheckHealth(engine):
                 self.core.probe(engine, self.tell)
-            case i.Log(text):
+            case WriteLog(text):
                 LOG.info("module", text=text)
             case _:
                 pass  # one stage holds no state; the list comes by the core
 
-    def _send(self, action: i.Send) -> None:
-        trip, job = action.trip, action.trip.job
-        work, now = self.works.get(job), clock.now()
-        left = job.give_up_at - now
-        if work is None or work.over or left <= 0 or trip.engine not in self.core.pools:
-            self.metrics.trip("moot")
-            self.tell(i.Ended(trip, i.Outcome.MOOT, 0.0, work is None or work.over))
+    def _send(self, action: StartAttempt) -> None:
+        attempt, request = action.attempt, action.attempt.request
+        work, now = self.works.get(request), clock.now()
+        left = request.give_up_at - now
+        if work is None or work.over or left <= 0 or attempt.engine not in self.core.pools:
+            self.metrics.attempt("moot")
+            self.tell(AttemptEnded(attempt, Outcome.MOOT, 0.0, work is None or work.over))
             return
         transport = self.core.settings.transport
         carrier = Whole(
             self.reactor,
-            self.core.pools[trip.engine],
-            trip,
+            self.core.pools[attempt.engine],
+            attempt,
             self,
             min(action.time_out, left) if action.time_out else left,
             transport.stream_silence,
             transport.reply,
             errand=work.errand,
         )
-        work.out[trip] = carrier
+        work.out[attempt] = carrier
         headers = [
             ("Content-Type", "application/json"),
-            (chat.REQUEST_ID, f"{work.key}.{trip.number}"),
-            (calls.JOB, work.key),
+            (chat.REQUEST_ID, f"{work.key}.{attempt.number}"),
+            (calls.REQUEST, work.key),
             (calls.FRONT, self.core.settings.name),
         ]
         carrier.send(headers, work.errand.body())
-        self.metrics.trip(self.settings.call)
+        self.metrics.attempt(self.settings.call)
--- a/worksmux/gateway/vectors.py
+++ b/worksmux/gateway/vectors.py
@@ -21,7 +21,7 @@
 from ..net import clock
 from ..net.server import Exchange
 from ..settings.front import Admission
-from ..settings.shared import Offering
+from ..settings.shared import RequestClass
 from ..tokenization.service import Prompt, Result, TokenService
 from .chat_engine_client import PublishedCore
 from .stage import Lane, Work
@@ -32,7 +32,7 @@
 PATHS = {embeddings.PATH: "embeddings", rerank.PATH: "rerank"}
 
 
-class Trip:
+class Attempt:
     """One load on its way: see `lane.Errand`."""
 
     def __init__(self, side: VectorSide, load: Load, lane: Lane) -> None:
@@ -88,8 +88,8 @@
 
     path = ""
 
-    def __init__(self, exchange: Exchange, offering: Offering, at: int) -> None:
-        self.exchange, self.offering, self.at = exchange, offering, at
+    def __init__(self, exchange: Exchange, request_class: RequestClass, at: int) -> None:
+        self.exchange, self.request_class, self.at = exchange, request_class, at
         self.arrived = clock.now()
         self.sent = self.arrived  # past the gate
         self.request_id = exchange.header(chat.REQUEST_ID) or ""
@@ -122,8 +122,10 @@
 class Embedding(One):
     path = embeddings.PATH
 
-    def __init__(self, exchange: Exchange, offering: Offering, at: int, asked: embeddings.Asked) -> None:
-        super().__init__(exchange, offering, at)
+    def __init__(
+        self, exchange: Exchange, request_class: RequestClass, at: int, asked: embeddings.Asked
+    ) -> None:
+        super().__init__(exchange, request_class, at)
         self.asked = asked
 
     def texts(self) -> list[str]:
@@ -144,8 +146,8 @@
 class Reranking(One):
     path = rerank.PATH
 
-    def __init__(self, exchange: Exchange, offering: Offering, at: int, asked: rerank.Asked) -> None:
-        super().__init__(exchange, offering, at)
+    def __init__(self, exchange: Exchange, request_class: RequestClass, at: int, asked: rerank.Asked) -> None:
+        super().__init__(exchange, request_class, at)
         self.asked = asked
 
     def texts(self) -> list[str]:
@@ -177,24 +179,24 @@
         """`first` is the gate's number of the lanes' first offering; theirs follow those of chat."""
         self.core, self.lanes, self.gate, self.bounds = core, lanes, gate, bounds
         self.tokens = tokens
-        self.offerings: dict[tuple[str, str], tuple[int, int, Offering]] = {}
+        self.request_classes: dict[tuple[str, str], tuple[int, int, RequestClass]] = {}
         for lane in lanes.values():
-            for at, one in enumerate(lane.settings.offerings):
-                self.offerings[lane.settings.call, one.name] = first, at, one
+            for at, one in enumerate(lane.settings.request_classes):
+                self.request_classes[lane.settings.call, one.name] = first, at, one
                 first += 1
-        self.planner = Planner(lambda call: gate.again(call.item.gate.offering))
+        self.planner = Planner(lambda call: gate.again(call.item.gate.request_class))
         self.loads = {
             "embeddings": Bounds(bounds.load_tokens, bounds.load_inputs),
             "rerank": Bounds(bounds.load_tokens, bounds.load_inputs, join=False),
         }
         self.open: dict[One, None] = {}
-        self.trips: dict[Load, Trip] = {}
+        self.attempts: dict[Load, Attempt] = {}
         self.timer: Any = None
         self.timer_at = 0.0
         self.stopping = False
 
     def names(self) -> list[str]:
-        return [name for _, name in self.offerings]
+        return [name for _, name in self.request_classes]
 
     # Clients.
 
@@ -212,8 +214,8 @@
             )
         try:
             one = self._read(exchange, call)
-            left = self._time_left(exchange, one.offering)
-        except errors.BadJob as bad:
+            left = self._time_left(exchange, one.request_class)
+        except errors.BadRequest as bad:
             metrics.turned_away("bad job")
             return exchange.answer(bad.status, bad.body)
         self._take(one, left)
@@ -222,31 +224,31 @@
         body = exchange.body()
         asked: embeddings.Asked | rerank.Asked
         asked = embeddings.asked(body) if call == "embeddings" else rerank.asked(body)
-        known = self.offerings.get((call, asked.model))
+        known = self.request_classes.get((call, asked.model))
         if known is None:
-            raise errors.BadJob(
+            raise errors.BadRequest(
                 f"the model {asked.model[:100]!r} does not exist for {call}; GET /v1/models "
                 "lists those that do",
                 "model",
                 "model_not_found",
                 404,
             )
-        number, at, offering = known
-        if max(asked.costs) > offering.most_prompt:
-            raise errors.BadJob(
+        number, at, request_class = known
+        if max(asked.costs) > request_class.most_prompt:
+            raise errors.BadRequest(
                 f"an input has about {max(asked.costs):.0f} tokens; {asked.model} takes "
-                f"{offering.most_prompt} at most; shorten it",
+                f"{request_class.most_prompt} at most; shorten it",
                 "input",
                 "context_length_exceeded",
             )
         one: One = (
-            Embedding(exchange, offering, at, asked)
+            Embedding(exchange, request_class, at, asked)
             if isinstance(asked, embeddings.Asked)
-            else Reranking(exchange, offering, at, asked)
+            else Reranking(exchange, request_class, at, asked)
         )
         caller = asked.user or exchange.header("authorization") or exchange.getClientAddress().host
         cost, now = sum(asked.costs), one.arrived
-        promised = now + offering.promised_time + offering.promised_per_k * cost / 1000
+        promised = now + request_class.promised_time + request_class.promised_per_k * cost / 1000
         who = xxhash.xxh3_64_intdigest(f"{call}\0{caller}\0".encode("utf-8", "surrogatepass") + body)
         repeats = exchange.header(chat.REPEAT) or ""
         one.gate = Asked(
@@ -276,9 +278,9 @@
         )
         return one
 
-    def _time_left(self, exchange: Exchange, offering: Offering) -> float:
+    def _time_left(self, exchange: Exchange, request_class: RequestClass) -> float:
         named = chat.figure(exchange.header(chat.TIME_LEFT), chat.TIME_LEFT)
-        limit = offering.outer_limit if named is None else min(named, offering.outer_limit)
+        limit = request_class.outer_limit if named is None else min(named, request_class.outer_limit)
         return max(0.0, limit - self.core.settings.transport.answer_margin)
 
     def _take(self, one: One, left: float) -> None:
@@ -286,7 +288,7 @@
         one.gate.give_up_at = one.call.give_up_at = one.arrived + left
         one.call.promised_at = one.gate.promised_at = min(one.gate.promised_at, one.arrived + left)
         self.open[one] = None
-        self.core.metrics.arrived(one.offering.name)
+        self.core.metrics.arrived(one.request_class.name)
         slack = float(self.core.settings.module["answer_slack"])
         one.guard = self.core.reactor.callLater((left + slack) / 1000, self._overdue, one)
         one.exchange.on_gone = lambda: self._gone(one)
@@ -318,11 +320,11 @@
         bytes."""
         assert one.gate is not None and one.call is not None
         texts = one.texts()
-        if self.tokens is None or not one.offering.tokenizer or not texts:
+        if self.tokens is None or not one.request_class.tokenizer or not texts:
             return self._plan(self.planner.add(clock.now(), one.call))
         one.prompt = self.tokens.count(
             [("user", text) for text in texts],
-            one.gate.offering,
+            one.gate.request_class,
             10**9,
             max(1.0, one.call.promised_at - clock.now()),
             0,
@@ -342,9 +344,9 @@
 
     def _plan(self, step: PlanStep) -> None:
         for load in step.drop:
-            trip = self.trips.pop(load, None)
-            if trip is not None and trip.work is not None:
-                trip.lane.drop(trip.work)
+            attempt = self.attempts.pop(load, None)
+            if attempt is not None and attempt.work is not None:
+                attempt.lane.drop(attempt.work)
         for done in step.done:
             self._done(done)
         for load in step.send:
@@ -358,13 +360,13 @@
             return self._plan(self.planner.delivered(load, [], {}))
         first: One = load.wanted[0][0].item
         lane = self.lanes[PATHS[first.path]]
-        trip = self.trips[load] = Trip(self, load, lane)
+        attempt = self.attempts[load] = Attempt(self, load, lane)
         session = xxhash.xxh3_64_intdigest(str(load.number).encode())
-        trip.work = lane.take(first.at, trip, load.cost, load.give_up_at, session)
+        attempt.work = lane.take(first.at, attempt, load.cost, load.give_up_at, session)
 
-    def over(self, trip: Trip, step: PlanStep) -> None:
+    def over(self, attempt: Attempt, step: PlanStep) -> None:
         """A load has ended."""
-        self.trips.pop(trip.load, None)
+        self.attempts.pop(attempt.load, None)
         self._plan(step)
 
     def _watch(self) -> None:
@@ -458,7 +460,7 @@
         if one.prompt is not None and not one.planned and self.tokens is not None:
             self.tokens.cancel(one.prompt)
         now = clock.now()
-        self.core.metrics.ended(one.offering.name, how, now - one.arrived, None, 0)
+        self.core.metrics.ended(one.request_class.name, how, now - one.arrived, None, 0)
         assert one.gate is not None and one.call is not None
         if not one.call.over:
             self._plan(self.planner.left(one.call))
@@ -469,7 +471,7 @@
             self._gate(self.gate.ended(now, one.gate, now - one.sent, good))
         LOG.info(
             "call",
-            offering=one.offering.name,
+            request_class=one.request_class.name,
             answer=how,
             ms=round(now - one.arrived, 1),
             inputs=len(one.call.costs),
--- a/worksmux/load/generator.py
+++ b/worksmux/load/generator.py
@@ -38,7 +38,7 @@
         work = Work(
             settings.targets,
             [astuple(phase) for phase in settings.phases],
-            settings.offerings,
+            settings.request_classes,
             part,
             settings.processes,
             settings.seed,
--- a/worksmux/load/settings.py
+++ b/worksmux/load/settings.py
@@ -24,7 +24,7 @@
 from ..settings import units
 from ..settings.document import Section, SettingsError, load
 from .arrivals import Phase
-from .worker import OfferingLoad
+from .worker import RequestClassLoad
 
 
 @dataclass(frozen=True)
@@ -37,7 +37,7 @@
     time_out: float
     most_open: int  # of each process
     phases: list[Phase]
-    offerings: list[OfferingLoad]
+    request_classes: list[RequestClassLoad]
     trace: str
     speed: float
     closed: int
@@ -87,10 +87,10 @@
         root.complain("give phases, or a trace, or closed in load: one of the three")
     if closed and not length:
         node.complain('closed needs a length, such as length="30s"')
-    offerings = []
+    request_classes = []
     for one in root.all("offering"):
-        offerings.append(
-            OfferingLoad(
+        request_classes.append(
+            RequestClassLoad(
                 one.title(),
                 one.number("share", 1.0),
                 one.span("new-tokens", (50.0, 200.0)),
@@ -105,7 +105,7 @@
             )
         )
         one.end()
-    if not offerings:
+    if not request_classes:
         root.complain("no offering; add at least one section offering")
     root.end()
     if root.complaints:
@@ -119,7 +119,7 @@
         time_out,
         most_open,
         phases,
-        offerings,
+        request_classes,
         trace,
         speed,
         closed,
--- a/worksmux/load/trace.py
+++ b/worksmux/load/trace.py
@@ -31,7 +31,7 @@
     """One job: milliseconds from the start, lengths in tokens; `beginning` names a text that jobs share."""
 
     at: float
-    offering: str
+    request_class: str = msgspec.field(name="offering")
     session: int
     beginning: str
     beginning_tokens: float
@@ -54,7 +54,8 @@
 
     def _flush(self) -> None:
         if self.rows:
-            columns = {name: [getattr(row, name) for row in self.rows] for name in COLUMNS.names}
+            rows = [msgspec.to_builtins(row) for row in self.rows]
+            columns = {name: [row[name] for row in rows] for name in COLUMNS.names}
             self.writer.write_table(pa.table(columns, schema=COLUMNS))
             self.rows = []
 
@@ -75,8 +76,8 @@
             for values in batch.to_pylist():
                 if values["session"] % parts == part:
                     values["at"] /= speed
-                    yield Row(**values)
-    except (pa.ArrowException, OSError, TypeError) as error:
+                    yield msgspec.convert(values, Row)
+    except (pa.ArrowException, msgspec.ValidationError, OSError, TypeError) as error:
         raise BadTrace(f"{path}: {error}") from error
 
 
--- a/worksmux/load/worker.py
+++ b/worksmux/load/worker.py
@@ -32,7 +32,7 @@
 TEXT = "the pump of bench seven was primed at noon and ran dry before the second reading, "
 
 
-class OfferingLoad(msgspec.Struct):
+class RequestClassLoad(msgspec.Struct):
     """How one offering is asked; spans are (lowest, highest), times in milliseconds, lengths in tokens."""
 
     name: str
@@ -53,7 +53,7 @@
 
     targets: list[tuple[str, int]]
     phases: list[tuple[float, float, float, float, float, float, float]]  # see arrivals.Phase
-    offerings: list[OfferingLoad]
+    request_classes: list[RequestClassLoad] = msgspec.field(name="offerings")
     part: int
     parts: int
     seed: int
@@ -100,14 +100,24 @@
     into.record_value(max(1, min(LONGEST * 10, round(ms * 10))))
 
 
-class Job:
+class Request:
     """One job of one session, from its intended time on."""
 
-    __slots__ = ("offering", "session", "turns", "beginning", "prompt", "answer", "intended", "tries", "seen")
+    __slots__ = (
+        "request_class",
+        "session",
+        "turns",
+        "beginning",
+        "prompt",
+        "answer",
+        "intended",
+        "tries",
+        "seen",
+    )
 
     def __init__(
         self,
-        offering: OfferingLoad,
+        request_class: RequestClassLoad,
         session: int,
         turns: int,
         beginning: str,
@@ -115,7 +125,12 @@
         answer: int,
         intended: float,
     ) -> None:
-        self.offering, self.session, self.turns, self.beginning = offering, session, turns, beginning
+        self.request_class, self.session, self.turns, self.beginning = (
+            request_class,
+            session,
+            turns,
+            beginning,
+        )
         self.prompt, self.answer, self.intended = prompt, answer, intended
         self.tries = 0
         self.seen = False
@@ -124,8 +139,8 @@
 class Try:
     """One try on the wire; see `client.Receiver`."""
 
-    def __init__(self, worker: Worker, job: Job, sent: float) -> None:
-        self.worker, self.job, self.sent = worker, job, sent
+    def __init__(self, worker: Worker, request: Request, sent: float) -> None:
+        self.worker, self.request, self.sent = worker, request, sent
         self.status = 0
         self.events: Events | None = None
         self.body = bytearray()
@@ -182,14 +197,14 @@
         self.pools = [
             client.Pool(reactor, host, port, 2000.0, 10_000.0, 256, 65_536) for host, port in work.targets
         ]
-        self.wheel: Wheel[Job] = Wheel()
+        self.wheel: Wheel[Request] = Wheel()
         self.first, self.whole, self.from_send, self.lags = (histogram() for _ in range(4))
         self.ends: Counter[str] = Counter()
         self.seconds: list[Second] = []
         self.open = self.sessions = self.count = 0
         self.worst = 0.0
         self.coming = self._coming()
-        self.next: Job | None = None
+        self.next: Request | None = None
         self.recorder = Recorder(Path(work.record)) if work.record else None
         self.over = False
         self.timer: Any = None
@@ -209,32 +224,36 @@
 
     # What is to come.
 
-    def _coming(self) -> Iterator[Job]:
+    def _coming(self) -> Iterator[Request]:
         work = self.work
         if work.closed:
             return
         if work.trace:
-            by_name = {one.name: one for one in work.offerings}
-            plain = work.offerings[0]
+            by_name = {one.name: one for one in work.request_classes}
+            plain = work.request_classes[0]
             for row in read(Path(work.trace), work.part, work.parts, work.speed):
-                one = by_name.get(row.offering, msgspec.structs.replace(plain, name=row.offering))
-                yield Job(one, row.session, 1, row.beginning, row.prompt_tokens, row.answer_tokens, row.at)
+                one = by_name.get(row.request_class, msgspec.structs.replace(plain, name=row.request_class))
+                yield Request(
+                    one, row.session, 1, row.beginning, row.prompt_tokens, row.answer_tokens, row.at
+                )
             return
-        turns = sum(one.share * sum(one.turns) / 2 for one in work.offerings) / sum(
-            one.share for one in work.offerings
+        turns = sum(one.share * sum(one.turns) / 2 for one in work.request_classes) / sum(
+            one.share for one in work.request_classes
         )
         phases = [Phase(*phase) for phase in work.phases]
         for time in arrivals(phases, 1 / work.parts / turns, work.seed * 1009 + work.part):
             yield self._new(time)
 
-    def _new(self, intended: float) -> Job:
+    def _new(self, intended: float) -> Request:
         """The first job of a new session."""
-        one = self.chance.choices(self.work.offerings, [other.share for other in self.work.offerings])[0]
+        one = self.chance.choices(
+            self.work.request_classes, [other.share for other in self.work.request_classes]
+        )[0]
         self.sessions += 1
         beginning = f"lab {self.chance.randrange(one.beginnings)}" if one.beginnings else ""
         prompt = self.chance.uniform(*one.new_tokens) + (one.beginning_tokens if beginning else 0.0)
         session = self.sessions * self.work.parts + self.work.part
-        return Job(
+        return Request(
             one,
             session,
             round(self.chance.uniform(*one.turns)),
@@ -271,89 +290,93 @@
             self.seconds.append(Second())
         return self.seconds[at]
 
-    def _send(self, job: Job) -> None:
+    def _send(self, request: Request) -> None:
         now = self._now()
-        job.tries += 1
-        if job.tries == 1:
-            lag = now - job.intended
+        request.tries += 1
+        if request.tries == 1:
+            lag = now - request.intended
             count(self.lags, lag)
-            second = self._second(job.intended)
+            second = self._second(request.intended)
             second.sent += 1
             second.lag = max(second.lag, lag)
             self.worst = max(self.worst, lag)
-            self._record(job)
+            self._record(request)
         if self.open >= self.work.most_open:  # told, never quietly left out
             self.ends["not sent: too many open"] += 1
             return
         self.open += 1
-        one = job.offering
+        one = request.request_class
         self.count += 1
-        text = job.beginning + " " + TEXT * (1 + int(one.beginning_tokens * chat.BYTES_A_TOKEN / len(TEXT)))
-        shared = text[: int(one.beginning_tokens * chat.BYTES_A_TOKEN)] if job.beginning else ""
-        own = f"{job.session} {self.count} " + TEXT * (1 + int(job.prompt * chat.BYTES_A_TOKEN / len(TEXT)))
-        length = max(8, int(job.prompt * chat.BYTES_A_TOKEN) - len(shared))
+        text = (
+            request.beginning + " " + TEXT * (1 + int(one.beginning_tokens * chat.BYTES_A_TOKEN / len(TEXT)))
+        )
+        shared = text[: int(one.beginning_tokens * chat.BYTES_A_TOKEN)] if request.beginning else ""
+        own = f"{request.session} {self.count} " + TEXT * (
+            1 + int(request.prompt * chat.BYTES_A_TOKEN / len(TEXT))
+        )
+        length = max(8, int(request.prompt * chat.BYTES_A_TOKEN) - len(shared))
         messages = [{"role": "system", "content": shared}] if shared else []
         body = msgspec.json.encode(
             {
                 "model": one.name,
                 "stream": True,
-                "max_tokens": max(1, job.answer),
+                "max_tokens": max(1, request.answer),
                 "messages": [*messages, {"role": "user", "content": own[:length]}],
             }
         )
-        trial = Try(self, job, now)
+        trial = Try(self, request, now)
         headers = [
             ("Content-Type", "application/json"),
-            (chat.SESSION, f"s{job.session}"),
+            (chat.SESSION, f"s{request.session}"),
             (chat.TIME_LEFT, f"{one.patience:.0f}"),
-            (chat.REPEAT, str(job.tries - 1)),
+            (chat.REPEAT, str(request.tries - 1)),
         ]
-        if job.beginning:
-            headers += [(chat.PREFIX, job.beginning), (chat.PREFIX_TOKENS, str(one.beginning_tokens))]
-        pool = self.pools[(job.session + job.tries) % len(self.pools)]
+        if request.beginning:
+            headers += [(chat.PREFIX, request.beginning), (chat.PREFIX_TOKENS, str(one.beginning_tokens))]
+        pool = self.pools[(request.session + request.tries) % len(self.pools)]
         trial.guard = self.reactor.callLater(min(one.patience, self.work.time_out) / 1000, trial.late)
         trial.call = pool.call("POST", CHAT, trial, headers, body)
 
-    def _record(self, job: Job) -> None:
+    def _record(self, request: Request) -> None:
         if self.recorder is not None:
             self.recorder.add(
                 Row(
-                    job.intended,
-                    job.offering.name,
-                    job.session,
-                    job.beginning,
-                    job.offering.beginning_tokens if job.beginning else 0.0,
-                    job.prompt,
-                    job.answer,
+                    request.intended,
+                    request.request_class.name,
+                    request.session,
+                    request.beginning,
+                    request.request_class.beginning_tokens if request.beginning else 0.0,
+                    request.prompt,
+                    request.answer,
                 )
             )
 
     def ended(self, one: Try, how: str) -> None:
-        job, now = one.job, self._now()
+        request, now = one.request, self._now()
         self.open -= 1
-        if how in ("deferred", "unreachable") and job.tries <= job.offering.retries:
-            self.wheel.put(now + self.chance.uniform(*job.offering.wait), job)
+        if how in ("deferred", "unreachable") and request.tries <= request.request_class.retries:
+            self.wheel.put(now + self.chance.uniform(*request.request_class.wait), request)
             return self._wake()
         self.ends[how] += 1
         self._second(now).ended += 1
         if how == "delivered":
-            count(self.first, one.first - self.work.start - job.intended)
+            count(self.first, one.first - self.work.start - request.intended)
             count(self.from_send, one.first - self.work.start - one.sent)
-            count(self.whole, now - job.intended)
+            count(self.whole, now - request.intended)
         if self.work.closed:
             if now < self.work.length:
                 self._send(self._new(now))
-        elif job.turns > 1 and how == "delivered" and now < self.work.length:
-            new = self.chance.uniform(*job.offering.new_tokens)
-            prompt = job.prompt + job.answer + new
-            again = Job(
-                job.offering,
-                job.session,
-                job.turns - 1,
-                job.beginning,
+        elif request.turns > 1 and how == "delivered" and now < self.work.length:
+            new = self.chance.uniform(*request.request_class.new_tokens)
+            prompt = request.prompt + request.answer + new
+            again = Request(
+                request.request_class,
+                request.session,
+                request.turns - 1,
+                request.beginning,
                 prompt,
-                round(self.chance.uniform(*job.offering.answer_tokens)),
-                now + self.chance.uniform(*job.offering.think),
+                round(self.chance.uniform(*request.request_class.answer_tokens)),
+                now + self.chance.uniform(*request.request_class.think),
             )
             self.wheel.put(again.intended, again)
         self._wake()
--- a/worksmux/node/attempts.py
+++ b/worksmux/node/attempts.py
@@ -6,13 +6,13 @@
 
 from ..forwarding.attempt import Carriage, Streaming
 from ..net import client, clock
-from ..policy import interface as i
+from ..policy.state import Engine, Outcome
 from . import protocol
 
 TOLD_EARLY = 20.0  # milliseconds that the time told may be older than the attempt
 
 
-class Attempt(Carriage):
+class AttemptCall(Carriage):
     """An attempt whose reply may be a refusal; `fields` are the names of the load report's figures."""
 
     fields: list[str] = []
@@ -50,12 +50,12 @@
             self.call.go()
 
     @property
-    def engine(self) -> i.Engine:
-        return self.trip.engine
+    def engine(self) -> Engine:
+        return self.attempt.engine
 
     @property
     def reading(self) -> bool:
-        return self.trip.reading
+        return self.attempt.reading
 
     @property
     def last_sign(self) -> float:
@@ -63,21 +63,21 @@
         piece of this one's stream came."""
         return max(self.pool.answered, self.last)
 
-    def _refusal(self) -> tuple[i.Outcome, int]:
+    def _refusal(self) -> tuple[Outcome, int]:
         return protocol.refusal(self.status, self.headers)
 
     def _report(self) -> dict[str, float] | None:
         return protocol.load_report(self.headers.get(protocol.LOAD), self.fields)
 
 
-class PrefillAttempt(Attempt):
+class PrefillAttempt(AttemptCall):
     def done(self) -> None:
         if self.status != 202:
             return super().done()
-        self._end(i.Outcome.READ, protocol.cached_tokens(bytes(self.body)))
+        self._end(Outcome.READ, protocol.cached_tokens(bytes(self.body)))
 
 
-class DecodeAttempt(Streaming, Attempt):
+class DecodeAttempt(Streaming, AttemptCall):
     """A stream of events goes to the client as it comes; it is whole with its last chunk."""
 
     def __init__(self, *args: Any) -> None:
@@ -89,7 +89,7 @@
             self._whole(self.stream.feed(data))
         except protocol.Spoilt as fault:
             self._whole(fault.args[1])
-            self._end(i.Outcome.ERROR)
+            self._end(Outcome.ERROR)
 
     def _whole(self, events: bytes) -> None:
         if events and not self.over:
@@ -97,9 +97,9 @@
 
     def _stream_over(self) -> None:
         if self.last and not self.stream.cut and self.headers.get("transfer-encoding"):
-            self._end(i.Outcome.DELIVERED, self.stream.cached, ())
+            self._end(Outcome.DELIVERED, self.stream.cached, ())
         else:
-            self._end(i.Outcome.ERROR)
+            self._end(Outcome.ERROR)
 
     def _report(self) -> dict[str, float] | None:
         return protocol.load_report(self.stream.report, self.fields) or super()._report()
--- a/worksmux/node/clients.py
+++ b/worksmux/node/clients.py
@@ -42,7 +42,7 @@
 
     def __init__(self, core: NodeCore) -> None:
         self.core = core
-        self.offerings = {name: at for at, name in enumerate(core.offerings)}
+        self.request_classes = {name: at for at, name in enumerate(core.request_classes)}
         self.ready = False
 
     def __call__(self, exchange: Exchange) -> None:
@@ -67,7 +67,7 @@
     def _chat(self, exchange: Exchange) -> None:
         try:
             asked = protocol.asked(
-                exchange.values, exchange.uri.decode("latin-1"), exchange.body(), self.offerings
+                exchange.values, exchange.uri.decode("latin-1"), exchange.body(), self.request_classes
             )
         except protocol.Refused as fault:
             return self._no(exchange, fault.status, fault.why)
@@ -78,7 +78,7 @@
         if self.core.failed:  # the module has: nothing would decide on it
             self.core.metrics.turned_away("module failed")
             return side.deferred(0.0)
-        if len(self.core.cases) >= self.core.share.jobs:
+        if len(self.core.cases) >= self.core.share.requests:
             self.core.metrics.turned_away("too many open")
             return side.deferred(0.0)
         case = side.case = self.core.arrived(asked, side, exchange.came())
--- a/worksmux/node/config.py
+++ b/worksmux/node/config.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ..policy.interface import Settings
+from ..policy.settings import Settings
 from ..settings import units
 from ..settings.platform import Place, Untold, settings_from
 from .endpoint_list import HostList
@@ -52,7 +52,7 @@
     sockets: int  # descriptors in all
     known: HostList  # the list as this node last had it
     settings: Settings  # what the module is given
-    offerings: list[str]
+    request_classes: list[str]
     kinds: list[str]
     zones: list[str]
 
@@ -86,7 +86,7 @@
         told = READ.decode(data)
         settings = settings_from(told.settings, "$.settings")
         root = Place(told.settings, "$.settings")
-        offerings = [
+        request_classes = [
             Place(one, f"$.settings.services[{at}]").text("name")
             for at, one in enumerate(told.settings["services"])
         ]
@@ -111,7 +111,7 @@
         limits.sockets,
         told.known,
         settings,
-        offerings,
+        request_classes,
         kinds,
         zones,
     )
--- a/worksmux/node/core.py
+++ b/worksmux/node/core.py
@@ -9,10 +9,10 @@
 from ..net import client, clock
 from ..net.loop import Reactor
 from ..net.time_out import TimeOut
-from ..policy import interface as i
 from ..policy.id_map import Door
+from ..policy.state import Attempt, Engine, Outcome, Request
 from . import protocol
-from .attempts import Attempt, DecodeAttempt, PrefillAttempt
+from .attempts import AttemptCall, DecodeAttempt, PrefillAttempt
 from .counters import NodeCounts
 from .kv_claims import HeldState
 from .kv_release import Release, Releases
@@ -35,17 +35,17 @@
 HELD_BACK_STEPS = 2  # of a release: so long an attempt waits for it to be heard
 SECOND = 1000.0  # to let go in, where the settings know no time for it
 CONNECTING = 250.0  # for a connection to come up, where the settings do not say
-NOT_SEEN = frozenset({i.Outcome.CANCELLED, i.Outcome.TIMED_OUT, i.Outcome.RESET})
+NOT_SEEN = frozenset({Outcome.CANCELLED, Outcome.TIMED_OUT, Outcome.RESET})
 
 
 class NodeCore(Core):
     metrics: NodeCounts
 
     def __init__(
-        self, door: Door, reactor: Reactor, counts: NodeCounts, offerings: list[str], share: Shares
+        self, door: Door, reactor: Reactor, counts: NodeCounts, request_classes: list[str], share: Shares
     ) -> None:
         super().__init__(door, reactor, counts)
-        self.offerings = offerings
+        self.request_classes = request_classes
         self.share = share
         self.connect_time_out = float(door.settings["connect_time_out"]) or CONNECTING
         self.keys: dict[str, Case] = {}  # of the jobs that are open
@@ -56,16 +56,16 @@
         self.doubts = DoubtWatch(
             reactor, self.releases, self._seek_sign if door.settings["may_probe"] else None
         )
-        self.held: dict[i.Job, HeldState] = {}  # what engines may hold for the jobs that are open
+        self.held: dict[Request, HeldState] = {}  # what engines may hold for the jobs that are open
         self.read_times: deque[tuple[float, float]] = deque(maxlen=READS)  # tokens, milliseconds
         self._letting_go: list[Case] = []
 
     def arrived(self, asked: protocol.Asked, client_side: Client, arrived: float) -> Case:
         """A job that came at `arrived` is told to the module; from here on it is owed one answer."""
         self.number += 1
-        job = i.Job(
+        request = Request(
             self.number,
-            asked.offering,
+            asked.request_class,
             asked.session,
             asked.prefix,
             asked.prompt,
@@ -76,36 +76,36 @@
             repeat=asked.repeat,
             resumed=asked.resumed,
         )
-        case = Case(job, asked, client_side, asked.key, self.offerings[asked.offering])
+        case = Case(request, asked, client_side, asked.key, self.request_classes[asked.request_class])
         self.keys[case.key] = case
-        self.held[job] = self.releases.held(case.key)
+        self.held[request] = self.releases.held(case.key)
         return self._take(case)
 
     def _close(self, case: Case) -> None:
         """Guards against a node that ends with its last job before what is held for that is released: the
         release begins first."""
-        if not case.out and case.job in self.cases:
+        if not case.out and case.request in self.cases:
             self._let_all_go(case)  # what a broken read may have left, and nobody took
-            del self.keys[case.key], self.held[case.job]
+            del self.keys[case.key], self.held[case.request]
         super()._close(case)
 
-    def _final(self, job: i.Job, how: str, stay_away: float = 0.0) -> None:
+    def _final(self, request: Request, how: str, stay_away: float = 0.0) -> None:
         """Guards against a deferral that overtakes the end of a trip: until the engine has seen its
         connection close, the job is still out there, and to ask again is not known to be harmless."""
-        case = self.cases.get(job)
+        case = self.cases.get(request)
         if (
             case is not None
             and how == "deferred"
             and not case.answered
-            and (self.module_settings["offerings"][job.offering]["effect"] != "redoable")
+            and (self.module_settings["offerings"][request.request_class]["effect"] != "redoable")
         ):
             left = SETTLING if case.out else case.called_off + SETTLING - clock.now()
             if left > 0:
                 if case.guard.active():  # it is decided
                     case.guard.cancel()
-                self.reactor.callLater(left / 1000, super()._final, job, how, stay_away)
+                self.reactor.callLater(left / 1000, super()._final, request, how, stay_away)
                 return
-        super()._final(job, how, stay_away)
+        super()._final(request, how, stay_away)
 
     def _turned(self) -> None:
         super()._turned()
@@ -115,113 +115,113 @@
 
     def _let_all_go(self, case: Case) -> None:
         """Nothing is to be kept for a next attempt; what is out now has it until its end."""
-        held = self.held.get(case.job)
-        if held is None or any(attempt.call.up for attempt in case.out.values()):
+        held = self.held.get(case.request)
+        if held is None or any(attempt_call.call.up for attempt_call in case.out.values()):
             return
         if not held.claims:
             return self.releases.drop_if_over(held)
         self.releases.start(held)
         self.metrics.release()
 
-    def _arrives(self, case: Case, attempt: Attempt) -> None:
+    def _arrives(self, case: Case, attempt_call: AttemptCall) -> None:
         """An attempt is about to be written: nothing may be let go from under it."""
-        held = self.held[case.job]
+        held = self.held[case.request]
         self.releases.rest(held)
-        attempt.written_at = clock.now()
-        self._watch(case, attempt)
+        attempt_call.written_at = clock.now()
+        self._watch(case, attempt_call)
 
-    def _watch(self, case: Case, attempt: Attempt) -> None:
+    def _watch(self, case: Case, attempt_call: AttemptCall) -> None:
         """Looks at an attempt where something may be held for its request beside it."""
-        held = self.held[case.job]
-        if held.claims and not attempt.watched:
-            attempt.watched = True
-            self.doubts.watch(held, attempt, lambda: self._let_all_go(case))
+        held = self.held[case.request]
+        if held.claims and not attempt_call.watched:
+            attempt_call.watched = True
+            self.doubts.watch(held, attempt_call, lambda: self._let_all_go(case))
 
-    def _seek_sign(self, engine: i.Engine) -> None:
+    def _seek_sign(self, engine: Engine) -> None:
         """Probes an engine for a sign of life, of which the module is told nothing."""
         self.probe(engine, lambda _: None)
 
-    def _may_hold(self, case: Case, trip: i.Trip, outcome: i.Outcome, attempt: Attempt) -> None:
-        held = self.held[case.job]
-        if attempt is None or outcome in (i.Outcome.UNREACHABLE, i.Outcome.MOOT):
+    def _may_hold(self, case: Case, attempt: Attempt, outcome: Outcome, attempt_call: AttemptCall) -> None:
+        held = self.held[case.request]
+        if attempt_call is None or outcome in (Outcome.UNREACHABLE, Outcome.MOOT):
             return  # it never arrived: the time to let go runs on
         now = clock.now()
         self.releases.stop_beside(held)
-        unseen = outcome in NOT_SEEN and not trip.began
-        held.outcome(now, not unseen or attempt.pool.answered >= attempt.written_at)
-        if outcome is i.Outcome.READ:
-            self.read_times.append((case.job.prompt, now - attempt.written_at))
+        unseen = outcome in NOT_SEEN and not attempt.began
+        held.outcome(now, not unseen or attempt_call.pool.answered >= attempt_call.written_at)
+        if outcome is Outcome.READ:
+            self.read_times.append((case.request.prompt, now - attempt_call.written_at))
         if unseen:
-            held.ended_unseen(trip.engine, now, self._work_left(case, attempt, now))
-        elif trip.reading and outcome is not i.Outcome.FULL:
-            held.read(trip.engine, now)
+            held.ended_unseen(attempt.engine, now, self._work_left(case, attempt_call, now))
+        elif attempt.reading and outcome is not Outcome.FULL:
+            held.read(attempt.engine, now)
         for other in case.out.values():  # this one is no longer among them
             self._watch(case, other)
 
-    def _work_left(self, case: Case, attempt: Attempt, now: float) -> float:
+    def _work_left(self, case: Case, attempt_call: AttemptCall, now: float) -> float:
         """How long an engine that runs may go on with a read that was given up: at least for what is left of
         the time that it was told.  One that was silent may begin only when it runs again: by the slowest of
         the latest reads, or for all of the time told, where none was as long.  What waits for state ends at
         once."""
-        if not attempt.trip.reading:
+        if not attempt_call.attempt.reading:
             return 0.0
-        ends = attempt.expires + ENGINE_LATE
+        ends = attempt_call.expires + ENGINE_LATE
         longest = max((time for _, time in self.read_times), default=0.0)
         most = max((tokens for tokens, _ in self.read_times), default=0.0)
-        unknown = case.job.prompt > most or now - attempt.written_at > longest
-        takes = ends - attempt.written_at if unknown else SLOWER * longest
+        unknown = case.request.prompt > most or now - attempt_call.written_at > longest
+        takes = ends - attempt_call.written_at if unknown else SLOWER * longest
         return max(self.releases.within, ends - now, takes)
 
-    def _release(self, job: i.Job) -> None:
-        case = self.cases.get(job)
+    def _release(self, request: Request) -> None:
+        case = self.cases.get(request)
         if case is not None:
             self._letting_go.append(case)  # after the turn: a trip may be sent in the same one
 
     def _taken(self, case: Case) -> None:
         """The state went with the trip; what earlier reads may have left is let go at the end."""
-        if case.job.holder is not None:
-            self.held[case.job].taken(case.job.holder)
+        if case.request.holder is not None:
+            self.held[case.request].taken(case.request.holder)
 
     # Attempts.
 
-    def _carry(self, case: Case, trip: i.Trip, pool: client.Pool, time_out: float) -> Attempt:
-        make = PrefillAttempt if trip.reading else DecodeAttempt
-        attempt = make(self.reactor, pool, trip, self, time_out, SILENCE, BODY)
-        attempt.fields = self.module_settings["report_fields"]
-        call = attempt.send(case.asked, time_out)
+    def _carry(self, case: Case, attempt: Attempt, pool: client.Pool, time_out: float) -> AttemptCall:
+        make = PrefillAttempt if attempt.reading else DecodeAttempt
+        attempt_call = make(self.reactor, pool, attempt, self, time_out, SILENCE, BODY)
+        attempt_call.fields = self.module_settings["report_fields"]
+        call = attempt_call.send(case.asked, time_out)
         if call.up:
-            self._arrives(case, attempt)
+            self._arrives(case, attempt_call)
         else:
-            call.on_up = lambda: self._came_up(case, attempt)
-            self._watch(case, attempt)
-        return attempt
+            call.on_up = lambda: self._came_up(case, attempt_call)
+            self._watch(case, attempt_call)
+        return attempt_call
 
-    def _came_up(self, case: Case, attempt: Attempt) -> None:
+    def _came_up(self, case: Case, attempt_call: AttemptCall) -> None:
         """Guards against a trip that is written late, as its connection took time: its client may have left,
         its job been answered, its engine begun to drain.  It was never sent then."""
         if not case.answered and case.client.gone():
             self.left(case)
-        if case.answered or attempt.trip.engine.state != "ready":
-            return attempt.withdraw()
-        release = self.releases.seeking(self.held[case.job])
-        if release is not None and not attempt.held_back:
-            return self._hold_back(case, attempt, release)
-        attempt.came_up()
-        self._arrives(case, attempt)
-
-    def _hold_back(self, case: Case, attempt: Attempt, release: Release) -> None:
+        if case.answered or attempt_call.attempt.engine.state != "ready":
+            return attempt_call.withdraw()
+        release = self.releases.seeking(self.held[case.request])
+        if release is not None and not attempt_call.held_back:
+            return self._hold_back(case, attempt_call, release)
+        attempt_call.came_up()
+        self._arrives(case, attempt_call)
+
+    def _hold_back(self, case: Case, attempt_call: AttemptCall, release: Release) -> None:
         """Guards against an attempt that puts a release off, or is harmed by it: an engine hears the release
         first, or has had the time of some steps to do so."""
-        assert attempt.call is not None
-        attempt.held_back = attempt.call.held_back = True
+        assert attempt_call.call is not None
+        attempt_call.held_back = attempt_call.call.held_back = True
 
         def go() -> None:
             if timer.active():
                 timer.cancel()
             release.on_heard = None
-            if not attempt.over:
-                self._came_up(case, attempt)
-                attempt.go()
+            if not attempt_call.over:
+                self._came_up(case, attempt_call)
+                attempt_call.go()
 
         timer = TimeOut(self.reactor, HELD_BACK_STEPS * self.releases.step / 1000, go)
         release.on_heard = go
@@ -236,18 +236,18 @@
 
     def _probed(
         self, status: int, headers: dict[str, str], reply: bytes
-    ) -> tuple[i.Outcome, dict[str, float] | None]:
+    ) -> tuple[Outcome, dict[str, float] | None]:
         if status != 200:
             return protocol.refusal(status, headers)[0], None
         text = headers.get(protocol.LOAD) or reply[:1000].decode("latin-1")
-        return i.Outcome.DELIVERED, protocol.load_report(text, self.module_settings["report_fields"])
+        return Outcome.DELIVERED, protocol.load_report(text, self.module_settings["report_fields"])
 
-    def _hold(self, job: i.Job, engine: i.Engine) -> None:
+    def _hold(self, request: Request, engine: Engine) -> None:
         raise LookupError("the platform's protocol has no places held ahead")
 
     # The engines.
 
-    def moved(self, engine: i.Engine, host: str, port: int) -> None:
+    def moved(self, engine: Engine, host: str, port: int) -> None:
         super().moved(engine, host, port)
         self.contacts.listed(engine)
         self.pools[engine].on_heard = lambda: self.contacts.heard(engine)
@@ -255,7 +255,7 @@
     def _pool(self, host: str, port: int) -> client.Pool:
         return client.Pool(self.reactor, host, port, self.connect_time_out, 0.0, MOST_IDLE, HEAD, BODY, HOST)
 
-    def forget_gone(self) -> list[i.Engine]:
+    def forget_gone(self) -> list[Engine]:
         """Guards against a fleet that is replaced all day; gives the engines forgotten."""
         gone = [engine for engine in self.pools if engine.state == "gone" and self.door.forget(engine)]
         for engine in gone:
--- a/worksmux/node/counters.py
+++ b/worksmux/node/counters.py
@@ -12,15 +12,17 @@
         self.sums: Counter[str] = Counter()
         self.open = 0
 
-    def arrived(self, offering: str) -> None:
+    def arrived(self, request_class: str) -> None:
         self.open += 1
         self.sums["taken"] += 1
 
-    def ended(self, offering: str, answer: str, ms: float, first_ms: float | None, trips: int) -> None:
+    def ended(
+        self, request_class: str, answer: str, ms: float, first_ms: float | None, attempts: int
+    ) -> None:
         self.open -= 1
         self.sums[answer] += 1
 
-    def trip(self, stage: str) -> None:
+    def attempt(self, stage: str) -> None:
         self.sums[stage] += 1
 
     def probe(self, outcome: str) -> None:
