--- a/worksmux/node/discovery.py
+++ b/worksmux/node/discovery.py
@@ -14,7 +14,7 @@
 from ..endpoints.list_reader import ListKeeper
 from ..net import client, clock
 from ..net.loop import Reactor
-from ..policy import interface as i
+from ..policy.state import Engine
 from .core import HEAD, NodeCore
 from .endpoint_list import READ_HOSTS, HostList, listing
 
@@ -134,7 +134,7 @@
         self.stopped = False
         self.on_word: Callable[[], None] | None = None  # called once, with discovery's first word
 
-    def engine(self, name: str) -> i.Engine:
+    def engine(self, name: str) -> Engine:
         address = name.encode()
         return self.core.door.engine(address, key_of(address))
 
--- a/worksmux/node/kv_claims.py
+++ b/worksmux/node/kv_claims.py
@@ -28,7 +28,7 @@
 from enum import Enum
 from math import inf
 
-from ..policy.interface import Engine
+from ..policy.state import Engine
 
 LONGEST_SILENCE = 30_000.0  # milliseconds: an engine that is silent for longer has lost what it had
 
--- a/worksmux/node/kv_release.py
+++ b/worksmux/node/kv_release.py
@@ -24,7 +24,7 @@
 from ..forwarding.control_call import OutgoingCall
 from ..net import client, clock
 from ..net.loop import Reactor, Timer
-from ..policy.interface import Engine
+from ..policy.state import Engine
 from . import protocol
 from .kv_claims import HeldState
 
--- a/worksmux/node/limits.py
+++ b/worksmux/node/limits.py
@@ -10,13 +10,13 @@
 
 class Shares(NamedTuple):
     clients: int  # connections of clients
-    jobs: int  # open at once: each may hold a connection on both sides
+    requests: int  # open at once: each may hold a connection on both sides
 
 
 def shares(sockets: int) -> Shares:
     """
     >>> shares(512)
-    Shares(clients=292, jobs=147)
+    Shares(clients=292, requests=147)
     """
     rest = max(8, sockets - OWN)
     clients = int(rest * CLIENTS)
--- a/worksmux/node/protocol.py
+++ b/worksmux/node/protocol.py
@@ -11,10 +11,10 @@
 import msgspec
 
 from ..endpoints.keys import key_of
-from ..policy import interface as i
+from ..policy.state import Outcome
 
 CHAT, READY, HOLDS, ALIVE, LOAD_PATH = "/v1/chat/completions", "/up", "/v1/holds/", "/alive", "/metrics/load"
-ID, OFFERING, SESSION, TIME_LEFT = "X-Request-ID", "X-Priority-Class", "X-Route-Key", "X-Timeout-Ms"
+ID, REQUEST_CLASS, SESSION, TIME_LEFT = "X-Request-ID", "X-Priority-Class", "X-Route-Key", "X-Timeout-Ms"
 ATTRS, RETRIED, LOAD, NOT_RUN = "X-Attrs", "X-Retried", "x-server-load", "x-not-processed"
 LONGEST_ID = 128  # characters
 LONGEST_WAIT = 3_600_000  # milliseconds that a client may name
@@ -55,7 +55,7 @@
     """One client's job; lengths in tokens, the time left in milliseconds."""
 
     key: str  # the client's id of it
-    offering: int
+    request_class: int
     session: int
     prefix: int
     prompt: float
@@ -141,7 +141,9 @@
     ]
 
 
-def asked(header: Callable[[str], list[str]], path: str, body: bytes, offerings: dict[str, int]) -> Asked:
+def asked(
+    header: Callable[[str], list[str]], path: str, body: bytes, request_classes: dict[str, int]
+) -> Asked:
     """A client's job from its head and body; `header` gives all values of a name.  Raises Refused."""
 
     def one(name: str, needed: bool = True) -> str:
@@ -157,9 +159,9 @@
     key = one(ID)
     if len(key) > LONGEST_ID or not all(33 <= ord(sign) < 127 and sign not in "/?#%" for sign in key):
         raise Refused(400, f"{ID}: up to {LONGEST_ID} plain characters were expected")
-    name = one(OFFERING)
-    if name not in offerings:
-        raise Refused(400, f"{OFFERING}: one of {', '.join(offerings)} was expected")
+    name = one(REQUEST_CLASS)
+    if name not in request_classes:
+        raise Refused(400, f"{REQUEST_CLASS}: one of {', '.join(request_classes)} was expected")
     left = whole_number(one(TIME_LEFT), LONGEST_WAIT)
     if not left:
         raise Refused(400, f"{TIME_LEFT}: whole milliseconds above 0 were expected")
@@ -178,7 +180,7 @@
     session = number_of(one(SESSION, needed=False))
     return Asked(
         key,
-        offerings[name],
+        request_classes[name],
         session,
         number_of(attrs.get("prefix", "")),
         float(max(1, prompt)),
@@ -211,15 +213,15 @@
     return named or None
 
 
-def refusal(status: int, headers: dict[str, str]) -> tuple[i.Outcome, int]:
+def refusal(status: int, headers: dict[str, str]) -> tuple[Outcome, int]:
     """Outcome and note of a whole reply that is neither an answer nor a read prompt.
 
     >>> refusal(503, {"x-not-processed": "1"}), refusal(410, {"x-not-processed": "1"}), refusal(503, {})
     ((<Outcome.FULL: 'full'>, 0), (<Outcome.FULL: 'full'>, 1), (<Outcome.ERROR: 'error'>, 0))
     """
     if headers.get(NOT_RUN) == "1" and status in (503, 504, 410):
-        return i.Outcome.FULL, int(status == 410)
-    return i.Outcome.ERROR, 0
+        return Outcome.FULL, int(status == 410)
+    return Outcome.ERROR, 0
 
 
 class _Found(msgspec.Struct):
--- a/worksmux/node/release_targets.py
+++ b/worksmux/node/release_targets.py
@@ -6,7 +6,7 @@
 from collections.abc import Collection
 from itertools import islice
 
-from ..policy.interface import Engine
+from ..policy.state import Engine
 
 MOST_LOOKS = 512  # at engines, for one that is likely to hear
 
--- a/worksmux/node/serve.py
+++ b/worksmux/node/serve.py
@@ -49,7 +49,7 @@
         self.counts = NodeCounts()
         door = Door(config.settings, config.seed)
         share = shares(config.sockets)
-        self.core = NodeCore(door, reactor, self.counts, config.offerings, share)
+        self.core = NodeCore(door, reactor, self.counts, config.request_classes, share)
         self.discovery = Discovery(config.discovery, self.core, reactor, config.kinds, config.zones)
         self.core.engine_list = self.discovery
         self.core.on_empty = self._emptied
--- a/worksmux/node/unresponsive_attempts.py
+++ b/worksmux/node/unresponsive_attempts.py
@@ -22,7 +22,7 @@
 
 from ..net import clock
 from ..net.loop import Reactor
-from ..policy.interface import Engine
+from ..policy.state import Engine
 from .kv_claims import HeldState
 from .kv_release import Releases
 
@@ -30,7 +30,7 @@
 PROBE_STEPS = 2  # steps of a release that a probe has to be answered in
 
 
-class Attempt(Protocol):
+class AttemptCall(Protocol):
     """An attempt that is out, as far as it is looked at here; times are milliseconds."""
 
     @property
@@ -58,19 +58,19 @@
     def __init__(self, reactor: Reactor, releases: Releases, probe: Callable[[Engine], None] | None) -> None:
         self.reactor, self.releases, self.probe = reactor, releases, probe
 
-    def watch(self, held: HeldState, attempt: Attempt, let_go: Callable[[], None]) -> None:
+    def watch(self, held: HeldState, attempt_call: AttemptCall, let_go: Callable[[], None]) -> None:
         """Looks at an attempt from now on until it is over; `let_go` releases what is held for its request,
         where no other attempt has a connection."""
-        _Watched(self, held, attempt, let_go).look_when_due()
+        _Watched(self, held, attempt_call, let_go).look_when_due()
 
 
 class _Watched:
     """One attempt that is looked at."""
 
     def __init__(
-        self, watch: DoubtWatch, held: HeldState, attempt: Attempt, let_go: Callable[[], None]
+        self, watch: DoubtWatch, held: HeldState, attempt_call: AttemptCall, let_go: Callable[[], None]
     ) -> None:
-        self._watch, self._held, self._attempt, self._let_go = watch, held, attempt, let_go
+        self._watch, self._held, self._attempt, self._let_go = watch, held, attempt_call, let_go
         self._probed = False  # a prefill, which has still to show a sign of life
         self._harmed = False  # a prefill, by a release sought beside it without a probe
         self._next_release = 0.0  # not before it, while there is no connection
@@ -83,26 +83,26 @@
         self._watch.reactor.callLater(max(self._watch.releases.step, ms) / 1000, self._look)
 
     def _quiet_since(self) -> float:
-        attempt, held = self._attempt, self._held
+        attempt_call, held = self._attempt, self._held
         if self._arrived:
-            return attempt.last_sign
-        begun = attempt.written_at or clock.now()
+            return attempt_call.last_sign
+        begun = attempt_call.written_at or clock.now()
         return begun if held.since is None else min(begun, held.since)
 
     @property
     def _arrived(self) -> bool:
-        attempt = self._attempt
-        return bool(attempt.written_at) and attempt.last_sign >= attempt.written_at
+        attempt_call = self._attempt
+        return bool(attempt_call.written_at) and attempt_call.last_sign >= attempt_call.written_at
 
     def _look(self) -> None:
-        attempt, within = self._attempt, self._watch.releases.within
-        if attempt.over or attempt.reading and self._arrived:
+        attempt_call, within = self._attempt, self._watch.releases.within
+        if attempt_call.over or attempt_call.reading and self._arrived:
             return
         if not self._held.claims or clock.now() < self._quiet_since() + QUIET * within:
             self.look_when_due()
-        elif not attempt.written_at:
+        elif not attempt_call.written_at:
             self._release_without_connection()
-        elif attempt.reading:
+        elif attempt_call.reading:
             self._doubt_prefill()
         else:
             self._release_beside()
--- a/worksmux/policy/endpoint_index.py
+++ b/worksmux/policy/endpoint_index.py
@@ -14,8 +14,10 @@
 from operator import attrgetter
 from typing import NamedTuple
 
-from .interface import Engine, Planned, Settings
+from .events import FailoverPlan
 from .rendezvous import RankedEngines, Ranking
+from .settings import Settings
+from .state import Engine
 
 LEAN = 6.0  # times the price of moving state: what prefill engines take beyond their even share
 MOST_LOOKS = 128  # at decode engines of one circle in one search
@@ -74,7 +76,7 @@
     """Who runs prefills and who answers, and what part of the work each is due."""
 
     def __init__(
-        self, engines: Iterable[Engine], plan: Planned | None, settings: Settings, now: float
+        self, engines: Iterable[Engine], plan: FailoverPlan | None, settings: Settings, now: float
     ) -> None:
         """`now`, milliseconds, decides which engines are cold."""
         self.settings = settings
@@ -109,7 +111,7 @@
 
     @staticmethod
     def _by_plan(
-        known: list[Engine], listed: list[Engine], plan: Planned | None
+        known: list[Engine], listed: list[Engine], plan: FailoverPlan | None
     ) -> tuple[list[Engine], dict[Engine, None]]:
         """Those that take part, and those of zones that the plan moves: where jobs belong stays known."""
         if plan is None or not plan.rows:
--- a/worksmux/policy/id_map.py
+++ b/worksmux/policy/id_map.py
@@ -9,70 +9,73 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from . import interface as i
+from .actions import AbortRequest, Action, MigrateRequest, RejectRequest, ReleaseKvCache, ReserveSlot
+from .events import AttemptEnded, ClientDisconnected, Event, RequestArrived
 from .router import Front
+from .settings import Settings
+from .state import Attempt, Engine, Request
 
 
 class Module(Protocol):
     """What decides: the module or a baseline behind the same entry point."""
 
-    def decide(self, now: float, events: list[i.Event]) -> list[i.Action]: ...
+    def decide(self, now: float, events: list[Event]) -> list[Action]: ...
 
 
-Maker = Callable[[i.Settings, int], Module]
+Maker = Callable[[Settings, int], Module]
 
 
 class Door:
-    def __init__(self, settings: i.Settings, seed: int, make: Maker = Front) -> None:
+    def __init__(self, settings: Settings, seed: int, make: Maker = Front) -> None:
         self.settings = settings
         self.module = make(settings, seed)
-        self.engines: dict[bytes, i.Engine] = {}
-        self.jobs: dict[int, i.Job] = {}
-        self._touched: list[i.Job] = []
+        self.engines: dict[bytes, Engine] = {}
+        self.requests: dict[int, Request] = {}
+        self._touched: list[Request] = []
 
-    def decide(self, now: float, events: list[i.Event]) -> list[i.Action]:
+    def decide(self, now: float, events: list[Event]) -> list[Action]:
         """One call to the module for all that happened, in order; its actions, in order."""
         # Guards against jobs kept for ever that were delivered: no action names them any more.
         for event in events:
-            if isinstance(event, i.Ended):
-                self._touched.append(event.trip.job)
-            elif isinstance(event, i.Left):
-                self._touched.append(event.job)
+            if isinstance(event, AttemptEnded):
+                self._touched.append(event.attempt.request)
+            elif isinstance(event, ClientDisconnected):
+                self._touched.append(event.request)
         actions = self.module.decide(now, events)
         for action in actions:
-            if isinstance(action, (i.Defer, i.BreakOff, i.Release, i.Hold, i.Move)):
-                self._touched.append(action.job)
-        for job in self._touched:  # nothing more can be told of these
-            if job.ended and all(trip.outcome for trip in job.trips):
-                self.jobs.pop(job.id, None)
+            if isinstance(action, (RejectRequest, AbortRequest, ReleaseKvCache, ReserveSlot, MigrateRequest)):
+                self._touched.append(action.request)
+        for request in self._touched:  # nothing more can be told of these
+            if request.ended and all(attempt.outcome for attempt in request.attempts):
+                self.requests.pop(request.id, None)
         self._touched.clear()
         return actions
 
-    def engine(self, address: bytes, key: int) -> i.Engine:
+    def engine(self, address: bytes, key: int) -> Engine:
         """The engine with this id, made at first sight; `key` is a number for hashing."""
         if address not in self.engines:
-            self.engines[address] = i.Engine(address, key)
+            self.engines[address] = Engine(address, key)
         return self.engines[address]
 
-    def forget(self, engine: i.Engine) -> bool:
+    def forget(self, engine: Engine) -> bool:
         """Forgets an engine that is gone, once the module has; whether it did."""
-        if engine.state != "gone" or engine.trips or engine in getattr(self.module, "engines", ()):
+        if engine.state != "gone" or engine.attempts or engine in getattr(self.module, "engines", ()):
             return False
         self.engines.pop(engine.id, None)
         return True
 
-    def arrived(self, job: i.Job) -> i.Arrived:
-        self.jobs[job.id] = job
-        return i.Arrived(job)
+    def arrived(self, request: Request) -> RequestArrived:
+        self.requests[request.id] = request
+        return RequestArrived(request)
 
-    def left(self, number: int) -> i.Left | None:
+    def left(self, number: int) -> ClientDisconnected | None:
         """None where the job was forgotten: it had ended a moment ago."""
-        job = self.jobs.get(number)
-        return i.Left(job) if job else None
+        request = self.requests.get(number)
+        return ClientDisconnected(request) if request else None
 
-    def trip(self, number: int, at: int) -> i.Trip | None:
+    def attempt(self, number: int, at: int) -> Attempt | None:
         """Trip `at` of job `number`, of which something is about to be told."""
-        job = self.jobs.get(number)
-        if job is None or at >= len(job.trips):
+        request = self.requests.get(number)
+        if request is None or at >= len(request.attempts):
             return None
-        return job.trips[at]
+        return request.attempts[at]
--- a/worksmux/policy/rendezvous.py
+++ b/worksmux/policy/rendezvous.py
@@ -15,8 +15,8 @@
 from math import log
 from operator import attrgetter
 
-from .interface import Engine
 from .measure import mix, straw, straws
+from .state import Engine
 
 # Engines that are ranked together.  Where a leaf comes to more or less than this its engines are ranked anew
 # and many of its keys move, so it is far from what the leaves of most fleets have.
--- a/worksmux/policy/router.py
+++ b/worksmux/policy/router.py
@@ -15,38 +15,37 @@
 from itertools import chain, islice
 from math import ceil, inf
 
-from .endpoint_index import ANYWHERE, FURTHER_LOOKS, HEAD_LOOKS, EngineIndex, RoundRobin, Scope
-from .interface import (
+from .actions import (
+    AbortRequest,
     Action,
-    Alarm,
-    Arrived,
-    Began,
-    BreakOff,
-    Cancel,
-    Defer,
-    Ended,
-    Engine,
-    Entry,
+    CancelAttempt,
+    CheckHealth,
+    RejectRequest,
+    ReleaseKvCache,
+    ReserveSlot,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from .endpoint_index import ANYWHERE, FURTHER_LOOKS, HEAD_LOOKS, EngineIndex, RoundRobin, Scope
+from .events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointEntry,
+    EndpointListUpdate,
     Event,
-    Hold,
-    Job,
-    Left,
-    Listed,
-    Outcome,
-    Planned,
-    Probe,
-    Probed,
-    Rang,
-    Recalled,
-    Release,
-    Send,
-    Settings,
-    Trip,
-    Watch,
+    FailoverPlan,
+    FirstToken,
+    HealthCheckEnded,
+    RequestArrived,
+    StateRestored,
+    TimerFired,
 )
 from .measure import Chance, Ring, mix, straw
 from .rendezvous import Ranking, rank
+from .settings import Settings
 from .slow_start import SlowStart
+from .state import Attempt, Engine, Outcome, Request
 
 MARGIN = 0.25  # of an engine's even share, added to make its first window or its room
 BACKLOG = 0.15  # of the shortest promised time: a wait for the first token that narrows no window
@@ -73,25 +72,29 @@
 class Front:
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings, self.chance = settings, Chance(seed)
-        self.offerings = settings["offerings"]
-        self.per_k: float = max(offering["promised_per_k"] for offering in self.offerings) / 1000
-        self.quickest: float = min(offering["promised_time"] for offering in self.offerings)
+        self.request_classes = settings["offerings"]
+        self.per_k: float = (
+            max(request_class["promised_per_k"] for request_class in self.request_classes) / 1000
+        )
+        self.quickest: float = min(request_class["promised_time"] for request_class in self.request_classes)
         self.beat: float = max(settings["tick"], (settings["release_within"] or MARK) / BEATS)
         self.now, self.alarm_at, self.reckoned, self.asks = 0.0, -inf, -inf, False
         self.slow_start = SlowStart(settings)
         self.shared: dict[str, float] = defaultdict(float)  # by role: faults of those that are ready
-        self.actions: list[Action] = [Watch(True)] if settings["ask_for_list"] else []
+        self.actions: list[Action] = [WatchEndpoints(True)] if settings["ask_for_list"] else []
         self.engines: dict[Engine, None] = {}
         self.awaited: dict[Engine, None] = {}  # no sign of life since a send
         self.busy: dict[Engine, None] = {}  # with a trip out
         self.faulty: dict[Engine, None] = {}  # with faults in memory
-        self.good: list[dict[Engine, None]] = [{} for _ in self.offerings]  # known to serve it, latest last
-        self.searched: dict[Job, int] = {}  # waiting: how far its readers were looked at
-        self.looks: dict[Job, list[tuple[Engine, float]]] = {}  # waiting: its readers, the first of them
+        self.good: list[dict[Engine, None]] = [
+            {} for _ in self.request_classes
+        ]  # known to serve it, latest last
+        self.searched: dict[Request, int] = {}  # waiting: how far its readers were looked at
+        self.looks: dict[Request, list[tuple[Engine, float]]] = {}  # waiting: its readers, the first of them
         self.usual: tuple[float, float] | None = None  # while waiting jobs are placed
         self.none_well: dict[int, bool] = {}  # by offering, in this turn: whether no reader is
-        self.waiting: dict[Job, None] = {}  # before their read
-        self.holding: dict[Job, None] = {}  # read, and no trip out
+        self.waiting: dict[Request, None] = {}  # before their read
+        self.holding: dict[Request, None] = {}  # read, and no trip out
         self.turns, self.out, self.reading, self.unended = 0, 0, 0.0, 0.0
         self.streams = Ring(4 * MARK, BUCKETS)  # our own jobs at writers, seen at each placement
         self.per_token = Ring(MEMORY, BUCKETS)  # reading time for a token of the prompt
@@ -99,8 +102,8 @@
         self.sizes = Ring(MEMORY, BUCKETS)  # tokens of a read
         self.first = Ring(MEMORY, BUCKETS)  # time to a first token
         self.lines = Ring(MEMORY, BUCKETS)  # time that prompts waited to be read
-        self.fates = [Ring(MEMORY, BUCKETS) for _ in self.offerings]  # 1 for each fault, else 0
-        self.plan: Planned | None = None  # of all fronts; without one nothing is done for it
+        self.fates = [Ring(MEMORY, BUCKETS) for _ in self.request_classes]  # 1 for each fault, else 0
+        self.plan: FailoverPlan | None = None  # of all fronts; without one nothing is done for it
         self.index = EngineIndex([], None, settings, 0.0)
         self._index()
 
@@ -120,89 +123,95 @@
             self._place_waiting()
         pause = UNHEARD * self.quickest / 4 if self.awaited else inf
         pause = self.beat if self.waiting or self.holding else pause
-        if any(job.asked for job in self.waiting):
+        if any(request.asked for request in self.waiting):
             pause = min(pause, ASK * self.quickest)
         if pause < inf and not now < self.alarm_at <= now + pause:
             self.alarm_at = now + pause  # a front with nothing to watch sleeps
-            self.actions.append(Alarm(pause, 0))
+            self.actions.append(SetTimer(pause, 0))
         actions, self.actions = self.actions, []
         return actions
 
     def _take(self, event: Event) -> None:
         match event:
-            case Ended():
+            case AttemptEnded():
                 self._ended(event)
-            case Arrived(job):
-                offering = self.offerings[job.offering]
-                job.promised_at = (
-                    self.now + offering["promised_time"] + offering["promised_per_k"] * job.prompt / 1000
+            case RequestArrived(request):
+                request_class = self.request_classes[request.request_class]
+                request.promised_at = (
+                    self.now
+                    + request_class["promised_time"]
+                    + request_class["promised_per_k"] * request.prompt / 1000
                 )
-                job.luck = self.chance.share()
-                if self._shed(job):
+                request.luck = self.chance.share()
+                if self._shed(request):
                     return
-                self.waiting[job] = None
+                self.waiting[request] = None
                 # A part, so that a fleet all cold is not left alone; the least for repeats, which can storm.
                 for role in ("read", "write", "both"):
-                    self.slow_start.earn(role, 0.25 if job.repeat else 0.5)
-                if not job.repeat and self.index.all_writers_cold(self.now):
+                    self.slow_start.earn(role, 0.25 if request.repeat else 0.5)
+                if not request.repeat and self.index.all_writers_cold(self.now):
                     self.slow_start.earn("write", 0.5)  # who meets few requests has no serve to wait for
-            case Began(trip, elapsed):
-                trip.began, trip.job.began, trip.job.holder = self.now, True, None
-                wait = max(0.0, elapsed - self._reads(trip))
+            case FirstToken(attempt, elapsed):
+                attempt.began, attempt.request.began, attempt.request.holder = self.now, True, None
+                wait = max(0.0, elapsed - self._reads(attempt))
                 self.first.add(self.now, wait)
-                trip.engine.pace.add(self.now, wait)
-                self._praise(trip)
-            case Rang(0):
+                attempt.engine.pace.add(self.now, wait)
+                self._praise(attempt)
+            case TimerFired(0):
                 if self.alarm_at <= self.now + self.settings["tick"]:
                     self.alarm_at = -inf
                     self._look_round()
-            case Rang():
-                self.actions.append(Watch(True))
-            case Left(job):
-                self._drop(job)
-            case Listed():
+            case TimerFired():
+                self.actions.append(WatchEndpoints(True))
+            case ClientDisconnected(request):
+                self._drop(request)
+            case EndpointListUpdate():
                 self._list(event)
-            case Probed(engine, outcome):
+            case HealthCheckEnded(engine, outcome):
                 self._probed(engine, outcome)
-            case Recalled():
+            case StateRestored():
                 self._recall(event)
-            case Planned():
+            case FailoverPlan():
                 self.plan = event
                 self._index()
 
-    def _shed(self, job: Job) -> bool:
+    def _shed(self, request: Request) -> bool:
         """What the plan has no room for is deferred before any trip, with a time that spreads its return: by
         its home, so that what is moved crowds nobody out, and by beginning, so that what is let in shares."""
         if not (plan := self.plan) or not plan.shed:
             return False
-        key, _, order = self._ranked(job)
+        key, _, order = self._ranked(request)
         first = next(iter(order), None)
         shed = plan.shed.get(first.zone) if first else None
-        job.ended = shed is not None and straw(key, mix(job.offering, 3)) < shed[job.offering]
-        if job.ended:
+        request.ended = (
+            shed is not None and straw(key, mix(request.request_class, 3)) < shed[request.request_class]
+        )
+        if request.ended:
             stay = plan.stay_away if self.settings["stay_away"] else 0.0
-            self.actions.append(Defer(job, stay * (1 + self.chance.share()), "the plan has no room for it"))
-        return job.ended
+            self.actions.append(
+                RejectRequest(request, stay * (1 + self.chance.share()), "the plan has no room for it")
+            )
+        return request.ended
 
-    def _recall(self, event: Recalled) -> None:
+    def _recall(self, event: StateRestored) -> None:
         """Takes on what was learned before a restart; it fades like what is seen now."""
         for ring, (total, count) in zip((self.first, self.per_token, *self.fates), event.seen, strict=True):
             if count:
                 ring.add(self.now, total, count)
-        for engine, offering, left in event.unwell:
-            engine.unwell[offering] = self.now + left
-        for engine, offering, ago in sorted(event.good, key=lambda one: -one[2]):
-            engine.good[offering] = self.now - ago
-            self.good[offering][engine] = None
-        for engine, jobs in event.narrowed:
-            engine.narrowed = jobs
+        for engine, request_class, left in event.unwell:
+            engine.unwell[request_class] = self.now + left
+        for engine, request_class, ago in sorted(event.good, key=lambda one: -one[2]):
+            engine.good[request_class] = self.now - ago
+            self.good[request_class][engine] = None
+        for engine, requests in event.narrowed:
+            engine.narrowed = requests
 
     # Which engines there are.
 
-    def _list(self, event: Listed) -> None:
+    def _list(self, event: EndpointListUpdate) -> None:
         if event.scope == "failed":
             if self.settings["ask_for_list"]:
-                self.actions.append(Alarm(MARK * (0.5 + self.chance.share()), 1))
+                self.actions.append(SetTimer(MARK * (0.5 + self.chance.share()), 1))
             return
         if event.scope != "delta":
             for engine in self.engines.keys() - {entry.engine for entry in event.entries}:
@@ -214,7 +223,7 @@
             engine
             for engine in self.engines
             if engine.state == "gone"
-            and not engine.trips
+            and not engine.attempts
             and not engine.paired
             and engine not in self.index.missed
             and self.now - engine.left > MEMORY
@@ -224,7 +233,7 @@
                 known.pop(engine, None)
         self._index()
 
-    def _enter(self, entry: Entry) -> None:
+    def _enter(self, entry: EndpointEntry) -> None:
         engine = entry.engine
         if engine not in self.engines:
             self.engines[engine] = None
@@ -236,8 +245,8 @@
             engine.narrowed, engine.skip_until, engine.unwell = 0.0, 0.0, {}
             self.slow_start.begin(engine, self.chance.share())
             self._alive(engine)
-            for job in list(engine.paired):  # paired with what ran there before
-                self._unpair(job)
+            for request in list(engine.paired):  # paired with what ran there before
+                self._unpair(request)
         if entry.state == "gone" and engine.state != "gone":
             engine.left = self.now
         engine.state, engine.started, engine.size = entry.state, entry.started, entry.size
@@ -264,14 +273,14 @@
         if not engine.quiet_since:
             self.awaited.pop(engine, None)
 
-    def _praise(self, trip: Trip) -> None:
-        trip.engine.good[trip.job.offering] = self.now
-        known = self.good[trip.job.offering]
-        known.pop(trip.engine, None)
-        known[trip.engine] = None
-        self.fates[trip.job.offering].add(self.now, 0.0)
-        self.slow_start.earn(trip.engine.role, 1.0)
-        self._alive(trip.engine)
+    def _praise(self, attempt: Attempt) -> None:
+        attempt.engine.good[attempt.request.request_class] = self.now
+        known = self.good[attempt.request.request_class]
+        known.pop(attempt.engine, None)
+        known[attempt.engine] = None
+        self.fates[attempt.request.request_class].add(self.now, 0.0)
+        self.slow_start.earn(attempt.engine.role, 1.0)
+        self._alive(attempt.engine)
 
     def _worse(self, engine: Engine) -> bool:
         """Guards against faults that come from any engine alike, such as a network's: setting engines aside
@@ -288,7 +297,7 @@
         own = engine.faults.count(self.now)
         return own > SHARED * max(0.0, faults - own) / max(1, peers - 1)
 
-    def _strike(self, engine: Engine, offering: int = ALL, shared: bool = False) -> None:
+    def _strike(self, engine: Engine, request_class: int = ALL, shared: bool = False) -> None:
         """Sets an engine aside, longer with each fault in memory: one that fails fast loses its turns.
         An error or an unanswered job sets it aside for that offering alone: it may serve the others. A front
         that meets its engines seldom keeps the mark until about the next meeting."""
@@ -301,13 +310,15 @@
             MARK * 2 ** min(engine.faults.count(self.now) - 1, LONGEST_ASIDE),
             MEMORY * min(1.0, len(self.engines) / max(1, 2 * meetings)),
         )
-        engine.unwell[offering] = self.now + aside * (0.75 + 0.5 * self.chance.share())
+        engine.unwell[request_class] = self.now + aside * (0.75 + 0.5 * self.chance.share())
 
-    def _reads(self, trip: Trip) -> float:
-        return SLOWNESS * self.shortest * trip.work
+    def _reads(self, attempt: Attempt) -> float:
+        return SLOWNESS * self.shortest * attempt.work
 
     def _oldest(self, engine: Engine) -> float:
-        return max([0.0, *(self.now - trip.sent - self._reads(trip) for trip in engine.unanswered[:1])])
+        return max(
+            [0.0, *(self.now - attempt.sent - self._reads(attempt) for attempt in engine.unanswered[:1])]
+        )
 
     def _patience(self, engine: Engine) -> float:
         """Guards against what is slow for all alike: hundreds of fronts that call off what waits in a line,
@@ -316,7 +327,7 @@
         return (
             UNHEARD * self.quickest
             + SLOWNESS * waits.mean(self.now)
-            + sum(self._reads(trip) for trip in engine.unanswered)
+            + sum(self._reads(attempt) for attempt in engine.unanswered)
         )
 
     def _probed(self, engine: Engine, outcome: Outcome) -> None:
@@ -327,49 +338,52 @@
         engine.suspected = False
         if outcome not in (Outcome.DELIVERED, Outcome.FULL):
             self._strike(engine)
-            return self._rescue(list(engine.trips))  # guards against hung engines: it may run elsewhere
+            return self._rescue(list(engine.attempts))  # guards against hung engines: it may run elsewhere
         # Guards against an engine that lives and leaves one offering's jobs unanswered; a state that comes
         # over a slow link looks alike, so only what lies near is called off.
         patience = self._patience(engine)
         late = [
-            trip
-            for trip in engine.unanswered
-            if self.now - trip.sent > patience
-            and (trip.job.holder is None or trip.job.holder.cell == engine.cell)
+            attempt
+            for attempt in engine.unanswered
+            if self.now - attempt.sent > patience
+            and (attempt.request.holder is None or attempt.request.holder.cell == engine.cell)
         ]
-        for offering in sorted({trip.job.offering for trip in late}):
-            self.fates[offering].add(self.now)
-            self._strike(engine, offering)
+        for request_class in sorted({attempt.request.request_class for attempt in late}):
+            self.fates[request_class].add(self.now)
+            self._strike(engine, request_class)
         self._rescue(late)
         self._alive(engine)
 
-    def _rescue(self, trips: list[Trip]) -> None:
-        for trip in trips:
+    def _rescue(self, attempts: list[Attempt]) -> None:
+        for attempt in attempts:
             if (
-                (trip.reading or self.offerings[trip.job.offering]["effect"] == "redoable")
-                and not trip.job.ended
-                and self._trips_left(trip.job)
-                and not (self.asks and trip.reading and self._late(trip.job))
+                (
+                    attempt.reading
+                    or self.request_classes[attempt.request.request_class]["effect"] == "redoable"
+                )
+                and not attempt.request.ended
+                and self._attempts_left(attempt.request)
+                and not (self.asks and attempt.reading and self._late(attempt.request))
             ):
-                self._call_off(trip)
+                self._call_off(attempt)
 
-    def _call_off(self, trip: Trip) -> None:
-        if self.settings["may_cancel"] and not (trip.began or trip.called_off):
-            trip.called_off = True
-            self.actions.append(Cancel(trip))
+    def _call_off(self, attempt: Attempt) -> None:
+        if self.settings["may_cancel"] and not (attempt.began or attempt.called_off):
+            attempt.called_off = True
+            self.actions.append(CancelAttempt(attempt))
 
-    def _well(self, engine: Engine, offering: int) -> bool:
+    def _well(self, engine: Engine, request_class: int) -> bool:
         if engine.state != "ready" or engine.suspected:
             return False
-        if max(engine.unwell.get(ALL, 0.0), engine.unwell.get(offering, 0.0)) > self.now:
+        if max(engine.unwell.get(ALL, 0.0), engine.unwell.get(request_class, 0.0)) > self.now:
             return False
-        on_trial = engine.unwell and engine.trips and engine.quiet_since and engine.faults.count(self.now)
+        on_trial = engine.unwell and engine.attempts and engine.quiet_since and engine.faults.count(self.now)
         return not on_trial
 
-    def _usable(self, engine: Engine, job: Job) -> bool:
+    def _usable(self, engine: Engine, request: Request) -> bool:
         return (
             engine.skip_until <= self.now
-            and self._well(engine, job.offering)
+            and self._well(engine, request.request_class)
             and (
                 engine not in self.index.cold
                 or self.slow_start.credit(engine) >= 1.0
@@ -377,80 +391,87 @@
             )
         )
 
-    def _vouched(self, engine: Engine, offering: int) -> bool:
-        return self.now - engine.good.get(offering, -inf) < MEMORY
+    def _vouched(self, engine: Engine, request_class: int) -> bool:
+        return self.now - engine.good.get(request_class, -inf) < MEMORY
 
-    def _all_vouched(self, offering: int) -> dict[Engine, None]:
-        known = self.good[offering]
-        while known and not self._vouched(oldest := next(iter(known)), offering):
+    def _all_vouched(self, request_class: int) -> dict[Engine, None]:
+        known = self.good[request_class]
+        while known and not self._vouched(oldest := next(iter(known)), request_class):
             del known[oldest]
         return known
 
-    def _failing(self, offering: int) -> bool:
-        return self.fates[offering].mean(self.now) > FAILING
+    def _failing(self, request_class: int) -> bool:
+        return self.fates[request_class].mean(self.now) > FAILING
 
     # Jobs and trips.
 
-    def _trips_left(self, job: Job) -> int:
-        return int(self.settings["most_trips"]) - len(job.trips)
+    def _attempts_left(self, request: Request) -> int:
+        return int(self.settings["most_trips"]) - len(request.attempts)
 
-    def _scope(self, job: Job) -> Scope | None:
+    def _scope(self, request: Request) -> Scope | None:
         """Where one more attempt may go; None: nowhere."""
-        if self._trips_left(job) < 1 or job.out:
+        if self._attempts_left(request) < 1 or request.out:
             return None
-        ran, offering = job.may_have_run, self.offerings[job.offering]
-        if not ran or offering["effect"] == "redoable":
+        ran, request_class = request.may_have_run, self.request_classes[request.request_class]
+        if not ran or request_class["effect"] == "redoable":
             return ANYWHERE
-        over = self.now - ran[0].sent >= offering["remembered"] - self.quickest
-        if offering["effect"] == "irreversible" or over:
+        over = self.now - ran[0].sent >= request_class["remembered"] - self.quickest
+        if request_class["effect"] == "irreversible" or over:
             return None
-        if offering["group"] == "all":
+        if request_class["group"] == "all":
             return ANYWHERE
         first = ran[0].engine
-        scope = Scope(first.zone, None if offering["group"] == "zone" else first.cell)
-        return scope if all(scope.has(trip.engine) for trip in ran) else None
+        scope = Scope(first.zone, None if request_class["group"] == "zone" else first.cell)
+        return scope if all(scope.has(attempt.engine) for attempt in ran) else None
 
-    def _may_send(self, job: Job, engine: Engine) -> bool:
-        scope = self._scope(job)
+    def _may_send(self, request: Request, engine: Engine) -> bool:
+        scope = self._scope(request)
         return scope is not None and engine.state == "ready" and scope.has(engine)
 
-    def _may_repeat(self, job: Job) -> bool:
-        scope = self._scope(job)
+    def _may_repeat(self, request: Request) -> bool:
+        scope = self._scope(request)
         return scope is not None and self.index.any_in(self.index.answering, scope)
 
-    def _may_read_again(self, job: Job) -> bool:
+    def _may_read_again(self, request: Request) -> bool:
         """A read counts as a send: where a trip may have run, it too stays within the group and its time."""
-        if not job.may_have_run or self.settings["writers_read"]:
+        if not request.may_have_run or self.settings["writers_read"]:
             return True
-        scope = self._scope(job)
+        scope = self._scope(request)
         return scope is not None and self.index.any_in(self.index.hosts, scope)
 
-    def _may_defer(self, job: Job) -> bool:
-        offering = self.offerings[job.offering]
+    def _may_defer(self, request: Request) -> bool:
+        request_class = self.request_classes[request.request_class]
         return (
-            offering["effect"] == "redoable"
-            or not job.may_have_run
-            or (offering["effect"], offering["group"]) == ("labelled", "all")
+            request_class["effect"] == "redoable"
+            or not request.may_have_run
+            or (request_class["effect"], request_class["group"]) == ("labelled", "all")
         )
 
-    def _send(self, job: Job, engine: Engine, reading: bool, time_out: float = 0.0) -> None:
-        trip = Trip(job, engine, len(job.trips), self.now, reading, work=0.0 if job.holder else job.prompt)
-        job.trips.append(trip)
+    def _send(self, request: Request, engine: Engine, reading: bool, time_out: float = 0.0) -> None:
+        attempt = Attempt(
+            request,
+            engine,
+            len(request.attempts),
+            self.now,
+            reading,
+            work=0.0 if request.holder else request.prompt,
+        )
+        request.attempts.append(attempt)
         self.out += not reading
-        self.reading += reading * trip.work
-        engine.trips[trip] = None
+        self.reading += reading * attempt.work
+        engine.attempts[attempt] = None
         self.busy[engine] = None
         engine.quiet_since = engine.quiet_since or self.now
         self.awaited[engine] = None
-        self.holding.pop(job, None)
-        job.asked.clear()
-        self._forget_search(job)
+        self.holding.pop(request, None)
+        request.asked.clear()
+        self._forget_search(request)
         self.none_well.clear()  # an engine on trial has its trip now
-        self.actions.append(Send(trip, time_out))
+        self.actions.append(StartAttempt(attempt, time_out))
 
-    def _forget_search(self, job: Job) -> None:
-        self.searched.pop(job, None)
-        self.looks.pop(job, None)
+    def _forget_search(self, request: Request) -> None:
+        self.searched.pop(request, None)
+        self.looks.pop(request, None)
 
     def _turn(self, engine: Engine) -> None:
         self.turns += 1
@@ -458,164 +479,170 @@
         self.index.had_turn(engine)
         self.slow_start.spend(engine)
 
-    def _unpair(self, job: Job) -> None:
-        if job.writer:
-            job.writer.paired.pop(job, None)
-            job.writer = None
+    def _unpair(self, request: Request) -> None:
+        if request.writer:
+            request.writer.paired.pop(request, None)
+            request.writer = None
             self.out -= 1
 
-    def _end(self, job: Job, why: str) -> None:
-        if not job.ended:
-            self.actions.append(Defer(job, why=why) if self._may_defer(job) else BreakOff(job, why))
-            self._drop(job)
-
-    def _drop(self, job: Job) -> None:
-        job.ended = True
-        self._unpair(job)
-        self.holding.pop(job, None)
-        self.waiting.pop(job, None)
-        self._forget_search(job)
-        for trip in job.out:
-            self._call_off(trip)
-        if job.trips and not job.out:
-            self.actions.append(Release(job))
-
-    def _ended(self, event: Ended) -> None:
-        trip, outcome = event.trip, event.outcome
-        job, engine = trip.job, trip.engine
-        trip.outcome = outcome
-        engine.trips.pop(trip, None)
-        if not engine.trips:
+    def _end(self, request: Request, why: str) -> None:
+        if not request.ended:
+            self.actions.append(
+                RejectRequest(request, why=why) if self._may_defer(request) else AbortRequest(request, why)
+            )
+            self._drop(request)
+
+    def _drop(self, request: Request) -> None:
+        request.ended = True
+        self._unpair(request)
+        self.holding.pop(request, None)
+        self.waiting.pop(request, None)
+        self._forget_search(request)
+        for attempt in request.out:
+            self._call_off(attempt)
+        if request.attempts and not request.out:
+            self.actions.append(ReleaseKvCache(request))
+
+    def _ended(self, event: AttemptEnded) -> None:
+        attempt, outcome = event.attempt, event.outcome
+        request, engine = attempt.request, attempt.engine
+        attempt.outcome = outcome
+        engine.attempts.pop(attempt, None)
+        if not engine.attempts:
             self.busy.pop(engine, None)
-        self.out -= not trip.reading
+        self.out -= not attempt.reading
         # Guards against a sum of fractions that ends under nothing: no reader would ever have room again.
-        self.reading = max(0.0, self.reading - trip.reading * trip.work)
+        self.reading = max(0.0, self.reading - attempt.reading * attempt.work)
         self._judge(event)
         if event.closed:
-            job.ended = True
-            self._unpair(job)
-        if job.ended:
+            request.ended = True
+            self._unpair(request)
+        if request.ended:
             if outcome is not Outcome.DELIVERED:
-                self.actions.append(Release(job))  # guards against state pinned for a job already answered
-        elif outcome is Outcome.READ and not self._spent(job):
-            job.holder, job.held_since = engine, self.now
-            self.holding[job] = None
+                self.actions.append(
+                    ReleaseKvCache(request)
+                )  # guards against state pinned for a job already answered
+        elif outcome is Outcome.READ and not self._spent(request):
+            request.holder, request.held_since = engine, self.now
+            self.holding[request] = None
         elif (
-            job.holder
+            request.holder
             and not (outcome is Outcome.FULL and event.note == 1)
-            and not self._spent(job)
-            and self._may_repeat(job)
+            and not self._spent(request)
+            and self._may_repeat(request)
         ):
             if outcome not in (Outcome.UNREACHABLE, Outcome.MOOT):
-                job.held_since = self.now  # time runs on through trips that never arrived
-            self.holding[job] = None  # the state still waits: the next writer gets it
+                request.held_since = self.now  # time runs on through trips that never arrived
+            self.holding[request] = None  # the state still waits: the next writer gets it
         else:
-            self._again(job)
+            self._again(request)
 
-    def _judge(self, event: Ended) -> None:
-        trip, engine, outcome = event.trip, event.trip.engine, event.outcome
-        offering = trip.job.offering
-        if trip.reading and outcome in (Outcome.READ, Outcome.CANCELLED, Outcome.TIMED_OUT):
+    def _judge(self, event: AttemptEnded) -> None:
+        attempt, engine, outcome = event.attempt, event.attempt.engine, event.outcome
+        request_class = attempt.request.request_class
+        if attempt.reading and outcome in (Outcome.READ, Outcome.CANCELLED, Outcome.TIMED_OUT):
             # Guards against a jam that shows only the reads that got through: each that ends in vain counts.
-            self.lines.add(self.now, max(0.0, event.elapsed - self._reads(trip)))
-            self.per_token.add(self.now, event.elapsed, max(1.0, trip.work))
-            self.sizes.add(self.now, max(1.0, trip.work))
-        if outcome is Outcome.READ and 2 * event.note < trip.work:
-            self.anew.add(self.now, event.elapsed, max(1.0, trip.work - event.note))
+            self.lines.add(self.now, max(0.0, event.elapsed - self._reads(attempt)))
+            self.per_token.add(self.now, event.elapsed, max(1.0, attempt.work))
+            self.sizes.add(self.now, max(1.0, attempt.work))
+        if outcome is Outcome.READ and 2 * event.note < attempt.work:
+            self.anew.add(self.now, event.elapsed, max(1.0, attempt.work - event.note))
         if outcome is Outcome.READ:
-            self._praise(trip)
+            self._praise(attempt)
         elif outcome is Outcome.DELIVERED:
             engine.narrowed = max(0.0, engine.narrowed - 1.0)
         elif outcome is Outcome.FULL and event.note != 1:  # lost state is no fault of the writer
             engine.narrowed += self._window(engine) / 2
             engine.skip_until = self.now + MARK
             # Guards against a jam that shows no times, as nothing ends there: it counts as a long wait.
-            waits, of = (self.per_token, max(1.0, trip.work)) if trip.reading else (self.first, 1.0)
-            if trip.reading:
+            waits, of = (self.per_token, max(1.0, attempt.work)) if attempt.reading else (self.first, 1.0)
+            if attempt.reading:
                 self.sizes.add(self.now, of)
             waits.add(self.now, self.quickest, of)
         elif outcome in (Outcome.ERROR, Outcome.UNREACHABLE, Outcome.RESET):
-            self.fates[offering].add(self.now)
-            self._strike(engine, offering if outcome is Outcome.ERROR else ALL, shared=True)
+            self.fates[request_class].add(self.now)
+            self._strike(engine, request_class if outcome is Outcome.ERROR else ALL, shared=True)
         elif outcome is Outcome.TIMED_OUT and event.elapsed > self._patience(engine):  # not a short try
-            self.fates[offering].add(self.now)
+            self.fates[request_class].add(self.now)
             self._strike(engine)
-        if not engine.trips or outcome not in (Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.MOOT):
+        if not engine.attempts or outcome not in (Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.MOOT):
             self._alive(engine)  # a silence is over: what is left is judged anew
 
-    def _again(self, job: Job) -> None:
-        job.holder = None
-        self._unpair(job)  # a place held ahead outlives a failed read
-        self.actions.append(Release(job))  # lost state may still lie where a place was held ahead
-        again = self._may_repeat(job) and self._may_read_again(job)
-        if self._spent(job) or not (self._may_defer(job) or again):
-            self._end(job, "no attempt or no time is left" if self._spent(job) else "it may have run")
+    def _again(self, request: Request) -> None:
+        request.holder = None
+        self._unpair(request)  # a place held ahead outlives a failed read
+        self.actions.append(ReleaseKvCache(request))  # lost state may still lie where a place was held ahead
+        again = self._may_repeat(request) and self._may_read_again(request)
+        if self._spent(request) or not (self._may_defer(request) or again):
+            self._end(request, "no attempt or no time is left" if self._spent(request) else "it may have run")
         else:
-            self.waiting[job] = None
+            self.waiting[request] = None
 
-    def _spent(self, job: Job) -> bool:
+    def _spent(self, request: Request) -> bool:
         """Guards against a lost job: at a time-out cut to the client's own, the answer is due at once."""
-        return self._trips_left(job) < 1 or self.now > job.give_up_at - self.beat
+        return self._attempts_left(request) < 1 or self.now > request.give_up_at - self.beat
 
     # The ordinary path.
 
-    def _ranked(self, job: Job) -> tuple[int, int, Ranking]:
-        session = mix(job.session or job.id, 1)
-        key = mix(job.prefix, 0) if job.prefix else session
+    def _ranked(self, request: Request) -> tuple[int, int, Ranking]:
+        session = mix(request.session or request.id, 1)
+        key = mix(request.prefix, 0) if request.prefix else session
         return key, session, self.index.ranked(key)
 
-    def _order(self, job: Job, scope: Scope = ANYWHERE) -> Iterator[tuple[Engine, float]]:
+    def _order(self, request: Request, scope: Scope = ANYWHERE) -> Iterator[tuple[Engine, float]]:
         """Who may read, by hash: the shared beginning picks a few, the session one of them.
 
         Mixed engines stand among the readers and keep what they read, for they answer it too.  The first
         HEAD_LOOKS are given each time, those behind them by parts, going on where the last vain look ended.
         """
-        start = self.searched.get(job, 0)
+        start = self.searched.get(request, 0)
         end = start + FURTHER_LOOKS
-        if self.plan or scope is not ANYWHERE or self._failing(job.offering):
-            first, others = self._order_with_exceptions(job, scope)
-            yield from self._looks(job, first, islice(others, max(0, HEAD_LOOKS - len(first))))
+        if self.plan or scope is not ANYWHERE or self._failing(request.request_class):
+            first, others = self._order_with_exceptions(request, scope)
+            yield from self._looks(request, first, islice(others, max(0, HEAD_LOOKS - len(first))))
             further = list(islice(others, start, end))
         else:
-            _, session, ranking = self._ranked(job)
-            few = self._few(job, ranking)
+            _, session, ranking = self._ranked(request)
+            few = self._few(request, ranking)
             behind = max(few, HEAD_LOOKS)
-            if job not in self.looks:
+            if request not in self.looks:
                 first = sorted(ranking.part(0, few), key=lambda engine: straw(session, engine.salt))
-                self.looks[job] = self._looks(job, first, ranking.part(few, behind))
-            yield from self.looks[job]
-            further = [] if self._only_known_free(job) else ranking.part(behind + start, behind + end)
+                self.looks[request] = self._looks(request, first, ranking.part(few, behind))
+            yield from self.looks[request]
+            further = [] if self._only_known_free(request) else ranking.part(behind + start, behind + end)
         if further or start:
-            self.searched[job] = end if len(further) == FURTHER_LOOKS else 0
+            self.searched[request] = end if len(further) == FURTHER_LOOKS else 0
         if len(self.index.hosts) > HEAD_LOOKS:
-            asked = (engine for engine in job.asked if engine in self.index.host_set and scope.has(engine))
+            asked = (
+                engine for engine in request.asked if engine in self.index.host_set and scope.has(engine)
+            )
             yield from ((engine, 0.0) for engine in chain(asked, further))
 
     @staticmethod
-    def _few(job: Job, ranking: Ranking) -> int:
+    def _few(request: Request, ranking: Ranking) -> int:
         """How many readers keep a shared beginning."""
-        return 1 + ceil(len(ranking) ** 0.5) if job.prefix else 0
+        return 1 + ceil(len(ranking) ** 0.5) if request.prefix else 0
 
     @staticmethod
-    def _looks(job: Job, first: list[Engine], others: Iterable[Engine]) -> list[tuple[Engine, float]]:
+    def _looks(request: Request, first: list[Engine], others: Iterable[Engine]) -> list[tuple[Engine, float]]:
         return [
             *((engine, 0.0) for engine in first),
-            *((engine, job.prompt) for engine in first),
+            *((engine, request.prompt) for engine in first),
             *((engine, 0.0) for engine in others),
         ]
 
-    def _order_with_exceptions(self, job: Job, scope: Scope) -> tuple[list[Engine], Iterator[Engine]]:
+    def _order_with_exceptions(self, request: Request, scope: Scope) -> tuple[list[Engine], Iterator[Engine]]:
         """The first few and those behind them, under a plan, within a scope, or while an offering fails."""
-        key, session, ranking = self._ranked(job)
-        few = self._few(job, ranking)
+        key, session, ranking = self._ranked(request)
+        few = self._few(request, ranking)
         if self.plan and len(ranking):
             planned, away = self._planned(list(ranking), self.plan, key)
             ranking = Ranking(len(planned), iter(planned))
-            few = min(few, 1) if away else self._few(job, ranking)
+            few = min(few, 1) if away else self._few(request, ranking)
         first = sorted(ranking.part(0, few), key=lambda engine: straw(session, engine.salt))
         others = self._behind(first, key, ranking, scope)
-        if self._failing(job.offering):
-            others = self._vouched_first(job, first, others, key, scope)
+        if self._failing(request.request_class):
+            others = self._vouched_first(request, first, others, key, scope)
             first = list(islice(others, few))
         return [engine for engine in first if scope.has(engine)], others
 
@@ -627,10 +654,10 @@
         return iter(rank(key, [engine for engine in self.index.hosts_in(scope) if engine not in before]))
 
     def _vouched_first(
-        self, job: Job, first: list[Engine], others: Iterator[Engine], key: int, scope: Scope
+        self, request: Request, first: list[Engine], others: Iterator[Engine], key: int, scope: Scope
     ) -> Iterator[Engine]:
         """All of them again, those known to serve the offering before the rest."""
-        known, before = self._all_vouched(job.offering), set(first)
+        known, before = self._all_vouched(request.request_class), set(first)
         behind = rank(
             key,
             [
@@ -646,7 +673,7 @@
             (engine for engine in others if engine not in known),
         )
 
-    def _planned(self, order: list[Engine], plan: Planned, key: int) -> tuple[list[Engine], bool]:
+    def _planned(self, order: list[Engine], plan: FailoverPlan, key: int) -> tuple[list[Engine], bool]:
         """The zone that the hash gives keeps the job, or the one that the plan draws for its beginning. Away
         from home one engine reads each: a zone's beginnings read by several would push out the others'."""
         home = zone = order[0].zone
@@ -659,73 +686,81 @@
         near = [one for one in able if one.zone == zone]
         return near if near and plan.near else sorted(able, key=lambda one: one.zone != zone), zone != home
 
-    def _has_room(self, reader: Engine, job: Job, anew: float = 0.0) -> bool:
+    def _has_room(self, reader: Engine, request: Request, anew: float = 0.0) -> bool:
         """Little of our own out there; more (`anew`) before the shared beginning is read anew elsewhere."""
-        ours = sum(trip.work for trip in reader.trips)
+        ours = sum(attempt.work for attempt in reader.attempts)
         even = self.reading / len(self.index.readers)
         return (
             ours <= (1 + MARGIN) * even + anew
-            and self._usable(reader, job)
+            and self._usable(reader, request)
             and self._oldest(reader) <= BACKLOG * self.quickest + SLOWNESS * self.shortest * anew
         )
 
-    def _has_window(self, engine: Engine, job: Job) -> bool:
+    def _has_window(self, engine: Engine, request: Request) -> bool:
         """Room at a writer for one more of our own jobs; chance decides on the fraction of a job in a window.
 
         It narrows with the ratio of a harmless first-token time to the present one, so that a writer where
         states queue (short of memory, slow, hung) gets no more before it answers full.
         """
-        ours = len(engine.trips) + len(engine.paired)
-        if not ours or self._crowded(engine, job):
+        ours = len(engine.attempts) + len(engine.paired)
+        if not ours or self._crowded(engine, request):
             return not ours
         present = max(engine.pace.mean(self.now), self._oldest(engine))
-        return ours < self._window(engine, job.luck) * min(1.0, self.calm / max(present, 1.0))
+        return ours < self._window(engine, request.luck) * min(1.0, self.calm / max(present, 1.0))
 
     def _window(self, engine: Engine, luck: float = 0.0) -> float:
         share = max(self.out, self.streams.mean(self.now)) / max(1, len(self.index.answering))
         return max(1.0, share * (1 + MARGIN) + float(share**0.5) - engine.narrowed + luck)
 
-    def _crowded(self, engine: Engine, job: Job) -> bool:
+    def _crowded(self, engine: Engine, request: Request) -> bool:
         """Guards against a writer's memory running out, which has answers read anew: each front keeps to its
         part, unless answers have begun at once lately, wherever: then no state waits for memory, and a front
         with more than its part of the traffic need not stand back. Else it would harm such a front."""
         if self.asks and self.first.mean(self.now, inf, LATELY) <= self.calm:
             return False
         memory: list[float] = self.settings["kind_memory"]
-        held = sum(trip.job.prompt for trip in engine.trips) + sum(job.prompt for job in engine.paired)
+        held = sum(attempt.request.prompt for attempt in engine.attempts) + sum(
+            request.prompt for request in engine.paired
+        )
         part = memory[engine.kind] / self.settings["fronts"] if engine.kind < len(memory) else inf
-        return bool(held + job.luck * job.prompt > (1 + MARGIN) * part)
+        return bool(held + request.luck * request.prompt > (1 + MARGIN) * part)
 
-    def _open(self, engine: Engine, job: Job) -> bool:
-        return self._has_window(engine, job) and self._usable(engine, job)
+    def _open(self, engine: Engine, request: Request) -> bool:
+        return self._has_window(engine, request) and self._usable(engine, request)
 
     def _writer(
         self,
-        job: Job,
+        request: Request,
         near: Engine | None,
         searched: dict[tuple[RoundRobin, bool], Engine | None] | None = None,
     ) -> Engine | None:
         """The next in turn whose window is open; while the offering fails, first those known to serve it.
         `searched` keeps what was found for the same job in the same turn, which nothing has changed."""
-        scope = self._scope(job) if job.trips else ANYWHERE
+        scope = self._scope(request) if request.attempts else ANYWHERE
         if scope is None:
             return None
         searched = {} if searched is None else searched
-        for known in (True, False) if self._failing(job.offering) else (False,):
-            for engines in self.index.rounds(job.luck, near, scope):
+        for known in (True, False) if self._failing(request.request_class) else (False,):
+            for engines in self.index.rounds(request.luck, near, scope):
                 if (engines, known) not in searched:
-                    searched[engines, known] = self._next_in_turn(engines, job, scope, known)
+                    searched[engines, known] = self._next_in_turn(engines, request, scope, known)
                 if found := searched[engines, known]:
                     return found
         return None
 
-    def _next_in_turn(self, engines: RoundRobin, job: Job, scope: Scope, known: bool) -> Engine | None:
+    def _next_in_turn(
+        self, engines: RoundRobin, request: Request, scope: Scope, known: bool
+    ) -> Engine | None:
         def fits(engine: Engine) -> bool:
-            return scope.has(engine) and self._open(engine, job)
+            return scope.has(engine) and self._open(engine, request)
 
         if not known:
             return engines.first(self.now, fits)
-        able = [engine for engine in self._all_vouched(job.offering) if engine in engines and fits(engine)]
+        able = [
+            engine
+            for engine in self._all_vouched(request.request_class)
+            if engine in engines and fits(engine)
+        ]
         return min(able, default=None, key=lambda engine: engine.turn)
 
     def _place_waiting(self) -> None:
@@ -738,14 +773,14 @@
         )
         self.usual = self._usual()  # the same for all that wait
         closed = False  # where one new job finds no place, none does
-        for job in sorted(self.waiting, key=lambda job: job.promised_at):
-            if self._late(job):
-                self._end(job, "its usual need no longer fits")  # guards against reads answered too late
-            elif job.trips or not closed:
-                if self._place(job):
-                    del self.waiting[job]
+        for request in sorted(self.waiting, key=lambda request: request.promised_at):
+            if self._late(request):
+                self._end(request, "its usual need no longer fits")  # guards against reads answered too late
+            elif request.attempts or not closed:
+                if self._place(request):
+                    del self.waiting[request]
                 else:
-                    closed = closed or not (job.trips or job.asked)
+                    closed = closed or not (request.attempts or request.asked)
         self.usual = None
 
     def _unended(self) -> float:
@@ -754,9 +789,14 @@
         if not self.index.mostly_cold_readers(self.now):
             return 0.0
         out = [
-            trip for engine in self.busy if engine in self.index.prefill_engines for trip in engine.unanswered
+            attempt
+            for engine in self.busy
+            if engine in self.index.prefill_engines
+            for attempt in engine.unanswered
         ]
-        return sum(self.now - trip.sent for trip in out) / max(1.0, sum(trip.work for trip in out))
+        return sum(self.now - attempt.sent for attempt in out) / max(
+            1.0, sum(attempt.work for attempt in out)
+        )
 
     def _usual(self) -> tuple[float, float]:
         """The usual time to a first token, and to read a token of the prompt."""
@@ -766,146 +806,152 @@
         )
         return first, read
 
-    def _late(self, job: Job) -> bool:
+    def _late(self, request: Request) -> bool:
         """Chance gives up some of the jobs before the usual need no longer fits: a line is cut by degrees."""
         first, read = self.usual or self._usual()
-        press = 1 + PRESS * job.luck + REPEAT * job.repeat
+        press = 1 + PRESS * request.luck + REPEAT * request.repeat
         read = max(read, self.unended)
         pace = min(read, self.shortest)
         # Guards against long prompts refused for a line that is as long for short ones.
-        line = (read - pace) * self.sizes.mean(self.now, job.prompt)
-        need = (first + line + pace * job.prompt) * press * (job.luck > TRIAL)
-        if self.asks and not self._unheard(job):  # readers tell of their lines, not the few reads here
-            need = first + self.shortest * job.prompt
-        return self.now + max(need, 2 * self.beat) > min(job.promised_at, job.give_up_at)
+        line = (read - pace) * self.sizes.mean(self.now, request.prompt)
+        need = (first + line + pace * request.prompt) * press * (request.luck > TRIAL)
+        if self.asks and not self._unheard(request):  # readers tell of their lines, not the few reads here
+            need = first + self.shortest * request.prompt
+        return self.now + max(need, 2 * self.beat) > min(request.promised_at, request.give_up_at)
 
-    def _free(self, reader: Engine, job: Job) -> bool:
+    def _free(self, reader: Engine, request: Request) -> bool:
         """Whether a reader has no line, as far as can be known. One front of many sees next to none of the
         reads there: so it asks, one reader more each time that none has answered."""
-        if self._known_free(reader) or self._unheard(job):
+        if self._known_free(reader) or self._unheard(request):
             return True
-        if reader not in job.asked and self._may_ask(job):
-            job.asked[reader] = self.now
-            self.actions.append(Probe(reader))
+        if reader not in request.asked and self._may_ask(request):
+            request.asked[reader] = self.now
+            self.actions.append(CheckHealth(reader))
         return False
 
     def _known_free(self, reader: Engine) -> bool:
         return not self.asks or self._cold(reader) or self.now - reader.reported <= ASK * self.quickest
 
-    def _may_ask(self, job: Job) -> bool:
+    def _may_ask(self, request: Request) -> bool:
         """Whether one reader more may be asked now."""
-        last = max(job.asked.values(), default=-inf)
-        return len(job.asked) < ASKED and self.now - last >= ASK * self.quickest
+        last = max(request.asked.values(), default=-inf)
+        return len(request.asked) < ASKED and self.now - last >= ASK * self.quickest
 
-    def _waits_for_answers(self, job: Job) -> bool:
+    def _waits_for_answers(self, request: Request) -> bool:
         """Whether only a reader that is known to be free will do, as no other may be asked now."""
-        return self.asks and not self._unheard(job) and not self._may_ask(job)
+        return self.asks and not self._unheard(request) and not self._may_ask(request)
 
-    def _spared(self, job: Job) -> dict[Engine, None]:
+    def _spared(self, request: Request) -> dict[Engine, None]:
         """Readers that are not asked before a read."""
-        able = self.slow_start.read_credit >= 1.0 or self._no_reader_well(job.offering)
+        able = self.slow_start.read_credit >= 1.0 or self._no_reader_well(request.request_class)
         return self.index.cold if able else NOBODY
 
-    def _only_known_free(self, job: Job) -> bool:
+    def _only_known_free(self, request: Request) -> bool:
         """Whether of readers only those will do that have answered just now."""
-        return self._waits_for_answers(job) and not self.index.mixed and not self._spared(job)
+        return self._waits_for_answers(request) and not self.index.mixed and not self._spared(request)
 
-    def _unheard(self, job: Job) -> bool:
+    def _unheard(self, request: Request) -> bool:
         """Whether readers were asked and none has answered for long: all of them have lines."""
-        return self.now - min(job.asked.values(), default=inf) > BACKLOG * self.quickest
+        return self.now - min(request.asked.values(), default=inf) > BACKLOG * self.quickest
 
-    def _no_reader_well(self, offering: int) -> bool:
-        if offering not in self.none_well:
-            self.none_well[offering] = not any(self._well(engine, offering) for engine in self.index.readers)
-        return self.none_well[offering]
+    def _no_reader_well(self, request_class: int) -> bool:
+        if request_class not in self.none_well:
+            self.none_well[request_class] = not any(
+                self._well(engine, request_class) for engine in self.index.readers
+            )
+        return self.none_well[request_class]
 
-    def _takes(self, reader: Engine, job: Job, anew: float) -> bool:
+    def _takes(self, reader: Engine, request: Request, anew: float) -> bool:
         return (
-            self._has_room(reader, job, anew)
+            self._has_room(reader, request, anew)
             # Guards against our own marks emptying the whole stage.
-            or not reader.trips
+            or not reader.attempts
             and reader.unwell.get(ALL, 0.0) <= self.now
-            and self._no_reader_well(job.offering)
+            and self._no_reader_well(request.request_class)
         )
 
-    def _place(self, job: Job) -> bool:
-        scope = self._scope(job) if job.may_have_run else ANYWHERE
+    def _place(self, request: Request) -> bool:
+        scope = self._scope(request) if request.may_have_run else ANYWHERE
         if scope is None:
             return False
         found: tuple[Engine, Engine] | None = None
-        shut = self._trips_left(job) < 2
+        shut = self._attempts_left(request) < 2
         searched: dict[tuple[RoundRobin, bool], Engine | None] = {}
-        waits, spared = self._waits_for_answers(job), self._spared(job)
+        waits, spared = self._waits_for_answers(request), self._spared(request)
         heard_since = self.now - ASK * self.quickest
-        for engine, anew in self._order(job, scope):
+        for engine, anew in self._order(request, scope):
             if waits and engine.reported < heard_since and engine.role == "read" and engine not in spared:
                 continue  # it is not known to be free
-            if engine.state != "ready" and job.may_have_run:
+            if engine.state != "ready" and request.may_have_run:
                 continue
             if engine.role == "both":
-                if not found and self._open(engine, job) and (not job.trips or self._may_send(job, engine)):
+                if (
+                    not found
+                    and self._open(engine, request)
+                    and (not request.attempts or self._may_send(request, engine))
+                ):
                     found = engine, engine
                     break
-            elif not shut and self._takes(engine, job, anew):
-                writer = self._writer(job, engine, searched)
+            elif not shut and self._takes(engine, request, anew):
+                writer = self._writer(request, engine, searched)
                 shut = writer is None
-                if writer and not self._free(engine, job):
-                    waits = self._waits_for_answers(job)
+                if writer and not self._free(engine, request):
+                    waits = self._waits_for_answers(request)
                     continue
-                if writer and (writer.cell == engine.cell or job.luck >= self.index.keeps[engine.cell]):
+                if writer and (writer.cell == engine.cell or request.luck >= self.index.keeps[engine.cell]):
                     found = engine, writer  # a reader whose own writers are open comes first
                     break
                 found = found or ((engine, writer) if writer else None)
         if found is None and self.settings["writers_read"] and not shut:
-            writer = self._writer(job, None)  # no reader has room: a writer reads in place
+            writer = self._writer(request, None)  # no reader has room: a writer reads in place
             found = (writer, writer) if writer else None
         if found is None:
             return False
         reader, writer = found
         self._turn(writer)
         if reader is writer:
-            self._send(job, writer, reading=False)
+            self._send(request, writer, reading=False)
             return True
         if self._cold(reader):
             self.slow_start.spend_read()
-        job.writer = writer
-        writer.paired[job] = None
+        request.writer = writer
+        writer.paired[request] = None
         self.out += 1
-        self._send(job, reader, reading=True, time_out=(job.give_up_at - self.now) / 2)
+        self._send(request, reader, reading=True, time_out=(request.give_up_at - self.now) / 2)
         if self.settings["may_hold"]:
-            self.actions.append(Hold(job, writer))
+            self.actions.append(ReserveSlot(request, writer))
         return True
 
     def _send_held(self) -> None:
         """After the read the state joins its writer's queue; the next writer gets it where that one can't."""
-        for job in list(self.holding):
-            if self.waiting and self.now > job.promised_at:
+        for request in list(self.holding):
+            if self.waiting and self.now > request.promised_at:
                 # Guards against late answers that make others late too.
-                self._end(job, "its prefill came too late while others wait")
+                self._end(request, "its prefill came too late while others wait")
                 continue
-            if self._pinned(job):
-                self._read_anew(job)  # guards against one vain connection after the other
+            if self._pinned(request):
+                self._read_anew(request)  # guards against one vain connection after the other
                 continue
-            writer = job.writer
-            self._unpair(job)
-            if not (writer and self._may_send(job, writer) and self._well(writer, job.offering)):
-                writer = self._writer(job, job.holder)
+            writer = request.writer
+            self._unpair(request)
+            if not (writer and self._may_send(request, writer) and self._well(writer, request.request_class)):
+                writer = self._writer(request, request.holder)
                 if writer:
                     self._turn(writer)
             if writer:
-                self._send(job, writer, reading=False)
+                self._send(request, writer, reading=False)
 
-    def _pinned(self, job: Job) -> bool:
-        return bool(self.now > job.held_since + self.settings["release_within"] / 2)
+    def _pinned(self, request: Request) -> bool:
+        return bool(self.now > request.held_since + self.settings["release_within"] / 2)
 
-    def _read_anew(self, job: Job) -> None:
-        self.holding.pop(job)
-        self._again(job)
+    def _read_anew(self, request: Request) -> None:
+        self.holding.pop(request)
+        self._again(request)
 
     def _look_round(self) -> None:
-        for job in list(self.holding):
-            if self._spent(job) or self._pinned(job):
-                self._read_anew(job)  # guards against pinned state: it is read anew if in time
+        for request in list(self.holding):
+            if self._spent(request) or self._pinned(request):
+                self._read_anew(request)  # guards against pinned state: it is read anew if in time
         for engine in list(self.awaited):
             if (
                 engine.quiet_since
@@ -915,6 +961,6 @@
             ):
                 engine.suspected = True
                 if self.settings["may_probe"] and engine.state == "ready":
-                    self.actions.append(Probe(engine))
+                    self.actions.append(CheckHealth(engine))
                 else:
                     self._probed(engine, Outcome.TIMED_OUT)
--- a/worksmux/policy/slow_start.py
+++ b/worksmux/policy/slow_start.py
@@ -15,7 +15,8 @@
 from collections import defaultdict
 from collections.abc import Iterable
 
-from .interface import Engine, Settings
+from .settings import Settings
+from .state import Engine
 
 PRUDENCE = 0.5  # of this front's even share of a cold engine's budget is used
 FULL = 1.0  # credit of one request, and the most there is
--- /dev/null
+++ b/worksmux/policy/state.py
@@ -0,0 +1,125 @@
+"""Requests, attempts and engines as this node sees them.
+
+No decision is taken here.  Times are milliseconds with fractions; objects point to each other, and the ids
+they carry are for the adapter alone.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from enum import Enum
+
+from .measure import Ring
+
+EMPTY_WINDOW = Ring(1.0, 1)  # stands for a ring that the module has yet to make
+
+
+class Outcome(Enum):
+    """How a trip ended."""
+
+    DELIVERED = "delivered"
+    READ = "read"  # the prompt is read and its state waits; nothing has been answered
+    ERROR = "error"
+    FULL = "full"
+    TIMED_OUT = "timed out"
+    UNREACHABLE = "unreachable"
+    RESET = "reset"
+    CANCELLED = "cancelled"
+    MOOT = "moot"
+
+
+KNOWN_NOT_EXECUTED = frozenset({Outcome.READ, Outcome.FULL, Outcome.UNREACHABLE, Outcome.MOOT})
+
+
+@dataclass(eq=False, slots=True)
+class Engine:
+    """A machine that reads, writes or does both, and what this front has seen of it."""
+
+    id: bytes
+    key: int  # a number for hashing
+    zone: int = 0
+    cell: int = 0
+    kind: int = 0
+    size: float = 1.0
+    state: str = "gone"  # ready, draining or gone
+    started: float = 0.0  # 0: long ago
+    left: float = 0.0  # when it was told gone
+    role: str = ""  # read, write or both
+    attempts: dict[Attempt, None] = field(default_factory=dict)  # out at this engine
+    paired: dict[Request, None] = field(default_factory=dict)  # being read for this writer
+    narrowed: float = 0.0  # by how many jobs its window is under the even share and margin
+    skip_until: float = 0.0  # answered full lately
+    turn: float = 0.0  # when it last had its turn
+    salt: int = 0  # the key, hashed
+    part: float = 0.0  # of its role's size
+    weight: float = 1.0  # among those that read
+    credit: float = 0.0  # while it is cold: jobs that it may be sent, as a writer or mixed
+    quiet_since: float = 0.0  # the first send since its last sign of life; 0: none is awaited
+    unwell: dict[int, float] = field(default_factory=dict)  # by offering: set aside until then
+    good: dict[int, float] = field(default_factory=dict)  # by offering: when it last served one
+    suspected: bool = False  # silent, and a probe is out
+    faults: Ring = EMPTY_WINDOW  # made by the module
+    pace: Ring = EMPTY_WINDOW
+    report: dict[str, float] = field(default_factory=dict)
+    reported: float = 0.0
+
+    @property
+    def unanswered(self) -> list[Attempt]:
+        """Trips out here that have brought no first token, the first sent first."""
+        return [attempt for attempt in self.attempts if not attempt.began]
+
+
+@dataclass(eq=False, slots=True)
+class Request:
+    """One client's question, to be given exactly one final answer."""
+
+    id: int
+    request_class: int
+    session: int
+    prefix: int  # the beginning it shares with other sessions; 0: none
+    prompt: float
+    prefix_tokens: float
+    max_answer: float
+    arrived: float
+    give_up_at: float  # when this try's client leaves
+    hint: float = 0.0  # a guess at the answer's tokens; 0: none
+    party: int = 0
+    repeat: bool = False
+    resumed: bool = False
+    promised_at: float = 0.0  # set by the module
+    attempts: list[Attempt] = field(default_factory=list)
+    writer: Engine | None = None  # the writer it is paired with
+    holder: Engine | None = None  # the reader that holds its state
+    held_since: float = 0.0
+    luck: float = 0.0  # its draw by chance
+    asked: dict[Engine, float] = field(default_factory=dict)  # probed before its read, and when
+    ended: bool = False
+    began: bool = False
+
+    @property
+    def out(self) -> list[Attempt]:
+        return [attempt for attempt in self.attempts if attempt.outcome is None]
+
+    @property
+    def may_have_run(self) -> list[Attempt]:
+        """Trips whose outcome does not prove that they had no effect; reading has none."""
+        return [
+            attempt
+            for attempt in self.attempts
+            if not attempt.reading and attempt.outcome not in KNOWN_NOT_EXECUTED
+        ]
+
+
+@dataclass(eq=False, slots=True)
+class Attempt:
+    """One attempt at one engine."""
+
+    request: Request
+    engine: Engine
+    number: int
+    sent: float
+    reading: bool = False  # a trip to a reader: it has no effect, however it ends
+    outcome: Outcome | None = None
+    began: float = 0.0
+    called_off: bool = False
+    work: float = 0.0
--- a/worksmux/scenarios/engines.py
+++ b/worksmux/scenarios/engines.py
@@ -52,8 +52,8 @@
     machine = day.machines[place.kind]
     role = next(kind.role for kind in day.kinds if kind.name == place.kind)
     call = next(kind.call for kind in day.kinds if kind.name == place.kind)
-    calls = {one.name: one.call for one in day.offerings}
-    traffic = [one for one in day.traffic if calls[one.offering] == call]
+    calls = {one.name: one.call for one in day.request_classes}
+    traffic = [one for one in day.traffic if calls[one.request_class] == call]
     shares = sum(one.share for one in traffic) or 1.0
     if call != "chat":
         tokens = sum(one.share * sum(one.inputs) / 2 * sum(one.new_tokens) / 2 for one in traffic) / shares
--- a/worksmux/scenarios/figures.py
+++ b/worksmux/scenarios/figures.py
@@ -12,7 +12,7 @@
         day.rules["drain_grace"],
         day.rules["release_within"],
         day.rules["fall_time"],
-        {one.name: one.group for one in day.offerings},
-        {one.name: one.remembered for one in day.offerings},
+        {one.name: one.group for one in day.request_classes},
+        {one.name: one.remembered for one in day.request_classes},
         day.slack,
     )
--- a/worksmux/scenarios/scenario.py
+++ b/worksmux/scenarios/scenario.py
@@ -77,7 +77,7 @@
 class Traffic:
     """How clients ask one offering; spans are (lowest, highest)."""
 
-    offering: str
+    request_class: str
     share: float
     new_tokens: tuple[float, float]
     answer_tokens: tuple[float, float]
@@ -126,7 +126,7 @@
     names: tuple[str, ...]
     share: float
     factor: float
-    offering: str
+    request_class: str
     how: str
     every: float  # on and off, or between two of a row
     line: int
@@ -143,7 +143,7 @@
     zones: list[str]
     fronts: int
     policy: str
-    offerings: list[shared.Offering]
+    request_classes: list[shared.RequestClass]
     traffic: list[Traffic]
     kinds: list[shared.Kind]
     machines: dict[str, Machine]
@@ -179,7 +179,7 @@
 
     def module_settings(self, number: int, zone: str) -> dict[str, Any]:
         return shared.module_settings(
-            self.offerings,
+            self.request_classes,
             self.kinds,
             self.rules,
             self.limits,
@@ -193,7 +193,7 @@
         )
 
 
-def _traffic(root: Section, offerings: list[shared.Offering]) -> list[Traffic]:
+def _traffic(root: Section, request_classes: list[shared.RequestClass]) -> list[Traffic]:
     found = []
     for node in root.all("traffic"):
         one = Traffic(
@@ -209,10 +209,10 @@
             node.span("inputs", (1.0, 1.0)),
             node.whole("callers", 1, least=1),
         )
-        if one.offering not in {offering.name for offering in offerings}:
+        if one.request_class not in {request_class.name for request_class in request_classes}:
             node.complain(
-                f'traffic "{one.offering}": no such offering; name one of '
-                + ", ".join(offering.name for offering in offerings)
+                f'traffic "{one.request_class}": no such offering; name one of '
+                + ", ".join(request_class.name for request_class in request_classes)
             )
         node.end()
         found.append(one)
@@ -312,7 +312,7 @@
     fronts = root.only("fronts")
     regions = shared.regions(root, zones)
     count, policy = fronts.whole("count", least=1, most=10_000), fronts.choice("policy", POLICIES, "worksmux")
-    offerings, kinds = shared.offerings(root), shared.kinds(root)
+    request_classes, kinds = shared.request_classes(root), shared.kinds(root)
     machines = _machines(root, kinds)
     places = _places(root, zones, machines)
     links, cold, load_ = root.only("links"), root.only("cold"), root.only("load")
@@ -325,8 +325,8 @@
         zones,
         count,
         policy,
-        offerings,
-        _traffic(root, offerings),
+        request_classes,
+        _traffic(root, request_classes),
         kinds,
         machines,
         places,
@@ -349,10 +349,10 @@
         shared.limits(root),
         shared.prices(root),
         read_transport(root),
-        *read_counting(root, offerings),
+        *read_counting(root, request_classes),
         fronts.flag("memory", False),
         slack,
-        read_admission(root, any(one.call != "chat" for one in offerings)),
+        read_admission(root, any(one.call != "chat" for one in request_classes)),
         regions,
         fronts.flag("fleet", False),
         fronts.whole("seats", 3, least=1, most=5),
--- a/worksmux/settings/front.py
+++ b/worksmux/settings/front.py
@@ -29,7 +29,7 @@
     body: int  # a client's job
     head: int  # a message's head, from clients and engines
     reply: int  # an engine's answer, and one event of a stream
-    open_jobs: int  # taken and not yet answered
+    open_requests: int  # taken and not yet answered
     drain_time: float  # at a stop: for the jobs still out
 
 
@@ -95,7 +95,7 @@
     """What carries one call of one stage: its offerings, and what its decision module is given."""
 
     call: str
-    offerings: list[shared.Offering]
+    request_classes: list[shared.RequestClass]
     module: dict[str, Any]
 
 
@@ -108,7 +108,7 @@
     seed: int | None
     policy: str
     zones: list[str]
-    offerings: list[shared.Offering]
+    request_classes: list[shared.RequestClass]
     kinds: list[shared.Kind]
     transport: Transport
     source: ListSource
@@ -160,7 +160,9 @@
     return found
 
 
-def read_counting(root: Section, offered: list[shared.Offering]) -> tuple[dict[str, str], Counting | None]:
+def read_counting(
+    root: Section, offered: list[shared.RequestClass]
+) -> tuple[dict[str, str], Counting | None]:
     """The tokenizers by name, and how prompts are counted; none where no tokenizer is given."""
     files = {}
     for node in root.all("tokenizer"):
@@ -263,7 +265,7 @@
         node.complain(f'zone "{zone}" is not among the zones {", ".join(zones)}')
     if number >= fronts:
         node.complain(f"number counts from 0: it must be below fronts ({fronts})")
-    offered, kinds = shared.offerings(root), shared.kinds(root)
+    offered, kinds = shared.request_classes(root), shared.kinds(root)
     figures, allowed, priced = shared.rules(root), shared.limits(root), shared.prices(root)
     transport, source = read_transport(root), _source(root)
     tokenizers, counting = read_counting(root, offered)
--- a/worksmux/settings/platform.py
+++ b/worksmux/settings/platform.py
@@ -10,7 +10,7 @@
 import json
 from typing import Any
 
-from ..policy.interface import Settings
+from ..policy.settings import Settings
 
 EFFECTS = {"free": "redoable", "guarded": "labelled", "single_shot": "irreversible"}
 MISSING: Any = object()
@@ -84,11 +84,11 @@
     limits, extra, rules = root.part("limits"), root.part("extra"), root.part("rules")
     prices, stats = root.part("prices", {}), root.part("stats", {})
     per_k, paces = extra.numbers("aim_us_per_1000_prompt_tokens", []), extra.numbers("token_aim", [])
-    offerings = [
+    request_classes = [
         Place(one, f"{place}.services[{at}]")
         for at, one in enumerate(root.list("services", (dict,), "object"))
     ]
-    if not offerings:
+    if not request_classes:
         raise Untold(f"{place}.services: at least one class was expected, there is none")
     if root.number("balancers") < 1:
         raise Untold(f"{place}.balancers: at least 1 was expected, found {told['balancers']}")
@@ -109,7 +109,7 @@
                 "promised_per_k": per_k[at] / 1000 if at < len(per_k) else 0.0,
                 "token_time": paces[at] if at < len(paces) else 0.0,
             }
-            for at, one in enumerate(offerings)
+            for at, one in enumerate(request_classes)
         ],
         "parties": root.list("parties", (dict,), "object", []),
         "roles": extra.texts("duty_by_kind"),
--- a/worksmux/settings/shared.py
+++ b/worksmux/settings/shared.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True)
-class Offering:
+class RequestClass:
     """One offering; times in milliseconds, tokens as whole numbers."""
 
     name: str
@@ -35,15 +35,15 @@
     share: float = 1.0  # of the engines, among offerings of its call that wait
 
 
-def offerings(section: Section) -> list[Offering]:
+def request_classes(section: Section) -> list[RequestClass]:
     """All offerings of a file, in their order; names are unique."""
-    found: list[Offering] = []
+    found: list[RequestClass] = []
     for node in section.all("offering"):
         effect = node.choice("effect", EFFECTS)
         labelled = effect == "labelled"
         call = node.choice("call", CALLS, "chat")
         chat = call == "chat"  # only an answer of tokens has a pace and a length
-        one = Offering(
+        one = RequestClass(
             node.title(),
             node.time("promised-time", least=1),
             node.time("promised-per-1000-tokens", 0.0),
@@ -169,7 +169,7 @@
 
 
 def module_settings(
-    offered: list[Offering],
+    offered: list[RequestClass],
     kinds_of: list[Kind],
     figures: dict[str, float],
     allowed: dict[str, Any],
--- a/worksmux/simulation/clients.py
+++ b/worksmux/simulation/clients.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field, replace
 
 from ..scenarios.scenario import Scenario, Traffic, Trouble
-from ..settings.shared import Offering
+from ..settings.shared import RequestClass
 from .engine import Note
 from .front import Ask, ModelFront
 from .sim import Sim
@@ -20,7 +20,7 @@
 class Session:
     id: int
     traffic: Traffic
-    offering: int
+    request_class: int
     turns: int
     tokens: float  # of all that was said so far
     prefix: int
@@ -28,7 +28,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class ClientJob:
+class ClientRequest:
     id: str
     session: Session
     intended: float
@@ -46,7 +46,7 @@
 class Totals:
     """What all jobs came to, so that large days need no journal."""
 
-    jobs: int = 0
+    requests: int = 0
     asked: float = 0.0
     credit: float = 0.0
     ends: dict[str, int] = field(default_factory=dict)
@@ -60,15 +60,15 @@
     ) -> None:
         self.sim, self.day, self.fronts, self.note, self.hop = sim, day, fronts, note, hop
         self.chance = random.Random(day.seed)
-        self.offerings: list[Offering] = day.offerings
-        self.at_of = {one.name: at for at, one in enumerate(day.offerings)}
+        self.request_classes: list[RequestClass] = day.request_classes
+        self.at_of = {one.name: at for at, one in enumerate(day.request_classes)}
         self.count = self.turn = self.open = 0
         self.dead: dict[int, float] = {}
         self.start, self.over = 0.0, False
         self.totals = Totals()
         self.on_end: Callable[[str, float], None] = lambda how, now: None
         self.shared = {
-            one.offering: [
+            one.request_class: [
                 (1000 * number + at + 1, self._between(one.beginning_tokens)) for at in range(one.beginnings)
             ]
             for number, one in enumerate(day.traffic)
@@ -107,12 +107,12 @@
         hot = self._burst("hot-beginning")
         if hot and self.chance.random() < hot.share:
             prefix, tokens = 1_000_003 + int(hot.at), hot.factor
-        elif self.shared[traffic.offering] and self.chance.random() < traffic.beginning_share:
-            prefix, tokens = self.chance.choice(self.shared[traffic.offering])
+        elif self.shared[traffic.request_class] and self.chance.random() < traffic.beginning_share:
+            prefix, tokens = self.chance.choice(self.shared[traffic.request_class])
         session = Session(
             self.count,
             traffic,
-            self.at_of[traffic.offering],
+            self.at_of[traffic.request_class],
             max(1, round(self._between(traffic.turns))),
             tokens,
             prefix,
@@ -121,25 +121,25 @@
         self._ask(session)
 
     def _ask(self, session: Session) -> None:
-        one, offering = session.traffic, self.offerings[session.offering]
+        one, request_class = session.traffic, self.request_classes[session.request_class]
         session.turns -= 1
         new = self._between(one.new_tokens)
         tail = self._burst("heavy-tail")
-        if tail and tail.offering in ("", one.offering) and self.chance.random() < tail.share:
+        if tail and tail.request_class in ("", one.request_class) and self.chance.random() < tail.share:
             new *= tail.factor
         session.tokens += new
-        limit = offering.outer_limit + 2 * offering.promised_per_k * session.tokens / 1000
+        limit = request_class.outer_limit + 2 * request_class.promised_per_k * session.tokens / 1000
         patience, leaves = limit * self._between(self.day.patience), False
         hasty = self._burst("give-up")
         if hasty and self.chance.random() < hasty.share:
-            patience, leaves = offering.promised_time * hasty.factor, hasty.how == "leave"
+            patience, leaves = request_class.promised_time * hasty.factor, hasty.how == "leave"
         self.count += 1
-        job = ClientJob(
+        request = ClientRequest(
             f"j{self.count}",
             session,
             self.sim.now,
             session.tokens,
-            max(1, min(offering.most_answer, round(self._between(one.answer_tokens)))),
+            max(1, min(request_class.most_answer, round(self._between(one.answer_tokens)))),
             int(self._between(self.day.retries) + 1),
             patience,
             leaves,
@@ -147,7 +147,7 @@
             self.chance.random() < self.day.streams,
         )
         self.open += 1
-        self._try(job)
+        self._try(request)
 
     def _next_front(self) -> int:
         """By chance, but for those known to be dead."""
@@ -161,52 +161,52 @@
                 return at
         return at
 
-    def _try(self, job: ClientJob) -> None:
-        job.tries += 1
-        job.left -= 1
-        session, offering = job.session, self.offerings[job.session.offering]
-        name = f"{job.id}.{job.tries}"
-        stays = min(job.patience, 4 * offering.outer_limit)
+    def _try(self, request: ClientRequest) -> None:
+        request.tries += 1
+        request.left -= 1
+        session, request_class = request.session, self.request_classes[request.session.request_class]
+        name = f"{request.id}.{request.tries}"
+        stays = min(request.patience, 4 * request_class.outer_limit)
         # Who wants the answer whole sees no first token: it stays for the longest answer besides.
-        whole = 0.0 if job.stream else 2 * offering.token_time * offering.most_answer
-        front = self.fronts[job.front]
+        whole = 0.0 if request.stream else 2 * request_class.token_time * request_class.most_answer
+        front = self.fronts[request.front]
         state = {"first": None, "over": False}  # type: dict[str, float | bool | None]
         self.note(
             "clients",
             "try",
             try_id=name,
-            job=job.id,
-            offering=offering.name,
-            effect=offering.effect,
-            left=(offering.outer_limit if job.leaves else stays) + whole,
-            front=front.name if front else f"front-{job.front + 1}",
+            job=request.id,
+            offering=request_class.name,
+            effect=request_class.effect,
+            left=(request_class.outer_limit if request.leaves else stays) + whole,
+            front=front.name if front else f"front-{request.front + 1}",
         )
 
         def began() -> None:
-            if not state["over"] and job.stream:
+            if not state["over"] and request.stream:
                 state["first"] = self.sim.now
                 self.note("clients", "first token", try_id=name)
 
         def answered(how: str) -> None:
             if not state["over"]:
                 state["over"] = True
-                if how == "delivered" and not job.stream:
+                if how == "delivered" and not request.stream:
                     state["first"] = self.sim.now
                 self.note("clients", "answer", try_id=name, how=how)
-                self._ended(job, how, state["first"], asked.stay_away)
+                self._ended(request, how, state["first"], asked.stay_away)
 
         asked = Ask(
             name,
-            session.offering,
-            offering.name,
+            session.request_class,
+            request_class.name,
             session.id,
             session.prefix,
-            job.prompt,
+            request.prompt,
             session.prefix_tokens,
-            job.answer,
-            offering.most_answer,
-            offering.outer_limit if job.leaves else stays,
-            job.tries > 1,
+            request.answer,
+            request_class.most_answer,
+            request_class.outer_limit if request.leaves else stays,
+            request.tries > 1,
             lambda: self.sim.after(self.hop, began),
             lambda how: self.sim.after(self.hop, answered, how),
         )
@@ -222,41 +222,45 @@
 
         self.sim.after(stays + whole, gives_up)
 
-    def _ended(self, job: ClientJob, how: str, first: float | bool | None, stay_away: float) -> None:
-        offering, session, totals = self.offerings[job.session.offering], job.session, self.totals
+    def _ended(self, request: ClientRequest, how: str, first: float | bool | None, stay_away: float) -> None:
+        request_class, session, totals = (
+            self.request_classes[request.session.request_class],
+            request.session,
+            self.totals,
+        )
         if how in ("unreachable", "reset"):
-            self.dead.setdefault(job.front, self.sim.now)
+            self.dead.setdefault(request.front, self.sim.now)
         else:
-            self.dead.pop(job.front, None)
+            self.dead.pop(request.front, None)
         harmless = (
             how in ("deferred", "unreachable")
-            or offering.effect == "redoable"
-            or offering.effect == "labelled"
+            or request_class.effect == "redoable"
+            or request_class.effect == "labelled"
             and how != "left"
         )
-        if how != "delivered" and harmless and job.left > 0:
-            job.front = self._next_front()
-            self.sim.after(max(stay_away, self._between(self.day.wait)), self._try, job)
+        if how != "delivered" and harmless and request.left > 0:
+            request.front = self._next_front()
+            self.sim.after(max(stay_away, self._between(self.day.wait)), self._try, request)
             return
-        promised = offering.promised_time + offering.promised_per_k * job.prompt / 1000
-        wait = float(first) - job.intended if first else None
+        promised = request_class.promised_time + request_class.promised_per_k * request.prompt / 1000
+        wait = float(first) - request.intended if first else None
         if how == "delivered":
             how = "delivered" if wait is not None and wait <= promised else "late"
-        credit = offering.credit * {"delivered": 1.0, "late": offering.late_credit}.get(how, 0.0)
+        credit = request_class.credit * {"delivered": 1.0, "late": request_class.late_credit}.get(how, 0.0)
         self.note(
             "clients",
             "job ended",
-            job=job.id,
-            offering=offering.name,
+            job=request.id,
+            offering=request_class.name,
             how=how,
-            tries=job.tries,
+            tries=request.tries,
             first=wait,
             credit=credit,
-            asked=offering.credit,
+            asked=request_class.credit,
         )
-        totals.jobs += 1
-        totals.tries += job.tries
-        totals.asked += offering.credit
+        totals.requests += 1
+        totals.tries += request.tries
+        totals.asked += request_class.credit
         totals.credit += credit
         totals.ends[how] = totals.ends.get(how, 0) + 1
         if wait is not None:
@@ -264,7 +268,7 @@
         self.open -= 1
         self.on_end(how, self.sim.now)
         if how in ("delivered", "late") and session.turns > 0 and not self.over:
-            again = replace(session, tokens=session.tokens + job.answer)
+            again = replace(session, tokens=session.tokens + request.answer)
             self.sim.after(self._between(session.traffic.think), self._again, again)
 
     def _again(self, session: Session) -> None:
--- a/worksmux/simulation/conductor.py
+++ b/worksmux/simulation/conductor.py
@@ -15,7 +15,7 @@
 from ..failover.planner import Map, Planner
 from ..failover.tally import Tally, added
 from ..failover.watcher import ListedEngine, Watcher
-from ..policy.interface import Planned
+from ..policy.events import FailoverPlan
 from ..scenarios.scenario import Scenario
 from .day import Model
 from .front import ModelFront
@@ -42,7 +42,7 @@
         day = self.day
         self.map = Map(
             {zone: day.regions.get(zone, "") for zone in day.zones},
-            {one.name: one.credit for one in day.offerings},
+            {one.name: one.credit for one in day.request_classes},
             day.rules["cold_share"],
             CEILING_EVERY if mode == "ceiling" else self.ways.every,
             carries or {},
@@ -106,8 +106,8 @@
 
     def tell(self, at: int, front: ModelFront, plan: Plan) -> None:
         self.told[at] = front, plan.number
-        event = told(plan, self.day.zones, [one.name for one in self.day.offerings], alone=False)
-        front.tell(event or Planned({}, {}, 0.0))
+        event = told(plan, self.day.zones, [one.name for one in self.day.request_classes], alone=False)
+        front.tell(event or FailoverPlan({}, {}, 0.0))
 
     def see_all(self, asked: Tally) -> None:
         """Zones by the engines that live; what is let in by a ramp that was the best of many in hindsight."""
@@ -141,4 +141,4 @@
 
 
 def watcher_of(day: Scenario) -> Watcher:
-    return Watcher(day.zones, [one.name for one in day.offerings], day.module_settings(0, day.zones[0]))
+    return Watcher(day.zones, [one.name for one in day.request_classes], day.module_settings(0, day.zones[0]))
--- a/worksmux/simulation/day.py
+++ b/worksmux/simulation/day.py
@@ -204,7 +204,7 @@
         self.fronts[at] = front
         saved = self.saved[at] or (self.remembered(at) if self.remembered else None)
         if day.memory or self.remembered:
-            front.learner = Learner([one.name for one in day.offerings])
+            front.learner = Learner([one.name for one in day.request_classes])
         if saved is not None:
             front.remember(
                 Beliefs(
@@ -222,7 +222,7 @@
             front.tell(
                 recall(
                     saved.learned,
-                    [one.name for one in day.offerings],
+                    [one.name for one in day.request_classes],
                     self._engines(front),
                     self.sim.now,
                     saved.turnover,
@@ -316,7 +316,7 @@
                 engine.change_speed(max(1.0, trouble.factor))
                 after(trouble.length, engine.change_speed, 1.0)
             case _:
-                name = trouble.offering if trouble.kind == "offering-fails" else ""
+                name = trouble.request_class if trouble.kind == "offering-fails" else ""
                 engine.failing[name] = trouble.share
                 after(trouble.length, engine.failing.pop, name, None)
 
--- a/worksmux/simulation/engine.py
+++ b/worksmux/simulation/engine.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from ..fakes.generator import Spec
-from ..policy.interface import Outcome
+from ..policy.state import Outcome
 from .sim import Sim, Timer
 
 Note = Callable[..., None]
@@ -27,10 +27,10 @@
 class Call:
     """One trip on its way; `began(elapsed)` and `ended(outcome, note)` are called at the front."""
 
-    job: str
+    request: str
     key: str
     front: str
-    offering: str
+    request_class: str
     prompt: float
     answer: int
     reading: bool
@@ -65,7 +65,7 @@
 class Counts:
     """What reached this engine."""
 
-    trips: int = 0
+    attempts: int = 0
     probes: int = 0
     peak: float = 0.0  # the most that reached it cold, against what it can stand
     probe_peak: int = 0  # probes within one second
@@ -132,21 +132,23 @@
     def got(self, call: Call) -> None:
         if not self.alive:
             return self._reply(call, Outcome.UNREACHABLE)
-        self.counts.trips += 1
+        self.counts.attempts += 1
         self.note(self.spec.id, "got", **call.facts)
         if self._pressed():
             self.counts.falls += 1
             self.note(self.spec.id, "fell", front=call.front)
             self._end(call, "fell", Outcome.RESET)
             return self.die()
-        share = max(self.failing.get("", 0.0), self.failing.get(call.offering, 0.0)) if self.failing else 0.0
+        share = (
+            max(self.failing.get("", 0.0), self.failing.get(call.request_class, 0.0)) if self.failing else 0.0
+        )
         if self.hanging:
             self.hung[call] = None
         elif share and self.chance.random() < share:
             self._end(call, "error", Outcome.ERROR)
         elif self.draining:
             self._end(call, "draining", Outcome.FULL)
-        elif self.spec.role == "write" and call.holder is None and call.job not in self.places:
+        elif self.spec.role == "write" and call.holder is None and call.request not in self.places:
             self._end(call, "state_lost", Outcome.FULL, 1)
         elif len(self.line) >= self.spec.line and not self._fits(call):
             self._end(call, "full", Outcome.FULL)
@@ -218,21 +220,21 @@
         return len(self.fetching) + len(self.reads) + len(self.answering) + len(self.places)
 
     def _fits(self, call: Call) -> bool:
-        return call.job in self.places or (
+        return call.request in self.places or (
             self._taken() < self.spec.slots and self.used + call.prompt + call.answer <= self.spec.memory
         )
 
     def _admit(self) -> None:
         while self.line and self._fits(self.line[0]):
             call = self.line.popleft()
-            place = self.places.pop(call.job, None)
+            place = self.places.pop(call.request, None)
             call.memory = place.tokens if place else call.prompt + call.answer
             self.used += 0.0 if place else call.memory
             if place and place.here:
                 self._answer(call)
             elif place and place.pulling and call.holder is not None:
                 self.fetching[call] = None
-                self.attached[call.job] = call
+                self.attached[call.request] = call
             elif call.holder is not None:
                 self.fetching[call] = None
                 self._pull(call)
@@ -293,24 +295,24 @@
         if self.spec.role == "both":
             return self._answer(call)
         self.used -= call.memory - call.prompt
-        self.states[call.job] = State(call.prompt, call.front)
-        self.note(self.spec.id, "held", job=call.job, tokens=call.prompt, front=call.front)
+        self.states[call.request] = State(call.prompt, call.front)
+        self.note(self.spec.id, "held", job=call.request, tokens=call.prompt, front=call.front)
         self._end(call, "read", Outcome.READ, int(call.cached))
-        self.sim.after(self.spec.lease, self._lease, call.job)
+        self.sim.after(self.spec.lease, self._lease, call.request)
         if call.ahead is not None:
-            call.ahead.read_ahead(call.job, self)
+            call.ahead.read_ahead(call.request, self)
         self._admit()
 
-    def _lease(self, job: str) -> None:
-        state = self.states.get(job)
+    def _lease(self, request: str) -> None:
+        state = self.states.get(request)
         if state and not state.asked:
-            self._free_state(job, "lease")
+            self._free_state(request, "lease")
 
-    def _free_state(self, job: str, why: str) -> None:
-        state = self.states.pop(job, None)
+    def _free_state(self, request: str, why: str) -> None:
+        state = self.states.pop(request, None)
         if state and self.alive:
             self.used -= state.tokens
-            self.note(self.spec.id, "pulled" if why == "pulled" else "freed", job=job, why=why)
+            self.note(self.spec.id, "pulled" if why == "pulled" else "freed", job=request, why=why)
             self._admit()
 
     # Answering: all at once, by a virtual clock of tokens.
@@ -358,7 +360,7 @@
                 self._end(call, "done", Outcome.DELIVERED, int(call.cached), made=call.answer)
                 freed = True
             else:
-                self.note(self.spec.id, "first", job=call.job, trip=call.key, front=call.front)
+                self.note(self.spec.id, "first", job=call.request, trip=call.key, front=call.front)
                 self.sim.after(self.hop, call.began)
         if freed:
             self._admit()
@@ -369,7 +371,7 @@
     def _pull(self, call: Call) -> None:
         holder = call.holder
         assert holder is not None
-        self.sim.after(self.hop, holder.give, call.job, self, lambda here: self._pulled(call, here))
+        self.sim.after(self.hop, holder.give, call.request, self, lambda here: self._pulled(call, here))
 
     def _pulled(self, call: Call, here: bool) -> None:
         if call not in self.fetching or not self.alive:
@@ -382,9 +384,9 @@
             self._end(call, "state_lost", Outcome.FULL, 1)
             self._admit()
 
-    def give(self, job: str, writer: ModelEngine, moved: Callable[[bool], None]) -> None:
+    def give(self, request: str, writer: ModelEngine, moved: Callable[[bool], None]) -> None:
         """Sends a state over the port, or over this engine's part of its cell's link, one after the other."""
-        state = self.states.get(job)
+        state = self.states.get(request)
         if state is None or not self.alive or self.hanging:
             if not (self.alive and self.hanging):  # a hung one never answers
                 self.sim.after(self.hop, moved, False)
@@ -396,64 +398,69 @@
         self.link_free[way] = max(self.sim.now, self.link_free[way]) + 1000 * state.tokens / rate
 
         def over() -> None:
-            here = self.alive and job in self.states
+            here = self.alive and request in self.states
             if here:
-                self._free_state(job, "pulled")
+                self._free_state(request, "pulled")
             moved(here)
 
         self.sim.after(self.link_free[way] - self.sim.now, over)
 
     def place(
-        self, job: str, tokens: float, reader: ModelEngine | None, front: str, reply: Callable[[bool], None]
+        self,
+        request: str,
+        tokens: float,
+        reader: ModelEngine | None,
+        front: str,
+        reply: Callable[[bool], None],
     ) -> None:
         """Holds a slot and memory for a job that is being read, if they are free at once."""
         if not self.alive or self.hanging:
             return
-        self.note(self.spec.id, "place asked", job=job, front=front)
+        self.note(self.spec.id, "place asked", job=request, front=front)
         held = not (
             self.draining
             or self.line
             or self.spec.role == "read"
             or self._taken() >= self.spec.slots
             or self.used + tokens > self.spec.memory
-            or job in self.places
-            or any(call.job == job for call in (*self.fetching, *self.answering))
+            or request in self.places
+            or any(call.request == request for call in (*self.fetching, *self.answering))
         )
         if held:
             self.used += tokens
-            self.places[job] = Place(tokens, self.sim.now, reader, pulling=reader is not None)
-            self.note(self.spec.id, "placed", job=job, front=front)
-            self.sim.after(self.spec.lease, self._unplace, job, "lease")
-            if reader is not None and job in reader.states:
-                self.read_ahead(job, reader)
+            self.places[request] = Place(tokens, self.sim.now, reader, pulling=reader is not None)
+            self.note(self.spec.id, "placed", job=request, front=front)
+            self.sim.after(self.spec.lease, self._unplace, request, "lease")
+            if reader is not None and request in reader.states:
+                self.read_ahead(request, reader)
         self.sim.after(self.hop, reply, held)
 
-    def read_ahead(self, job: str, reader: ModelEngine) -> None:
+    def read_ahead(self, request: str, reader: ModelEngine) -> None:
         """The state for a place is read: it comes at once."""
-        if job not in self.places and job not in self.attached:
+        if request not in self.places and request not in self.attached:
             return
 
         def moved(here: bool) -> None:
-            place, call = self.places.get(job), self.attached.pop(job, None)
+            place, call = self.places.get(request), self.attached.pop(request, None)
             if place is not None:
                 place.pulling, place.here = False, here
             elif call is not None and call in self.fetching:
                 self._pulled(call, here)
 
-        self.sim.after(self.hop, reader.give, job, self, moved)
+        self.sim.after(self.hop, reader.give, request, self, moved)
 
-    def _unplace(self, job: str, why: str) -> None:
-        place = self.places.pop(job, None)
+    def _unplace(self, request: str, why: str) -> None:
+        place = self.places.pop(request, None)
         if place and self.alive:
             self.used -= place.tokens
-            self.note(self.spec.id, "unplaced", job=job, why=why)
+            self.note(self.spec.id, "unplaced", job=request, why=why)
             self._admit()
 
-    def release(self, job: str) -> None:
+    def release(self, request: str) -> None:
         if not self.alive:
             return
-        self.note(self.spec.id, "release", job=job)
-        state = self.states.get(job)
+        self.note(self.spec.id, "release", job=request)
+        state = self.states.get(request)
         if state and not state.asked:
-            self._free_state(job, "release")
-        self._unplace(job, "release")
+            self._free_state(request, "release")
+        self._unplace(request, "release")
--- a/worksmux/simulation/front.py
+++ b/worksmux/simulation/front.py
@@ -14,8 +14,30 @@
 from ..endpoints.staleness import Answer, Beliefs, Stand, Step
 from ..failover.watcher import Watcher
 from ..fakes.generator import Spec
-from ..policy import interface as i
+from ..policy.actions import (
+    AbortRequest,
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    RejectRequest,
+    ReleaseKvCache,
+    ReserveSlot,
+    SetTimer,
+    StartAttempt,
+)
+from ..policy.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointListUpdate,
+    Event,
+    FirstToken,
+    HealthCheckEnded,
+    SlotReserved,
+    TimerFired,
+)
 from ..policy.id_map import Door, Maker
+from ..policy.settings import Settings
+from ..policy.state import Attempt, Engine, Outcome, Request
 from .engine import Call, ModelEngine, Note
 from .sim import Sim, Timer
 
@@ -26,13 +48,13 @@
 class Case:
     """One job as its front has it; `answered(how)` tells its client."""
 
-    job: i.Job
+    request: Request
     key: str
     asked: Ask
     holder: ModelEngine | None = None
-    held: dict[i.Engine, None] = field(default_factory=dict)
-    place: i.Engine | None = None
-    out: dict[i.Trip, tuple[Call, ModelEngine]] = field(default_factory=dict)
+    held: dict[Engine, None] = field(default_factory=dict)
+    place: Engine | None = None
+    out: dict[Attempt, tuple[Call, ModelEngine]] = field(default_factory=dict)
     over: str = ""
     guard: Timer | None = None
 
@@ -42,7 +64,7 @@
     """What a client asks; milliseconds and tokens."""
 
     id: str
-    offering: int
+    request_class: int
     name: str
     session: int
     prefix: int
@@ -60,7 +82,7 @@
 @dataclass(slots=True)
 class FrontCounts:
     probes: int = 0
-    trips: int = 0
+    attempts: int = 0
     unreachable: int = 0
     stale_last: float = 0.0  # when a send last went to an engine that is no more
     turns: int = 0
@@ -73,7 +95,7 @@
         sim: Sim,
         engines: dict[str, ModelEngine],
         name: str,
-        settings: i.Settings,
+        settings: Settings,
         zones: list[str],
         kinds: list[str],
         make: Maker,
@@ -87,8 +109,8 @@
         self.door = Door(settings, seed, make)
         self.roster = Roster(kinds, zones, self._engine, doubt, max(doubt, settings["warm_up"]))
         self.hop, self.margin, self.turn = hop, margin, float(settings["tick"])
-        self.cases: dict[i.Job, Case] = {}
-        self.events: list[i.Event] = []
+        self.cases: dict[Request, Case] = {}
+        self.events: list[Event] = []
         self.due = self.dead = False
         self.number = 0
         self.closing: list[Case] = []
@@ -103,13 +125,13 @@
         if settings["ask_for_list"]:
             self._soon()
 
-    def _engine(self, name: str) -> i.Engine:
+    def _engine(self, name: str) -> Engine:
         address = name.encode()
         return self.door.engine(address, key_of(address))
 
     # Turns.
 
-    def tell(self, event: i.Event) -> None:
+    def tell(self, event: Event) -> None:
         if not self.dead:
             self.events.append(event)
             self._soon()
@@ -137,7 +159,7 @@
         closing, self.closing = self.closing, []
         for case in closing:
             if not case.out:
-                self.cases.pop(case.job, None)
+                self.cases.pop(case.request, None)
 
     def die(self) -> None:
         """The process is killed: its clients see their connections break, its engines too."""
@@ -182,7 +204,7 @@
                 entries.append(entry)
         if entries or scope == "cached":
             self.roster.remembered(entries)
-            self.tell(i.Listed(scope, entries))
+            self.tell(EndpointListUpdate(scope, entries))
         for line in step.ask:
             self._ask(line.id)
 
@@ -217,16 +239,16 @@
         else:
             self.sim.after(self.hop, engine.probe, heard)
 
-    def _believe(self, engine: i.Engine, outcome: i.Outcome) -> None:
+    def _believe(self, engine: Engine, outcome: Outcome) -> None:
         if self.beliefs is not None and not self.beliefs.over:
-            self._apply(self.beliefs.trip_ended(engine.id.decode(), outcome, self.sim.now))
-            if outcome is i.Outcome.UNREACHABLE:
+            self._apply(self.beliefs.attempt_ended(engine.id.decode(), outcome, self.sim.now))
+            if outcome is Outcome.UNREACHABLE:
                 self._watch()
 
     def _urge(self) -> None:
         if self.beliefs is not None and not self.beliefs.over:
             roles = dict(zip(self.roster.keeper.kinds, self.settings["roles"], strict=True))
-            step = self.beliefs.job_came(self.sim.now, roles)
+            step = self.beliefs.request_came(self.sim.now, roles)
             self._apply(step)
             if step.ask:
                 self._watch()
@@ -241,9 +263,9 @@
         self.number += 1
         now = self.sim.now
         left = max(0.0, asked.left - self.margin)
-        job = i.Job(
+        request = Request(
             self.number,
-            asked.offering,
+            asked.request_class,
             asked.session,
             asked.prefix,
             asked.prompt,
@@ -253,15 +275,15 @@
             now + left,
             repeat=asked.repeat,
         )
-        case = Case(job, f"{self.start}.{self.number}", asked)
+        case = Case(request, f"{self.start}.{self.number}", asked)
         case.guard = self.sim.after(left + self.settings["answer_slack"], self._overdue, case)
-        self.cases[job] = case
-        self.tell(self.door.arrived(job))
+        self.cases[request] = case
+        self.tell(self.door.arrived(request))
 
     def _overdue(self, case: Case) -> None:
-        if not case.over and not case.job.began:
+        if not case.over and not case.request.began:
             self._answer(case, "overdue")
-            self.tell(i.Left(case.job))
+            self.tell(ClientDisconnected(case.request))
 
     def left_by(self, name: str) -> None:
         """The client of the try so named has hung up."""
@@ -269,10 +291,10 @@
             if case.asked.id == name:
                 if not case.over:
                     self._answer(case, "left")
-                    self.tell(i.Left(case.job))
-                for trip in list(case.out):
-                    if trip.job.began:
-                        self._cancel(trip)
+                    self.tell(ClientDisconnected(case.request))
+                for attempt in list(case.out):
+                    if attempt.request.began:
+                        self._cancel(attempt)
                 return
 
     def _answer(self, case: Case, how: str) -> None:
@@ -292,90 +314,90 @@
 
     # What trips tell.
 
-    def _began(self, trip: i.Trip) -> None:
-        case = self.cases.get(trip.job)
-        if case is None or self.dead or trip not in case.out:
+    def _began(self, attempt: Attempt) -> None:
+        case = self.cases.get(attempt.request)
+        if case is None or self.dead or attempt not in case.out:
             return
-        if trip.job.began or case.over:
-            return self._cancel(trip)
-        trip.began, trip.job.began = self.sim.now, True
+        if attempt.request.began or case.over:
+            return self._cancel(attempt)
+        attempt.began, attempt.request.began = self.sim.now, True
         case.held.clear()
         case.asked.began()
-        self.tell(i.Began(trip, self.sim.now - trip.sent))
+        self.tell(FirstToken(attempt, self.sim.now - attempt.sent))
 
-    def _ended(self, trip: i.Trip, outcome: i.Outcome, note: int) -> None:
-        case = self.cases.get(trip.job)
-        if case is None or self.dead or case.out.pop(trip, None) is None:
+    def _ended(self, attempt: Attempt, outcome: Outcome, note: int) -> None:
+        case = self.cases.get(attempt.request)
+        if case is None or self.dead or case.out.pop(attempt, None) is None:
             return
-        self._believe(trip.engine, outcome)
-        if outcome is i.Outcome.UNREACHABLE:
+        self._believe(attempt.engine, outcome)
+        if outcome is Outcome.UNREACHABLE:
             self.counts.unreachable += 1
             self.counts.stale_last = self.sim.now
-        if trip.reading:
-            if outcome is i.Outcome.READ:
-                case.holder = self.engines.get(trip.engine.id.decode())
-            if outcome not in (i.Outcome.FULL, i.Outcome.UNREACHABLE, i.Outcome.MOOT):
-                case.held[trip.engine] = None
-        elif outcome is i.Outcome.DELIVERED:
+        if attempt.reading:
+            if outcome is Outcome.READ:
+                case.holder = self.engines.get(attempt.engine.id.decode())
+            if outcome not in (Outcome.FULL, Outcome.UNREACHABLE, Outcome.MOOT):
+                case.held[attempt.engine] = None
+        elif outcome is Outcome.DELIVERED:
             self._answer(case, "delivered")
-        elif trip.began:
+        elif attempt.began:
             self._answer(case, "broken off")
-        elif outcome is i.Outcome.FULL and note == 1:
+        elif outcome is Outcome.FULL and note == 1:
             case.holder = None
         self._close(case)
-        self.tell(i.Ended(trip, outcome, self.sim.now - trip.sent, bool(case.over), note, None))
+        self.tell(AttemptEnded(attempt, outcome, self.sim.now - attempt.sent, bool(case.over), note, None))
 
     # Actions.
 
-    def _carry_out(self, action: i.Action) -> None:
+    def _carry_out(self, action: Action) -> None:
         match action:
-            case i.Send():
+            case StartAttempt():
                 self._send(action)
-            case i.Defer(job, stay_away):
-                if job in self.cases:
-                    self.cases[job].asked.stay_away = stay_away
-                self._final(job, "deferred")
-            case i.BreakOff(job):
-                self._final(job, "broken off")
-            case i.Cancel(trip):
-                self._cancel(trip)
-            case i.Alarm(after, token):
-                self.sim.after(after, self.tell, i.Rang(token))
-            case i.Probe(engine):
+            case RejectRequest(request, stay_away):
+                if request in self.cases:
+                    self.cases[request].asked.stay_away = stay_away
+                self._final(request, "deferred")
+            case AbortRequest(request):
+                self._final(request, "broken off")
+            case CancelAttempt(attempt):
+                self._cancel(attempt)
+            case SetTimer(after, token):
+                self.sim.after(after, self.tell, TimerFired(token))
+            case CheckHealth(engine):
                 self._probe(engine)
-            case i.Hold(job, engine):
-                self._hold(job, engine)
-            case i.Release(job):
-                self._release(job)
+            case ReserveSlot(request, engine):
+                self._hold(request, engine)
+            case ReleaseKvCache(request):
+                self._release(request)
             case _:
                 pass
 
-    def _final(self, job: i.Job, how: str) -> None:
-        case = self.cases.get(job)
+    def _final(self, request: Request, how: str) -> None:
+        case = self.cases.get(request)
         if case is not None:
             self._answer(case, how)
 
-    def _cancel(self, trip: i.Trip, outcome: i.Outcome = i.Outcome.CANCELLED) -> None:
-        case = self.cases.get(trip.job)
-        if case is not None and trip in case.out:
-            call, engine = case.out[trip]
+    def _cancel(self, attempt: Attempt, outcome: Outcome = Outcome.CANCELLED) -> None:
+        case = self.cases.get(attempt.request)
+        if case is not None and attempt in case.out:
+            call, engine = case.out[attempt]
             self.sim.after(self.hop, engine.cancel, call)
-            self._ended(trip, outcome, 0)
-
-    def _send(self, action: i.Send) -> None:
-        trip, job = action.trip, action.trip.job
-        case = self.cases.get(job)
-        left = job.give_up_at - self.sim.now
-        if case is None or case.over or job.began or left <= 0:
-            self.tell(i.Ended(trip, i.Outcome.MOOT, 0.0, case is None or bool(case.over)))
+            self._ended(attempt, outcome, 0)
+
+    def _send(self, action: StartAttempt) -> None:
+        attempt, request = action.attempt, action.attempt.request
+        case = self.cases.get(request)
+        left = request.give_up_at - self.sim.now
+        if case is None or case.over or request.began or left <= 0:
+            self.tell(AttemptEnded(attempt, Outcome.MOOT, 0.0, case is None or bool(case.over)))
             return
-        self.counts.trips += 1
-        if case.place not in (None, trip.engine) and not trip.reading:
+        self.counts.attempts += 1
+        if case.place not in (None, attempt.engine) and not attempt.reading:
             self._let_go(case, case.place)
         asked = case.asked
         facts: dict[str, Any] = {
             "job": case.key,
-            "trip": f"{case.key}.{trip.number}",
+            "trip": f"{case.key}.{attempt.number}",
             "front": self.name,
             "try": asked.id,
             "label": case.key,
@@ -391,52 +413,52 @@
             asked.name,
             asked.prompt,
             asked.answer,
-            trip.reading,
-            case.holder if job.holder is not None else None,
+            attempt.reading,
+            case.holder if request.holder is not None else None,
             beginnings,
-            lambda: self._began(trip),
-            lambda outcome, note: self._ended(trip, outcome, note),
+            lambda: self._began(attempt),
+            lambda outcome, note: self._ended(attempt, outcome, note),
             facts,
         )
-        engine = self.engines.get(trip.engine.id.decode())
+        engine = self.engines.get(attempt.engine.id.decode())
         if engine is None:
-            case.out[trip] = call, self.nowhere
-            self.sim.after(2 * self.hop, self._ended, trip, i.Outcome.UNREACHABLE, 0)
+            case.out[attempt] = call, self.nowhere
+            self.sim.after(2 * self.hop, self._ended, attempt, Outcome.UNREACHABLE, 0)
             return
-        case.out[trip] = call, engine
+        case.out[attempt] = call, engine
         self.sim.after(self.hop, engine.got, call)
         time_out = min(action.time_out, left) if action.time_out else left
-        self.sim.after(time_out, self._late, trip)
+        self.sim.after(time_out, self._late, attempt)
 
-    def _late(self, trip: i.Trip) -> None:
-        if trip.outcome is None and not trip.began:
-            self._cancel(trip, i.Outcome.TIMED_OUT)
+    def _late(self, attempt: Attempt) -> None:
+        if attempt.outcome is None and not attempt.began:
+            self._cancel(attempt, Outcome.TIMED_OUT)
 
-    def _probe(self, engine: i.Engine) -> None:
+    def _probe(self, engine: Engine) -> None:
         self.counts.probes += 1
         sent, target = self.sim.now, self.engines.get(engine.id.decode())
-        told: list[i.Outcome] = []
+        told: list[Outcome] = []
 
-        def end(outcome: i.Outcome) -> None:
+        def end(outcome: Outcome) -> None:
             if not told:
                 told.append(outcome)
-                self.tell(i.Probed(engine, outcome, self.sim.now - sent))
+                self.tell(HealthCheckEnded(engine, outcome, self.sim.now - sent))
 
         def heard(answered: bool, _: ModelEngine) -> None:
-            end(i.Outcome.DELIVERED if answered else i.Outcome.UNREACHABLE)
+            end(Outcome.DELIVERED if answered else Outcome.UNREACHABLE)
 
         if target is None:
-            self.sim.after(2 * self.hop, end, i.Outcome.UNREACHABLE)
+            self.sim.after(2 * self.hop, end, Outcome.UNREACHABLE)
         else:
             self.sim.after(self.hop, target.probe, heard)
-            self.sim.after(self.settings["connect_time_out"], end, i.Outcome.TIMED_OUT)
+            self.sim.after(self.settings["connect_time_out"], end, Outcome.TIMED_OUT)
 
-    def _hold(self, job: i.Job, engine: i.Engine) -> None:
-        case = self.cases.get(job)
+    def _hold(self, request: Request, engine: Engine) -> None:
+        case = self.cases.get(request)
         target = self.engines.get(engine.id.decode())
         if case is None or case.over or target is None:
             return
-        reading = next((trip for trip in case.out if trip.reading), None)
+        reading = next((attempt for attempt in case.out if attempt.reading), None)
         reader = case.out[reading][1] if reading is not None else None
         if reader is not None and reading is not None:
             case.out[reading][0].ahead = target
@@ -446,24 +468,24 @@
         case.held[engine] = None
 
         def reply(held: bool) -> None:
-            if held and (case.over or job.began or case.place is not engine):
+            if held and (case.over or request.began or case.place is not engine):
                 self.sim.after(self.hop, target.release, case.key)
             if reading is not None and reading.outcome is None:
-                self.tell(i.Placed(reading, engine, held))
+                self.tell(SlotReserved(reading, engine, held))
 
-        self.sim.after(self.hop, target.place, case.key, job.prompt * 1.2, reader, self.name, reply)
+        self.sim.after(self.hop, target.place, case.key, request.prompt * 1.2, reader, self.name, reply)
 
-    def _release(self, job: i.Job) -> None:
-        case = self.cases.get(job)
+    def _release(self, request: Request) -> None:
+        case = self.cases.get(request)
         if case is not None:
             case.holder = None
             self._let_all_go(case, list(case.held))
 
-    def _let_all_go(self, case: Case, engines: Iterable[i.Engine]) -> None:
+    def _let_all_go(self, case: Case, engines: Iterable[Engine]) -> None:
         for engine in engines:
             self._let_go(case, engine)
 
-    def _let_go(self, case: Case, engine: i.Engine | None) -> None:
+    def _let_go(self, case: Case, engine: Engine | None) -> None:
         if engine is None:
             return
         case.held.pop(engine, None)
--- a/worksmux/tokenization/service.py
+++ b/worksmux/tokenization/service.py
@@ -47,13 +47,13 @@
     def __init__(
         self,
         messages: Parts,
-        offering: int,
+        request_class: int,
         limit: int,
         promised_time: float,
         session: int,
         on_result: OnResult,
     ) -> None:
-        self.messages, self.offering, self.limit = messages, offering, limit
+        self.messages, self.request_class, self.limit = messages, request_class, limit
         self.promised_time, self.session, self.on_result = promised_time, session, on_result
         self.arrived = clock.now()
         self.vocabulary: Vocabulary | None = None
@@ -99,7 +99,7 @@
     def count(
         self,
         messages: Parts,
-        offering: int,
+        request_class: int,
         limit: int,
         promised_time: float,
         session: int,
@@ -109,7 +109,7 @@
         if not session:
             self.strangers += 1
             session = -self.strangers
-        prompt = Prompt(messages, offering, limit, promised_time, session, on_result)
+        prompt = Prompt(messages, request_class, limit, promised_time, session, on_result)
         self._begin(prompt)
         return prompt
 
@@ -123,7 +123,7 @@
                 prompt.ids[at] = self.cache.get(self._key(prompt.vocabulary, piece))
 
     def _begin(self, prompt: Prompt) -> None:
-        vocabulary = prompt.vocabulary = self.vocabularies[prompt.offering]
+        vocabulary = prompt.vocabulary = self.vocabularies[prompt.request_class]
         prompt.pieces = cut(prompt.messages, vocabulary.cuts, self.bounds.piece)
         prompt.ids, prompt.more = [None] * len(prompt.pieces), {}
         self._look_up(prompt)
@@ -271,7 +271,7 @@
         self.vocabularies = vocabularies
         self.workers.use(vocabularies)
         for ask, prompt in list(self.open.items()):
-            if vocabularies[prompt.offering].version != ask.version:
+            if vocabularies[prompt.request_class].version != ask.version:
                 del self.open[ask]
                 self.desk.gone(ask)
                 self.recounted += 1
