--- a/worksmux/commands/lists.py
+++ b/worksmux/commands/lists.py
@@ -18,7 +18,8 @@
 from ..api import engine as calls
 from ..endpoints.staleness import Saved, trust
 from ..gateway.endpoint_cache import FACTS, LINES, Facts
-from ..storage.database import Store, Unusable, open_store
+from ..storage.database import Store, open_store
+from ..storage.errors import StoreUnusableError
 
 lists = typer.Typer(no_args_is_help=True, help="What a front remembers of its engines.")
 File = Annotated[Path, typer.Argument(help="the file of the front's memory")]
@@ -30,7 +31,7 @@
         raise typer.Exit(2)
     try:
         store = open_store(path)
-    except Unusable as error:
+    except StoreUnusableError as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(2) from error
     for note in store.notes:
--- a/worksmux/gateway/endpoint_cache.py
+++ b/worksmux/gateway/endpoint_cache.py
@@ -18,7 +18,8 @@
 from ..policy.router import MEMORY
 from ..policy.state import Engine, Outcome
 from ..settings.front import MemorySettings
-from ..storage.database import Store, Unusable, open_store
+from ..storage.database import Store, open_store
+from ..storage.errors import StoreUnusableError
 from ..storage.writer import Writer
 from .chat_engine_client import PublishedCore
 
@@ -75,7 +76,7 @@
             kept = read_learned(store)
             if not store.read_only:
                 self.writer = Writer(store, self.settings.write_pause / 1000, self._store_failed)
-        except Unusable as error:
+        except StoreUnusableError as error:
             LOG.error("no memory", why=str(error))
         self.engine_list.keeper.serial, self.engine_list.keeper.theirs = self.facts.serial, self.facts.theirs
         source = "the store" if saved else "seeds" if self.settings.seeds else "nothing"
--- a/worksmux/gateway/fleet/audit_log_keeper.py
+++ b/worksmux/gateway/fleet/audit_log_keeper.py
@@ -137,7 +137,7 @@
     def _on_disk(self, front: str) -> dict[int, bytes]:
         """Guards against a copy that knows what its front forgot: a front killed before it wrote goes on
         under numbers that a copy would hold with another content."""
-        waits = self.writer.waits(OWN if front == self.name else _table(front))
+        waits = self.writer.unwritten_keys(OWN if front == self.name else _table(front))
         return {
             index: data for index, data in self.kept.get(front, {}).items() if f"{index:015d}" not in waits
         }
--- a/worksmux/gateway/fleet/consensus_disk.py
+++ b/worksmux/gateway/fleet/consensus_disk.py
@@ -67,8 +67,8 @@
                 own = msgspec.msgpack.decode(front.values["own"], type=Own)
             if council.whole and own is not None:
                 self.saved = self._saved(council.values)
-            elif council.values or council.bad or front.values:
-                raise ValueError(f"{council.bad} records of the council fail their checks")
+            elif council.values or council.corrupt_records or front.values:
+                raise ValueError(f"{council.corrupt_records} records of the council fail their checks")
         except (msgspec.DecodeError, ValueError) as error:
             self.notes.append(f"{self.path}: {error}; this front takes a seat anew, under another mark")
             self.saved = Saved()
--- a/worksmux/storage/__init__.py
+++ b/worksmux/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable state of a front, on SQLite: checked record by record, never half believed.  No decision."""
+"""Durable state of a node on SQLite. Every record and table carries checksums, so that damage is noticed."""
--- a/worksmux/storage/database.py
+++ b/worksmux/storage/database.py
@@ -1,24 +1,22 @@
-"""The store's file: one SQLite database, opened with care, written in whole transactions.
+"""The store's file: one SQLite database, changed in whole transactions.
 
-Every way of being broken has a plain answer: a file that is missing or empty starts empty; one that is torn
-or has flipped bits gives what passes its checks, and is moved aside if SQLite itself cannot go on; a foreign
-file, one of a newer version, or one that cannot be written is left as it is, and the front goes on without
-memory.
+A missing or empty file starts empty. A damaged one gives the records that pass their checksums, and is moved
+aside if SQLite cannot use it. A database of another program, one of a newer version, and one that cannot be
+written are left as they are; the node then serves without stored state, or only reads it.
 """
 
 from __future__ import annotations
 
-import os
 import sqlite3
 from collections.abc import Iterable
 from pathlib import Path
 
-import msgspec
+from .errors import StoreUnusableError
+from .records import Manifest, Table, checksum, seal_manifest, stored_checksum, unseal_manifest, verify_table
+from .recovery import OPEN_TIMEOUT_S, IntactRecords, move_aside, read_intact_records
 
-from .records import WORD, Manifest, Table, check, checksum, seal
-
-OURS = 0x574D5558  # "WMUX", the database's application id
-VERSION = 1
+APPLICATION_ID = 0x574D5558  # "WMUX", in the header of the database
+SCHEMA_VERSION = 1
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS record (tab TEXT NOT NULL, key TEXT NOT NULL, value BLOB NOT NULL,
     sum INTEGER NOT NULL, PRIMARY KEY (tab, key)) WITHOUT ROWID;
@@ -27,94 +25,120 @@
 Changes = dict[str, dict[str, bytes | None]]  # table, key, value; None deletes
 
 
-class Unusable(Exception):
-    """The file is not ours to use; the message says why and what to do."""
-
-
 class Store:
-    """Opened by `open_store`.  Not for use by several threads at once."""
+    """An open store, made by `open_store`. Not for use by several threads at once.
+
+    `notes` tells operators what was found wrong with the file when it was opened. Times are milliseconds
+    since 1970.
+    """
 
     def __init__(
         self, path: Path, database: sqlite3.Connection, notes: list[str], read_only: bool = False
     ) -> None:
-        self.path, self.database, self.notes, self.read_only = path, database, notes, read_only
+        self.path = path
+        self.database = database
+        self.notes = notes
+        self.read_only = read_only
 
     def read(self, table: str) -> Table:
-        """A table as far as it can be believed; never raises for what the file holds."""
+        """The records of a table that pass their checksums; never raises for what the file holds."""
         try:
             rows = self.database.execute(
                 "SELECT key, value, sum FROM record WHERE tab = ?", (table,)
             ).fetchall()
-            row = self.database.execute("SELECT value FROM manifest WHERE tab = ?", (table,)).fetchone()
+            manifest = self._manifest(table)
         except (sqlite3.DatabaseError, OverflowError, UnicodeError):
-            return Table(bad=1)
-        rows = [
+            return Table(corrupt_records=1)
+        records = [
             (key, value, stored)
             for key, value, stored in rows
             if isinstance(key, str) and isinstance(value, bytes) and isinstance(stored, int)
         ]
-        manifest = row[0] if row and isinstance(row[0], bytes) else None
-        return check(table, rows, manifest)
+        return verify_table(table, records, manifest)
 
-    def write(self, changes: Changes, now: float) -> None:
-        """All changes in one transaction; raises sqlite3.Error and leaves the file as it was."""
+    def write(self, changes: Changes, now_ms: float) -> None:
+        """Makes all changes in one transaction; raises sqlite3.Error and leaves the file as it was."""
         with self.database:
             self.database.execute("BEGIN IMMEDIATE")
             for table, entries in changes.items():
-                self._write_table(table, entries, now)
-
-    def _write_table(self, table: str, entries: dict[str, bytes | None], now: float) -> None:
-        run = self.database.execute
-        row = run("SELECT value FROM manifest WHERE tab = ?", (table,)).fetchone()
-        told = check(table, [], row[0] if row else None)
-        manifest = Manifest(0, 0, now)
-        if row and told.saved_at:
-            manifest = msgspec.msgpack.decode(row[0][8:], type=Manifest)
-        for key, value in entries.items():
-            old = run("SELECT value FROM record WHERE tab = ? AND key = ?", (table, key)).fetchone()
-            if old:
-                manifest.count -= 1
-                manifest.total = (manifest.total - checksum(table, key, old[0])) & WORD
-            if value is None:
-                run("DELETE FROM record WHERE tab = ? AND key = ?", (table, key))
-                continue
-            own = checksum(table, key, value)
-            manifest.count += 1
-            manifest.total = (manifest.total + own) & WORD
-            run("INSERT OR REPLACE INTO record VALUES (?, ?, ?, ?)", (table, key, value, own & (WORD >> 1)))
-        manifest.saved_at = now
-        run("INSERT OR REPLACE INTO manifest VALUES (?, ?)", (table, seal(msgspec.msgpack.encode(manifest))))
-
-    def replace(self, table: str, entries: Iterable[tuple[str, bytes]], now: float) -> None:
-        """The whole table anew, in one transaction."""
+                self._write_table(table, entries, now_ms)
+
+    def replace(self, table: str, entries: Iterable[tuple[str, bytes]], now_ms: float) -> None:
+        """Replaces the whole table in one transaction; raises sqlite3.Error and leaves the file as it was."""
         with self.database:
             self.database.execute("BEGIN IMMEDIATE")
             self.database.execute("DELETE FROM record WHERE tab = ?", (table,))
-            self.database.execute("DELETE FROM manifest WHERE tab = ?", (table,))
-            self._write_table(table, dict(entries), now)
+            self.delete_manifest(table)
+            self._write_table(table, dict(entries), now_ms)
+
+    def delete_manifest(self, table: str) -> None:
+        """Leaves the table without a manifest: it is read as not whole until it is replaced."""
+        self.database.execute("DELETE FROM manifest WHERE tab = ?", (table,))
 
     def close(self) -> None:
+        """Closes the file; nothing else may be called after it."""
         self.database.close()
 
+    def _manifest(self, table: str) -> Manifest | None:
+        row = self.database.execute("SELECT value FROM manifest WHERE tab = ?", (table,)).fetchone()
+        return unseal_manifest(row[0]) if row and isinstance(row[0], bytes) else None
+
+    def _write_table(self, table: str, entries: dict[str, bytes | None], now_ms: float) -> None:
+        """Makes the changes of one table within a transaction.
+
+        A missing or broken manifest is begun anew from zero. It does not agree with the records that were
+        there before, so a damaged table is not taken for a whole one after the next write.
+        """
+        manifest = self._manifest(table)
+        if manifest is None or not manifest.saved_at_ms:
+            manifest = Manifest(0, 0, now_ms)
+        for key, value in entries.items():
+            self._write_record(manifest, table, key, value)
+        manifest.saved_at_ms = now_ms
+        self.database.execute(
+            "INSERT OR REPLACE INTO manifest VALUES (?, ?)", (table, seal_manifest(manifest))
+        )
+
+    def _write_record(self, manifest: Manifest, table: str, key: str, value: bytes | None) -> None:
+        """Stores or deletes one record and keeps the manifest in step."""
+        execute = self.database.execute
+        old = execute("SELECT value FROM record WHERE tab = ? AND key = ?", (table, key)).fetchone()
+        if old:
+            manifest.remove(checksum(table, key, old[0]))
+        if value is None:
+            execute("DELETE FROM record WHERE tab = ? AND key = ?", (table, key))
+            return
+        manifest.add(checksum(table, key, value))
+        execute(
+            "INSERT OR REPLACE INTO record VALUES (?, ?, ?, ?)",
+            (table, key, value, stored_checksum(table, key, value)),
+        )
+
+
+def open_store(path: str | Path) -> Store:
+    """Opens the store, or creates it; raises StoreUnusableError where the file must be left alone.
+
+    A broken file is moved aside and its intact records are copied into a new one. Their tables have no
+    manifest, so they are read as not whole. The store's `notes` say so.
+    """
+    path = Path(path)
+    try:
+        return Store(path, _connect(path), [])
+    except sqlite3.OperationalError as error:
+        return _open_read_only(path, error)
+    except (sqlite3.DatabaseError, UnicodeError) as error:
+        return _rebuild(path, error)
+
 
 def _connect(path: Path) -> sqlite3.Connection:
-    database = sqlite3.connect(path, isolation_level=None, check_same_thread=False, timeout=1.0)
+    """A checked connection; raises StoreUnusableError, or sqlite3.DatabaseError for a broken file."""
+    database = sqlite3.connect(path, isolation_level=None, check_same_thread=False, timeout=OPEN_TIMEOUT_S)
     try:
-        database.execute("PRAGMA trusted_schema = OFF")
-        mark = database.execute("PRAGMA application_id").fetchone()[0]
-        version = database.execute("PRAGMA user_version").fetchone()[0]
-        tables = database.execute("SELECT count(*) FROM sqlite_master").fetchone()[0]
-        if mark != OURS and tables:
-            raise Unusable(f"{path} is a database of another program; name another file")
-        if mark == OURS and version > VERSION:
-            raise Unusable(
-                f"{path} was written by a newer worksmux (version {version}, here {VERSION}); it is left as "
-                "it is: upgrade, or name another file"
-            )
+        _check_owner(path, database)
         database.execute("PRAGMA journal_mode = WAL")
         database.execute("PRAGMA synchronous = NORMAL")
-        database.execute(f"PRAGMA application_id = {OURS}")
-        database.execute(f"PRAGMA user_version = {VERSION}")
+        database.execute(f"PRAGMA application_id = {APPLICATION_ID}")
+        database.execute(f"PRAGMA user_version = {SCHEMA_VERSION}")
         database.executescript(SCHEMA)
         if database.execute("PRAGMA quick_check(1)").fetchone()[0] != "ok":
             raise sqlite3.DatabaseError("its pages do not agree")
@@ -124,88 +148,70 @@
     return database
 
 
-def _aside(path: Path) -> Path:
-    """Moves a broken database out of the way, with what belongs to it."""
-    number = 1
-    while (target := path.with_name(f"{path.name}.broken-{number}")).exists():
-        number += 1
-    os.replace(path, target)
-    for ending in ("-wal", "-shm"):
-        part = path.with_name(path.name + ending)
-        if part.exists():
-            os.replace(part, target.with_name(target.name + ending))
-    return target
+def _check_owner(path: Path, database: sqlite3.Connection) -> None:
+    """Raises StoreUnusableError for a database of another program or of a newer version."""
+    database.execute("PRAGMA trusted_schema = OFF")
+    application_id, version = _header(database)
+    tables = database.execute("SELECT count(*) FROM sqlite_master").fetchone()[0]
+    if application_id != APPLICATION_ID and tables:
+        raise StoreUnusableError(f"{path} is a database of another program; name another file")
+    if application_id == APPLICATION_ID and version > SCHEMA_VERSION:
+        raise StoreUnusableError(
+            f"{path} was written by a newer worksmux (version {version}, here {SCHEMA_VERSION}); "
+            "it is left as it is: upgrade, or name another file"
+        )
 
 
-def _salvage(path: Path) -> dict[str, list[tuple[str, bytes]]]:
-    """What can still be read of a broken database and passes its checks."""
-    found: dict[str, list[tuple[str, bytes]]] = {}
-    try:
-        database = sqlite3.connect(f"file:{path}?mode=ro", uri=True, timeout=1.0)
-    except sqlite3.Error:
-        return found
-    try:
-        for table, key, value, stored in database.execute("SELECT tab, key, value, sum FROM record"):
-            if (
-                isinstance(value, bytes)
-                and isinstance(table, str)
-                and isinstance(key, str)
-                and checksum(table, key, value) & (WORD >> 1) == stored
-            ):
-                found.setdefault(table, []).append((key, value))
-    except (sqlite3.Error, OverflowError, UnicodeError):
-        pass
-    finally:
-        database.close()
-    return found
+def _header(database: sqlite3.Connection) -> tuple[int, int]:
+    """The application id and schema version in the database's header."""
+    application_id: int = database.execute("PRAGMA application_id").fetchone()[0]
+    version: int = database.execute("PRAGMA user_version").fetchone()[0]
+    return application_id, version
 
 
-def _read_only(path: Path, error: sqlite3.OperationalError) -> Store:
-    """A file that cannot be written may still be read: what it holds is served from, and kept no further."""
+def _open_read_only(path: Path, error: sqlite3.OperationalError) -> Store:
+    """Opens a file that cannot be written: its state is served from, and changes are not kept."""
     try:
         database = sqlite3.connect(
             f"file:{path}?mode=ro&immutable=1",
             uri=True,
             isolation_level=None,
             check_same_thread=False,
-            timeout=1.0,
+            timeout=OPEN_TIMEOUT_S,
         )
-        mark = database.execute("PRAGMA application_id").fetchone()[0]
-        version = database.execute("PRAGMA user_version").fetchone()[0]
+        application_id, version = _header(database)
     except sqlite3.Error:
-        mark = version = 0
-    if mark != OURS or version > VERSION:
-        raise Unusable(f"{path} cannot be opened or written ({error}); the front goes on without memory")
+        application_id = version = 0
+    if application_id != APPLICATION_ID or version > SCHEMA_VERSION:
+        raise StoreUnusableError(
+            f"{path} cannot be opened or written ({error}); the front goes on without memory"
+        )
     return Store(path, database, [f"{path} cannot be written ({error}); it is only read"], read_only=True)
 
 
-def open_store(path: str | Path) -> Store:
-    """Opens or makes the store; raises Unusable where the file must be left alone.
-
-    What was moved aside or salvaged stands in the store's `notes`.  Salvaged tables have no manifest, so they
-    are told as not whole.
-    """
-    path = Path(path)
-    notes: list[str] = []
+def _rebuild(path: Path, error: Exception) -> Store:
+    """Moves a broken file aside and copies its intact records into a new one; raises StoreUnusableError."""
+    intact = read_intact_records(path)
     try:
-        return Store(path, _connect(path), notes)
-    except sqlite3.OperationalError as error:
-        return _read_only(path, error)
-    except (sqlite3.DatabaseError, UnicodeError) as error:
-        saved = _salvage(path)
-        try:
-            target = _aside(path)
-            store = Store(path, _connect(path), notes)
-        except (OSError, sqlite3.Error) as second:
-            raise Unusable(f"{path} is broken ({error}) and cannot be moved aside ({second})") from second
-        count = sum(map(len, saved.values()))
-        notes.append(
-            f"{path} was broken ({error}); it is kept as {target.name}; {count} records were salvaged"
-        )
-        try:
-            for table, entries in saved.items():
-                store.replace(table, entries, 0.0)
-                store.database.execute("DELETE FROM manifest WHERE tab = ?", (table,))
-        except sqlite3.Error as second:
-            notes.append(f"what was salvaged could not be written: {second}")
-        return store
+        kept_as = move_aside(path)
+        store = Store(path, _connect(path), [])
+    except (OSError, sqlite3.Error) as second:
+        raise StoreUnusableError(
+            f"{path} is broken ({error}) and cannot be moved aside ({second})"
+        ) from second
+    count = sum(map(len, intact.values()))
+    store.notes.append(
+        f"{path} was broken ({error}); it is kept as {kept_as.name}; {count} records were salvaged"
+    )
+    _restore(store, intact)
+    return store
+
+
+def _restore(store: Store, intact: IntactRecords) -> None:
+    """Copies records into a new store; a failure is noted, and the store is used with what it has."""
+    try:
+        for table, records in intact.items():
+            store.replace(table, records, 0.0)
+            store.delete_manifest(table)
+    except sqlite3.Error as error:
+        store.notes.append(f"what was salvaged could not be written: {error}")
--- a/worksmux/storage/writer.py
+++ b/worksmux/storage/writer.py
@@ -1,5 +1,4 @@
-"""Writes to the store on a thread of its own: changes are merged while they wait, and a job never waits for
-them."""
+"""Writes to the store on a thread of its own: changes are merged while they wait, and no request waits."""
 
 from __future__ import annotations
 
@@ -10,65 +9,80 @@
 
 from .database import Changes, Store
 
+CLOSE_TIMEOUT_S = 2.0  # for a write that is under way when the writer is closed
+
 
 class Writer:
-    """At most one write in `pause` seconds.  `on_error` is called on the thread, once for each row of
-    failures."""
+    """Writes at most once in `pause_s` seconds.
+
+    `on_error` is called on the writer's thread, once for each run of failed writes.
+    """
 
-    def __init__(self, store: Store, pause: float, on_error: Callable[[str], None]) -> None:
-        self.store, self.pause, self.on_error = store, pause, on_error
-        self.pending: Changes = {}  # bounded by the keys that there are
-        self.writing: Changes = {}  # on its way to the disk
-        self.lock, self.due, self.ended = threading.Lock(), threading.Event(), threading.Event()
-        self.failing = False
-        self.writes = 0
-        self.thread = threading.Thread(target=self._run, name="store", daemon=True)
-        self.thread.start()
+    def __init__(self, store: Store, pause_s: float, on_error: Callable[[str], None]) -> None:
+        self.store = store
+        self.pause_s = pause_s
+        self.on_error = on_error
+        self._pending: Changes = {}  # at most one value for each key
+        self._in_progress: Changes = {}
+        self._failing = False
+        self._lock = threading.Lock()
+        self._has_work = threading.Event()
+        self._closed = threading.Event()
+        self._thread = threading.Thread(target=self._run, name="store", daemon=True)
+        self._thread.start()
 
     def put(self, table: str, key: str, value: bytes | None) -> None:
-        with self.lock:
-            self.pending.setdefault(table, {})[key] = value
-        self.due.set()
+        """Stores a value soon; None deletes. A later value for the same key replaces one that still waits."""
+        with self._lock:
+            self._pending.setdefault(table, {})[key] = value
+        self._has_work.set()
 
-    def waits(self, table: str) -> set[str]:
-        """The keys of a table that are not on disk as they were last put."""
-        with self.lock:
-            return {*self.pending.get(table, ()), *self.writing.get(table, ())}
+    def unwritten_keys(self, table: str) -> set[str]:
+        """The keys of a table whose last value is not on disk yet."""
+        with self._lock:
+            return {*self._pending.get(table, ()), *self._in_progress.get(table, ())}
+
+    def close(self) -> None:
+        """Ends the thread, writes what is left and closes the store."""
+        self._closed.set()
+        self._has_work.set()
+        self._thread.join(CLOSE_TIMEOUT_S)
+        self._flush()
+        self.store.close()
 
     def _run(self) -> None:
-        while not self.ended.is_set():
-            self.due.wait()
-            self.due.clear()
-            self.flush()
-            self.ended.wait(self.pause)
+        while not self._closed.is_set():
+            self._has_work.wait()
+            self._has_work.clear()
+            self._flush()
+            self._closed.wait(self.pause_s)
 
-    def flush(self) -> None:
-        """Writes what waits; what cannot be written waits on."""
-        with self.lock:
-            changes, self.pending = self.pending, {}
-            self.writing = changes
+    def _flush(self) -> None:
+        """Writes all pending changes; those that cannot be written stay pending."""
+        with self._lock:
+            changes, self._pending = self._pending, {}
+            self._in_progress = changes
         if not changes:
             return
         try:
             self.store.write(changes, time() * 1000)
-            with self.lock:
-                self.writing = {}
-            self.writes += 1
-            self.failing = False
         except sqlite3.Error as error:
-            with self.lock:
-                for table, entries in changes.items():
-                    self.pending[table] = entries | self.pending.get(table, {})
-                self.writing = {}
-            if not self.failing:
-                self.on_error(f"the store cannot be written: {error}; the front goes on, and tries again")
-            self.failing = True
-            self.due.set()
+            self._return_to_pending(changes)
+            self._report(error)
+            self._has_work.set()
+        else:
+            with self._lock:
+                self._in_progress = {}
+            self._failing = False
 
-    def close(self) -> None:
-        """Writes once more and ends the thread."""
-        self.ended.set()
-        self.due.set()
-        self.thread.join(2.0)
-        self.flush()
-        self.store.close()
+    def _return_to_pending(self, changes: Changes) -> None:
+        """Merges changes that were not written with those that came meanwhile, which are newer."""
+        with self._lock:
+            for table, entries in changes.items():
+                self._pending[table] = entries | self._pending.get(table, {})
+            self._in_progress = {}
+
+    def _report(self, error: sqlite3.Error) -> None:
+        if not self._failing:
+            self.on_error(f"the store cannot be written: {error}; the front goes on, and tries again")
+        self._failing = True
