--- a/benchmarks/module_by_size.py
+++ b/benchmarks/module_by_size.py
@@ -19,7 +19,7 @@
     RequestArrived,
 )
 from worksmux.policy.router import Front
-from worksmux.policy.settings import Settings
+from worksmux.policy.settings import PolicySettings
 from worksmux.policy.state import Attempt, Engine, Outcome, Request
 from worksmux.settings.document import load
 from worksmux.settings.front import read_front
@@ -27,7 +27,7 @@
 REQUESTS, OUT = 3000, 200
 
 
-def settings() -> Settings:
+def settings() -> PolicySettings:
     return read_front(load("benchmarks/front.kdl")).module
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -3,6 +3,7 @@
 from worksmux.policy.actions import SetTimer
 from worksmux.policy.events import AttemptEnded, EndpointEntry, EndpointListUpdate
 from worksmux.policy.router import Front
+from worksmux.policy.settings import PolicySettings, RequestClassSettings
 from worksmux.policy.state import Engine, Request
 
 NOW = 100_000.0
@@ -10,49 +11,31 @@
 
 def settings(**changes):
     plain = {
-        "me": 0,
-        "fronts": 2,
-        "zone": 0,
-        "tick": 2.0,
-        "roles": ["read", "write", "both"],
-        "kind_memory": [],
-        "offerings": [
-            {
-                "promised_time": 1000.0,
-                "outer_limit": 4000.0,
-                "credit": 1.0,
-                "late_credit": 0.1,
-                "effect": effect,
-                "group": "cell",
-                "remembered": 5000.0,
-                "promised_per_k": 0.0,
-                "token_time": 50.0,
-            }
+        "node_count": 2,
+        "tick_ms": 2.0,
+        "engine_roles": ("read", "write", "both"),
+        "request_classes": tuple(
+            RequestClassSettings(
+                latency_target_ms=1000.0,
+                deadline_ms=4000.0,
+                late_value=0.1,
+                effect=effect,
+                deduplication_scope="cell",
+                deduplication_window_ms=5000.0,
+                token_interval_ms=50.0,
+            )
             for effect in ("redoable", "irreversible", "labelled")
-        ],
-        "parties": [],
-        "may_hold": False,
-        "writers_read": False,
-        "resume": False,
-        "far_price": 0.04,
-        "release_within": 300.0,
-        "may_cancel": True,
-        "may_probe": True,
-        "second_copies": False,
-        "stay_away": 0.0,
-        "most_trips": 5,
-        "connect_time_out": 250.0,
-        "ask_for_list": False,
-        "reports": "off",
-        "report_fields": [],
-        "answer_slack": 8.0,
-        "drain_grace": 250.0,
-        "cold_share": 0.3,
-        "warm_up": 14000.0,
-        "fall_multiple": 3.0,
-        "fall_time": 3000.0,
+        ),
+        "migration_price": 0.04,
+        "release_within_ms": 300.0,
+        "connect_timeout_ms": 250.0,
+        "answer_slack_ms": 8.0,
+        "slow_start_share": 0.3,
+        "slow_start_ms": 14000.0,
+        "overload_multiple": 3.0,
+        "overload_window_ms": 3000.0,
     }
-    return {**plain, **changes}
+    return PolicySettings(**{**plain, **changes})
 
 
 def fleet(*places, seed=1, **changes):
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -45,7 +45,7 @@
 
     def __init__(self, fronts: int, seed: int, prefixes: int = 40, full: float = 0.0, **changes: Any) -> None:
         self.chance, self.fronts, self.full = Random(seed), fronts, full
-        self.changes = {"fronts": fronts, "cold_share": 0.25, "fall_multiple": 2.0, **changes}
+        self.changes = {"node_count": fronts, "slow_start_share": 0.25, "overload_multiple": 2.0, **changes}
         self.settings = settings(**self.changes)
         self.now, self.queue, self.order = NOW, [], count()
         self.numbers, self.prefixes = count(1), prefixes
@@ -146,12 +146,16 @@
         `knowing`: by fronts that had been told of the start, which alone can keep to it."""
         sent = self.sent_knowing if knowing else self.sent
         times = [at for at in sent[number] if at >= self.started[number]]
-        window = self.settings["fall_time"]
+        window = self.settings.overload_window_ms
         return max((sum(a <= b < a + window for b in times[at:]) for at, a in enumerate(times)), default=0)
 
     def budget(self) -> float:
         """Requests in that time which the settings allow an engine that has just started."""
-        kept = self.settings["cold_share"] * self.settings["fall_multiple"] * self.settings["fall_time"]
+        kept = (
+            self.settings.slow_start_share
+            * self.settings.overload_multiple
+            * self.settings.overload_window_ms
+        )
         return RATE / ENGINES / LOAD * kept
 
 
@@ -181,7 +185,7 @@
     fleet = Fleet(fronts, fronts)
     fleet.run(2000)
     fleet.cold(MOST)
-    fleet.run(fleet.settings["warm_up"] + 1000)
+    fleet.run(fleet.settings.slow_start_ms + 1000)
     early = {engine: len([at for at in fleet.sent[engine] if at >= fleet.started[engine]]) for engine in MOST}
     assert sum(early.values()) > len(MOST)  # they are not left alone meanwhile
     end = fleet.now
@@ -203,7 +207,13 @@
     sends by fronts that were not told yet would fill the smallest budgets by itself, and is not counted."""
     fall_time = 3000.0 if budget < 20 else 10_000.0
     part = budget / (RATE / ENGINES / LOAD * fall_time)
-    fleet = Fleet(fronts, fronts + int(budget), cold_share=part, fall_multiple=1.0, fall_time=fall_time)
+    fleet = Fleet(
+        fronts,
+        fronts + int(budget),
+        slow_start_share=part,
+        overload_multiple=1.0,
+        overload_window_ms=fall_time,
+    )
     assert round(fleet.budget(), 6) == budget
     fleet.run(3000)
     fleet.cold(MOST)
--- a/tests/test_cost_by_fleet_size.py
+++ b/tests/test_cost_by_fleet_size.py
@@ -73,7 +73,7 @@
 
     def __init__(self, engines: int, hung: float, answered: float, cold: float, effect: int) -> None:
         self.chance = Random(7)
-        self.front = Front(settings(fronts=FRONTS, roles=["read", "write"]), 1)
+        self.front = Front(settings(node_count=FRONTS, engine_roles=("read", "write")), 1)
         self.hung, self.answered, self.effect = hung, answered, effect
         self.engines = [Engine(b"%d" % at, at + 1) for at in range(engines)]
         self.line: list[tuple[float, int, Callable[[], Event | None]]] = []
@@ -147,10 +147,10 @@
         return self
 
     def worst(self) -> int:
-        return max(cost for kind, costs in self.costs.items() if kind != "Listed" for cost in costs)
+        return max(cost for kind, costs in self.costs.items() if kind != "EndpointListUpdate" for cost in costs)
 
     def a_request(self) -> float:
-        return sum(sum(costs) for kind, costs in self.costs.items() if kind != "Listed") / REQUESTS
+        return sum(sum(costs) for kind, costs in self.costs.items() if kind != "EndpointListUpdate") / REQUESTS
 
 
 def days() -> list[Any]:
--- a/tests/test_engine_index.py
+++ b/tests/test_engine_index.py
@@ -101,7 +101,7 @@
 
 def test_credit_reckoned_when_asked_for_is_what_was_earned_one_by_one() -> None:
     rules = settings()
-    budget = rules["cold_share"] * rules["fall_multiple"] * PRUDENCE
+    budget = rules.slow_start_share * rules.overload_multiple * PRUDENCE
     slow, cold = SlowStart(rules), engines(40)
     plain = {}
     for at, engine in enumerate(cold):
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -398,7 +398,7 @@
 
 
 def test_module_defers_what_the_plan_sheds_at_once_and_before_any_attempt() -> None:
-    front, _ = fleet(*PLACES, stay_away=1.0)
+    front, _ = fleet(*PLACES, max_retry_after_ms=1.0)
     front.decide(NOW, [FailoverPlan({}, {0: [1.0, 0.0, 0.0], 1: [1.0, 0.0, 0.0]}, 400.0)])
     hint, mark = request(1), request(2, request_class=1)
     actions = front.decide(NOW, [RequestArrived(hint), RequestArrived(mark)])
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -48,7 +48,7 @@
     TimerFired,
 )
 from worksmux.policy.router import Front
-from worksmux.policy.settings import Settings
+from worksmux.policy.settings import PolicySettings
 from worksmux.policy.state import Attempt, Engine, Outcome, Request
 
 PAIR = [("prefill", 0), ("decode", 0)]
@@ -286,7 +286,7 @@
 class Scripted:
     """A module that does what a test tells it, and remembers what it was told."""
 
-    def __init__(self, settings: Settings, seed: int) -> None:
+    def __init__(self, settings: PolicySettings, seed: int) -> None:
         self.told: list[Event] = []
         self.batches: list[list[Event]] = []
         self.engines: dict[bytes, Engine] = {}
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -11,7 +11,7 @@
 from worksmux.checker.rules import check
 from worksmux.policy.actions import Action, StartAttempt
 from worksmux.policy.events import EndpointListUpdate, Event, RequestArrived
-from worksmux.policy.settings import Settings
+from worksmux.policy.settings import PolicySettings
 from worksmux.policy.state import Attempt, Engine
 from worksmux.scenarios.figures import figures_of
 from worksmux.scenarios.scenario import Scenario, load_scenario, read_scenario
@@ -56,7 +56,7 @@
 class Careless:
     """Sends each job to the first engine that writes or does both, whatever it was told of it, twice."""
 
-    def __init__(self, settings: Settings, seed: int) -> None:
+    def __init__(self, settings: PolicySettings, seed: int) -> None:
         self.engines: list[Engine] = []
 
     def decide(self, now: float, events: list[Event]) -> list[Action]:
--- a/tests/test_node_ends.py
+++ b/tests/test_node_ends.py
@@ -4,6 +4,7 @@
 from __future__ import annotations
 
 import socket
+from dataclasses import replace
 from time import monotonic
 from types import SimpleNamespace
 from typing import Any
@@ -46,7 +47,8 @@
     """Guards against a trip that is written for nobody: connections may take a quarter of a second."""
     rig = rig_of_two()
     waiting = hold_connections(rig, rig.engines[0])
-    rig.node.core.module_settings["may_cancel"] = False  # nothing that the module may call off
+    policy = rig.node.core.door.module
+    policy.settings = replace(policy.settings, may_cancel=False)  # so that it calls off nothing
     client = raw(rig, ask())
     rig.until(lambda: waiting)
     (case,) = rig.node.core.cases.values()
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -26,6 +26,7 @@
     TimerFired,
 )
 from worksmux.policy.router import Front
+from worksmux.policy.settings import RequestClassSettings
 from worksmux.policy.state import Engine, Outcome, Request
 
 READERS, WRITERS = 3, 4
@@ -63,21 +64,21 @@
 
     def play(self) -> Day:
         rng = random.Random(self.seed)
-        request_classes = [
-            {
-                "promised_time": one.target,
-                "outer_limit": 4 * one.target,
-                "credit": 1.0,
-                "late_credit": 0.1,
-                "effect": "redoable" if one.idempotent else "irreversible",
-                "group": "all",
-                "remembered": 5000.0,
-                "promised_per_k": one.per_k,
-                "token_time": 50.0,
-            }
+        request_classes = tuple(
+            RequestClassSettings(
+                latency_target_ms=one.target,
+                deadline_ms=4 * one.target,
+                value=1.0,
+                late_value=0.1,
+                effect="redoable" if one.idempotent else "irreversible",
+                deduplication_scope="all",
+                deduplication_window_ms=5000.0,
+                latency_target_per_1000_tokens_ms=one.per_k,
+                token_interval_ms=50.0,
+            )
             for one in self.classes
-        ]
-        front = Front(plain(fronts=1, offerings=request_classes), self.seed)
+        )
+        front = Front(plain(node_count=1, request_classes=request_classes), self.seed)
         engines = [Engine(bytes([at]), at + 1) for at in range(READERS + WRITERS)]
         front.decide(
             0.0,
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -13,6 +13,7 @@
 from worksmux.endpoints.staleness import Turnover
 from worksmux.policy.events import AttemptEnded, EndpointEntry, FirstToken
 from worksmux.policy.router import ALL, MEMORY, Front
+from worksmux.policy.settings import PolicySettings, RequestClassSettings
 from worksmux.policy.state import Attempt, Engine, Outcome, Request
 
 DOUBT, HALF_LIFE = 1000.0, 4000.0
@@ -213,25 +214,17 @@
     assert isinstance(pace, Pace) and isinstance(marks, Marks)
     again = Engine(b"e", 1)
     event = recall(Kept(pace, {"e": marks}), ["a", "b"], [(again, started)], 1e9 + age, Turnover(), 3.6e6)
-    one = {
-        "promised_time": 1000.0,
-        "promised_per_k": 0.0,
-        "effect": "redoable",
-        "group": "all",
-        "remembered": 0.0,
-    }
+    one = RequestClassSettings(latency_target_ms=1000.0)
     front = Front(
-        {
-            "offerings": [one, one],
-            "tick": 1.0,
-            "release_within": 100.0,
-            "ask_for_list": False,
-            "far_price": 0.0,
-            "warm_up": 1000.0,
-            "roles": ["both"],
-            "cold_share": 0.3,
-            "fall_multiple": 3.0,
-        },
+        PolicySettings(
+            request_classes=(one, one),
+            tick_ms=1.0,
+            release_within_ms=100.0,
+            slow_start_ms=1000.0,
+            engine_roles=("both",),
+            slow_start_share=0.3,
+            overload_multiple=3.0,
+        ),
         1,
     )
     front.decide(50.0, [event])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,5 +1,7 @@
 """The five rules and the mechanism, each on a state built by hand."""
 
+from dataclasses import replace
+
 import pytest
 from helpers import NOW, ended, fleet, kinds, request, settings
 
@@ -83,7 +85,7 @@
 
 
 def test_writer_whose_memory_share_is_used_up_is_skipped():
-    front, (_, writer) = fleet(*PAIR, kind_memory=[200_000, 10_000])
+    front, (_, writer) = fleet(*PAIR, kind_memory_tokens=(200_000, 10_000))
     writer.attempts = {Attempt(request(number), writer, 0, NOW, began=NOW): None for number in range(7)}
     front.out = 7
     assert front._window(writer) > 8 and not front._has_window(writer, request())
@@ -240,7 +242,7 @@
     one.repeat = repeat
     front.decide(NOW + 1, [RequestArrived(one)])
     rules = front.settings
-    earned = rules["cold_share"] * rules["fall_multiple"] * PRUDENCE * share * engines[2].part
+    earned = rules.slow_start_share * rules.overload_multiple * PRUDENCE * share * engines[2].part
     assert front.slow_start.credit(engines[2]) == pytest.approx(before + earned)
 
 
@@ -376,7 +378,7 @@
 
 def test_long_prompt_is_not_held_to_the_pace_of_prompts_that_were_found_kept():
     # Guards against reads called off as hung that only had nothing to go by: kept tokens cost no time.
-    front, (reader, _) = fleet(*PAIR, fronts=200)
+    front, (reader, _) = fleet(*PAIR, node_count=200)
     front.asks = True
     for number, (time, kept) in enumerate([(80.0, 200), (10.0, 950), (15.0, 900)], 1):
         attempt = Attempt(request(number), reader, 0, NOW, True, work=1000.0)
@@ -389,10 +391,11 @@
 def test_pace_that_was_never_seen_is_that_of_the_settings():
     front, _ = fleet(*PAIR)
     assert front.shortest == 0.0
-    changed = settings()["offerings"]
-    for request_class in changed:
-        request_class["promised_per_k"] = 85.0
-    front, _ = fleet(*PAIR, offerings=changed)
+    changed = tuple(
+        replace(request_class, latency_target_per_1000_tokens_ms=85.0)
+        for request_class in settings().request_classes
+    )
+    front, _ = fleet(*PAIR, request_classes=changed)
     front.asks = True
     front.decide(NOW, [])
     assert front.shortest == 0.085
@@ -401,7 +404,7 @@
 def test_one_slow_read_does_not_refuse_all_that_follows_where_readers_can_be_asked():
     # Guards against a front of hundreds that judges all readers by one or two reads of its own.
     for fronts, refused in ((200, False), (2, True)):
-        front, _ = fleet(*THREE_READERS, fronts=fronts)
+        front, _ = fleet(*THREE_READERS, node_count=fronts)
         front.first.add(NOW, 50.0)
         front.per_token.add(NOW, 3743.0, 5405.0)
         front.anew.add(NOW, 400.0, 4700.0)
@@ -532,7 +535,7 @@
 def test_writer_reads_in_place_only_where_it_can():
     one, two = request(1), request(2)
     fleet((1, 0, 0))[0].decide(NOW, [RequestArrived(one)])
-    front, (writer,) = fleet((1, 0, 0), writers_read=True)
+    front, (writer,) = fleet((1, 0, 0), decode_engines_may_prefill=True)
     front.decide(NOW, [RequestArrived(two)])
     assert not one.attempts and two.attempts[0].engine is writer
 
@@ -586,7 +589,7 @@
 
 def asking(**changes):
     """One of many fronts with a job that has just come: the front, the job and the reader that was asked."""
-    front, _ = fleet(*THREE_READERS, **{"fronts": 200, **changes})
+    front, _ = fleet(*THREE_READERS, **{"node_count": 200, **changes})
     one = request()
     probes = [
         action for action in front.decide(NOW, [RequestArrived(one)]) if isinstance(action, CheckHealth)
@@ -632,7 +635,7 @@
 
 
 def test_who_sees_its_engines_or_may_not_ask_sends_at_once():
-    for changes in ({"fronts": 2}, {"may_probe": False}):
+    for changes in ({"node_count": 2}, {"may_check_health": False}):
         _, one, asked = asking(**changes)
         assert len(one.attempts) == 1 and not asked
 
@@ -649,7 +652,7 @@
 
 def test_front_with_more_than_its_part_of_the_traffic_need_not_stand_back_while_answers_begin_at_once():
     # Guards against a busy front of hundreds that holds each writer to one answer, with memory idle.
-    front, (_, writer) = fleet(*PAIR, fronts=200, kind_memory=[400_000, 570_000])
+    front, (_, writer) = fleet(*PAIR, node_count=200, kind_memory_tokens=(400_000, 570_000))
     writer.attempts = {Attempt(request(number), writer, 0, NOW, began=NOW): None for number in range(4)}
     front.out, front.now, front.asks = 4, NOW, True
     one = request(9)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,6 +10,7 @@
 from hypothesis import strategies as st
 
 from worksmux.fault_trial.small import SETTINGS
+from worksmux.policy.settings import NON_IDEMPOTENT, ROLE_COMBINED, ROLE_DECODE, ROLE_PREFILL, PolicySettings
 from worksmux.scenarios.scenario import load_scenario, read_scenario
 from worksmux.settings.document import SettingsError, load, parse
 from worksmux.settings.front import read_front
@@ -25,13 +26,11 @@
     return text[: text.index(part)].count("\n") + 1
 
 
-def test_module_gets_the_names_that_the_bench_uses() -> None:
-    from helpers import settings
-
+def test_policy_gets_the_sections_of_a_file() -> None:
     module = read_front(parse(SETTINGS)).module
-    assert settings().keys() <= module.keys()
-    assert module["offerings"][1]["effect"] == "irreversible" and module["roles"] == ["read", "write", "both"]
-    assert settings()["offerings"][0].keys() == module["offerings"][0].keys()
+    assert isinstance(module, PolicySettings)
+    assert module.request_classes[1].effect == NON_IDEMPOTENT
+    assert module.engine_roles == (ROLE_PREFILL, ROLE_DECODE, ROLE_COMBINED)
 
 
 def test_all_faults_are_told_at_once_with_line_and_remedy() -> None:
--- a/worksmux/baselines/plain.py
+++ b/worksmux/baselines/plain.py
@@ -27,20 +27,20 @@
     TimerFired,
 )
 from ..policy.measure import Chance
-from ..policy.settings import Settings
+from ..policy.settings import PolicySettings
 from ..policy.state import Attempt, Engine, Outcome, Request
 
 
 class Plain:
     """What the baselines share; a subclass picks one engine of several."""
 
-    def __init__(self, settings: Settings, seed: int) -> None:
+    def __init__(self, settings: PolicySettings, seed: int) -> None:
         self.settings, self.chance = settings, Chance(seed)
         self.engines: dict[Engine, None] = {}
         self.requests: dict[Request, None] = {}  # unanswered, with no trip out
         self.now = 0.0
         self.rings = False
-        self.actions: list[Action] = [WatchEndpoints(True)] if settings["ask_for_list"] else []
+        self.actions: list[Action] = [WatchEndpoints(True)] if settings.polls_endpoint_list else []
 
     def pick(self, engines: list[Engine]) -> Engine:
         raise NotImplementedError
@@ -53,7 +53,7 @@
             self._forward(request)
         if self.requests and not self.rings:
             self.rings = True
-            self.actions.append(SetTimer(self.settings["release_within"] / 6, 0))
+            self.actions.append(SetTimer(self.settings.release_within_ms / 6, 0))
         actions, self.actions = self.actions, []
         return actions
 
@@ -83,7 +83,7 @@
             self.engines[engine] = None
             engine.state, engine.started, engine.size = entry.state, entry.started, entry.size
             engine.zone, engine.cell, engine.kind = entry.zone, entry.cell, entry.kind
-            engine.role = self.settings["roles"][entry.kind]
+            engine.role = self.settings.engine_roles[entry.kind]
 
     def _ended(self, event: AttemptEnded) -> None:
         attempt, request = event.attempt, event.attempt.request
@@ -109,19 +109,19 @@
         request.ended = True
         self.requests.pop(request, None)
         for attempt in request.out:
-            if self.settings["may_cancel"] and not attempt.began and not attempt.called_off:
+            if self.settings.may_cancel and not attempt.began and not attempt.called_off:
                 attempt.called_off = True
                 self.actions.append(CancelAttempt(attempt))
         if request.attempts and not request.out:
             self.actions.append(ReleaseKvCache(request))
 
     def _may_repeat(self, request: Request) -> bool:
-        effect = self.settings["offerings"][request.request_class]["effect"]
+        effect = self.settings.request_classes[request.request_class].effect
         return not request.may_have_run or effect == "redoable"
 
     def _forward(self, request: Request) -> None:
-        last = self.now > request.give_up_at - self.settings["release_within"] / 2
-        spent = len(request.attempts) >= self.settings["most_trips"] or not self._may_repeat(request)
+        last = self.now > request.give_up_at - self.settings.release_within_ms / 2
+        spent = len(request.attempts) >= self.settings.max_attempts or not self._may_repeat(request)
         if last or spent:
             self.actions.append(
                 RejectRequest(request) if self._may_repeat(request) else AbortRequest(request)
@@ -132,10 +132,10 @@
         warm = [
             engine
             for engine in able
-            if not engine.started or self.now >= engine.started + self.settings["warm_up"]
+            if not engine.started or self.now >= engine.started + self.settings.slow_start_ms
         ]
         if not warm:
-            if request.holder and self.now > request.held_since + self.settings["release_within"] / 2:
+            if request.holder and self.now > request.held_since + self.settings.release_within_ms / 2:
                 request.holder = None
                 self.actions.append(ReleaseKvCache(request))
             return
--- a/worksmux/bench_adapter/instance.py
+++ b/worksmux/bench_adapter/instance.py
@@ -82,9 +82,9 @@
                 call, request_class, party, session, left, guess, prefix, prompt, shared, most, options = (
                     values
                 )
-                if request_class >= len(self.settings["offerings"]):
+                if request_class >= len(self.settings.request_classes):
                     raise WireError(f"request {call}: unknown class {request_class}")
-                pace = self.settings["offerings"][request_class]["token_time"]
+                pace = self.settings.request_classes[request_class].token_interval_ms
                 hint = guess / pace if options & HINTED and pace else 0.0
                 return self.door.arrived(
                     Request(
@@ -142,7 +142,7 @@
 
     def _report(self, load: list[float]) -> dict[str, float] | None:
         count, *figures = load
-        fields = self.settings["report_fields"]
+        fields = self.settings.load_report_fields
         return dict(zip(fields, figures[: int(count)], strict=False)) if count else None
 
     def _record(self, action: Action) -> Record:
--- a/worksmux/failover/watcher.py
+++ b/worksmux/failover/watcher.py
@@ -11,7 +11,7 @@
 
 from ..policy.events import AttemptEnded, EndpointEntry, EndpointListUpdate, Event, FirstToken, RequestArrived
 from ..policy.measure import Ring
-from ..policy.settings import Settings
+from ..policy.settings import PolicySettings
 from ..policy.state import Engine, Outcome, Request
 from .tally import Tally, ZoneTally
 
@@ -115,7 +115,7 @@
 class Watcher:
     """`saw` each event, in the order told; `report` what came of it."""
 
-    def __init__(self, zones: list[str], request_classes: list[str], settings: Settings) -> None:
+    def __init__(self, zones: list[str], request_classes: list[str], settings: PolicySettings) -> None:
         self.zones, self.request_classes, self.settings = zones, request_classes, settings
         self.records: dict[int, ZoneRecord] = defaultdict(ZoneRecord)
         self.arrivals = [_ring() for _ in request_classes]
@@ -146,9 +146,10 @@
 
     def _arrived(self, now: float, request: Request) -> None:
         self.arrivals[request.request_class].add(now)
-        request_class = self.settings["offerings"][request.request_class]
+        request_class = self.settings.request_classes[request.request_class]
         self.open[request] = (
-            request_class["promised_time"] + request_class["promised_per_k"] * request.prompt / 1000
+            request_class.latency_target_ms
+            + request_class.latency_target_per_1000_tokens_ms * request.prompt / 1000
         )
 
     def _listed(self, scope: str, entries: list[EndpointEntry]) -> None:
@@ -217,7 +218,7 @@
 
     def _cold_size(self, now: float, engine: Engine) -> float:
         """The part of an engine's size that has still to warm up."""
-        listed, warm_up = self.engines[engine], float(self.settings["warm_up"])
+        listed, warm_up = self.engines[engine], float(self.settings.slow_start_ms)
         return listed.size * max(0.0, 1 - (now - listed.started) / warm_up) if listed.started > 0 else 0.0
 
     def _waiting(self, now: float) -> dict[int, Waiting]:
--- a/worksmux/forwarding/request_lifecycle.py
+++ b/worksmux/forwarding/request_lifecycle.py
@@ -135,7 +135,7 @@
     def _take(self, case: Case) -> Case:
         """A job is told to the module; from here on it is owed one answer."""
         request = case.request
-        slack = float(self.module_settings["answer_slack"])
+        slack = float(self.module_settings.answer_slack_ms)
         left = max(0.0, request.give_up_at + slack - clock.now())
         # Where the reactor itself was late, the module first hears what has come up to now.
         case.guard = TimeOut(self.reactor, left / 1000, lambda: self._overdue(case), LATE_LOOKS)
@@ -338,7 +338,7 @@
             or bool(case.answered)
             or request.began
             or left <= 0
-            or len(request.attempts) > int(self.module_settings["most_trips"])
+            or len(request.attempts) > int(self.module_settings.max_attempts)
         )
         if moot or case is None:
             self.metrics.attempt("moot")
--- a/worksmux/gateway/active_versions.py
+++ b/worksmux/gateway/active_versions.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from dataclasses import replace
 from pathlib import Path
 
 import xxhash
@@ -23,7 +24,7 @@
         program = xxhash.xxh3_64()
         for path in sorted(Path(__file__).resolve().parent.parent.rglob("*.py")):
             program.update(path.read_bytes())
-        module = {key: value for key, value in settings.module.items() if key not in ("me", "zone")}
+        module = replace(settings.module, node_index=0, zone=0)
         # Of the settings what all fronts share, so that fronts can be compared.
         shared = repr(
             (
@@ -34,7 +35,7 @@
                 settings.lanes,
                 settings.admission,
                 sorted(settings.regions.items()),
-                sorted(module.items()),
+                module,
             )
         )
         self.standing = {
--- a/worksmux/gateway/chat_engine_client.py
+++ b/worksmux/gateway/chat_engine_client.py
@@ -137,7 +137,7 @@
                 release = chat.ENCODE.encode(calls.Release(case.key))
                 self._release_until(engine, release, 1)
                 if not answered:
-                    pause = self.settings.module["release_within"] / 2
+                    pause = self.settings.module.release_within_ms / 2
                     self.reactor.callLater(pause / 1000, self._release_until, engine, release, 1)
             if answered and reading is not None and reading.outcome is None and reading in case.out:
                 self.tell(SlotReserved(reading, engine, held))
@@ -167,7 +167,7 @@
         sent = clock.now()
 
         def ended(status: int, headers: dict[str, str], reply: bytes, trouble: client.Trouble | None) -> None:
-            most, within = self.settings.transport.release_tries, self.settings.module["release_within"]
+            most, within = self.settings.transport.release_tries, self.settings.module.release_within_ms
             if status == 200 or engine.state == "gone" or tries >= PATIENT * most:
                 return
             # Later ones begin that far apart, so that one is heard in time once a cut is over.
--- a/worksmux/gateway/endpoint_cache.py
+++ b/worksmux/gateway/endpoint_cache.py
@@ -87,7 +87,7 @@
             clock.wall(),
             self.facts.turnover,
             self.settings.believed_for,
-            self.core.settings.module["fronts"],
+            self.core.settings.module.node_count,
             self.settings.probe_rate,
             whole,
             self.seed,
--- a/worksmux/gateway/engine_list.py
+++ b/worksmux/gateway/engine_list.py
@@ -69,7 +69,7 @@
             settings.zones,
             self.engine,
             source.silence,
-            max(source.silence, settings.module["warm_up"]),
+            max(source.silence, settings.module.slow_start_ms),
         )
         self.keeper = self.roster.keeper
         self.link: ListLink | None = None
--- a/worksmux/gateway/fleet/peering.py
+++ b/worksmux/gateway/fleet/peering.py
@@ -72,7 +72,7 @@
         self.map = Map(
             {zone: settings.regions.get(zone, "") for zone in settings.zones},
             {one.name: one.credit for one in settings.request_classes},
-            settings.module["cold_share"],
+            settings.module.slow_start_share,
             fleet.look,
             fleet.carries,
         )
@@ -94,7 +94,7 @@
     def start(self) -> None:
         self.link.start()
         self.link.life = self.life
-        zone = self.settings.zones[self.settings.module["zone"]]
+        zone = self.settings.zones[self.settings.module.zone]
         me = Rumour(
             self.settings.name,
             self.life,
@@ -396,7 +396,7 @@
             self.settings.zones,
             [one.name for one in self.settings.request_classes],
             alone,
-            self.settings.zones[self.settings.module["zone"]],
+            self.settings.zones[self.settings.module.zone],
             self.own,
         )
         if event != self.told:
--- a/worksmux/gateway/vectors.py
+++ b/worksmux/gateway/vectors.py
@@ -289,7 +289,7 @@
         one.call.promised_at = one.gate.promised_at = min(one.gate.promised_at, one.arrived + left)
         self.open[one] = None
         self.core.metrics.arrived(one.request_class.name)
-        slack = float(self.core.settings.module["answer_slack"])
+        slack = float(self.core.settings.module.answer_slack_ms)
         one.guard = self.core.reactor.callLater((left + slack) / 1000, self._overdue, one)
         one.exchange.on_gone = lambda: self._gone(one)
         self._gate(self.gate.arrived(clock.now(), one.gate))
--- a/worksmux/node/config.py
+++ b/worksmux/node/config.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ..policy.settings import Settings
+from ..policy.settings import PolicySettings
 from ..settings import units
 from ..settings.platform import Place, Untold, settings_from
 from .endpoint_list import HostList
@@ -51,7 +51,7 @@
     memory: float  # bytes; 0: no limit is told
     sockets: int  # descriptors in all
     known: HostList  # the list as this node last had it
-    settings: Settings  # what the module is given
+    settings: PolicySettings  # what the module is given
     request_classes: list[str]
     kinds: list[str]
     zones: list[str]
@@ -95,7 +95,7 @@
         raise BadConfig(f"{place}: {error}") from None
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise BadConfig(f"{place}: {len(data)} bytes: whole JSON was expected: {error}") from None
-    if len(settings["roles"]) != len(kinds):
+    if len(settings.engine_roles) != len(kinds):
         raise BadConfig(f"{place}: $.settings.extra.duty_by_kind: one role a kind was expected, {len(kinds)}")
     name = told.name or variables.get(NAME)
     if not name:
--- a/worksmux/node/core.py
+++ b/worksmux/node/core.py
@@ -47,14 +47,14 @@
         super().__init__(door, reactor, counts)
         self.request_classes = request_classes
         self.share = share
-        self.connect_time_out = float(door.settings["connect_time_out"]) or CONNECTING
+        self.connect_time_out = float(door.settings.connect_timeout_ms) or CONNECTING
         self.keys: dict[str, Case] = {}  # of the jobs that are open
-        self.contacts = Contacts(int(door.settings["zone"]))
+        self.contacts = Contacts(int(door.settings.zone))
         self.releases = Releases(
-            reactor, self._small, self.contacts.other, float(door.settings["release_within"]) or SECOND
+            reactor, self._small, self.contacts.other, float(door.settings.release_within_ms) or SECOND
         )
         self.doubts = DoubtWatch(
-            reactor, self.releases, self._seek_sign if door.settings["may_probe"] else None
+            reactor, self.releases, self._seek_sign if door.settings.may_check_health else None
         )
         self.held: dict[Request, HeldState] = {}  # what engines may hold for the jobs that are open
         self.read_times: deque[tuple[float, float]] = deque(maxlen=READS)  # tokens, milliseconds
@@ -97,7 +97,7 @@
             case is not None
             and how == "deferred"
             and not case.answered
-            and (self.module_settings["offerings"][request.request_class]["effect"] != "redoable")
+            and (self.module_settings.request_classes[request.request_class].effect != "redoable")
         ):
             left = SETTLING if case.out else case.called_off + SETTLING - clock.now()
             if left > 0:
@@ -187,7 +187,7 @@
     def _carry(self, case: Case, attempt: Attempt, pool: client.Pool, time_out: float) -> AttemptCall:
         make = PrefillAttempt if attempt.reading else DecodeAttempt
         attempt_call = make(self.reactor, pool, attempt, self, time_out, SILENCE, BODY)
-        attempt_call.fields = self.module_settings["report_fields"]
+        attempt_call.fields = list(self.module_settings.load_report_fields)
         call = attempt_call.send(case.asked, time_out)
         if call.up:
             self._arrives(case, attempt_call)
@@ -232,7 +232,7 @@
         return self.connect_time_out, BODY, ()
 
     def _probe_path(self) -> str:
-        return protocol.ALIVE if self.module_settings["reports"] == "off" else protocol.LOAD_PATH
+        return protocol.ALIVE if self.module_settings.load_reports == "off" else protocol.LOAD_PATH
 
     def _probed(
         self, status: int, headers: dict[str, str], reply: bytes
@@ -240,7 +240,7 @@
         if status != 200:
             return protocol.refusal(status, headers)[0], None
         text = headers.get(protocol.LOAD) or reply[:1000].decode("latin-1")
-        return Outcome.DELIVERED, protocol.load_report(text, self.module_settings["report_fields"])
+        return Outcome.DELIVERED, protocol.load_report(text, list(self.module_settings.load_report_fields))
 
     def _hold(self, request: Request, engine: Engine) -> None:
         raise LookupError("the platform's protocol has no places held ahead")
--- a/worksmux/policy/endpoint_index.py
+++ b/worksmux/policy/endpoint_index.py
@@ -16,7 +16,7 @@
 
 from .events import FailoverPlan
 from .rendezvous import RankedEngines, Ranking
-from .settings import Settings
+from .settings import PolicySettings
 from .state import Engine
 
 LEAN = 6.0  # times the price of moving state: what prefill engines take beyond their even share
@@ -76,7 +76,7 @@
     """Who runs prefills and who answers, and what part of the work each is due."""
 
     def __init__(
-        self, engines: Iterable[Engine], plan: FailoverPlan | None, settings: Settings, now: float
+        self, engines: Iterable[Engine], plan: FailoverPlan | None, settings: PolicySettings, now: float
     ) -> None:
         """`now`, milliseconds, decides which engines are cold."""
         self.settings = settings
@@ -90,7 +90,7 @@
         self.readers, self.writers, self.mixed = roles["read"], roles["write"], roles["both"]
         self.hosts, self.answering = self.readers + self.mixed, self.writers + self.mixed
         self.prefill_engines, self.host_set = frozenset(self.readers), frozenset(self.hosts)
-        warm_up = settings["warm_up"]
+        warm_up = settings.slow_start_ms
         self.cold = {
             engine: None for engine in ready if 0 < engine.started and now < engine.started + warm_up
         }
@@ -141,7 +141,7 @@
             for engine in engines:
                 engine.part = engine.size / whole
                 parts[engine.cell] += engine.part
-        lean = 1 + LEAN * self.settings["far_price"]
+        lean = 1 + LEAN * self.settings.migration_price
         flow = {cell: min(answers[cell], lean * part) for cell, part in reads.items()}
         room = sum(lean * part - flow[cell] for cell, part in reads.items())
         unread = 1 - sum(flow.values())
--- a/worksmux/policy/id_map.py
+++ b/worksmux/policy/id_map.py
@@ -12,7 +12,7 @@
 from .actions import AbortRequest, Action, MigrateRequest, RejectRequest, ReleaseKvCache, ReserveSlot
 from .events import AttemptEnded, ClientDisconnected, Event, RequestArrived
 from .router import Front
-from .settings import Settings
+from .settings import PolicySettings
 from .state import Attempt, Engine, Request
 
 
@@ -22,11 +22,11 @@
     def decide(self, now: float, events: list[Event]) -> list[Action]: ...
 
 
-Maker = Callable[[Settings, int], Module]
+Maker = Callable[[PolicySettings, int], Module]
 
 
 class Door:
-    def __init__(self, settings: Settings, seed: int, make: Maker = Front) -> None:
+    def __init__(self, settings: PolicySettings, seed: int, make: Maker = Front) -> None:
         self.settings = settings
         self.module = make(settings, seed)
         self.engines: dict[bytes, Engine] = {}
--- a/worksmux/policy/router.py
+++ b/worksmux/policy/router.py
@@ -43,7 +43,7 @@
 )
 from .measure import Chance, Ring, mix, straw
 from .rendezvous import Ranking, rank
-from .settings import Settings
+from .settings import PolicySettings
 from .slow_start import SlowStart
 from .state import Attempt, Engine, Outcome, Request
 
@@ -70,18 +70,19 @@
 
 
 class Front:
-    def __init__(self, settings: Settings, seed: int) -> None:
+    def __init__(self, settings: PolicySettings, seed: int) -> None:
         self.settings, self.chance = settings, Chance(seed)
-        self.request_classes = settings["offerings"]
+        self.request_classes = settings.request_classes
         self.per_k: float = (
-            max(request_class["promised_per_k"] for request_class in self.request_classes) / 1000
+            max(request_class.latency_target_per_1000_tokens_ms for request_class in self.request_classes)
+            / 1000
         )
-        self.quickest: float = min(request_class["promised_time"] for request_class in self.request_classes)
-        self.beat: float = max(settings["tick"], (settings["release_within"] or MARK) / BEATS)
+        self.quickest: float = min(request_class.latency_target_ms for request_class in self.request_classes)
+        self.beat: float = max(settings.tick_ms, (settings.release_within_ms or MARK) / BEATS)
         self.now, self.alarm_at, self.reckoned, self.asks = 0.0, -inf, -inf, False
         self.slow_start = SlowStart(settings)
         self.shared: dict[str, float] = defaultdict(float)  # by role: faults of those that are ready
-        self.actions: list[Action] = [WatchEndpoints(True)] if settings["ask_for_list"] else []
+        self.actions: list[Action] = [WatchEndpoints(True)] if settings.polls_endpoint_list else []
         self.engines: dict[Engine, None] = {}
         self.awaited: dict[Engine, None] = {}  # no sign of life since a send
         self.busy: dict[Engine, None] = {}  # with a trip out
@@ -139,8 +140,8 @@
                 request_class = self.request_classes[request.request_class]
                 request.promised_at = (
                     self.now
-                    + request_class["promised_time"]
-                    + request_class["promised_per_k"] * request.prompt / 1000
+                    + request_class.latency_target_ms
+                    + request_class.latency_target_per_1000_tokens_ms * request.prompt / 1000
                 )
                 request.luck = self.chance.share()
                 if self._shed(request):
@@ -158,7 +159,7 @@
                 attempt.engine.pace.add(self.now, wait)
                 self._praise(attempt)
             case TimerFired(0):
-                if self.alarm_at <= self.now + self.settings["tick"]:
+                if self.alarm_at <= self.now + self.settings.tick_ms:
                     self.alarm_at = -inf
                     self._look_round()
             case TimerFired():
@@ -187,7 +188,7 @@
             shed is not None and straw(key, mix(request.request_class, 3)) < shed[request.request_class]
         )
         if request.ended:
-            stay = plan.stay_away if self.settings["stay_away"] else 0.0
+            stay = plan.stay_away if self.settings.max_retry_after_ms else 0.0
             self.actions.append(
                 RejectRequest(request, stay * (1 + self.chance.share()), "the plan has no room for it")
             )
@@ -210,7 +211,7 @@
 
     def _list(self, event: EndpointListUpdate) -> None:
         if event.scope == "failed":
-            if self.settings["ask_for_list"]:
+            if self.settings.polls_endpoint_list:
                 self.actions.append(SetTimer(MARK * (0.5 + self.chance.share()), 1))
             return
         if event.scope != "delta":
@@ -251,7 +252,7 @@
             engine.left = self.now
         engine.state, engine.started, engine.size = entry.state, entry.started, entry.size
         engine.zone, engine.cell, engine.kind = entry.zone, entry.cell, entry.kind
-        engine.role = self.settings["roles"][entry.kind]
+        engine.role = self.settings.engine_roles[entry.kind]
 
     def _index(self) -> None:
         """Reckons, once a list, who reads and answers what part."""
@@ -264,7 +265,7 @@
         self.looks.clear()
 
     def _cold(self, engine: Engine) -> bool:
-        return engine.started > 0 and self.now < engine.started + self.settings["warm_up"]
+        return engine.started > 0 and self.now < engine.started + self.settings.slow_start_ms
 
     # How engines fare, judged from this front's own trips.
 
@@ -357,10 +358,7 @@
     def _rescue(self, attempts: list[Attempt]) -> None:
         for attempt in attempts:
             if (
-                (
-                    attempt.reading
-                    or self.request_classes[attempt.request.request_class]["effect"] == "redoable"
-                )
+                (attempt.reading or self.request_classes[attempt.request.request_class].effect == "redoable")
                 and not attempt.request.ended
                 and self._attempts_left(attempt.request)
                 and not (self.asks and attempt.reading and self._late(attempt.request))
@@ -368,7 +366,7 @@
                 self._call_off(attempt)
 
     def _call_off(self, attempt: Attempt) -> None:
-        if self.settings["may_cancel"] and not (attempt.began or attempt.called_off):
+        if self.settings.may_cancel and not (attempt.began or attempt.called_off):
             attempt.called_off = True
             self.actions.append(CancelAttempt(attempt))
 
@@ -406,22 +404,22 @@
     # Jobs and trips.
 
     def _attempts_left(self, request: Request) -> int:
-        return int(self.settings["most_trips"]) - len(request.attempts)
+        return int(self.settings.max_attempts) - len(request.attempts)
 
     def _scope(self, request: Request) -> Scope | None:
         """Where one more attempt may go; None: nowhere."""
         if self._attempts_left(request) < 1 or request.out:
             return None
         ran, request_class = request.may_have_run, self.request_classes[request.request_class]
-        if not ran or request_class["effect"] == "redoable":
+        if not ran or request_class.effect == "redoable":
             return ANYWHERE
-        over = self.now - ran[0].sent >= request_class["remembered"] - self.quickest
-        if request_class["effect"] == "irreversible" or over:
+        over = self.now - ran[0].sent >= request_class.deduplication_window_ms - self.quickest
+        if request_class.effect == "irreversible" or over:
             return None
-        if request_class["group"] == "all":
+        if request_class.deduplication_scope == "all":
             return ANYWHERE
         first = ran[0].engine
-        scope = Scope(first.zone, None if request_class["group"] == "zone" else first.cell)
+        scope = Scope(first.zone, None if request_class.deduplication_scope == "zone" else first.cell)
         return scope if all(scope.has(attempt.engine) for attempt in ran) else None
 
     def _may_send(self, request: Request, engine: Engine) -> bool:
@@ -434,7 +432,7 @@
 
     def _may_read_again(self, request: Request) -> bool:
         """A read counts as a send: where a trip may have run, it too stays within the group and its time."""
-        if not request.may_have_run or self.settings["writers_read"]:
+        if not request.may_have_run or self.settings.decode_engines_may_prefill:
             return True
         scope = self._scope(request)
         return scope is not None and self.index.any_in(self.index.hosts, scope)
@@ -442,9 +440,9 @@
     def _may_defer(self, request: Request) -> bool:
         request_class = self.request_classes[request.request_class]
         return (
-            request_class["effect"] == "redoable"
+            request_class.effect == "redoable"
             or not request.may_have_run
-            or (request_class["effect"], request_class["group"]) == ("labelled", "all")
+            or (request_class.effect, request_class.deduplication_scope) == ("labelled", "all")
         )
 
     def _send(self, request: Request, engine: Engine, reading: bool, time_out: float = 0.0) -> None:
@@ -718,11 +716,11 @@
         with more than its part of the traffic need not stand back. Else it would harm such a front."""
         if self.asks and self.first.mean(self.now, inf, LATELY) <= self.calm:
             return False
-        memory: list[float] = self.settings["kind_memory"]
+        memory = self.settings.kind_memory_tokens
         held = sum(attempt.request.prompt for attempt in engine.attempts) + sum(
             request.prompt for request in engine.paired
         )
-        part = memory[engine.kind] / self.settings["fronts"] if engine.kind < len(memory) else inf
+        part = memory[engine.kind] / self.settings.node_count if engine.kind < len(memory) else inf
         return bool(held + request.luck * request.prompt > (1 + MARGIN) * part)
 
     def _open(self, engine: Engine, request: Request) -> bool:
@@ -769,7 +767,7 @@
         # One of many fronts that has met its engines less than once each, in memory, sees no line there.
         met = sum(fate.count(self.now) for fate in self.fates)
         self.asks = (
-            self.settings["may_probe"] and 1 / self.settings["fronts"] < SEEN and met < len(self.engines)
+            self.settings.may_check_health and 1 / self.settings.node_count < SEEN and met < len(self.engines)
         )
         self.usual = self._usual()  # the same for all that wait
         closed = False  # where one new job finds no place, none does
@@ -902,7 +900,7 @@
                     found = engine, writer  # a reader whose own writers are open comes first
                     break
                 found = found or ((engine, writer) if writer else None)
-        if found is None and self.settings["writers_read"] and not shut:
+        if found is None and self.settings.decode_engines_may_prefill and not shut:
             writer = self._writer(request, None)  # no reader has room: a writer reads in place
             found = (writer, writer) if writer else None
         if found is None:
@@ -918,7 +916,7 @@
         writer.paired[request] = None
         self.out += 1
         self._send(request, reader, reading=True, time_out=(request.give_up_at - self.now) / 2)
-        if self.settings["may_hold"]:
+        if self.settings.may_reserve:
             self.actions.append(ReserveSlot(request, writer))
         return True
 
@@ -942,7 +940,7 @@
                 self._send(request, writer, reading=False)
 
     def _pinned(self, request: Request) -> bool:
-        return bool(self.now > request.held_since + self.settings["release_within"] / 2)
+        return bool(self.now > request.held_since + self.settings.release_within_ms / 2)
 
     def _read_anew(self, request: Request) -> None:
         self.holding.pop(request)
@@ -960,7 +958,7 @@
                 and self.now - engine.quiet_since > self._patience(engine)
             ):
                 engine.suspected = True
-                if self.settings["may_probe"] and engine.state == "ready":
+                if self.settings.may_check_health and engine.state == "ready":
                     self.actions.append(CheckHealth(engine))
                 else:
                     self._probed(engine, Outcome.TIMED_OUT)
--- a/worksmux/policy/slow_start.py
+++ b/worksmux/policy/slow_start.py
@@ -15,7 +15,7 @@
 from collections import defaultdict
 from collections.abc import Iterable
 
-from .settings import Settings
+from .settings import PolicySettings
 from .state import Engine
 
 PRUDENCE = 0.5  # of this front's even share of a cold engine's budget is used
@@ -25,8 +25,8 @@
 class SlowStart:
     """Credit of the cold engines of one front."""
 
-    def __init__(self, settings: Settings) -> None:
-        self._budget: float = settings["cold_share"] * settings["fall_multiple"] * PRUDENCE
+    def __init__(self, settings: PolicySettings) -> None:
+        self._budget: float = settings.slow_start_share * settings.overload_multiple * PRUDENCE
         self.read_credit = 0.0  # requests that cold prefill engines may be sent, earned together
         self._read_part = 0.0  # what cold prefill engines are due of all prefills
         self._earned: dict[str, float] = defaultdict(float)  # by role: in all, for an engine due all of it
--- a/worksmux/scenarios/scenario.py
+++ b/worksmux/scenarios/scenario.py
@@ -7,6 +7,7 @@
 from pathlib import Path
 from typing import Any
 
+from ..policy.settings import PolicySettings
 from ..settings import shared
 from ..settings.document import Section, SettingsError, load
 from ..settings.front import (
@@ -177,19 +178,19 @@
     seats: int = 3
     carries: float = 0.0  # jobs a second that a zone carries warm, told to the fronts; 0: not told
 
-    def module_settings(self, number: int, zone: str) -> dict[str, Any]:
+    def module_settings(self, number: int, zone: str) -> PolicySettings:
         return shared.module_settings(
             self.request_classes,
             self.kinds,
             self.rules,
             self.limits,
             self.prices,
-            me=number,
-            fronts=self.fronts,
+            node_index=number,
+            node_count=self.fronts,
             zone=self.zones.index(zone),
-            tick=2.0,
-            connect_time_out=self.transport.connect_time_out,
-            ask_for_list=self.ask,
+            tick_ms=2.0,
+            connect_timeout_ms=self.transport.connect_time_out,
+            polls_endpoint_list=self.ask,
         )
 
 
--- a/worksmux/settings/front.py
+++ b/worksmux/settings/front.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
 from ..api.listing import Line
+from ..policy.settings import PolicySettings
 from . import shared
 from .document import Section, SettingsError, load
 from .fleet import FleetSettings, read_fleet
@@ -96,7 +96,7 @@
 
     call: str
     request_classes: list[shared.RequestClass]
-    module: dict[str, Any]
+    module: PolicySettings
 
 
 @dataclass(frozen=True)
@@ -117,7 +117,7 @@
     memory: MemorySettings | None
     log_format: str
     log_level: str
-    module: dict[str, Any]  # what the decision module is given
+    module: PolicySettings  # what the decision module is given
     lanes: list[Lane]
     admission: Admission | None
     regions: dict[str, str]  # by zone; empty where none are told
@@ -294,14 +294,14 @@
     if root.complaints:
         raise SettingsError(root.complaints)
     place = {
-        "me": number,
-        "fronts": fronts,
+        "node_index": number,
+        "node_count": fronts,
         "zone": zones.index(zone),
-        "tick": turn,
-        "connect_time_out": transport.connect_time_out,
+        "tick_ms": turn,
+        "connect_timeout_ms": transport.connect_time_out,
     }
     module = shared.module_settings(
-        chat or offered, kinds, figures, allowed, priced, **place, ask_for_list=source.ask
+        chat or offered, kinds, figures, allowed, priced, **place, polls_endpoint_list=source.ask
     )
     lanes = []
     for call in dict.fromkeys(one.call for one in one_stage):
@@ -311,7 +311,13 @@
                 call,
                 own,
                 shared.module_settings(
-                    own, kinds, figures, {**allowed, "may_hold": False}, priced, **place, ask_for_list=False
+                    own,
+                    kinds,
+                    figures,
+                    {**allowed, "may_hold": False},
+                    priced,
+                    **place,
+                    polls_endpoint_list=False,
                 ),
             )
         )
--- a/worksmux/settings/platform.py
+++ b/worksmux/settings/platform.py
@@ -1,4 +1,4 @@
-"""The settings that an operator's platform hands to a front, as the plain map for the module.
+"""The settings that an operator's platform hands to a node, in the policy's terms.
 
 The simulator's first message and the platform's configuration carry the same object, so that the module is
 given the same by both.  Standard library only: where the simulator runs the adapter nothing else is
@@ -10,7 +10,7 @@
 import json
 from typing import Any
 
-from ..policy.settings import Settings
+from ..policy.settings import PolicySettings, RequestClassSettings
 
 EFFECTS = {"free": "redoable", "guarded": "labelled", "single_shot": "irreversible"}
 MISSING: Any = object()
@@ -76,13 +76,13 @@
         return choices[found]
 
 
-def settings_from(told: Any, place: str = "settings") -> Settings:
-    """The module's settings in worksmux's words; keys not known here are left out.  Raises Untold."""
+def settings_from(told: Any, place: str = "settings") -> PolicySettings:
+    """The policy's settings; keys not known here are left out.  Raises Untold."""
     if not isinstance(told, dict):
         raise Untold(f"{place}: an object was expected, found {json.dumps(told)[:40]}")
     root = Place(told, place)
     limits, extra, rules = root.part("limits"), root.part("extra"), root.part("rules")
-    prices, stats = root.part("prices", {}), root.part("stats", {})
+    stats = root.part("stats", {})
     per_k, paces = extra.numbers("aim_us_per_1000_prompt_tokens", []), extra.numbers("token_aim", [])
     request_classes = [
         Place(one, f"{place}.services[{at}]")
@@ -92,50 +92,54 @@
         raise Untold(f"{place}.services: at least one class was expected, there is none")
     if root.number("balancers") < 1:
         raise Untold(f"{place}.balancers: at least 1 was expected, found {told['balancers']}")
-    return {
-        "me": root.number("me"),
-        "fronts": root.number("balancers"),
-        "zone": root.number("zone", 0),
-        "tick": root.number("tick"),
-        "offerings": [
-            {
-                "promised_time": one.number("aim"),
-                "outer_limit": one.number("deadline"),
-                "credit": one.number("worth", 1.0),
-                "late_credit": one.number("late_worth", 0.0),
-                "effect": one.choice("repeat", EFFECTS),
-                "group": one.text("group", "all"),
-                "remembered": one.number("window", 0.0),
-                "promised_per_k": per_k[at] / 1000 if at < len(per_k) else 0.0,
-                "token_time": paces[at] if at < len(paces) else 0.0,
-            }
+    _check_unused(root, extra, limits, rules)
+    return PolicySettings(
+        node_index=root.number("me"),
+        node_count=root.number("balancers"),
+        zone=root.number("zone", 0),
+        tick_ms=root.number("tick"),
+        request_classes=tuple(
+            RequestClassSettings(
+                latency_target_ms=one.number("aim"),
+                deadline_ms=one.number("deadline"),
+                value=one.number("worth", 1.0),
+                late_value=one.number("late_worth", 0.0),
+                effect=one.choice("repeat", EFFECTS),
+                deduplication_scope=one.text("group", "all"),
+                deduplication_window_ms=one.number("window", 0.0),
+                latency_target_per_1000_tokens_ms=per_k[at] / 1000 if at < len(per_k) else 0.0,
+                token_interval_ms=paces[at] if at < len(paces) else 0.0,
+            )
             for at, one in enumerate(request_classes)
-        ],
-        "parties": root.list("parties", (dict,), "object", []),
-        "roles": extra.texts("duty_by_kind"),
-        "kind_memory": extra.numbers("kind_memory_tokens", []),
-        "may_hold": extra.flag("holds_allowed"),
-        "writers_read": extra.flag("read_in_place"),
-        "resume": extra.flag("resume"),
-        "release_within": extra.number("release_within", 0.0),
-        "far_price": extra.number("move_fee", 0.0),
-        "may_cancel": limits.flag("cancel"),
-        "may_probe": limits.flag("probes"),
-        "second_copies": limits.flag("second_copies"),
-        "stay_away": limits.number("max_retry_after", 0.0) if limits.flag("retry_after") else 0.0,
-        "most_trips": limits.number("try_limit"),
-        "connect_time_out": limits.number("connect_timeout", 0.0),
-        "ask_for_list": root.text("membership_mode", "") == "subscribe",
-        "reports": stats.text("via", "off"),
-        "report_fields": stats.texts("fields", []),
-        "price_late": prices.number("late_fail", 0.0),
-        "price_cross": prices.number("cross_zone", 0.0),
-        "price_waste": prices.number("waste", 0.0),
-        "price_probe": prices.number("probe", 0.0),
-        "answer_slack": rules.number("answer_slack", 0.0),
-        "drain_grace": rules.number("drain_grace", 0.0),
-        "cold_share": rules.number("cold_share"),
-        "warm_up": rules.number("warm_up"),
-        "fall_multiple": rules.number("tip_multiple"),
-        "fall_time": rules.number("fall"),
-    }
+        ),
+        engine_roles=tuple(extra.texts("duty_by_kind")),
+        kind_memory_tokens=tuple(extra.numbers("kind_memory_tokens", [])),
+        may_reserve=extra.flag("holds_allowed"),
+        decode_engines_may_prefill=extra.flag("read_in_place"),
+        release_within_ms=extra.number("release_within", 0.0),
+        migration_price=extra.number("move_fee", 0.0),
+        may_cancel=limits.flag("cancel"),
+        may_check_health=limits.flag("probes"),
+        max_retry_after_ms=limits.number("max_retry_after", 0.0) if limits.flag("retry_after") else 0.0,
+        max_attempts=limits.number("try_limit"),
+        connect_timeout_ms=limits.number("connect_timeout", 0.0),
+        polls_endpoint_list=root.text("membership_mode", "") == "subscribe",
+        load_reports=stats.text("via", "off"),
+        load_report_fields=tuple(stats.texts("fields", [])),
+        answer_slack_ms=rules.number("answer_slack", 0.0),
+        slow_start_share=rules.number("cold_share"),
+        slow_start_ms=rules.number("warm_up"),
+        overload_multiple=rules.number("tip_multiple"),
+        overload_window_ms=rules.number("fall"),
+    )
+
+
+def _check_unused(root: Place, extra: Place, limits: Place, rules: Place) -> None:
+    """Names faults of settings that the policy does not use; a file with one is refused."""
+    root.list("parties", (dict,), "object", [])
+    extra.flag("resume")
+    limits.flag("second_copies")
+    rules.number("drain_grace", 0.0)
+    prices = root.part("prices", {})
+    for key in ("late_fail", "cross_zone", "waste", "probe"):
+        prices.number(key, 0.0)
--- a/worksmux/settings/shared.py
+++ b/worksmux/settings/shared.py
@@ -6,6 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
+from ..policy.settings import PolicySettings, RequestClassSettings
 from .document import Section
 
 EFFECTS = ["redoable", "labelled", "irreversible"]
@@ -175,35 +176,38 @@
     allowed: dict[str, Any],
     priced: dict[str, float],
     **place: Any,
-) -> dict[str, Any]:
-    """The plain map for the module, with the names that `told.py` uses."""
-    return {
-        "offerings": [
-            {
-                "promised_time": one.promised_time,
-                "outer_limit": one.outer_limit,
-                "credit": one.credit,
-                "late_credit": one.late_credit,
-                "effect": one.effect,
-                "group": one.group,
-                "remembered": one.remembered,
-                "promised_per_k": one.promised_per_k,
-                "token_time": one.token_time,
-            }
+) -> PolicySettings:
+    """The policy's settings from the sections of a file, and this node's place in the fleet."""
+    return PolicySettings(
+        request_classes=tuple(
+            RequestClassSettings(
+                latency_target_ms=one.promised_time,
+                deadline_ms=one.outer_limit,
+                value=one.credit,
+                late_value=one.late_credit,
+                effect=one.effect,
+                deduplication_scope=one.group,
+                deduplication_window_ms=one.remembered,
+                latency_target_per_1000_tokens_ms=one.promised_per_k,
+                token_interval_ms=one.token_time,
+            )
             for one in offered
-        ],
-        "parties": [],
-        "roles": [kind.role for kind in kinds_of],
-        "kind_memory": [kind.memory for kind in kinds_of],
-        "resume": False,
-        "reports": "inline",
-        "report_fields": [],
-        "far_price": priced["far_price"],
-        "price_late": priced["late_price"],
-        "price_cross": priced["cross_price"],
-        "price_waste": priced["waste_price"],
-        "price_probe": priced["probe_price"],
-        **figures,
-        **allowed,
+        ),
+        engine_roles=tuple(kind.role for kind in kinds_of),
+        kind_memory_tokens=tuple(kind.memory for kind in kinds_of),
+        load_reports="inline",
+        migration_price=priced["far_price"],
+        max_attempts=allowed["most_trips"],
+        may_cancel=allowed["may_cancel"],
+        may_check_health=allowed["may_probe"],
+        may_reserve=allowed["may_hold"],
+        decode_engines_may_prefill=allowed["writers_read"],
+        max_retry_after_ms=allowed["stay_away"],
+        answer_slack_ms=figures["answer_slack"],
+        release_within_ms=figures["release_within"],
+        slow_start_share=figures["cold_share"],
+        slow_start_ms=figures["warm_up"],
+        overload_multiple=figures["fall_multiple"],
+        overload_window_ms=figures["fall_time"],
         **place,
-    }
+    )
--- a/worksmux/simulation/front.py
+++ b/worksmux/simulation/front.py
@@ -36,7 +36,7 @@
     TimerFired,
 )
 from ..policy.id_map import Door, Maker
-from ..policy.settings import Settings
+from ..policy.settings import PolicySettings
 from ..policy.state import Attempt, Engine, Outcome, Request
 from .engine import Call, ModelEngine, Note
 from .sim import Sim, Timer
@@ -95,7 +95,7 @@
         sim: Sim,
         engines: dict[str, ModelEngine],
         name: str,
-        settings: Settings,
+        settings: PolicySettings,
         zones: list[str],
         kinds: list[str],
         make: Maker,
@@ -107,8 +107,8 @@
     ) -> None:
         self.sim, self.engines, self.name, self.settings, self.note = sim, engines, name, settings, note
         self.door = Door(settings, seed, make)
-        self.roster = Roster(kinds, zones, self._engine, doubt, max(doubt, settings["warm_up"]))
-        self.hop, self.margin, self.turn = hop, margin, float(settings["tick"])
+        self.roster = Roster(kinds, zones, self._engine, doubt, max(doubt, settings.slow_start_ms))
+        self.hop, self.margin, self.turn = hop, margin, float(settings.tick_ms)
         self.cases: dict[Request, Case] = {}
         self.events: list[Event] = []
         self.due = self.dead = False
@@ -122,7 +122,7 @@
         self.belief_timer: Timer | None = None
         self.counts = FrontCounts()
         self.start = f"{name}-{sim.now:.0f}"
-        if settings["ask_for_list"]:
+        if settings.polls_endpoint_list:
             self._soon()
 
     def _engine(self, name: str) -> Engine:
@@ -247,7 +247,7 @@
 
     def _urge(self) -> None:
         if self.beliefs is not None and not self.beliefs.over:
-            roles = dict(zip(self.roster.keeper.kinds, self.settings["roles"], strict=True))
+            roles = dict(zip(self.roster.keeper.kinds, self.settings.engine_roles, strict=True))
             step = self.beliefs.request_came(self.sim.now, roles)
             self._apply(step)
             if step.ask:
@@ -276,7 +276,7 @@
             repeat=asked.repeat,
         )
         case = Case(request, f"{self.start}.{self.number}", asked)
-        case.guard = self.sim.after(left + self.settings["answer_slack"], self._overdue, case)
+        case.guard = self.sim.after(left + self.settings.answer_slack_ms, self._overdue, case)
         self.cases[request] = case
         self.tell(self.door.arrived(request))
 
@@ -451,7 +451,7 @@
             self.sim.after(2 * self.hop, end, Outcome.UNREACHABLE)
         else:
             self.sim.after(self.hop, target.probe, heard)
-            self.sim.after(self.settings["connect_time_out"], end, Outcome.TIMED_OUT)
+            self.sim.after(self.settings.connect_timeout_ms, end, Outcome.TIMED_OUT)
 
     def _hold(self, request: Request, engine: Engine) -> None:
         case = self.cases.get(request)
