--- a/tests/test_cost_by_fleet_size.py
+++ b/tests/test_cost_by_fleet_size.py
@@ -147,10 +147,14 @@
         return self
 
     def worst(self) -> int:
-        return max(cost for kind, costs in self.costs.items() if kind != "EndpointListUpdate" for cost in costs)
+        return max(
+            cost for kind, costs in self.costs.items() if kind != "EndpointListUpdate" for cost in costs
+        )
 
     def a_request(self) -> float:
-        return sum(sum(costs) for kind, costs in self.costs.items() if kind != "EndpointListUpdate") / REQUESTS
+        return (
+            sum(sum(costs) for kind, costs in self.costs.items() if kind != "EndpointListUpdate") / REQUESTS
+        )
 
 
 def days() -> list[Any]:
