--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -164,7 +164,11 @@
     other = Rig(tmp_path / "again", FLEET) if (tmp_path / "again").mkdir() is None else rig
     other.front()
     again = driven(other, settings_for(other, text))
-    assert again["sent"] == first["sent"] == again["seconds"][0]["sent"] > first["seconds"][0]["sent"]
+    assert again["sent"] == first["sent"]
+    # A second request of a session may be due up to its think time after the phase of 2 s, and is
+    # then replayed in the next second.
+    in_first_second = sum(row.at < 2000.0 for row in rows)
+    assert again["seconds"][0]["sent"] == in_first_second > first["seconds"][0]["sent"]
     html = page(again)
     assert "kept to its times" in html and html.count("data:image/png") == 3
 
