--- a/benchmarks/mass_restart.py
+++ b/benchmarks/mass_restart.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from worksmux.api.listing import Line
-from worksmux.endpoints.staleness import Saved, Turnover
+from worksmux.endpoints.staleness import StoredEndpoint, Turnover
 from worksmux.policy.events import EndpointListUpdate
 from worksmux.scenarios.scenario import Scenario, read_scenario
 from worksmux.settings.document import parse
@@ -105,7 +105,7 @@
 
 def play(scenario: Scenario, age: float, part: float, how: str) -> Found:
     """`how` is weighed, wholly or live."""
-    lines: list[Saved] = []
+    lines: list[StoredEndpoint] = []
 
     def built(model: Model) -> None:
         places = list(scenario.places)
@@ -113,7 +113,7 @@
         for at, place in enumerate(places):
             old = f"old-{place.id}" if (at * 7) % len(places) < gone else place.id
             saved = Line(old, "", 0, place.kind, "ready", place.zone, place.cell)
-            lines.append(Saved(saved, EPOCH - age))
+            lines.append(StoredEndpoint(saved, EPOCH - age))
             if (at * 11) % len(places) < COLD * len(places):
                 model.engines[place.id].started = EPOCH - 500.0
                 model.registry.lines[place.id].started = EPOCH - 500.0
@@ -144,14 +144,14 @@
     )
 
 
-def trust_wholly(model: Model, at: int, lines: list[Saved]) -> None:
+def trust_wholly(model: Model, at: int, lines: list[StoredEndpoint]) -> None:
     front = model.fronts[at]
     if front is not None:
         entries = [
             entry
             for saved in lines
             if (
-                entry := front.roster.keeper.remember(
+                entry := front.roster.reader.remember(
                     front.sim.now, front.sim.now, saved.line, "ready", careful=False
                 )
             )
--- a/benchmarks/remembering.py
+++ b/benchmarks/remembering.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from worksmux.api.listing import Line
-from worksmux.endpoints.staleness import Beliefs, Saved, Turnover
+from worksmux.endpoints.staleness import CachedEndpointList, StoredEndpoint, Turnover
 from worksmux.storage.database import open_store
 
 
@@ -48,7 +48,7 @@
                 )
                 for at in range(count)
             ]
-            saved = [Saved(line, 1.7e12) for line in lines]
+            saved = [StoredEndpoint(line, 1.7e12) for line in lines]
             data = {one.line.id: msgspec.msgpack.encode(one) for one in saved}
             store = open_store(folder / "store")
             whole = timed(lambda: store.replace("lines", data.items(), 1.0), 3)  # noqa: B023
@@ -68,8 +68,10 @@
             def start() -> None:
                 opened = open_store(folder / "store")  # noqa: B023
                 table = opened.read("lines")
-                found = [msgspec.msgpack.decode(value, type=Saved) for value in table.values.values()]
-                Beliefs(found, 0.0, 1.7e12, Turnover(), 3.6e6, 200, 20.0, table.whole, 1)
+                found = [
+                    msgspec.msgpack.decode(value, type=StoredEndpoint) for value in table.values.values()
+                ]
+                CachedEndpointList(found, 0.0, 1.7e12, Turnover(), 3.6e6, 200, 20.0, table.whole, 1)
                 opened.close()
 
             flat = timed(plain)
--- a/benchmarks/without_discovery.py
+++ b/benchmarks/without_discovery.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from worksmux.endpoints.staleness import Saved, Turnover
+from worksmux.endpoints.staleness import StoredEndpoint, Turnover
 from worksmux.fault_trial.small import SETTINGS, Rig
 from worksmux.gateway.endpoint_cache import Facts
 from worksmux.net import clock
@@ -32,7 +32,7 @@
     lines = {}
     for at, (name, line) in enumerate(rig.registry.engines.items()):
         one = msgspec.structs.replace(line, port=1) if at in gone else line
-        lines[name] = msgspec.msgpack.encode(Saved(one, wall - age))
+        lines[name] = msgspec.msgpack.encode(StoredEndpoint(one, wall - age))
     store.replace("lines", lines.items(), wall - age)
     facts = Facts(wall - age, 5, wall - age, Turnover())
     store.replace("facts", [("list", msgspec.msgpack.encode(facts))], wall - age)
@@ -73,7 +73,7 @@
 
         front.core.on_attempt = attempt
         if how == "wholly" and front.memory and front.memory.beliefs:
-            front.memory.beliefs.due.clear()  # nothing is asked, nothing is dropped
+            front.memory.beliefs.due_probes.clear()  # nothing is asked, nothing is dropped
         records = rig.day(length=3000.0, rate=20.0)
         firsts = [float(line["t"]) for line in records.lines if line["what"] == "first token"]
         start = min(float(line["t"]) for line in records.lines if line["what"] == "try")
--- a/tests/test_endpoint_cache.py
+++ b/tests/test_endpoint_cache.py
@@ -9,7 +9,7 @@
 import pytest
 
 from worksmux.checker.rules import check
-from worksmux.endpoints.staleness import Saved, Stand, Turnover
+from worksmux.endpoints.staleness import EndpointStatus, StoredEndpoint, Turnover
 from worksmux.fault_trial.small import FIGURES, SETTINGS, Rig
 from worksmux.gateway.endpoint_cache import Facts, read_learned
 from worksmux.net import clock
@@ -41,7 +41,7 @@
     lines = {}
     for name, line in rig.registry.engines.items():
         one = msgspec.structs.replace(line, **changed.get(name, {}))
-        lines[name] = msgspec.msgpack.encode(Saved(one, wall - age))
+        lines[name] = msgspec.msgpack.encode(StoredEndpoint(one, wall - age))
     store.replace("lines", lines.items(), wall - age)
     facts = Facts(wall - age, 5, wall - age, turnover or Turnover())
     store.replace("facts", [("list", msgspec.msgpack.encode(facts))], wall - age)
@@ -79,8 +79,8 @@
     records = rig.day(length=1500.0, rate=15.0)
     assert kept(records) and not [attempt for attempt in records.attempts if attempt.engine == "e0"]
     beliefs = rig.fronts[0].memory.beliefs  # type: ignore[union-attr]
-    assert beliefs and beliefs.beliefs["e0"].stand is Stand.DRAINING
-    assert beliefs.beliefs["e1"].stand in (Stand.ASKED, Stand.DROPPED)
+    assert beliefs and beliefs.endpoints["e0"].status is EndpointStatus.DRAINING
+    assert beliefs.endpoints["e1"].status in (EndpointStatus.UNVERIFIED, EndpointStatus.CONTRADICTED)
     assert {request["how"] for request in records.requests} <= {"delivered", "late"}
 
 
@@ -106,7 +106,7 @@
         attempt for attempt in records.attempts if attempt.engine == "e1" and attempt.got > told + 250
     ]
     memory = rig.fronts[0].memory
-    assert memory and memory.beliefs and memory.beliefs.over
+    assert memory and memory.beliefs and memory.beliefs.superseded
 
 
 def test_empty_list_does_not_wipe_a_serving_fleet(tmp_path: Path) -> None:
@@ -131,7 +131,7 @@
     assert {request["how"] for request in records.requests} == {"delivered"}
     assert len({attempt.engine for attempt in records.attempts}) > 1
     memory = rig.fronts[0].memory
-    assert memory and memory.beliefs and not memory.beliefs.over
+    assert memory and memory.beliefs and not memory.beliefs.superseded
 
 
 def test_list_is_kept_as_it_changes_and_what_is_gone_is_forgotten(tmp_path: Path) -> None:
@@ -141,7 +141,7 @@
     rig.day(length=600.0)
     rig.fronts[0].memory.stop()  # type: ignore[union-attr]
     table = stored(tmp_path / "memory")
-    saved = {name: msgspec.msgpack.decode(data, type=Saved) for name, data in table.values.items()}
+    saved = {name: msgspec.msgpack.decode(data, type=StoredEndpoint) for name, data in table.values.items()}
     assert table.whole and set(saved) == {"e0", "e2", "e3"} and saved["e2"].line.state == "draining"
 
 
@@ -229,7 +229,7 @@
     records = rig.day(length=1500.0, rate=15.0)
     assert kept(records) and {request["how"] for request in records.requests} == {"delivered"}
     memory = rig.fronts[0].memory
-    assert memory and memory.beliefs and memory.beliefs.over
+    assert memory and memory.beliefs and memory.beliefs.superseded
 
 
 def test_what_was_learned_comes_back_after_a_restart(tmp_path: Path) -> None:
@@ -243,5 +243,9 @@
     store = open_store(tmp_path / "memory")
     learned = read_learned(store)
     store.close()
-    assert learned.pace and learned.pace.fates["hint"].total > 0 and learned.pace.shortest > 0
-    assert learned.marks["e1"].unwell
+    assert (
+        learned.timings
+        and learned.timings.faults["hint"].total > 0
+        and learned.timings.fastest_per_token_ms > 0
+    )
+    assert learned.marks["e1"].ejected_until_ms
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -7,9 +7,16 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from worksmux.api.listing import Line, Listing
-from worksmux.endpoints.endpoint_list import Roster
-from worksmux.endpoints.flap_damping import HOLD, PART, Damping
-from worksmux.endpoints.learned_state import FLEET, Kept, Learner, Marks, Pace, recall
+from worksmux.endpoints.endpoint_list import EndpointList
+from worksmux.endpoints.flap_damping import MAX_HELD_FRACTION, SUPPRESS_THRESHOLD, FlapDamping
+from worksmux.endpoints.learned_state import (
+    FLEET_KEY,
+    EngineMarks,
+    FleetTimings,
+    LearnedState,
+    LearnedStateRecorder,
+    restored_state,
+)
 from worksmux.endpoints.staleness import Turnover
 from worksmux.policy.events import AttemptEnded, EndpointEntry, FirstToken
 from worksmux.policy.router import ALL, MEMORY, Front
@@ -19,9 +26,9 @@
 DOUBT, HALF_LIFE = 1000.0, 4000.0
 
 
-def roster() -> Roster:
+def roster() -> EndpointList:
     engines: dict[str, Engine] = {}
-    return Roster(
+    return EndpointList(
         ["k"], ["z"], lambda name: engines.setdefault(name, Engine(name.encode(), 1)), DOUBT, HALF_LIFE
     )
 
@@ -44,10 +51,10 @@
     one = roster()
     one.take(0.0, full(1, "a", "b"))
     assert one.take(10.0, full(2)).event is None and one.next_time() == 10.0 + DOUBT / 4
-    assert one.tick(300.0) == (None, True) and one.keeper.ready == 2
+    assert one.tick(300.0) == (None, True) and one.reader.ready == 2
     assert one.take(500.0, full(3)).event is None
     told = one.take(10.0 + DOUBT, full(4))
-    assert told.event is not None and one.keeper.ready == 0
+    assert told.event is not None and one.reader.ready == 0
 
 
 def test_list_that_comes_back_full_ends_the_doubt() -> None:
@@ -59,7 +66,7 @@
 
 
 def test_halved_list_is_obeyed_and_asked_for_again_once() -> None:
-    one, view = roster(), {}  # type: Roster, dict[str, str]
+    one, view = roster(), {}  # type: EndpointList, dict[str, str]
     apply(view, "full", one.take(0.0, full(1, "a", "b", "c")).event.entries)  # type: ignore[union-attr]
     told = one.take(10.0, full(2, "a"))
     assert told.event and told.notes and one.tick(10.0 + DOUBT)[1]
@@ -70,9 +77,9 @@
     one = roster()
     one.take(1000.0, full(1, "a", now=90_000.0))
     one.take(2000.0, full(2, "a", now=91_000.0))
-    assert one.late == 0.0
+    assert one.lateness_ms == 0.0
     one.take(9000.0, full(3, "a", now=92_000.0))
-    assert one.late == 6000.0
+    assert one.lateness_ms == 6000.0
 
 
 def test_engine_that_comes_and_goes_is_held_back_until_it_stays() -> None:
@@ -90,7 +97,7 @@
     at = one.next_time()
     assert at is not None and at < 700 + 2 * HALF_LIFE
     event, _ = one.tick(at)
-    assert event and [entry.state for entry in event.entries] == ["ready"] and one.damping.held == 0
+    assert event and [entry.state for entry in event.entries] == ["ready"] and one.damping.held_count == 0
 
 
 def test_registry_that_makes_all_flap_cannot_empty_the_fleet() -> None:
@@ -102,17 +109,17 @@
         assert event is not None
         apply(view, "full", event.entries)
         ready = sum(state == "ready" for state in view.values())
-        assert ready >= (1 - PART) * len(listed)
+        assert ready >= (1 - MAX_HELD_FRACTION) * len(listed)
 
 
 def test_penalty_fades_and_records_are_forgotten() -> None:
-    damping = Damping(HALF_LIFE)
-    for at in range(int(HOLD) + 1):
-        damping.left("a", float(at))
+    damping = FlapDamping(HALF_LIFE)
+    for at in range(int(SUPPRESS_THRESHOLD) + 1):
+        damping.record_departure("a", float(at))
     assert not damping.admit("a", 10.0, 10, 0)
-    assert damping.admit("a", 10.0 + 3 * HALF_LIFE, 10, 1) and damping.held == 0
+    assert damping.admit("a", 10.0 + 3 * HALF_LIFE, 10, 1) and damping.held_count == 0
     for at in range(1000):
-        damping.left(f"e{at}", 1e6 + at * HALF_LIFE)
+        damping.record_departure(f"e{at}", 1e6 + at * HALF_LIFE)
     assert len(damping.records) < 100
 
 
@@ -126,7 +133,7 @@
         super().__init__()
         self.now, self.serial = 0.0, 1
         self.truth = {f"e{at}": "ready" for at in range(6)}
-        self.roster, self.view = roster(), {}  # type: Roster, dict[str, str]
+        self.roster, self.view = roster(), {}  # type: EndpointList, dict[str, str]
         self.listed: dict[str, str] = {}  # as the list in force has it
         self.send_full(dict(self.truth))
 
@@ -190,13 +197,13 @@
     return Attempt(Request(1, request_class, 1, 0, work, 0.0, 10.0, 0.0, 9e9), engine, 0, 0.0, work=work)
 
 
-def taught(faults: int, good: int) -> Learner:
-    learner, engine = Learner(["a", "b"]), Engine(b"e", 1)
+def taught(faults: int, good: int) -> LearnedStateRecorder:
+    learner, engine = LearnedStateRecorder(["a", "b"]), Engine(b"e", 1)
     for at in range(faults + good):
         outcome = Outcome.ERROR if at < faults else Outcome.DELIVERED
-        learner.saw(1000.0 + at, AttemptEnded(attempt_at(engine), outcome, 50.0, False))
-    learner.saw(1100.0, AttemptEnded(attempt_at(engine), Outcome.READ, 200.0, False))
-    learner.saw(1200.0, FirstToken(attempt_at(engine), 900.0))
+        learner.observe(1000.0 + at, AttemptEnded(attempt_at(engine), outcome, 50.0, False))
+    learner.observe(1100.0, AttemptEnded(attempt_at(engine), Outcome.READ, 200.0, False))
+    learner.observe(1200.0, FirstToken(attempt_at(engine), 900.0))
     return learner
 
 
@@ -210,10 +217,12 @@
     """A module that was told what a front had learned before it was away for `age`."""
     learner, engine = taught(8, 1), marked(2000.0)
     kept = learner.changes([(engine, 0.0)], 2000.0, 1e9)
-    pace, marks = kept[FLEET], kept["e"]
-    assert isinstance(pace, Pace) and isinstance(marks, Marks)
+    pace, marks = kept[FLEET_KEY], kept["e"]
+    assert isinstance(pace, FleetTimings) and isinstance(marks, EngineMarks)
     again = Engine(b"e", 1)
-    event = recall(Kept(pace, {"e": marks}), ["a", "b"], [(again, started)], 1e9 + age, Turnover(), 3.6e6)
+    event = restored_state(
+        LearnedState(pace, {"e": marks}), ["a", "b"], [(again, started)], 1e9 + age, Turnover(), 3.6e6
+    )
     one = RequestClassSettings(latency_target_ms=1000.0)
     front = Front(
         PolicySettings(
@@ -262,7 +271,7 @@
 
 def test_only_what_is_out_of_the_ordinary_is_written() -> None:
     learner, engine = taught(1, 20), marked(2000.0)
-    assert set(learner.changes([(engine, 0.0), (Engine(b"plain", 2), 0.0)], 2000.0, 1e9)) == {FLEET, "e"}
+    assert set(learner.changes([(engine, 0.0), (Engine(b"plain", 2), 0.0)], 2000.0, 1e9)) == {FLEET_KEY, "e"}
     engine.unwell, engine.narrowed, engine.good = {}, 0.0, {}
     assert learner.changes([(engine, 0.0)], 2500.0, 1e9)["e"] is None
 
@@ -277,7 +286,7 @@
         self.truth["e5"] = "draining"
         entries = []
         for name, state in self.truth.items():
-            entry = self.roster.keeper.remember(0.0, 0.0, line(name), state, careful=name < "e3")
+            entry = self.roster.reader.remember(0.0, 0.0, line(name), state, careful=name < "e3")
             assert entry is not None
             entries.append(entry)
         self.roster.remembered(entries)
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -173,7 +173,7 @@
     pinned = {
         one["key"]: one["content"] for one in CONTENTS["memory.db"]["records"] if one["table"] == "learned"
     }
-    assert plain(learned.pace) == pinned[""]
+    assert plain(learned.timings) == pinned[""]
     assert plain(learned.marks) == {"engine-1": pinned["engine-1"]}
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -26,7 +26,7 @@
     chunk,
 )
 
-from worksmux.endpoints.list_reader import ListKeeper
+from worksmux.endpoints.list_reader import EndpointListReader
 from worksmux.forwarding.decision_loop import SLOW_TURN
 from worksmux.net import clock
 from worksmux.node import config, discovery, protocol, serve
@@ -125,7 +125,7 @@
     unnamed = {key: value for key, value in SETTINGS.items() if key != "zones"}
     for settings in (unnamed, {**unnamed, "zones": []}):
         told_to = config_of(settings)
-        keeper = ListKeeper(told_to.kinds, told_to.zones, lambda name: Engine(name.encode(), 1))
+        keeper = EndpointListReader(told_to.kinds, told_to.zones, lambda name: Engine(name.encode(), 1))
         for zone in ("", "a", "b"):
             endpoint = Endpoint(f"e{zone}", "127.0.0.1:3", zone, "decode")
             event = keeper.take(1.0, listing(HostList(1, True, [endpoint]), 0, 0.0)[0]).event
--- a/tests/test_wire_forms.py
+++ b/tests/test_wire_forms.py
@@ -15,7 +15,7 @@
 from worksmux.api.errors import BadRequest
 from worksmux.api.events import DONE, Events, TooLong, event
 from worksmux.api.listing import Line, Listing
-from worksmux.endpoints.list_reader import ListKeeper
+from worksmux.endpoints.list_reader import EndpointListReader
 from worksmux.gateway import attempts as carriers
 from worksmux.gateway.attempts import Reading, Writing
 from worksmux.net import client, clock
@@ -354,9 +354,9 @@
 # Lists.
 
 
-def keeper() -> ListKeeper:
+def keeper() -> EndpointListReader:
     engines: dict[str, Engine] = {}
-    return ListKeeper(["k"], ["z"], lambda name: engines.setdefault(name, Engine(name.encode(), 1)))
+    return EndpointListReader(["k"], ["z"], lambda name: engines.setdefault(name, Engine(name.encode(), 1)))
 
 
 def line(name: str, state: Any = "ready", started: float = 0.0, kind: str = "k") -> Line:
@@ -432,7 +432,7 @@
 def test_what_the_module_is_told_always_agrees_with_what_is_known(
     steps: list[tuple[bool, int, str, str]],
 ) -> None:
-    one, believed = keeper(), {}  # type: ListKeeper, dict[bytes, str]
+    one, believed = keeper(), {}  # type: EndpointListReader, dict[bytes, str]
     for whole, serial, name, state in steps:
         told = one.take(0.0, full(serial, line(name, state)) if whole else delta(serial, line(name, state)))
         if told.event:
--- a/worksmux/commands/lists.py
+++ b/worksmux/commands/lists.py
@@ -16,7 +16,7 @@
 from rich.table import Table
 
 from ..api import engine as calls
-from ..endpoints.staleness import Saved, trust
+from ..endpoints.staleness import StoredEndpoint, confidence
 from ..gateway.endpoint_cache import FACTS, LINES, Facts
 from ..storage.database import Store, open_store
 from ..storage.errors import StoreUnusableError
@@ -39,15 +39,15 @@
     return store
 
 
-def _saved(store: Store) -> tuple[list[Saved], Facts, bool]:
+def _saved(store: Store) -> tuple[list[StoredEndpoint], Facts, bool]:
     lines, facts = store.read(LINES), Facts()
     try:
         facts = msgspec.msgpack.decode(store.read(FACTS).values.get("list", b""), type=Facts)
     except msgspec.DecodeError:
         pass
-    found = [msgspec.msgpack.decode(data, type=Saved) for data in lines.values.values()]
+    found = [msgspec.msgpack.decode(data, type=StoredEndpoint) for data in lines.values.values()]
     for one in found:
-        one.confirmed = max(one.confirmed, facts.alive)
+        one.confirmed_at_ms = max(one.confirmed_at_ms, facts.alive)
     return sorted(found, key=lambda one: one.line.id), facts, lines.whole
 
 
@@ -77,8 +77,8 @@
             "kind": one.line.kind,
             "zone": one.line.zone,
             "state": one.line.state,
-            "age_s": round((wall - one.confirmed) / 1000, 1),
-            "trust": round(trust(one, wall, facts.turnover, believed_for * 3.6e6), 3),
+            "age_s": round((wall - one.confirmed_at_ms) / 1000, 1),
+            "trust": round(confidence(one, wall, facts.turnover, believed_for * 3.6e6), 3),
         }
         for one in saved
     ]
@@ -89,7 +89,7 @@
     seen = facts.turnover
     _table(
         f"{file}: {len(told)} engines, serial {facts.serial}, {'whole' if whole else 'NOT whole'}; "
-        f"{seen.left} left in {seen.watched / 3.6e6:.1f} hours of lines",
+        f"{seen.departures} left in {seen.watched_ms / 3.6e6:.1f} hours of lines",
         ["engine", "address", "kind", "zone", "state", "age, s", "trust"],
         [[str(value) for value in one.values()] for one in told],
     )
--- a/worksmux/endpoints/__init__.py
+++ b/worksmux/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Which engines there are: what a front believes of the lists it is told.  Free of I/O; time is passed in."""
+"""What a node believes of the endpoint lists that it receives. No I/O; time is passed in."""
--- a/worksmux/endpoints/flap_damping.py
+++ b/worksmux/endpoints/flap_damping.py
@@ -1,10 +1,11 @@
-"""Lines of the list that come and go: held back until they stay.  Free of I/O; time is passed in.
+"""Holds back endpoints that flap, until they stay. No I/O; time is passed in.
 
-The form is that of route flap damping (RFC 2439): each leaving adds to an engine's penalty, which halves in a
-set time; above one bound the engine is held back, below a lower one it is let in again.  Holding back only
-ever leaves out an engine that the list calls ready, so no rule can be broken by it; it is told as draining,
-and what runs there goes on.  Never is more than a part of a kind held back, so that a registry that makes all
-lines flap cannot empty the fleet.
+The form is that of route flap damping (RFC 2439): each departure adds to an engine's penalty, which decays
+with a half-life. Above the suppress threshold the engine is held back, below the reuse threshold it is
+admitted again. A held engine is shown to the policy as draining, so that requests that run there go on.
+Holding back only ever leaves out engines that the list calls ready.
+
+At most a fraction of each kind is held back: a registry that makes all endpoints flap cannot empty the fleet.
 """
 
 from __future__ import annotations
@@ -12,70 +13,83 @@
 from dataclasses import dataclass
 from math import log2
 
-HOLD = 3.0  # leavings, less what has faded: above it an engine is held back
-REUSE = 1.5  # below it, it is let in again
-MOST = 6.0  # a penalty never grows beyond it: two halvings lead back
-PART = 0.25  # of a kind's listed engines may be held back
+DEPARTURE_PENALTY = 1.0
+SUPPRESS_THRESHOLD = 3.0
+REUSE_THRESHOLD = 1.5
+MAX_PENALTY = 6.0  # two half-lives above the reuse threshold
+FORGET_THRESHOLD = 0.1  # penalties below it are not worth a record
+MAX_HELD_FRACTION = 0.25  # of the listed engines of a kind
+MIN_RECORDS_TO_PRUNE = 64
+REUSE_MARGIN_MS = 1e-3  # so that the penalty is below the threshold in spite of rounding
 
 
 @dataclass(slots=True)
-class Record:
+class PenaltyRecord:
+    """The penalty of one engine as of `updated_at_ms`."""
+
     penalty: float
-    at: float
+    updated_at_ms: float
     held: bool = False
 
 
-class Damping:
-    """`half_life` in milliseconds: a time in which an engine that restarts once is settled."""
+class FlapDamping:
+    """The penalties of all engines; `half_life_ms` is one in which an engine that restarts once settles."""
 
-    def __init__(self, half_life: float) -> None:
-        self.half_life = half_life
-        self.records: dict[str, Record] = {}  # of engines with a penalty worth counting
-        self.held = 0
+    def __init__(self, half_life_ms: float) -> None:
+        self.half_life_ms = half_life_ms
+        self.records: dict[str, PenaltyRecord] = {}
+        self.held_count = 0
 
-    def _faded(self, record: Record, now: float) -> float:
-        return record.penalty * float(0.5 ** ((now - record.at) / self.half_life))
+    def record_departure(self, name: str, now_ms: float) -> None:
+        """Adds a penalty: a ready engine has become draining or gone."""
+        record = self.records.setdefault(name, PenaltyRecord(0.0, now_ms))
+        record.penalty = min(MAX_PENALTY, self._decayed(record, now_ms) + DEPARTURE_PENALTY)
+        record.updated_at_ms = now_ms
+        if len(self.records) > MIN_RECORDS_TO_PRUNE and len(self.records) > 2 * self.held_count:
+            self._prune(now_ms)
 
-    def left(self, name: str, now: float) -> None:
-        """A ready engine has become draining or gone."""
-        record = self.records.setdefault(name, Record(0.0, now))
-        record.penalty, record.at = min(MOST, self._faded(record, now) + 1.0), now
-        if len(self.records) > 64 and len(self.records) > 2 * self.held:
-            self._forget(now)
-
-    def _forget(self, now: float) -> None:
-        """Guards against growing with every engine that ever left."""
-        self.records = {
-            name: record
-            for name, record in self.records.items()
-            if record.held or self._faded(record, now) > 0.1
-        }
+    def admit(self, name: str, now_ms: float, listed: int, held_of_kind: int) -> bool:
+        """Whether an engine that the list calls ready may be used.
 
-    def admit(self, name: str, now: float, listed: int, held_of_kind: int) -> bool:
-        """Whether an engine that the list calls ready may be used; `listed` counts its kind's ready ones."""
+        `listed` counts the ready engines of its kind, `held_of_kind` those of them that are held back.
+        """
         record = self.records.get(name)
         if record is None:
             return True
-        bound = REUSE if record.held else HOLD
-        hold = self._faded(record, now) > bound
-        if hold and not record.held and held_of_kind + 1 > PART * listed:
-            hold = False  # better a flapping engine than too few
-        self.held += hold - record.held
+        threshold = REUSE_THRESHOLD if record.held else SUPPRESS_THRESHOLD
+        hold = self._decayed(record, now_ms) > threshold
+        if hold and not record.held and held_of_kind + 1 > MAX_HELD_FRACTION * listed:
+            hold = False  # a flapping engine is better than too few
+        self.held_count += hold - record.held
         record.held = hold
         return not hold
 
     def is_held(self, name: str) -> bool:
+        """Whether the engine is held back."""
         record = self.records.get(name)
         return record is not None and record.held
 
     def release(self, name: str) -> None:
-        """The engine is listed as leaving: there is nothing to hold back."""
+        """Ends holding back an engine that is listed as leaving; its penalty stays."""
         record = self.records.get(name)
         if record is not None and record.held:
             record.held = False
-            self.held -= 1
+            self.held_count -= 1
 
-    def let_in_at(self, name: str) -> float:
-        """When a held engine is let in, if it does not leave again."""
+    def reuse_at_ms(self, name: str) -> float:
+        """When a held engine is admitted if it does not leave again."""
         record = self.records[name]
-        return record.at + self.half_life * log2(max(1.0, record.penalty / REUSE)) + 1e-3
+        half_lives = log2(max(1.0, record.penalty / REUSE_THRESHOLD))
+        return record.updated_at_ms + self.half_life_ms * half_lives + REUSE_MARGIN_MS
+
+    def _decayed(self, record: PenaltyRecord, now_ms: float) -> float:
+        half_lives = (now_ms - record.updated_at_ms) / self.half_life_ms
+        return record.penalty * float(0.5**half_lives)
+
+    def _prune(self, now_ms: float) -> None:
+        """Forgets decayed penalties; otherwise the records grow with every engine that ever left."""
+        self.records = {
+            name: record
+            for name, record in self.records.items()
+            if record.held or self._decayed(record, now_ms) > FORGET_THRESHOLD
+        }
--- a/worksmux/endpoints/keys.py
+++ b/worksmux/endpoints/keys.py
@@ -1,4 +1,4 @@
-"""By which number an engine, or anything else with a speaking name, is hashed."""
+"""The hash key of an engine's name."""
 
 from __future__ import annotations
 
@@ -6,10 +6,11 @@
 
 
 def key_of(address: bytes) -> int:
-    """The number by which an engine with a speaking name is hashed, the same at every front.
+    """The 64-bit key under which an engine is hashed, the same at every node.
 
-    Guards against names that end alike: the module's hash takes 64 bits, and the ends of such names as
-    "n1-reader-1" and "n2-reader-1" are the same, so that one engine got what was due to both.
+    Failure: the policy's hash takes 64 bits of its input. The last bytes of names such as "n1-reader-1" and
+    "n2-reader-1" are the same, so that taken as a number they collide and one engine gets the requests of
+    both.
 
     >>> key_of(b"n1-reader-1") != key_of(b"n2-reader-1") and key_of(b"e") < 2**64
     True
--- a/worksmux/endpoints/learned_state.py
+++ b/worksmux/endpoints/learned_state.py
@@ -1,12 +1,13 @@
-"""What a front has learned of engines and pace, kept over a restart and weighed by its age.  Free of I/O;
-time is passed in.
-
-Three things are kept: marks of single engines (set aside until then, windows narrowed by full answers, when
-they last served an offering), how the trips of each offering ended lately, and the usual times of reading
-and of first tokens.  Marks run out by themselves. What was seen of offerings and waits counts for the
-module's own memory of them, less with each moment, and never for more than half a trip: the first fresh
-trips outweigh it.  How fast prompts are read is a property of the machines, so its shortest time is believed
-for as long as the lines of the list are.
+"""What a node has learned of engines and timings, kept over a restart and weighed by its age. No I/O.
+
+Three things are kept: the state of single engines (ejections, windows narrowed by "full" answers, when they
+last served a request class), how the attempts of each request class ended lately, and the usual times of
+prefill and of first tokens. Ejections run out by themselves. Error rates and waiting times return to the
+policy's sliding windows with a weight that falls with age and is never more than half an attempt, so that the
+first fresh attempts outweigh them. How fast prompts are prefilled is a property of the machines: its fastest
+time is relied on for as long as the entries of the endpoint list are.
+
+Times are milliseconds, on the node's own clock or, where said so, since 1970.
 """
 
 from __future__ import annotations
@@ -21,172 +22,215 @@
 from ..policy.measure import Ring
 from ..policy.router import ALL, BUCKETS, MEMORY, SLOWNESS
 from ..policy.state import Engine, Outcome
-from .staleness import USEFUL, Turnover
+from .staleness import MIN_USEFUL_CONFIDENCE, Turnover
 
-MOST = 0.5  # of a trip: what a remembered figure counts at most
+MAX_RESTORED_WEIGHT = 0.5  # attempts that a restored figure counts for, at most
+SAVE_INTERVAL_FRACTION = 1 / 8  # of the policy's sliding window, between two saves
+FLEET_KEY = ""  # the key of what holds for all engines
+ALL_CLASSES = ""  # in stored records, in place of a request class
 FAULTS = frozenset({Outcome.ERROR, Outcome.UNREACHABLE, Outcome.RESET, Outcome.TIMED_OUT})
-EVERY = 1 / 8  # of the module's memory, between two looks at what is worth keeping
-FLEET = ""  # the key of what holds for all engines
+SUCCESSES = frozenset({Outcome.READ, Outcome.DELIVERED})
 
 
-class Usual(msgspec.Struct, array_like=True):
-    """A sum over so many trips or tokens."""
+class SampleSum(msgspec.Struct, array_like=True):
+    """A sum over a number of attempts or tokens."""
 
     total: float = 0.0
     count: float = 0.0
 
 
-class Pace(msgspec.Struct):
-    """What holds for all engines; `at` in milliseconds since 1970, times in milliseconds."""
+class FleetTimings(msgspec.Struct):
+    """What holds for all engines."""
 
-    at: float
-    first: Usual  # waits for a first token
-    per_token: Usual  # reading time of a token
-    shortest: float  # the same, in the best stretch of the module's memory
-    shortest_at: float  # when that was seen
-    fates: dict[str, Usual]  # faults by offering
+    saved_at_ms: float = msgspec.field(name="at")  # since 1970
+    first_token_wait: SampleSum = msgspec.field(name="first")  # ms, beyond what prefill takes
+    prefill_per_token: SampleSum = msgspec.field(name="per_token")  # ms
+    fastest_per_token_ms: float = msgspec.field(name="shortest")
+    fastest_seen_at_ms: float = msgspec.field(name="shortest_at")  # since 1970
+    faults: dict[str, SampleSum] = msgspec.field(name="fates")  # by request class
 
 
-class Marks(msgspec.Struct):
-    """What was seen of one engine; times in milliseconds since 1970."""
+class EngineMarks(msgspec.Struct):
+    """What was seen of one engine; times since 1970."""
 
-    at: float
-    started: float  # the start that the list gave: another one makes the marks void
-    unwell: dict[str, float]  # by offering, "" for all: set aside until then
-    good: dict[str, float]  # by offering: when it last served one
-    narrowed: float
+    saved_at_ms: float = msgspec.field(name="at")
+    started: float  # as listed; another start makes the marks void
+    ejected_until_ms: dict[str, float] = msgspec.field(name="unwell")  # by request class or ALL_CLASSES
+    last_success_ms: dict[str, float] = msgspec.field(name="good")  # by request class
+    window_reduction: float = msgspec.field(name="narrowed")  # requests
 
 
 @dataclass(slots=True)
-class Kept:
+class LearnedState:
     """What the store holds, read back."""
 
-    pace: Pace | None
-    marks: dict[str, Marks]
+    timings: FleetTimings | None
+    marks: dict[str, EngineMarks]  # by engine
 
 
-class Learner:
-    """Watches the events of one front and tells what of them is worth keeping."""
+class LearnedStateRecorder:
+    """Watches the events of one node and tells which of it is worth keeping."""
 
     def __init__(self, request_classes: list[str]) -> None:
         self.request_classes = request_classes
-        self.first, self.per_token = Ring(MEMORY, BUCKETS), Ring(MEMORY, BUCKETS)
-        self.faults = [Ring(MEMORY, BUCKETS) for _ in request_classes]
-        self.shortest = self.shortest_at = 0.0
-        self.saved: dict[str, Pace | Marks] = {}
-
-    def saw(self, now: float, event: Event) -> None:
-        """An event that the module is told."""
+        self._first_token_wait = Ring(MEMORY, BUCKETS)
+        self._prefill_per_token = Ring(MEMORY, BUCKETS)
+        self._faults = [Ring(MEMORY, BUCKETS) for _ in request_classes]
+        self._fastest_per_token_ms = self._fastest_seen_at_ms = 0.0
+        self._saved: dict[str, FleetTimings | EngineMarks] = {}
+
+    def observe(self, now_ms: float, event: Event) -> None:
+        """Takes note of an event that the policy is given."""
         if isinstance(event, FirstToken):
-            waited = event.elapsed - SLOWNESS * self.per_token.least(now) * event.attempt.work
-            self.first.add(now, max(0.0, waited))
+            prefill_ms = SLOWNESS * self._prefill_per_token.least(now_ms) * event.attempt.work
+            self._first_token_wait.add(now_ms, max(0.0, event.elapsed - prefill_ms))
         elif isinstance(event, AttemptEnded):
             if event.outcome is Outcome.READ:
-                self.per_token.add(now, event.elapsed, max(1.0, event.attempt.work))
-            if event.outcome in FAULTS or event.outcome in (Outcome.READ, Outcome.DELIVERED):
-                self.faults[event.attempt.request.request_class].add(now, float(event.outcome in FAULTS))
-
-    def pace(self, now: float, wall: float) -> Pace | None:
-        """None where nothing was seen of late."""
-        first, per_token = self._usual(self.first, now), self._usual(self.per_token, now)
-        fates = {
+                self._prefill_per_token.add(now_ms, event.elapsed, max(1.0, event.attempt.work))
+            if event.outcome in FAULTS or event.outcome in SUCCESSES:
+                faults = self._faults[event.attempt.request.request_class]
+                faults.add(now_ms, float(event.outcome in FAULTS))
+
+    def changes(
+        self, engines: Iterable[tuple[Engine, float]], now_ms: float, wall_ms: float
+    ) -> dict[str, FleetTimings | EngineMarks | None]:
+        """What is to be stored since the last call, by key; None deletes.
+
+        `engines` come with their start as listed. Old timings are never deleted: they are worth more than
+        none.
+        """
+        found: dict[str, FleetTimings | EngineMarks] = {}
+        timings = self._timings(now_ms, wall_ms)
+        if timings is not None:
+            found[FLEET_KEY] = timings
+        for engine, started in engines:
+            marks = self._marks(engine, started, now_ms, wall_ms)
+            if marks is not None:
+                found[engine.id.decode()] = marks
+        changes: dict[str, FleetTimings | EngineMarks | None] = dict(found)
+        for name in self._saved.keys() - found.keys() - {FLEET_KEY}:
+            changes[name] = None
+        self._saved = found
+        return changes
+
+    def _timings(self, now_ms: float, wall_ms: float) -> FleetTimings | None:
+        """None where nothing was seen within the sliding windows."""
+        first_token_wait = _sample_sum(self._first_token_wait, now_ms)
+        prefill_per_token = _sample_sum(self._prefill_per_token, now_ms)
+        faults = {
             name: found
-            for name, ring in zip(self.request_classes, self.faults, strict=True)
-            if (found := self._usual(ring, now)).count
+            for name, ring in zip(self.request_classes, self._faults, strict=True)
+            if (found := _sample_sum(ring, now_ms)).count
         }
-        if not (first.count or per_token.count or fates):
+        if not (first_token_wait.count or prefill_per_token.count or faults):
             return None
-        shortest = self.per_token.least(now)
-        if shortest:
-            self.shortest, self.shortest_at = shortest, wall
-        return Pace(wall, first, per_token, self.shortest, self.shortest_at, fates)
-
-    @staticmethod
-    def _usual(ring: Ring, now: float) -> Usual:
-        count = ring.count(now)
-        return Usual(ring.mean(now) * count, count)
-
-    def marks(self, engine: Engine, started: float, now: float, wall: float) -> Marks | None:
-        """None where the engine is like any other.  When it served counts only while its offering has
-        faults: the module asks for it then alone."""
-        unwell = {
-            self._name(request_class): wall + until - now
+        fastest_ms = self._prefill_per_token.least(now_ms)
+        if fastest_ms:
+            self._fastest_per_token_ms, self._fastest_seen_at_ms = fastest_ms, wall_ms
+        return FleetTimings(
+            wall_ms,
+            first_token_wait,
+            prefill_per_token,
+            self._fastest_per_token_ms,
+            self._fastest_seen_at_ms,
+            faults,
+        )
+
+    def _marks(self, engine: Engine, started: float, now_ms: float, wall_ms: float) -> EngineMarks | None:
+        """None where the engine is like any other.
+
+        Its last success is kept only while its request class has faults: the policy asks for it then alone.
+        """
+        ejected_until_ms = {
+            self._class_name(request_class): wall_ms + until - now_ms
             for request_class, until in engine.unwell.items()
-            if until > now
+            if until > now_ms
         }
-        good = {
-            self.request_classes[request_class]: wall + time - now
+        last_success_ms = {
+            self.request_classes[request_class]: wall_ms + time - now_ms
             for request_class, time in engine.good.items()
-            if now - time < MEMORY and self.faults[request_class].mean(now) > 0
+            if now_ms - time < MEMORY and self._faults[request_class].mean(now_ms) > 0
         }
-        if not (unwell or good or engine.narrowed):
+        if not (ejected_until_ms or last_success_ms or engine.narrowed):
             return None
-        return Marks(wall, started, unwell, good, engine.narrowed)
-
-    def _name(self, request_class: int) -> str:
-        return "" if request_class == ALL else self.request_classes[request_class]
+        return EngineMarks(wall_ms, started, ejected_until_ms, last_success_ms, engine.narrowed)
 
-    def changes(
-        self, engines: Iterable[tuple[Engine, float]], now: float, wall: float
-    ) -> dict[str, Pace | Marks | None]:
-        """What is to be written since the last call; None deletes.  `engines` come with their start as
-        listed."""
-        found: dict[str, Pace | Marks] = {}
-        pace = self.pace(now, wall)
-        if pace is not None:
-            found[FLEET] = pace
-        for engine, started in engines:
-            marks = self.marks(engine, started, now, wall)
-            if marks is not None:
-                found[engine.id.decode()] = marks
-        told: dict[str, Pace | Marks | None] = dict(found)
-        for name in self.saved.keys() - found.keys() - {FLEET}:
-            told[name] = None  # an old pace is worth more than none
-        self.saved = found
-        return told
+    def _class_name(self, request_class: int) -> str:
+        return ALL_CLASSES if request_class == ALL else self.request_classes[request_class]
 
 
-def recall(
-    kept: Kept,
+def restored_state(
+    learned: LearnedState,
     request_classes: list[str],
     engines: Iterable[tuple[Engine, float]],
-    wall: float,
+    wall_ms: float,
     turnover: Turnover,
-    believed_for: float,
+    believed_for_ms: float,
 ) -> StateRestored:
-    """What the module is told of `kept`, by its age.  A clock that ran backwards makes all of it old: its
-    size counts as the age, and no mark lasts longer than it can have been given for."""
-    seen = [(0.0, 0.0)] * (2 + len(request_classes))
-    if kept.pace is not None:
-        pace, rate = kept.pace, turnover.rate(believed_for)
-        weight = MOST * max(0.0, 1 - abs(wall - pace.at) / MEMORY)
-        seen[0] = _weighed(pace.first, weight)
-        seen[1] = _weighed(pace.per_token, weight)
-        lasting = MOST * exp(-rate * abs(wall - pace.shortest_at))
-        if not seen[1][1] and pace.shortest > 0 and lasting > USEFUL:
-            seen[1] = pace.shortest * lasting, lasting
-        for at, name in enumerate(request_classes):
-            if name in pace.fates:
-                seen[2 + at] = _weighed(pace.fates[name], weight)
-    told = StateRestored(seen, [], [], [])
-    at_of = {name: at for at, name in enumerate(request_classes)} | {"": ALL}
+    """The event that gives the policy what was learned, weighed by its age.
+
+    A clock that was set back makes all of it old: the size of the difference counts as the age, and no
+    ejection lasts longer than it can have been given for.
+    """
+    believed_rate = turnover.rate_per_ms(believed_for_ms)
+    event = StateRestored(
+        _restored_sums(learned.timings, request_classes, wall_ms, believed_rate), [], [], []
+    )
+    class_index = {name: at for at, name in enumerate(request_classes)} | {ALL_CLASSES: ALL}
     for engine, started in engines:
-        marks = kept.marks.get(engine.id.decode())
-        age = abs(wall - marks.at) if marks else MEMORY
-        if marks is None or marks.started != started or age >= MEMORY:
-            continue
-        for name, until in marks.unwell.items():
-            left = min(until - wall, MEMORY - age)
-            if left > 0 and name in at_of:
-                told.unwell.append((engine, at_of[name], left))
-        for name, time in marks.good.items():
-            if 0 <= wall - time < MEMORY and at_of.get(name, ALL) != ALL:
-                told.good.append((engine, at_of[name], wall - time))
-        if marks.narrowed > 0:
-            told.narrowed.append((engine, marks.narrowed * (1 - age / MEMORY)))
-    return told
-
-
-def _weighed(usual: Usual, weight: float) -> tuple[float, float]:
-    count = min(usual.count, 1.0) * weight
-    return (usual.total / usual.count * count, count) if count > 0 else (0.0, 0.0)
+        marks = learned.marks.get(engine.id.decode())
+        if marks is not None and marks.started == started:
+            _restore_marks(event, engine, marks, class_index, wall_ms)
+    return event
+
+
+def _restored_sums(
+    timings: FleetTimings | None, request_classes: list[str], wall_ms: float, believed_rate: float
+) -> list[tuple[float, float]]:
+    """Sum and count of first tokens' waits, of prefill per token, and of the faults of each request class."""
+    sums = [(0.0, 0.0)] * (2 + len(request_classes))
+    if timings is None:
+        return sums
+    weight = MAX_RESTORED_WEIGHT * max(0.0, 1 - abs(wall_ms - timings.saved_at_ms) / MEMORY)
+    sums[0] = _weighted(timings.first_token_wait, weight)
+    sums[1] = _weighted(timings.prefill_per_token, weight)
+    lasting = MAX_RESTORED_WEIGHT * exp(-believed_rate * abs(wall_ms - timings.fastest_seen_at_ms))
+    if not sums[1][1] and timings.fastest_per_token_ms > 0 and lasting > MIN_USEFUL_CONFIDENCE:
+        sums[1] = timings.fastest_per_token_ms * lasting, lasting
+    for at, name in enumerate(request_classes):
+        if name in timings.faults:
+            sums[2 + at] = _weighted(timings.faults[name], weight)
+    return sums
+
+
+def _restore_marks(
+    event: StateRestored,
+    engine: Engine,
+    marks: EngineMarks,
+    class_index: dict[str, int],
+    wall_ms: float,
+) -> None:
+    """Adds the marks of one engine to the event, with the time that they have left."""
+    age_ms = abs(wall_ms - marks.saved_at_ms)
+    if age_ms >= MEMORY:
+        return
+    for name, until_ms in marks.ejected_until_ms.items():
+        left_ms = min(until_ms - wall_ms, MEMORY - age_ms)
+        if left_ms > 0 and name in class_index:
+            event.unwell.append((engine, class_index[name], left_ms))
+    for name, success_ms in marks.last_success_ms.items():
+        if 0 <= wall_ms - success_ms < MEMORY and class_index.get(name, ALL) != ALL:
+            event.good.append((engine, class_index[name], wall_ms - success_ms))
+    if marks.window_reduction > 0:
+        event.narrowed.append((engine, marks.window_reduction * (1 - age_ms / MEMORY)))
+
+
+def _sample_sum(ring: Ring, now_ms: float) -> SampleSum:
+    count = ring.count(now_ms)
+    return SampleSum(ring.mean(now_ms) * count, count)
+
+
+def _weighted(samples: SampleSum, weight: float) -> tuple[float, float]:
+    """Sum and count of samples that count for at most `weight` of one."""
+    count = min(samples.count, 1.0) * weight
+    return (samples.total / samples.count * count, count) if count > 0 else (0.0, 0.0)
--- a/worksmux/endpoints/list_reader.py
+++ b/worksmux/endpoints/list_reader.py
@@ -1,10 +1,14 @@
-"""Keeps the list of engines in step with a registry that restarts, repeats itself and skips lines.
+"""Keeps the endpoint list in step with a registry that restarts, repeats itself and skips changes.
 
-What it guards against: a gap in the serial numbers (what came is newer than ours and holds, and the whole
-list is asked for), a change or list older than ours on the same connection (left out), a registry that starts
-its numbers anew (believed on a new connection, unless its clock is behind), an unknown kind or zone (that
-engine is left out, the others hold), and a start time that jitters with each listing though the engine never
-restarted.
+- After a gap in the serial numbers, the change that came is newer and holds; the full list is requested.
+- A change or list that is older than ours on the same connection is ignored.
+- A registry may start its serial numbers anew: on a new connection it is followed, unless its clock is
+  behind too.
+- An endpoint of an unknown kind or zone is left out; the others hold.
+- A start time may jitter from list to list though the engine never restarted: it is converted to this
+  node's clock once for each start.
+
+No I/O; times are milliseconds, on this node's clock unless said otherwise.
 """
 
 from __future__ import annotations
@@ -17,127 +21,75 @@
 from ..policy.events import EndpointEntry, EndpointListUpdate
 from ..policy.state import Engine
 
+EARLIEST_START_MS = 1e-3  # 0 would say that the engine started long ago
+UNKNOWN_START = -1.0  # a listed start that no engine has
+
 
 @dataclass(slots=True)
-class Known:
+class KnownEndpoint:
     """What was last listed of one engine."""
 
     engine: Engine
     line: Line
-    started: float = 0.0  # on this front's clock
+    started: float = 0.0  # on this node's clock; 0: long ago
 
 
 @dataclass(slots=True)
-class Told:
-    """What follows from one message."""
+class ListResult:
+    """What follows from one message of the registry."""
 
     event: EndpointListUpdate | None = None
-    fetch: bool = False  # ask for the whole list
-    moved: list[Known] = field(default_factory=list)  # engines whose address is new
-    notes: list[str] = field(default_factory=list)  # what was left out, and why
+    fetch: bool = False  # the full list is to be requested
+    moved: list[KnownEndpoint] = field(default_factory=list)  # engines with a new address
+    notes: list[str] = field(default_factory=list)  # for the log: what was left out, and why
 
 
-class ListKeeper:
-    """Turns the registry's messages into what the module is told.
+class EndpointListReader:
+    """Turns the registry's messages into events for the policy.
 
-    `kinds` and `zones` are names in the order of the settings; `find` gives the engine for an id.
+    `kinds` and `zones` are names in the order of the settings; `find_engine` gives the engine for an id.
     """
 
-    def __init__(self, kinds: list[str], zones: list[str], find: Callable[[str], Engine]) -> None:
+    def __init__(self, kinds: list[str], zones: list[str], find_engine: Callable[[str], Engine]) -> None:
         self.kinds = {name: at for at, name in enumerate(kinds)}
         self.zones = {name: at for at, name in enumerate(zones)}
-        self.find = find
-        self.known: dict[str, Known] = {}
+        self.known: dict[str, KnownEndpoint] = {}
         self.serial = 0
-        self.theirs = 0.0  # the latest time of the registry's clock that we saw
+        self.registry_time_ms = 0.0  # the latest that was seen of the registry's clock
         self.whole = False  # a full list has come
-        self.fetching = False
-        self.fresh = True  # nothing has come yet on this connection
+        self.fetching = False  # a full list was requested and has not come
+        self._find_engine = find_engine
+        self._is_new_connection = True  # nothing has come on it yet
 
     def connected(self) -> None:
-        self.fresh, self.fetching = True, False
+        """A new connection to the registry is up."""
+        self._is_new_connection = True
+        self.fetching = False
 
-    def take(self, now: float, message: Listing) -> Told:
-        """`now` is this front's clock in milliseconds."""
-        told = Told()
+    def take(self, now_ms: float, message: Listing) -> ListResult:
+        """Applies one message of the registry."""
         if message.scope == "failed":
             self.fetching = False
-            told.event = EndpointListUpdate("failed", [])
-            return told
+            return ListResult(EndpointListUpdate("failed", []))
+        result = ListResult()
         if message.scope == "delta":
-            return self._change(now, message, told)
-        if self.older(message):
-            told.notes.append(f"a full list {message.serial} older than ours, {self.serial}, was left out")
-            return told
-        self.fresh, self.fetching, self.whole = False, False, True
-        self.serial, self.theirs = message.serial, max(self.theirs, message.now)
-        listed = {line.id for line in message.engines}
-        for gone in self.known.keys() - listed:
-            self.known[gone].line.state = "gone"
-        told.event = EndpointListUpdate("full", self._entries(now, message, told))
-        return told
+            self._take_change(now_ms, message, result)
+        else:
+            self._take_full(now_ms, message, result)
+        return result
 
     def older(self, message: Listing) -> bool:
-        """Whether a full list is older than what we have: on the same connection by its number, on a new one
-        only if the registry's clock is behind too, as a registry may start its numbers anew."""
-        return message.serial < self.serial and (not self.fresh or message.now < self.theirs)
-
-    def _change(self, now: float, message: Listing, told: Told) -> Told:
-        if message.serial <= self.serial and not self.fresh:
-            told.notes.append(f"a change {message.serial} not newer than ours, {self.serial}, was left out")
-            return told
-        gap = not self.whole or message.previous != self.serial
-        self.fresh = False
-        if gap:
-            told.fetch = not self.fetching
-            self.fetching = True
-            told.notes.append(
-                f"changes between {self.serial} and {message.serial} are missing; the list is asked for"
-            )
-        if not gap or message.serial > self.serial:
-            self.serial = message.serial
-        told.event = EndpointListUpdate("delta", self._entries(now, message, told))
-        return told
+        """Whether a full list is older than ours.
 
-    def _entries(self, now: float, message: Listing, told: Told) -> list[EndpointEntry]:
-        entries = []
-        for line in message.engines:
-            if not self._placed(line):
-                what = f"kind {line.kind}" if line.kind not in self.kinds else f"zone {line.zone}"
-                told.notes.append(f"engine {line.id}: the settings know no {what}; the engine was left out")
-                if line.id in self.known:  # what it was before is no longer true
-                    entries.append(self.entry(self.known[line.id], "gone"))
-                continue
-            entries.append(self.entry(self._known(now, message.now, line, told), line.state))
-        return entries
-
-    def _placed(self, line: Line) -> bool:
-        """Whether the settings know its kind and zone; where they name no zones, all lie in one."""
-        return line.kind in self.kinds and (not self.zones or line.zone in self.zones)
-
-    def _known(self, now: float, theirs: float, line: Line, told: Told) -> Known:
-        known = self.known.get(line.id)
-        if known is None:
-            known = self.known[line.id] = Known(self.find(line.id), line)
-            told.moved.append(known)
-            known.started = self._started(now, theirs, line)
-        else:
-            if line.state == "gone" and not line.host:  # what it still holds is released where it was
-                line.host, line.port = known.line.host, known.line.port
-            if (known.line.host, known.line.port) != (line.host, line.port):
-                told.moved.append(known)
-            if known.line.started != line.started:
-                known.started = self._started(now, theirs, line)
-            known.line = line
-        return known
-
-    @staticmethod
-    def _started(now: float, theirs: float, line: Line) -> float:
-        """The start on this front's clock; reckoned once for each start, or each listing would look like
-        one."""
-        return max(1e-3, now - max(0.0, theirs - line.started)) if line.started else 0.0
+        On the same connection its serial number decides. On a new one the registry's clock must be behind
+        too, as a registry that restarted may start its numbers anew.
+        """
+        if message.serial >= self.serial:
+            return False
+        return not self._is_new_connection or message.now < self.registry_time_ms
 
-    def entry(self, known: Known, state: str) -> EndpointEntry:
+    def entry(self, known: KnownEndpoint, state: str) -> EndpointEntry:
+        """The endpoint as the policy is given it, in the given state."""
         line = known.line
         return EndpointEntry(
             known.engine,
@@ -150,24 +102,106 @@
         )
 
     def remember(
-        self, now: float, wall: float, line: Line, state: str, careful: bool
+        self, now_ms: float, wall_ms: float, line: Line, state: str, careful: bool
     ) -> EndpointEntry | None:
-        """A line that no registry has told in this life; with `careful` it counts as just started.
+        """Adds an endpoint that comes from the cache and not from the registry.
 
-        None for a kind or zone that the settings do not know.
+        With `careful` it counts as just started, and the first list of the registry corrects that. Gives None
+        for a kind or zone that the settings do not know. `wall_ms` is since 1970.
         """
-        if not self._placed(line):
+        if not self._is_configured(line):
             return None
         known = self.known.get(line.id)
         if known is None:
-            known = self.known[line.id] = Known(self.find(line.id), line)
-        known.started = now if careful else self._started(now, wall, line)
+            known = self.known[line.id] = KnownEndpoint(self._find_engine(line.id), line)
+        known.started = now_ms if careful else _local_start(now_ms, wall_ms, line)
         known.line = copy(line)
         known.line.state = state  # type: ignore[assignment]
-        if careful:  # so that the first true listing reckons its start anew
-            known.line.started = -1.0
+        if careful:
+            known.line.started = UNKNOWN_START
         return self.entry(known, state)
 
     @property
     def ready(self) -> int:
+        """How many endpoints the list calls ready."""
         return sum(known.line.state == "ready" for known in self.known.values())
+
+    def _take_full(self, now_ms: float, message: Listing, result: ListResult) -> None:
+        if self.older(message):
+            result.notes.append(f"a full list {message.serial} older than ours, {self.serial}, was left out")
+            return
+        self._is_new_connection, self.fetching, self.whole = False, False, True
+        self.serial = message.serial
+        self.registry_time_ms = max(self.registry_time_ms, message.now)
+        listed = {line.id for line in message.engines}
+        for name in self.known.keys() - listed:
+            self.known[name].line.state = "gone"
+        result.event = EndpointListUpdate("full", self._entries(now_ms, message, result))
+
+    def _take_change(self, now_ms: float, message: Listing, result: ListResult) -> None:
+        if message.serial <= self.serial and not self._is_new_connection:
+            result.notes.append(f"a change {message.serial} not newer than ours, {self.serial}, was left out")
+            return
+        self._is_new_connection = False
+        if not self.whole or message.previous != self.serial:
+            self._request_full(message, result)
+            self.serial = max(self.serial, message.serial)
+        else:
+            self.serial = message.serial
+        result.event = EndpointListUpdate("delta", self._entries(now_ms, message, result))
+
+    def _request_full(self, message: Listing, result: ListResult) -> None:
+        """Requests the full list after a gap, once."""
+        result.fetch = not self.fetching
+        self.fetching = True
+        result.notes.append(
+            f"changes between {self.serial} and {message.serial} are missing; the list is asked for"
+        )
+
+    def _entries(self, now_ms: float, message: Listing, result: ListResult) -> list[EndpointEntry]:
+        entries = []
+        for line in message.engines:
+            if self._is_configured(line):
+                known = self._update_known(now_ms, message.now, line, result)
+                entries.append(self.entry(known, line.state))
+                continue
+            what = f"kind {line.kind}" if line.kind not in self.kinds else f"zone {line.zone}"
+            result.notes.append(f"engine {line.id}: the settings know no {what}; the engine was left out")
+            if line.id in self.known:  # what it was before is no longer true
+                entries.append(self.entry(self.known[line.id], "gone"))
+        return entries
+
+    def _is_configured(self, line: Line) -> bool:
+        """Whether the settings know its kind and zone; where they name no zones, any zone will do."""
+        return line.kind in self.kinds and (not self.zones or line.zone in self.zones)
+
+    def _update_known(
+        self, now_ms: float, registry_time_ms: float, line: Line, result: ListResult
+    ) -> KnownEndpoint:
+        known = self.known.get(line.id)
+        if known is None:
+            known = self.known[line.id] = KnownEndpoint(self._find_engine(line.id), line)
+            known.started = _local_start(now_ms, registry_time_ms, line)
+            result.moved.append(known)
+            return known
+        if (
+            line.state == "gone" and not line.host
+        ):  # the KV cache that it still holds is released where it was
+            line.host, line.port = known.line.host, known.line.port
+        if (known.line.host, known.line.port) != (line.host, line.port):
+            result.moved.append(known)
+        if known.line.started != line.started:
+            known.started = _local_start(now_ms, registry_time_ms, line)
+        known.line = line
+        return known
+
+
+def _local_start(now_ms: float, other_clock_ms: float, line: Line) -> float:
+    """The listed start on this node's clock, given the same moment on this clock and on the other one.
+
+    Failure: converted anew for each list, the start would move by the jitter of the messages, and each list
+    would look like a restart of the engine. Callers convert it only when the listed start has changed.
+    """
+    if not line.started:
+        return 0.0
+    return max(EARLIEST_START_MS, now_ms - max(0.0, other_clock_ms - line.started))
--- a/worksmux/endpoints/staleness.py
+++ b/worksmux/endpoints/staleness.py
@@ -1,13 +1,16 @@
-"""How far a remembered list of engines can be believed, and what follows from it.  Free of I/O; time is
-passed in.
-
-How likely a line still holds is reckoned from its age and from the turnover that this front itself has seen:
-lines that left or restarted over the time that lines were watched, with one imagined leaving over
-`believed_for` as a beginning. A line that is sure is used as it stands; a likely one is used as if it had
-just started, so that the module keeps it to a cold engine's budget until a trip or a probe confirms it; the
-others are asked first.  What contradicts is dropped and asked again only after pauses that grow.  Fronts that
-restart together on one list settle their shares alone: each asks an engine at a random moment of a time so
-long that all of them together keep to the stated rate.
+"""How far a cached endpoint list can be relied on, and which endpoints to probe. No I/O; time is passed in.
+
+The confidence that a cached endpoint still holds falls with its age and with the turnover that this node has
+seen: endpoints that left or restarted, over the time for which endpoints were watched, with one assumed
+departure over `believed_for_ms` to begin with. A fresh endpoint is used as it is. A stale one is used as if
+it had just started, so that it is held to a cold engine's budget until an attempt or a probe confirms it. The
+others are probed first. An endpoint that contradicts its entry is dropped; one that does not answer is probed
+again after growing pauses.
+
+Nodes that restart together share each engine's probe budget without talking to one another: each probes an
+engine at a random moment of a period so long that all nodes together keep to the configured rate.
+
+Times are milliseconds, on the node's own clock or, where said so, since 1970.
 """
 
 from __future__ import annotations
@@ -18,7 +21,7 @@
 from enum import Enum
 from itertools import count
 from math import exp
-from typing import Literal
+from typing import Literal, NamedTuple
 
 import msgspec
 
@@ -26,63 +29,67 @@
 from ..policy.measure import Chance
 from ..policy.state import Outcome
 
-SURE = 0.95  # likely enough to be used as it stands
-LIKELY = 0.5  # to be used with a cold engine's care
-USEFUL = 0.01  # under it a line is an address to ask, after all others
-PAUSE = 0.5  # of the time to ask all, before an engine that was silent is asked again; doubled each time
-LEAST_PAUSE = 1000.0  # milliseconds
-DOUBLINGS = 5  # of the pause at most: an engine that is away for long is asked seldom, but asked
+FRESH_CONFIDENCE = 0.95  # from here on an endpoint is used as it is
+STALE_CONFIDENCE = 0.5  # from here on it is used with a cold engine's budget
+MIN_USEFUL_CONFIDENCE = 0.01  # below it an endpoint is probed after all others
+MIN_RETRY_PAUSE_MS = 1000.0
+RETRY_PAUSE_FRACTION = 0.5  # of the probe period, before a silent engine is probed again
+MAX_PAUSE_DOUBLINGS = 5  # an engine that is away for long is still probed now and then
 
 
-class Saved(msgspec.Struct):
-    """A line as it is kept on disk; `confirmed` is when it last held, in milliseconds since 1970."""
+class StoredEndpoint(msgspec.Struct):
+    """An endpoint as it is kept on disk."""
 
     line: Line
-    confirmed: float
+    confirmed_at_ms: float = msgspec.field(name="confirmed")  # when it last held, since 1970
 
 
 class Turnover(msgspec.Struct):
-    """What this front has seen leave: line-milliseconds watched, and lines that left or restarted."""
+    """What this node has seen of endpoints leaving."""
 
-    watched: float = 0.0
-    left: int = 0
+    watched_ms: float = msgspec.field(name="watched", default=0.0)  # summed over all endpoints
+    departures: int = msgspec.field(name="left", default=0)  # endpoints that left or restarted
 
-    def rate(self, believed_for: float) -> float:
-        """Leavings for each millisecond of a line."""
-        return (1 + self.left) / (believed_for + self.watched)
+    def rate_per_ms(self, believed_for_ms: float) -> float:
+        """Departures per millisecond of one endpoint."""
+        return (1 + self.departures) / (believed_for_ms + self.watched_ms)
 
 
-class Stand(Enum):
-    """Where a remembered line stands."""
+class EndpointStatus(Enum):
+    """How a cached endpoint is used."""
 
-    SURE = "sure"  # used as it stands
-    LIKELY = "likely"  # used with a cold engine's care
-    ASKED = "asked first"  # not used until it answers
-    DRAINING = "draining"  # told so, and kept so until fresh news
-    CONFIRMED = "confirmed"  # it answered, or served, as the line says
-    DROPPED = "dropped"  # contradicted: another engine answers there
+    FRESH = "fresh"  # used as it is
+    STALE = "stale"  # used with a cold engine's budget
+    UNVERIFIED = "unverified"  # not used until it answers a probe
+    DRAINING = "draining"  # listed so, and kept so until the registry speaks
+    CONFIRMED = "confirmed"  # it answered a probe or served a request, as its entry says
+    CONTRADICTED = "contradicted"  # another engine answers at its address
 
     @property
-    def listed(self) -> Literal["ready", "draining", "gone"]:
-        """What the module is told of such a line."""
-        if self in (Stand.SURE, Stand.LIKELY, Stand.CONFIRMED):
+    def listed_state(self) -> Literal["ready", "draining", "gone"]:
+        """The state under which the policy is given such an endpoint."""
+        if self in (EndpointStatus.FRESH, EndpointStatus.STALE, EndpointStatus.CONFIRMED):
             return "ready"
-        return "draining" if self is Stand.DRAINING else "gone"
+        return "draining" if self is EndpointStatus.DRAINING else "gone"
+
+
+PROBED = (EndpointStatus.FRESH, EndpointStatus.STALE, EndpointStatus.UNVERIFIED)
+FINAL = (EndpointStatus.DRAINING, EndpointStatus.CONTRADICTED)  # no probe changes these
 
 
 @dataclass(slots=True)
-class Belief:
-    """One remembered line."""
+class CachedEndpoint:
+    """One endpoint of the cached list."""
 
     line: Line
-    trust: float
-    stand: Stand
-    silent: int = 0
+    confidence: float  # that its entry still holds, 0 to 1
+    status: EndpointStatus
+    failed_probes: int = 0  # in a row
 
 
 @dataclass(slots=True)
-class Answer:
-    """What an engine said of itself when it was asked."""
+class ProbeReply:
+    """What an engine says of itself when it is probed."""
 
     id: str
     kind: str
@@ -91,193 +98,237 @@
 
 
 @dataclass(slots=True)
-class Step:
-    """What is to be done: lines whose use changes, and engines to ask."""
+class CacheUpdate:
+    """What follows from an event: endpoints whose use changes, and engines to probe now."""
+
+    changed: list[CachedEndpoint] = field(default_factory=list)
+    to_probe: list[Line] = field(default_factory=list)
+    notes: list[str] = field(default_factory=list)  # for the log
+
+
+class DueProbe(NamedTuple):
+    """A scheduled probe; ordered by time, then by when it was scheduled."""
+
+    at_ms: float
+    order: int
+    name: str
 
-    changed: list[Belief] = field(default_factory=list)
-    ask: list[Line] = field(default_factory=list)
-    notes: list[str] = field(default_factory=list)
 
+def confidence(stored: StoredEndpoint, wall_ms: float, turnover: Turnover, believed_for_ms: float) -> float:
+    """How likely a stored endpoint still holds, 0 to 1.
 
-def trust(saved: Saved, wall: float, turnover: Turnover, believed_for: float) -> float:
-    """How likely the line still holds.  A clock that ran backwards gives an age of unknown sign: its size
-    counts.
+    A clock that was set back makes the sign of the age meaningless, so that its size counts.
 
     >>> line = Line("a", "h", 1, "k")
-    >>> fresh = trust(Saved(line, 1000.0), 1000.0, Turnover(), 3.6e6)
-    >>> old = trust(Saved(line, 0.0), 3.6e6, Turnover(), 3.6e6)
+    >>> fresh = confidence(StoredEndpoint(line, 1000.0), 1000.0, Turnover(), 3.6e6)
+    >>> old = confidence(StoredEndpoint(line, 0.0), 3.6e6, Turnover(), 3.6e6)
     >>> fresh, round(old, 2)
     (1.0, 0.37)
     """
-    return exp(-turnover.rate(believed_for) * abs(wall - saved.confirmed))
+    return exp(-turnover.rate_per_ms(believed_for_ms) * abs(wall_ms - stored.confirmed_at_ms))
 
 
-class Beliefs:
-    """The remembered list of one front, from its start until the registry speaks."""
+class CachedEndpointList:
+    """The cached list of one node, used from its start until the registry sends a list."""
 
     def __init__(
         self,
-        saved: Iterable[Saved],
-        now: float,
-        wall: float,
+        stored: Iterable[StoredEndpoint],
+        now_ms: float,
+        wall_ms: float,
         turnover: Turnover,
-        believed_for: float,
-        fronts: int,
-        rate: float,
+        believed_for_ms: float,
+        nodes: int,
+        probe_rate: float,
         whole: bool,
         seed: int,
     ) -> None:
-        """`rate` is how many probes a second all `fronts` together may send to one engine; `whole` tells
-        whether the store vouches for the list as a whole: if not, no line of it is sure."""
-        self.chance = Chance(seed)
-        self.spread = 1000 * fronts / rate  # the time over which all fronts ask one engine once
-        self.beliefs: dict[str, Belief] = {}
-        self.due: list[tuple[float, int, str]] = []
-        self.order = count()
-        self.over = False  # the registry has spoken
-        for one in saved:
-            likely = trust(one, wall, turnover, believed_for) * (1.0 if whole else SURE - 1e-6)
-            self.beliefs[one.line.id] = Belief(one.line, likely, self._stand(one.line, likely))
-        # Where none is of use there is nothing to be after.
-        some = any(belief.trust >= USEFUL for belief in self.beliefs.values())
-        for belief in self.beliefs.values():
-            if belief.stand in (Stand.LIKELY, Stand.ASKED, Stand.SURE):
-                late = some and belief.trust < USEFUL
-                self._ask_at(now + self.spread * (self.chance.share() + late), belief.line.id)
-
-    @staticmethod
-    def _stand(line: Line, likely: float) -> Stand:
-        if line.state != "ready":
-            return Stand.DRAINING
-        return Stand.SURE if likely >= SURE else Stand.LIKELY if likely >= LIKELY else Stand.ASKED
-
-    def _ask_at(self, time: float, name: str) -> None:
-        heapq.heappush(self.due, (time, next(self.order), name))
-
-    def start(self) -> Step:
-        """What the front begins with."""
-        return Step(list(self.beliefs.values()))
-
-    def request_came(self, now: float, roles: dict[str, str]) -> Step:
-        """Where no engine of `roles` (by kind: read, write or both) can carry it, one of each kind that lacks
-        is asked now."""
-        if self.over:
-            return Step()
-        usable = {role for kind, role in roles.items() if self.usable(kind)}
+        """Rates the stored endpoints and schedules their first probes.
+
+        `probe_rate` is how many probes a second all `nodes` together may send to one engine. `whole` says
+        whether the store vouches for the list as a whole: if not, none of its endpoints counts as fresh.
+        """
+        self.endpoints: dict[str, CachedEndpoint] = {}
+        self.due_probes: list[DueProbe] = []  # a heap
+        self.superseded = False  # the registry has sent a list
+        self._random = Chance(seed)
+        self._probe_period_ms = 1000 * nodes / probe_rate  # in which all nodes probe one engine once
+        self._order = count()
+        for one in stored:
+            limit = 1.0 if whole else FRESH_CONFIDENCE - 1e-6
+            rated = confidence(one, wall_ms, turnover, believed_for_ms) * limit
+            self.endpoints[one.line.id] = CachedEndpoint(one.line, rated, _initial_status(one.line, rated))
+        self._schedule_first_probes(now_ms)
+
+    def initial_update(self) -> CacheUpdate:
+        """All endpoints, for the start of the node."""
+        return CacheUpdate(list(self.endpoints.values()))
+
+    def request_arrived(self, now_ms: float, roles: dict[str, str]) -> CacheUpdate:
+        """Probes one engine of each missing kind at once if no usable engines can serve a request.
+
+        `roles` gives the role of each kind: read, write or both.
+        """
+        if self.superseded:
+            return CacheUpdate()
+        usable = {role for kind, role in roles.items() if self.has_usable(kind)}
         if "both" in usable or {"read", "write"} <= usable:
-            return Step()
-        return self.urge(now, [kind for kind, role in roles.items() if role not in usable])
+            return CacheUpdate()
+        return self.probe_early(now_ms, [kind for kind, role in roles.items() if role not in usable])
 
-    def attempt_ended(self, name: str, outcome: Outcome, now: float) -> Step:
-        """What a trip tells of the line of its engine."""
-        if outcome is Outcome.UNREACHABLE:
-            return self.refused(name, now)
-        return self.served(name) if outcome in (Outcome.READ, Outcome.DELIVERED) else Step()
-
-    def urge(self, now: float, kinds: Iterable[str]) -> Step:
-        """A job waits and of these kinds no engine is usable: the next of each is asked now, one at a
-        time."""
-        step = Step()
+    def probe_early(self, now_ms: float, kinds: Iterable[str]) -> CacheUpdate:
+        """Brings forward the next probe of an unverified engine of each kind."""
+        update = CacheUpdate()
         for kind in kinds:
-            best = min(
-                (
-                    entry
-                    for entry in self.due
-                    if self.beliefs[entry[2]].line.kind == kind
-                    and self.beliefs[entry[2]].stand is Stand.ASKED
-                ),
-                default=None,
-            )
-            if best is not None and best[0] > now:
-                self.due.remove(best)
-                heapq.heapify(self.due)
-                step.ask.append(self.beliefs[best[2]].line)
-        return step
-
-    def tick(self, now: float) -> Step:
-        """Whom to ask by now."""
-        step = Step()
-        while self.due and self.due[0][0] <= now and not self.over:
-            belief = self.beliefs[heapq.heappop(self.due)[2]]
-            if belief.stand in (Stand.SURE, Stand.LIKELY, Stand.ASKED):
-                step.ask.append(belief.line)
-        return step
+            probe = min((one for one in self.due_probes if self._is_unverified(one.name, kind)), default=None)
+            if probe is not None and probe.at_ms > now_ms:
+                self.due_probes.remove(probe)
+                heapq.heapify(self.due_probes)
+                update.to_probe.append(self.endpoints[probe.name].line)
+        return update
+
+    def tick(self, now_ms: float) -> CacheUpdate:
+        """The probes that are due."""
+        update = CacheUpdate()
+        while self.due_probes and self.due_probes[0].at_ms <= now_ms and not self.superseded:
+            endpoint = self.endpoints[heapq.heappop(self.due_probes).name]
+            if endpoint.status in PROBED:
+                update.to_probe.append(endpoint.line)
+        return update
 
     def next_time(self) -> float | None:
-        return self.due[0][0] if self.due and not self.over else None
-
-    def answered(self, name: str, answer: Answer) -> Step:
-        """An engine has said who it is.  Another start means that it is cold; another name or kind, another
-        engine."""
-        step, belief = Step(), self.beliefs.get(name)
-        if belief is None or self.over or belief.stand in (Stand.DRAINING, Stand.DROPPED):
-            return step
-        line = belief.line
-        if answer.id != line.id or answer.kind != line.kind:
-            return self._drop(belief, f"its address is now {answer.id} of kind {answer.kind}")
-        if answer.draining:
-            belief.stand = Stand.DRAINING
+        """When `tick` is due."""
+        return self.due_probes[0].at_ms if self.due_probes and not self.superseded else None
+
+    def probe_answered(self, name: str, reply: ProbeReply) -> CacheUpdate:
+        """Compares an engine's reply with its entry.
+
+        A later start means that the engine is cold; another id or kind that it is another engine.
+        """
+        update, endpoint = CacheUpdate(), self.endpoints.get(name)
+        if endpoint is None or self.superseded or endpoint.status in FINAL:
+            return update
+        line = endpoint.line
+        if reply.id != line.id or reply.kind != line.kind:
+            return self._drop(endpoint, f"its address is now {reply.id} of kind {reply.kind}")
+        if reply.draining:
+            endpoint.status = EndpointStatus.DRAINING
             line.state = "draining"
         else:
-            if answer.started > line.started:
-                step.notes.append(f"engine {name} has started anew since it was listed")
-            line.started = max(line.started, answer.started)
-            belief.stand, belief.trust, belief.silent = Stand.CONFIRMED, 1.0, 0
-        step.changed.append(belief)
-        return step
-
-    def served(self, name: str) -> Step:
-        """A trip has gone well at an engine that was believed: the line held."""
-        belief = self.beliefs.get(name)
-        if belief is None or self.over or belief.stand not in (Stand.SURE, Stand.LIKELY):
-            return Step()
-        belief.stand, belief.trust = Stand.CONFIRMED, 1.0
-        return Step([belief])
-
-    def refused(self, name: str, now: float) -> Step:
-        """A trip could not reach it: it is not used until it answers.  Others that were out tell no more."""
-        belief = self.beliefs.get(name)
-        if belief is None or self.over or belief.stand not in (Stand.SURE, Stand.LIKELY, Stand.CONFIRMED):
-            return Step()
-        belief.stand, belief.trust = Stand.ASKED, 0.0
-        self._ask_again(belief, now)
-        return Step([belief])
-
-    def silent(self, name: str, now: float) -> Step:
-        """It was asked and did not answer: it is asked again after a pause that grows."""
-        belief = self.beliefs.get(name)
-        if belief is None or self.over or belief.stand in (Stand.DRAINING, Stand.DROPPED):
-            return Step()
-        was, belief.stand, belief.trust = belief.stand, Stand.ASKED, 0.0
-        self._ask_again(belief, now)
-        return Step([belief] if was is not Stand.ASKED else [])
-
-    def _ask_again(self, belief: Belief, now: float) -> None:
-        """Guards against a loop of asking, and against two asks of one engine standing in the line."""
-        name = belief.line.id
-        self.due = [entry for entry in self.due if entry[2] != name]
-        heapq.heapify(self.due)
-        pause = max(LEAST_PAUSE, self.spread * PAUSE) * 2 ** min(belief.silent, DOUBLINGS)
-        belief.silent += 1
-        self._ask_at(now + pause * (0.5 + self.chance.share()), name)
-
-    def _drop(self, belief: Belief, why: str) -> Step:
-        belief.stand, belief.trust = Stand.DROPPED, 0.0
-        return Step([belief], notes=[f"engine {belief.line.id} is dropped from the remembered list: {why}"])
-
-    def listed(self, empty: bool) -> bool:
-        """The registry has sent a list.  An empty one does not wipe a remembered fleet; any other ends
-        belief."""
+            if reply.started > line.started:
+                update.notes.append(f"engine {name} has started anew since it was listed")
+            line.started = max(line.started, reply.started)
+            endpoint.status, endpoint.confidence = EndpointStatus.CONFIRMED, 1.0
+            endpoint.failed_probes = 0
+        update.changed.append(endpoint)
+        return update
+
+    def probe_failed(self, name: str, now_ms: float) -> CacheUpdate:
+        """Stops using an engine that did not answer, and probes it again after a pause that grows."""
+        endpoint = self.endpoints.get(name)
+        if endpoint is None or self.superseded or endpoint.status in FINAL:
+            return CacheUpdate()
+        was_unverified = endpoint.status is EndpointStatus.UNVERIFIED
+        self._distrust(endpoint, now_ms)
+        return CacheUpdate([] if was_unverified else [endpoint])
+
+    def attempt_ended(self, name: str, outcome: Outcome, now_ms: float) -> CacheUpdate:
+        """What an attempt shows of its engine."""
+        if outcome is Outcome.UNREACHABLE:
+            return self.unreachable(name, now_ms)
+        return self.served(name) if outcome in (Outcome.READ, Outcome.DELIVERED) else CacheUpdate()
+
+    def served(self, name: str) -> CacheUpdate:
+        """Confirms an endpoint that was used and served an attempt."""
+        endpoint = self.endpoints.get(name)
         if (
-            empty
-            and any(belief.stand is not Stand.DROPPED for belief in self.beliefs.values())
-            and not self.over
+            endpoint is None
+            or self.superseded
+            or endpoint.status not in (EndpointStatus.FRESH, EndpointStatus.STALE)
         ):
+            return CacheUpdate()
+        endpoint.status, endpoint.confidence = EndpointStatus.CONFIRMED, 1.0
+        return CacheUpdate([endpoint])
+
+    def unreachable(self, name: str, now_ms: float) -> CacheUpdate:
+        """Stops using an engine that an attempt could not connect to, until it answers a probe.
+
+        Attempts that were under way at the same time find it unverified already and change nothing.
+        """
+        endpoint = self.endpoints.get(name)
+        if endpoint is None or self.superseded or endpoint.status.listed_state != "ready":
+            return CacheUpdate()
+        self._distrust(endpoint, now_ms)
+        return CacheUpdate([endpoint])
+
+    def accept_list(self, empty: bool) -> bool:
+        """Whether a full list of the registry replaces the cached one; nothing cached counts afterwards.
+
+        Failure: a registry that has lost its data sends an empty list, and a fleet that is serving would be
+        lost with it. An empty list is therefore refused while any cached endpoint is not contradicted.
+        """
+        if empty and not self.superseded and self._has_endpoints():
             return False
-        self.over = True
+        self.superseded = True
         return True
 
-    def usable(self, kind: str) -> bool:
+    def has_usable(self, kind: str) -> bool:
+        """Whether any endpoint of this kind is given to the policy as ready."""
         return any(
-            belief.line.kind == kind and belief.stand.listed == "ready" for belief in self.beliefs.values()
+            endpoint.line.kind == kind and endpoint.status.listed_state == "ready"
+            for endpoint in self.endpoints.values()
         )
+
+    def _has_endpoints(self) -> bool:
+        return any(one.status is not EndpointStatus.CONTRADICTED for one in self.endpoints.values())
+
+    def _is_unverified(self, name: str, kind: str) -> bool:
+        endpoint = self.endpoints[name]
+        return endpoint.line.kind == kind and endpoint.status is EndpointStatus.UNVERIFIED
+
+    def _schedule_first_probes(self, now_ms: float) -> None:
+        """Spreads the first probes over one period.
+
+        Where some endpoints are useful, those that hardly are follow in a second period.
+        """
+        any_useful = any(one.confidence >= MIN_USEFUL_CONFIDENCE for one in self.endpoints.values())
+        for endpoint in self.endpoints.values():
+            if endpoint.status in PROBED:
+                later = any_useful and endpoint.confidence < MIN_USEFUL_CONFIDENCE
+                pause_ms = self._probe_period_ms * (self._random.share() + later)
+                self._schedule_probe(now_ms + pause_ms, endpoint.line.id)
+
+    def _schedule_probe(self, at_ms: float, name: str) -> None:
+        heapq.heappush(self.due_probes, DueProbe(at_ms, next(self._order), name))
+
+    def _distrust(self, endpoint: CachedEndpoint, now_ms: float) -> None:
+        endpoint.status, endpoint.confidence = EndpointStatus.UNVERIFIED, 0.0
+        self._schedule_retry(endpoint, now_ms)
+
+    def _schedule_retry(self, endpoint: CachedEndpoint, now_ms: float) -> None:
+        """Schedules the next probe of an engine that did not answer.
+
+        Any probe of it that is still scheduled is removed first: two in the schedule would each schedule
+        another, and the engine would be probed ever more often.
+        """
+        name = endpoint.line.id
+        self.due_probes = [probe for probe in self.due_probes if probe.name != name]
+        heapq.heapify(self.due_probes)
+        first_pause_ms = max(MIN_RETRY_PAUSE_MS, self._probe_period_ms * RETRY_PAUSE_FRACTION)
+        pause_ms = first_pause_ms * 2 ** min(endpoint.failed_probes, MAX_PAUSE_DOUBLINGS)
+        endpoint.failed_probes += 1
+        self._schedule_probe(now_ms + pause_ms * (0.5 + self._random.share()), name)
+
+    @staticmethod
+    def _drop(endpoint: CachedEndpoint, why: str) -> CacheUpdate:
+        endpoint.status, endpoint.confidence = EndpointStatus.CONTRADICTED, 0.0
+        note = f"engine {endpoint.line.id} is dropped from the remembered list: {why}"
+        return CacheUpdate([endpoint], notes=[note])
+
+
+def _initial_status(line: Line, rated: float) -> EndpointStatus:
+    if line.state != "ready":
+        return EndpointStatus.DRAINING
+    if rated >= FRESH_CONFIDENCE:
+        return EndpointStatus.FRESH
+    return EndpointStatus.STALE if rated >= STALE_CONFIDENCE else EndpointStatus.UNVERIFIED
--- a/worksmux/gateway/active_versions.py
+++ b/worksmux/gateway/active_versions.py
@@ -8,7 +8,7 @@
 import xxhash
 
 from ..config_audit.audit_log import Version
-from ..endpoints.list_reader import ListKeeper
+from ..endpoints.list_reader import EndpointListReader
 from ..failover.plan import Plan, encode
 from ..settings.front import FrontSettings
 
@@ -47,7 +47,7 @@
         self.plan: tuple[Plan | None, str] = None, ""
         self.list = -1, ""
 
-    def versions(self, plan: Plan, alone: bool, keeper: ListKeeper) -> dict[str, Version]:
+    def versions(self, plan: Plan, alone: bool, keeper: EndpointListReader) -> dict[str, Version]:
         if plan is not self.plan[0]:
             self.plan = plan, _mark(encode(plan))
         if keeper.serial != self.list[0]:
--- a/worksmux/gateway/endpoint_cache.py
+++ b/worksmux/gateway/endpoint_cache.py
@@ -10,8 +10,24 @@
 
 from ..api import engine as calls
 from ..api.listing import Line
-from ..endpoints.learned_state import EVERY, FLEET, Kept, Learner, Marks, Pace, recall
-from ..endpoints.staleness import Answer, Belief, Beliefs, Saved, Stand, Step, Turnover
+from ..endpoints.learned_state import (
+    FLEET_KEY,
+    SAVE_INTERVAL_FRACTION,
+    EngineMarks,
+    FleetTimings,
+    LearnedState,
+    LearnedStateRecorder,
+    restored_state,
+)
+from ..endpoints.staleness import (
+    CachedEndpoint,
+    CachedEndpointList,
+    CacheUpdate,
+    EndpointStatus,
+    ProbeReply,
+    StoredEndpoint,
+    Turnover,
+)
 from ..net import client, clock
 from ..net.loop import Reactor
 from ..policy.events import EndpointEntry, EndpointListUpdate
@@ -36,15 +52,15 @@
     turnover: Turnover = msgspec.field(default_factory=Turnover)
 
 
-def read_learned(store: Store) -> Kept:
+def read_learned(store: Store) -> LearnedState:
     """What was learned, as far as the store vouches for each record."""
-    kept = Kept(None, {})
+    kept = LearnedState(None, {})
     for name, data in store.read(LEARNED).values.items():
         try:
-            if name == FLEET:
-                kept.pace = msgspec.msgpack.decode(data, type=Pace)
+            if name == FLEET_KEY:
+                kept.timings = msgspec.msgpack.decode(data, type=FleetTimings)
             else:
-                kept.marks[name] = msgspec.msgpack.decode(data, type=Marks)
+                kept.marks[name] = msgspec.msgpack.decode(data, type=EngineMarks)
         except msgspec.DecodeError:
             continue
     return kept
@@ -57,8 +73,8 @@
         self.facts = Facts()
         self.kept: dict[str, Line] = {}  # as the registry last told, for turnover
         self.told_at = 0.0
-        self.beliefs: Beliefs | None = None
-        self.learner = Learner([one.name for one in core.settings.request_classes])
+        self.beliefs: CachedEndpointList | None = None
+        self.learner = LearnedStateRecorder([one.name for one in core.settings.request_classes])
         self.timer: Any = None
         self.keep_timer: Any = None
         self.engine_list: Any = None  # set by who builds both
@@ -68,8 +84,8 @@
     def start(self) -> None:
         """Opens the store and serves from what it holds; a store of no use is told, and the front starts
         empty."""
-        saved: list[Saved] = []
-        whole, kept = True, Kept(None, {})
+        saved: list[StoredEndpoint] = []
+        whole, kept = True, LearnedState(None, {})
         try:
             store = open_store(self.settings.file)
             saved, whole = self._read(store)
@@ -78,11 +94,16 @@
                 self.writer = Writer(store, self.settings.write_pause / 1000, self._store_failed)
         except StoreUnusableError as error:
             LOG.error("no memory", why=str(error))
-        self.engine_list.keeper.serial, self.engine_list.keeper.theirs = self.facts.serial, self.facts.theirs
+        self.engine_list.keeper.serial, self.engine_list.keeper.registry_time_ms = (
+            self.facts.serial,
+            self.facts.theirs,
+        )
         source = "the store" if saved else "seeds" if self.settings.seeds else "nothing"
         if not saved:
-            saved = [Saved(line, 0.0) for line in self.settings.seeds]  # an age of decades: addresses to ask
-        self.beliefs = Beliefs(
+            saved = [
+                StoredEndpoint(line, 0.0) for line in self.settings.seeds
+            ]  # an age of decades: addresses to ask
+        self.beliefs = CachedEndpointList(
             saved,
             clock.now(),
             clock.wall(),
@@ -93,18 +114,18 @@
             whole,
             self.seed,
         )
-        stands = [belief.stand for belief in self.beliefs.beliefs.values()]
+        stands = [belief.status for belief in self.beliefs.endpoints.values()]
         LOG.info(
             "remembered list",
             source=source,
             whole=whole,
             age_s=round((clock.wall() - self.facts.alive) / 1000) if self.facts.alive else None,
             lines=len(stands),
-            **{stand.name.lower(): stands.count(stand) for stand in Stand if stand in stands},
+            **{stand.name.lower(): stands.count(stand) for stand in EndpointStatus if stand in stands},
         )
-        self._apply(self.beliefs.start(), "cached")
+        self._apply(self.beliefs.initial_update(), "cached")
         self.core.tell(
-            recall(
+            restored_state(
                 kept,
                 self.learner.request_classes,
                 self._engines(),
@@ -113,7 +134,7 @@
                 self.settings.believed_for,
             )
         )
-        self.core.on_event = self.learner.saw
+        self.core.on_event = self.learner.observe
         self._watch()
         self._keep_later()
 
@@ -122,7 +143,7 @@
         return [(known.engine, known.line.started) for known in self.engine_list.keeper.known.values()]
 
     def _keep_later(self) -> None:
-        self.keep_timer = self.reactor.callLater(MEMORY * EVERY / 1000, self._keep)
+        self.keep_timer = self.reactor.callLater(MEMORY * SAVE_INTERVAL_FRACTION / 1000, self._keep)
 
     def _keep(self) -> None:
         self._keep_learned()
@@ -132,7 +153,7 @@
         for name, one in self.learner.changes(self._engines(), clock.now(), clock.wall()).items():
             self._put(LEARNED, name, None if one is None else msgspec.msgpack.encode(one))
 
-    def _read(self, store: Store) -> tuple[list[Saved], bool]:
+    def _read(self, store: Store) -> tuple[list[StoredEndpoint], bool]:
         for note in store.notes:
             LOG.error("store", note=note)
         lines, facts = store.read(LINES), store.read(FACTS)
@@ -143,32 +164,32 @@
         saved = []
         for data in lines.values.values():
             try:
-                one = msgspec.msgpack.decode(data, type=Saved)
+                one = msgspec.msgpack.decode(data, type=StoredEndpoint)
             except msgspec.DecodeError:
                 continue
-            one.confirmed = max(one.confirmed, self.facts.alive)
+            one.confirmed_at_ms = max(one.confirmed_at_ms, self.facts.alive)
             saved.append(one)
         return saved, lines.whole or not saved
 
     def _store_failed(self, why: str) -> None:
         self.reactor.callFromThread(lambda: LOG.error("store", why=why))
 
-    def _apply(self, step: Step, scope: str = "delta") -> None:
+    def _apply(self, step: CacheUpdate, scope: str = "delta") -> None:
         for note in step.notes:
             LOG.warning("remembered list", note=note)
         if step.changed or scope == "cached":
             entries = [entry for belief in step.changed if (entry := self._entry(belief)) is not None]
             self.core.listed(EndpointListUpdate(scope, entries))
-        for line in step.ask:
+        for line in step.to_probe:
             self._probe(line)
 
-    def _entry(self, belief: Belief) -> EndpointEntry | None:
-        state = belief.stand.listed
+    def _entry(self, belief: CachedEndpoint) -> EndpointEntry | None:
+        state = belief.status.listed_state
         if state == "gone" and belief.line.id not in self.engine_list.keeper.known:
             self.core.moved(self.engine_list.engine(belief.line.id), belief.line.host, belief.line.port)
             return None  # an address to ask; the module has never heard of it
         entry: EndpointEntry | None = self.engine_list.keeper.remember(
-            clock.now(), clock.wall(), belief.line, state, careful=belief.stand is Stand.LIKELY
+            clock.now(), clock.wall(), belief.line, state, careful=belief.status is EndpointStatus.STALE
         )
         if entry is not None:
             self.engine_list.roster.remembered([entry])
@@ -200,10 +221,12 @@
             except (msgspec.DecodeError, UnicodeDecodeError):
                 told = None
             if told is None or not told.id:
-                self._apply(self.beliefs.silent(line.id, clock.now()))
+                self._apply(self.beliefs.probe_failed(line.id, clock.now()))
             else:
                 self._apply(
-                    self.beliefs.answered(line.id, Answer(told.id, told.kind, told.started, told.draining))
+                    self.beliefs.probe_answered(
+                        line.id, ProbeReply(told.id, told.kind, told.started, told.draining)
+                    )
                 )
             self._watch()
 
@@ -214,15 +237,15 @@
 
     def request_came(self) -> None:
         """Of chat: the calls of one stage have the gate before them."""
-        if self.beliefs is not None and not self.beliefs.over:
+        if self.beliefs is not None and not self.beliefs.superseded:
             roles = {kind.name: kind.role for kind in self.core.settings.kinds if kind.call == "chat"}
-            step = self.beliefs.request_came(clock.now(), roles)
+            step = self.beliefs.request_arrived(clock.now(), roles)
             self._apply(step)
-            if step.ask:  # what is asked now is no longer due
+            if step.to_probe:  # what is asked now is no longer due
                 self._watch()
 
     def attempt_ended(self, engine: Engine, outcome: Outcome) -> None:
-        if self.beliefs is not None and not self.beliefs.over:
+        if self.beliefs is not None and not self.beliefs.superseded:
             self._apply(self.beliefs.attempt_ended(engine.id.decode(), outcome, clock.now()))
             if outcome is Outcome.UNREACHABLE:
                 self._watch()
@@ -233,7 +256,7 @@
         """Whether a full list is to be believed; from the first one on, nothing remembered counts."""
         if self.beliefs is None:
             return True
-        accepted = self.beliefs.listed(empty)
+        accepted = self.beliefs.accept_list(empty)
         if not accepted:
             LOG.error("an empty list does not wipe the remembered fleet, which stays in use")
         return accepted
@@ -243,26 +266,26 @@
         wall = clock.wall()
         turnover = self.facts.turnover
         if self.told_at:
-            turnover.watched += len(self.kept) * (wall - self.told_at)
+            turnover.watched_ms += len(self.kept) * (wall - self.told_at)
         self.told_at = wall
         named = {line.id for line in lines}
         gone = [name for name in self.kept if whole and name not in named]
         for line in lines:
             old = self.kept.get(line.id)
-            turnover.left += bool(old and (line.state == "gone" or line.started != old.started))
+            turnover.departures += bool(old and (line.state == "gone" or line.started != old.started))
             if line.state == "gone":
                 gone.append(line.id)
             elif old != line:
                 self.kept[line.id] = line
-                self._put(LINES, line.id, msgspec.msgpack.encode(Saved(line, wall)))
-        turnover.left += sum(name not in named for name in gone)
+                self._put(LINES, line.id, msgspec.msgpack.encode(StoredEndpoint(line, wall)))
+        turnover.departures += sum(name not in named for name in gone)
         for name in gone:
             self.kept.pop(name, None)
             self._put(LINES, name, None)
         if whole and self.beliefs is not None:
-            for name in self.beliefs.beliefs.keys() - named:
+            for name in self.beliefs.endpoints.keys() - named:
                 self._put(LINES, name, None)
-        self.facts.serial, self.facts.theirs = serial, self.engine_list.keeper.theirs
+        self.facts.serial, self.facts.theirs = serial, self.engine_list.keeper.registry_time_ms
         self.alive()
 
     def alive(self) -> None:
--- a/worksmux/gateway/engine_list.py
+++ b/worksmux/gateway/engine_list.py
@@ -14,7 +14,7 @@
 from twisted.python.failure import Failure
 
 from ..api.listing import READ_LISTING, Hello
-from ..endpoints.endpoint_list import Roster
+from ..endpoints.endpoint_list import EndpointList
 from ..endpoints.keys import key_of
 from ..net import clock
 from ..net.loop import Reactor, Transport
@@ -64,14 +64,14 @@
     def __init__(self, source: ListSource, core: PublishedCore, reactor: Reactor) -> None:
         self.source, self.core, self.reactor = source, core, reactor
         settings = core.settings
-        self.roster = Roster(
+        self.roster = EndpointList(
             [kind.name for kind in settings.kinds],
             settings.zones,
             self.engine,
             source.silence,
             max(source.silence, settings.module.slow_start_ms),
         )
-        self.keeper = self.roster.keeper
+        self.keeper = self.roster.reader
         self.link: ListLink | None = None
         self.pause = source.least_pause
         self.memory: Memory | None = None  # set by who builds both
@@ -185,14 +185,14 @@
             self.core.listed(told.event)
         if told.fetch:
             self.fetch()
-        self.core.metrics.list_late.set(self.roster.late / 1000)
+        self.core.metrics.list_late.set(self.roster.lateness_ms / 1000)
         self._shown()
         self._look_later()
 
     def _shown(self) -> None:
         self.core.metrics.serial.set(self.keeper.serial)
         self.core.metrics.engines.set(self.keeper.ready)
-        self.core.metrics.held_back.set(self.roster.damping.held)
+        self.core.metrics.held_back.set(self.roster.damping.held_count)
 
     def _look_later(self) -> None:
         at = self.roster.next_time()
--- a/worksmux/node/discovery.py
+++ b/worksmux/node/discovery.py
@@ -11,7 +11,7 @@
 import structlog
 
 from ..endpoints.keys import key_of
-from ..endpoints.list_reader import ListKeeper
+from ..endpoints.list_reader import EndpointListReader
 from ..net import client, clock
 from ..net.loop import Reactor
 from ..policy.state import Engine
@@ -123,7 +123,7 @@
         self, address: tuple[str, int], core: NodeCore, reactor: Reactor, kinds: list[str], zones: list[str]
     ) -> None:
         self.address, self.core, self.reactor = address, core, reactor
-        self.keeper = ListKeeper(kinds, zones, self.engine)
+        self.keeper = EndpointListReader(kinds, zones, self.engine)
         self.index = 0
         self.watching: Watching | None = None
         self.coming: list[Watching] = []  # that have not spoken yet, oldest first
--- a/worksmux/simulation/conductor.py
+++ b/worksmux/simulation/conductor.py
@@ -66,7 +66,7 @@
                 continue
             if front.watcher is None:
                 front.watcher = watcher_of(self.day)
-                for known in front.roster.keeper.known.values():
+                for known in front.roster.reader.known.values():
                     front.watcher.engines[known.engine] = ListedEngine(
                         known.line.state,
                         self.day.zones.index(known.line.zone),
--- a/worksmux/simulation/day.py
+++ b/worksmux/simulation/day.py
@@ -17,8 +17,14 @@
 from ..api.listing import Line, Listing
 from ..baselines import POLICIES
 from ..checker.records import Records, gather
-from ..endpoints.learned_state import Kept, Learner, Marks, Pace, recall
-from ..endpoints.staleness import Beliefs, Saved, Turnover
+from ..endpoints.learned_state import (
+    EngineMarks,
+    FleetTimings,
+    LearnedState,
+    LearnedStateRecorder,
+    restored_state,
+)
+from ..endpoints.staleness import CachedEndpointList, StoredEndpoint, Turnover
 from ..policy.id_map import Maker
 from ..scenarios.engines import spec_of, struck, struck_fronts
 from ..scenarios.scenario import OF_CLIENTS, OF_FRONTS, OF_THE_LIST, Place, Scenario, Trouble
@@ -58,11 +64,11 @@
 class Remembered:
     """What a front finds at its start in place of a registry."""
 
-    lines: list[Saved]
+    lines: list[StoredEndpoint]
     turnover: Turnover = field(default_factory=Turnover)
     believed_for: float = 3.6e6
     rate: float = 20.0
-    learned: Kept = field(default_factory=lambda: Kept(None, {}))
+    learned: LearnedState = field(default_factory=lambda: LearnedState(None, {}))
 
 
 class Registry:
@@ -111,7 +117,7 @@
         )
         copies = [msgspec.structs.replace(line) for line in message.engines]
         front.listed(msgspec.structs.replace(message, engines=copies))
-        if front.roster.keeper.fetching:
+        if front.roster.reader.fetching:
             self.full(at)
 
     def lose(self, on: bool) -> None:
@@ -119,7 +125,7 @@
         if not on:
             for at, front in enumerate(self.model.fronts):
                 if front is not None:
-                    front.roster.keeper.connected()
+                    front.roster.reader.connected()
                     self.model.sim.after(self.chance.uniform(0.0, 500.0), self.full, at)
 
 
@@ -204,10 +210,10 @@
         self.fronts[at] = front
         saved = self.saved[at] or (self.remembered(at) if self.remembered else None)
         if day.memory or self.remembered:
-            front.learner = Learner([one.name for one in day.request_classes])
+            front.learner = LearnedStateRecorder([one.name for one in day.request_classes])
         if saved is not None:
             front.remember(
-                Beliefs(
+                CachedEndpointList(
                     saved.lines,
                     self.sim.now,
                     self.sim.now,
@@ -220,7 +226,7 @@
                 )
             )
             front.tell(
-                recall(
+                restored_state(
                     saved.learned,
                     [one.name for one in day.request_classes],
                     self._engines(front),
@@ -234,7 +240,7 @@
 
     @staticmethod
     def _engines(front: ModelFront) -> list[tuple[Any, float]]:
-        return [(known.engine, known.line.started) for known in front.roster.keeper.known.values()]
+        return [(known.engine, known.line.started) for known in front.roster.reader.known.values()]
 
     def kill_front(self, at: int) -> None:
         front = self.fronts[at]
@@ -244,13 +250,17 @@
             heard = self.registry.last_up if self.registry.lost else self.sim.now
             told = front.learner.changes(self._engines(front), self.sim.now, self.sim.now)
             pace = told.pop("", None)
-            marks = {name: one for name, one in told.items() if isinstance(one, Marks)}
+            marks = {name: one for name, one in told.items() if isinstance(one, EngineMarks)}
             lines = [
-                Saved(msgspec.structs.replace(known.line, started=max(0.0, known.line.started)), heard)
-                for known in front.roster.keeper.known.values()
+                StoredEndpoint(
+                    msgspec.structs.replace(known.line, started=max(0.0, known.line.started)), heard
+                )
+                for known in front.roster.reader.known.values()
                 if known.line.state != "gone"
             ]
-            self.saved[at] = Remembered(lines, learned=Kept(pace if isinstance(pace, Pace) else None, marks))
+            self.saved[at] = Remembered(
+                lines, learned=LearnedState(pace if isinstance(pace, FleetTimings) else None, marks)
+            )
         front.die()
         self.fronts[at] = None
 
--- a/worksmux/simulation/front.py
+++ b/worksmux/simulation/front.py
@@ -8,10 +8,10 @@
 from typing import Any
 
 from ..api.listing import Listing
-from ..endpoints.endpoint_list import Roster
+from ..endpoints.endpoint_list import EndpointList
 from ..endpoints.keys import key_of
-from ..endpoints.learned_state import Learner
-from ..endpoints.staleness import Answer, Beliefs, Stand, Step
+from ..endpoints.learned_state import LearnedStateRecorder
+from ..endpoints.staleness import CachedEndpointList, CacheUpdate, EndpointStatus, ProbeReply
 from ..failover.watcher import Watcher
 from ..fakes.generator import Spec
 from ..policy.actions import (
@@ -107,7 +107,7 @@
     ) -> None:
         self.sim, self.engines, self.name, self.settings, self.note = sim, engines, name, settings, note
         self.door = Door(settings, seed, make)
-        self.roster = Roster(kinds, zones, self._engine, doubt, max(doubt, settings.slow_start_ms))
+        self.roster = EndpointList(kinds, zones, self._engine, doubt, max(doubt, settings.slow_start_ms))
         self.hop, self.margin, self.turn = hop, margin, float(settings.tick_ms)
         self.cases: dict[Request, Case] = {}
         self.events: list[Event] = []
@@ -116,9 +116,9 @@
         self.closing: list[Case] = []
         self.nowhere = ModelEngine(sim, NOWHERE, lambda *_, **__: None, hop)
         self.nowhere.alive = False
-        self.learner: Learner | None = None
+        self.learner: LearnedStateRecorder | None = None
         self.watcher: Watcher | None = None
-        self.beliefs: Beliefs | None = None
+        self.beliefs: CachedEndpointList | None = None
         self.belief_timer: Timer | None = None
         self.counts = FrontCounts()
         self.start = f"{name}-{sim.now:.0f}"
@@ -150,7 +150,7 @@
         self.counts.events += len(events)
         if self.learner is not None:
             for event in events:
-                self.learner.saw(self.sim.now, event)
+                self.learner.observe(self.sim.now, event)
         if self.watcher is not None:
             for event in events:
                 self.watcher.saw(self.sim.now, event)
@@ -182,30 +182,30 @@
         told = self.roster.take(self.sim.now, message)
         if told.event is not None:
             if self.beliefs is not None and message.scope == "full":
-                self.beliefs.listed(empty=not message.engines)
+                self.beliefs.accept_list(empty=not message.engines)
             self.tell(told.event)
 
-    def remember(self, beliefs: Beliefs) -> None:
+    def remember(self, beliefs: CachedEndpointList) -> None:
         """Starts from a remembered list."""
         self.beliefs = beliefs
-        self._apply(beliefs.start(), "cached")
+        self._apply(beliefs.initial_update(), "cached")
         self._watch()
 
-    def _apply(self, step: Step, scope: str = "delta") -> None:
+    def _apply(self, step: CacheUpdate, scope: str = "delta") -> None:
         entries = []
         for belief in step.changed:
-            state = belief.stand.listed
-            if state == "gone" and belief.line.id not in self.roster.keeper.known:
+            state = belief.status.listed_state
+            if state == "gone" and belief.line.id not in self.roster.reader.known:
                 continue
-            entry = self.roster.keeper.remember(
-                self.sim.now, self.sim.now, belief.line, state, careful=belief.stand is Stand.LIKELY
+            entry = self.roster.reader.remember(
+                self.sim.now, self.sim.now, belief.line, state, careful=belief.status is EndpointStatus.STALE
             )
             if entry is not None:
                 entries.append(entry)
         if entries or scope == "cached":
             self.roster.remembered(entries)
             self.tell(EndpointListUpdate(scope, entries))
-        for line in step.ask:
+        for line in step.to_probe:
             self._ask(line.id)
 
     def _watch(self) -> None:
@@ -228,10 +228,10 @@
             if self.beliefs is None or self.dead:
                 return
             if answered and one is not None:
-                answer = Answer(one.spec.id, one.spec.kind, one.started or 0.0, one.draining)
-                self._apply(self.beliefs.answered(name, answer))
+                answer = ProbeReply(one.spec.id, one.spec.kind, one.started or 0.0, one.draining)
+                self._apply(self.beliefs.probe_answered(name, answer))
             else:
-                self._apply(self.beliefs.silent(name, self.sim.now))
+                self._apply(self.beliefs.probe_failed(name, self.sim.now))
             self._watch()
 
         if engine is None:
@@ -240,17 +240,17 @@
             self.sim.after(self.hop, engine.probe, heard)
 
     def _believe(self, engine: Engine, outcome: Outcome) -> None:
-        if self.beliefs is not None and not self.beliefs.over:
+        if self.beliefs is not None and not self.beliefs.superseded:
             self._apply(self.beliefs.attempt_ended(engine.id.decode(), outcome, self.sim.now))
             if outcome is Outcome.UNREACHABLE:
                 self._watch()
 
     def _urge(self) -> None:
-        if self.beliefs is not None and not self.beliefs.over:
-            roles = dict(zip(self.roster.keeper.kinds, self.settings.engine_roles, strict=True))
-            step = self.beliefs.request_came(self.sim.now, roles)
+        if self.beliefs is not None and not self.beliefs.superseded:
+            roles = dict(zip(self.roster.reader.kinds, self.settings.engine_roles, strict=True))
+            step = self.beliefs.request_arrived(self.sim.now, roles)
             self._apply(step)
-            if step.ask:
+            if step.to_probe:
                 self._watch()
 
     # Jobs.
