--- a/benchmarks/failover.py
+++ b/benchmarks/failover.py
@@ -36,7 +36,7 @@
     records = model.run()
     assert records is not None
     told = summary(records, figures_of(day))
-    first = next((at for at, plan in conductor.plans if plan.rows), 0.0)
+    first = next((at for at, plan in conductor.plans if plan.routes), 0.0)
     return (
         told["credit_share"],
         told["moved_out_of_cell"],
--- a/benchmarks/fleet_growth.py
+++ b/benchmarks/fleet_growth.py
@@ -74,7 +74,7 @@
         f"following {count:5} fronts, {zones} zones: {rate:.1f} messages and {size:.0f} bytes a front a "
         f"second, {most:.0f} at the busiest; a plan of 2 kB is with half after "
         f"{told[len(told) // 2]:.0f} ms, with all {len(told)} after {told[-1]:.0f} ms; the leader hears "
-        f"of {heard.fronts}"
+        f"of {heard.nodes}"
     )
 
 
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -8,12 +8,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from worksmux.failover.acting import told
+from worksmux.failover.acting import plan_event
 from worksmux.failover.plan import Plan, decode, encode
-from worksmux.failover.planner import Map, Planner
+from worksmux.failover.planner import Planner, PlannerSettings
 from worksmux.failover.tally import Tally, ZoneTally, added
 from worksmux.failover.watcher import Watcher
-from worksmux.failover.zones import Phase
+from worksmux.failover.zones import ZoneHealth
 from worksmux.policy.actions import RejectRequest
 from worksmux.policy.events import (
     AttemptEnded,
@@ -52,11 +52,11 @@
 
 
 def made(carries: dict[str, float] | None = None, plan: Plan | None = None, every: float = 250.0) -> Planner:
-    return Planner(Map(REGIONS, CREDITS, 0.3, every, carries or {}), plan or Plan())
+    return Planner(PlannerSettings(REGIONS, CREDITS, 0.3, every, carries or {}), plan or Plan())
 
 
 def looks(planner: Planner, count: int, **zones: ZoneTally) -> list[Plan]:
-    return [plan for _ in range(count) if (plan := planner.look(tally(**zones))) is not None]
+    return [plan for _ in range(count) if (plan := planner.update(tally(**zones))) is not None]
 
 
 LOST = zone(lost=FRONTS, ready=0.0, wait=0.0)
@@ -72,31 +72,31 @@
 def test_lost_zone_keeps_nothing_at_once_and_its_region_takes_its_requests() -> None:
     planner = made()
     looks(planner, 3)
-    plan = planner.look(tally(a=LOST))
-    assert plan is not None and plan.rows == {"a": {"b": 1.0}} and plan.event == 1
+    plan = planner.update(tally(a=LOST))
+    assert plan is not None and plan.routes == {"a": {"b": 1.0}} and plan.event == 1
 
 
 def test_region_that_is_lost_whole_goes_to_the_other() -> None:
     planner = made()
     looks(planner, 3)
-    plan = planner.look(tally(a=LOST, b=LOST))
-    assert plan is not None and {*plan.rows["a"], *plan.rows["b"]} == {"c", "d"}
+    plan = planner.update(tally(a=LOST, b=LOST))
+    assert plan is not None and {*plan.routes["a"], *plan.routes["b"]} == {"c", "d"}
 
 
 def test_requests_leave_the_region_only_once_it_is_full() -> None:
     planner = made()
     looks(planner, 3)
     easy = looks(planner, 12, a=LOST)
-    assert all(set(plan.rows["a"]) == {"b"} for plan in easy)
+    assert all(set(plan.routes["a"]) == {"b"} for plan in easy)
     full = looks(planner, 12, a=LOST, b=zone(wait=0.9))
-    assert 0 < full[-1].rows["a"].get("c", 0.0) + full[-1].rows["a"].get("d", 0.0) <= 1.0
+    assert 0 < full[-1].routes["a"].get("c", 0.0) + full[-1].routes["a"].get("d", 0.0) <= 1.0
 
 
 def test_nowhere_to_go_leaves_every_zone_to_itself() -> None:
     planner = made()
     looks(planner, 3)
     plans = looks(planner, 5, a=LOST, b=LOST, c=LOST, d=LOST)
-    assert all(not plan.rows for plan in plans)
+    assert all(not plan.routes for plan in plans)
 
 
 def test_zone_comes_back_by_steps_and_not_above_what_its_cold_engines_carry() -> None:
@@ -104,10 +104,10 @@
     looks(planner, 3)
     looks(planner, 4, a=LOST)
     back = looks(planner, 40, a=zone(cold=4.0))
-    shares = [plan.rows["a"].get("a", 0.0) for plan in back if plan.rows]
+    shares = [plan.routes["a"].get("a", 0.0) for plan in back if plan.routes]
     assert shares == sorted(shares) and 0 < shares[-1] <= 0.31
     warm = looks(planner, 60)
-    assert not warm[-1].rows and planner.zones.views["a"].phase is Phase.WELL
+    assert not warm[-1].routes and planner.zones.views["a"].health is ZoneHealth.HEALTHY
 
 
 def test_one_event_makes_a_bounded_number_of_plans() -> None:
@@ -124,15 +124,15 @@
     looks(planner, 3)
     for at in range(2 * times):
         for _ in range(looks_each):
-            planner.look(tally(a=LOST if at % 2 == 0 else zone()))
-            keep = planner.zones.views["a"].keep
+            planner.update(tally(a=LOST if at % 2 == 0 else zone()))
+            keep = planner.zones.views["a"].kept_share
             count, before = count + (keep > 0 and before == 0), keep
     return count
 
 
 def test_flapping_zone_is_given_requests_ever_more_seldom(monkeypatch: pytest.MonkeyPatch) -> None:
     patient = returns(made())
-    monkeypatch.setattr("worksmux.failover.zones.MOST_HOLD", 2.0)
+    monkeypatch.setattr("worksmux.failover.zones.MAX_WELL_UPDATES", 2.0)
     assert patient < 8 < 30 < returns(made())  # without the growing hold it is given them each time
 
 
@@ -140,8 +140,8 @@
     planner = made()
     looks(planner, 3)
     plans = looks(planner, 20, a=zone(grey=FRONTS))
-    assert 0 < plans[-1].rows["a"]["a"] <= 0.11
-    assert planner.zones.views["a"].phase is Phase.GREY
+    assert 0 < plans[-1].routes["a"]["a"] <= 0.11
+    assert planner.zones.views["a"].health is ZoneHealth.DEGRADED
 
 
 @pytest.mark.parametrize("liars", [1, 4])
@@ -162,9 +162,9 @@
     looks(first, 3)
     plan = looks(first, 5, a=LOST)[-1]
     second = made(plan=plan)
-    assert all(one.rows == plan.rows and one.event == plan.event for one in looks(second, 5, a=LOST))
+    assert all(one.routes == plan.routes and one.event == plan.event for one in looks(second, 5, a=LOST))
     fresh = made()  # or where no plan was made yet
-    assert looks(fresh, 2, a=LOST)[0].rows == {"a": {"b": 1.0}}
+    assert looks(fresh, 2, a=LOST)[0].routes == {"a": {"b": 1.0}}
 
 
 # What is deferred.
@@ -174,8 +174,8 @@
     light, heavy = (made(dict.fromkeys(REGIONS, carry)) for carry in (400.0, 30.0))
     for planner in (light, heavy):
         looks(planner, 3)
-    assert not light.look(tally(a=LOST)).shed  # type: ignore[union-attr]
-    shed = heavy.look(tally(a=LOST)).shed["a"]  # type: ignore[union-attr]
+    assert not light.update(tally(a=LOST)).shed  # type: ignore[union-attr]
+    shed = heavy.update(tally(a=LOST)).shed["a"]  # type: ignore[union-attr]
     assert shed["hint"] > shed["explain"] > shed.get("mark", 0.0) == 0.0
     later = looks(heavy, 100, a=LOST)[-1].shed
     assert later.get("a", {}).get("hint", 0.0) < shed["hint"]
@@ -206,16 +206,16 @@
 
 def unsound(planner: Planner, zones: dict[str, ZoneTally]) -> str:
     """What must hold of any plan, whatever was reported."""
-    planner.look(tally(**zones))
+    planner.update(tally(**zones))
     plan = planner.plan
-    if not plan.sound():
+    if not plan.is_valid():
         return "shares make no sense"
-    for name, row in plan.rows.items():
-        if any(planner.zones.views[other].phase is Phase.LOST for other in row):
+    for name, row in plan.routes.items():
+        if any(planner.zones.views[other].health is ZoneHealth.FAILED for other in row):
             return "jobs go to a lost zone"
         near = [other for other in row if REGIONS[other] == REGIONS[name]]
         if not near and any(
-            view.phase is Phase.WELL and REGIONS[other] == REGIONS[name]
+            view.health is ZoneHealth.HEALTHY and REGIONS[other] == REGIONS[name]
             for other, view in planner.zones.views.items()
             if other != name
         ):
@@ -246,7 +246,7 @@
             near, far = super()._takers(name)
             return far, near
 
-    planner = Far(Map(REGIONS, CREDITS, 0.3, 250.0, {}), Plan())
+    planner = Far(PlannerSettings(REGIONS, CREDITS, 0.3, 250.0, {}), Plan())
     looks(planner, 2)
     assert unsound(planner, {"a": LOST})
 
@@ -255,21 +255,21 @@
 
 
 def test_report_whose_figures_make_no_sense_is_not_sound() -> None:
-    assert added([tally(), tally()]).sound()
+    assert added([tally(), tally()]).is_valid()
     for odd in (
-        Tally(1, {"a": ZoneTally(lost=2)}),
-        Tally(1, {"a": ZoneTally(begun=float("nan"))}),
+        Tally(1, {"a": ZoneTally(failed_votes=2)}),
+        Tally(1, {"a": ZoneTally(begun_rate=float("nan"))}),
         Tally(1, {}, {"hint": 1e9}),
         Tally(-1),
-        Tally(1, {"a": ZoneTally(ready=-1.0)}),
+        Tally(1, {"a": ZoneTally(ready_size=-1.0)}),
     ):
-        assert not odd.sound()
+        assert not odd.is_valid()
 
 
 def watched() -> tuple[Watcher, list[Engine]]:
     front, engines = fleet((0, 0, 0), (1, 0, 0), (0, 1, 1), (1, 1, 1))
     watcher = Watcher(["north", "south"], ["hint", "mark", "note"], front.settings)
-    watcher.saw(
+    watcher.observe(
         NOW,
         EndpointListUpdate(
             "full", [EndpointEntry(one, "ready", 0.0, one.zone, one.cell, one.kind, 1.0) for one in engines]
@@ -280,7 +280,7 @@
 
 def fault(watcher: Watcher, engine: Engine, at: float, outcome: Outcome = Outcome.UNREACHABLE) -> None:
     attempt = Attempt(request(), engine, 0, at - 10, True)
-    watcher.saw(at, AttemptEnded(attempt, outcome, 10.0, False))
+    watcher.observe(at, AttemptEnded(attempt, outcome, 10.0, False))
 
 
 def test_zone_of_which_nothing_answers_is_lost_to_who_asks_it_though_it_asks_seldom() -> None:
@@ -290,9 +290,9 @@
     fault(watcher, writer, NOW + 600)
     fault(watcher, other, NOW + 600, Outcome.READ)
     report = watcher.report(NOW + 900)
-    assert report.zones["north"].lost == 1 and report.zones["south"].lost == 0
-    assert watcher.report(NOW + 3000).zones["north"].lost == 1
-    assert watcher.report(NOW + 9000).zones["north"].lost == 0
+    assert report.zones["north"].failed_votes == 1 and report.zones["south"].failed_votes == 0
+    assert watcher.report(NOW + 3000).zones["north"].failed_votes == 1
+    assert watcher.report(NOW + 9000).zones["north"].failed_votes == 0
 
 
 def test_zone_whose_only_prefill_engine_fails_is_lost_though_its_decode_engine_was_fine() -> None:
@@ -302,37 +302,37 @@
     fault(watcher, writer, NOW + 300, Outcome.DELIVERED)
     fault(watcher, reader, NOW + 500)
     report = watcher.report(NOW + 900).zones["north"]
-    assert report.lost == 1 and report.spoke == 1
+    assert report.failed_votes == 1 and report.voters == 1
     fault(watcher, writer, NOW + 950, Outcome.DELIVERED)
-    assert watcher.report(NOW + 1500).zones["north"].lost == 0
+    assert watcher.report(NOW + 1500).zones["north"].failed_votes == 0
 
 
 def test_one_engine_of_many_at_fault_loses_no_zone() -> None:
     watcher, (reader, writer, *_) = watched()
     fault(watcher, reader, NOW + 500)
     fault(watcher, writer, NOW + 600, Outcome.READ)
-    assert watcher.report(NOW + 900).zones["north"].lost == 0
+    assert watcher.report(NOW + 900).zones["north"].failed_votes == 0
 
 
 def test_requests_that_wait_count_before_they_begin() -> None:
     watcher, _ = watched()
     one = request(now=NOW)
-    watcher.saw(NOW, RequestArrived(one))
+    watcher.observe(NOW, RequestArrived(one))
     zones = watcher.report(NOW + 800).zones
-    assert zones["north"].press == pytest.approx(0.4) and zones["north"].begun == 0
+    assert zones["north"].wait_rate == pytest.approx(0.4) and zones["north"].begun_rate == 0
     one.ended = True
-    assert watcher.report(NOW + 900).zones["north"].press == 0
+    assert watcher.report(NOW + 900).zones["north"].wait_rate == 0
 
 
 def test_what_a_zone_had_is_remembered_when_it_is_gone() -> None:
     watcher, engines = watched()
     watcher.report(NOW)
-    watcher.saw(
+    watcher.observe(
         NOW + 1,
         EndpointListUpdate("delta", [EndpointEntry(one, "gone", 0.0, 0, 0, 0, 1.0) for one in engines[:2]]),
     )
     told_zone = watcher.report(NOW + 1000).zones["north"]
-    assert told_zone.ready == 0 and told_zone.had == pytest.approx(2.0, rel=0.01)
+    assert told_zone.ready_size == 0 and told_zone.full_size == pytest.approx(2.0, rel=0.01)
 
 
 # What a front and its module make of it.
@@ -346,13 +346,13 @@
 
 
 def test_calm_plan_under_a_lease_tells_the_module_nothing() -> None:
-    assert told(Plan(4), ["a", "b"], ["hint"], alone=False) is None
+    assert plan_event(Plan(4), ["a", "b"], ["hint"], alone=False) is None
 
 
 def test_front_that_is_alone_keeps_to_the_last_plan_and_to_what_it_sees_lost() -> None:
     plan = Plan(4, {"a": {"b": 1.0}}, {"a": {"hint": 0.5}}, 500.0)
     own = Tally(1, {"a": ZoneTally(), "b": ZoneTally(), "c": ZoneTally(1, 1)})
-    event = told(plan, ["a", "b", "c"], ["hint"], True, "b", own)
+    event = plan_event(plan, ["a", "b", "c"], ["hint"], True, "b", own)
     assert event == FailoverPlan({0: [(1, 1.0)], 2: [(1, 1.0)]}, {0: [0.5]}, 500.0, True)
 
 
@@ -432,5 +432,5 @@
         planner = made(dict.fromkeys(REGIONS, 30.0), every=every)
         looks(planner, 3)
         looks(planner, int(4000 / every), a=LOST)
-        held[every] = planner.moving["a"].held
+        held[every] = planner.held_shares["a"]
     assert held[125.0] == pytest.approx(held[250.0], abs=0.03)
--- a/worksmux/failover/__init__.py
+++ b/worksmux/failover/__init__.py
@@ -1,1 +1,1 @@
-"""Failover between zones and regions: what fronts report becomes a numbered plan.  Free of I/O."""
+"""Failover between zones and regions: the nodes' reports become a numbered plan. No I/O."""
--- a/worksmux/failover/acting.py
+++ b/worksmux/failover/acting.py
@@ -1,18 +1,18 @@
-"""What a front makes of the plan: under a lease as it says, alone as is safe.  Pure.
+"""What a node makes of the plan: under a lease as it says, alone as is safe. Pure.
 
-Alone means that nothing newer may have been agreed without this front knowing.  Then jobs stay in the zone
-that reads them, what the last plan moved stays moved and no more, a zone that this front itself finds lost is
-taken for lost, and what was to be deferred still is.
+A node is alone when a newer plan may have been agreed without its knowing. Requests then stay in the zone
+whose prefill engine they use, what the last plan moved stays moved and no more, a zone that this node itself
+finds failed counts as failed, and requests that the last plan rejects are still rejected.
 """
 
 from __future__ import annotations
 
 from ..policy.events import FailoverPlan
-from .plan import Plan
+from .plan import Plan, Shares
 from .tally import Tally
 
 
-def told(
+def plan_event(
     plan: Plan,
     zones: list[str],
     request_classes: list[str],
@@ -20,28 +20,55 @@
     home: str = "",
     own: Tally | None = None,
 ) -> FailoverPlan | None:
-    """The event for the module; None where there is nothing to tell it, as in calm under a lease."""
-    rows = plan.rows
-    if alone and own is not None:
-        rows = {
-            **rows,
-            **{
-                name: {home: 1.0}
-                for name, zone in own.zones.items()
-                if zone.lost and name != home and name not in rows and not own.zones[home].lost
-            },
-        }
+    """The event for the policy; None if there is nothing to tell it, as with a calm plan under a lease.
+
+    `home` is this node's zone and `own` its latest report.
+    """
     if not alone and plan.calm:
         return None
-    at = {name: place for place, name in enumerate(zones)}
-    known = {
-        at[name]: [(at[other], share) for other, share in row.items() if other in at]
-        for name, row in rows.items()
-        if name in at
+    routes = plan.routes
+    if alone and own is not None:
+        routes = {**routes, **_routes_around_failures(plan, home, own)}
+    zone_index = {name: at for at, name in enumerate(zones)}
+    return FailoverPlan(
+        _indexed_routes(routes, zone_index),
+        _indexed_shed(plan.shed, zone_index, request_classes),
+        plan.retry_after_ms,
+        alone,
+    )
+
+
+def _routes_around_failures(plan: Plan, home: str, own: Tally) -> dict[str, Shares]:
+    """Sends home the requests of zones that this node itself finds failed, unless its own has failed too."""
+    failed = [
+        name
+        for name, zone in own.zones.items()
+        if zone.failed_votes and name != home and name not in plan.routes
+    ]
+    if not failed or own.zones[home].failed_votes:
+        return {}
+    return {name: {home: 1.0} for name in failed}
+
+
+def _indexed_routes(
+    routes: dict[str, Shares], zone_index: dict[str, int]
+) -> dict[int, list[tuple[int, float]]]:
+    """Routes between zones that the settings know, by their place in the settings."""
+    indexed = {
+        zone_index[name]: [
+            (zone_index[other], share) for other, share in route.items() if other in zone_index
+        ]
+        for name, route in routes.items()
+        if name in zone_index
     }
-    shed = {
-        at[name]: [one.get(request_class, 0.0) for request_class in request_classes]
-        for name, one in plan.shed.items()
-        if name in at
+    return {zone: route for zone, route in indexed.items() if route}
+
+
+def _indexed_shed(
+    shed: dict[str, Shares], zone_index: dict[str, int], request_classes: list[str]
+) -> dict[int, list[float]]:
+    return {
+        zone_index[name]: [shares.get(request_class, 0.0) for request_class in request_classes]
+        for name, shares in shed.items()
+        if name in zone_index
     }
-    return FailoverPlan({zone: row for zone, row in known.items() if row}, shed, plan.stay_away, alone)
--- a/worksmux/failover/planner.py
+++ b/worksmux/failover/planner.py
@@ -1,253 +1,223 @@
-"""From how zones are and what clients ask to the plan: near first, then other zones of the region, then other
-regions; what fits nowhere is deferred, the lowest credit first.  Pure.
+"""The leader's planner: from the health of zones and the demand to the failover plan. Pure.
 
-    plan = planner.look(tally)       # every `every` milliseconds, at the seat that leads; None: no other plan
+Requests of a zone that is not healthy go to other zones of its region, and to other regions when those are
+full. What fits nowhere is rejected, the lowest credit first.
 
-What a zone carries warm is told by settings, or learned from the most that began there while waits were
-short.  That it is full after all shows in how long jobs wait, as a part of what was promised.
+    plan = planner.update(tally)       # every `interval_ms` on the leader; None: the plan stays
 
-What moves finds nothing read of what it shares with others where it comes.  Sent at once it fills the
-readers' memory, which pushes out what was read there, and the zone that was well goes down with the other
-(measured: docs/fleet.md).  So a zone's moved jobs are let in by degrees, those of the highest credit first,
-as fast as those who take them have room to spare.
+Moved requests find none of their shared prefixes in the KV caches where they arrive. Sent all at once they
+would fill the caches of those prefill engines, evict what was there, and the healthy zone would fail with the
+other one. So moved requests are admitted by degrees, those of the highest credit first, as fast as the zones
+that take them have capacity to spare.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable
 from dataclasses import dataclass
 
-from .plan import LEAST_SHARE, Plan
+from .load_estimate import FULL_WAIT, LIGHT_LOAD, SHORT_WAIT, LoadEstimate
+from .plan import MIN_SHARE, Plan, Shares
+from .shedding import MIN_PASSED_SHARE, hold_by_rank, shed_lowest_credit
 from .tally import Tally
-from .zones import Phase, Zones
-
-FULL = 0.5  # of what was promised, spent waiting on average: above it a zone is full
-EASY = 0.25  # under it, what begins there shows what the zone carries
-LIGHT = 0.45  # of what those who take jobs carry: with less to come all is let in at once
-IDLE = 0.05  # of what was promised: waits of engines that have next to nothing to do
-GUESS = 3.0  # load, for each part of what was promised that jobs wait beyond that
-STEEP = 2.0  # what is held back to begin with, for each part of load above that
-SPARE = 1.25  # of what they carry, less the load: what can go into reading anew what moves
-LEAST_SPARE = 0.08
-LET_IN = 0.5  # of the moved jobs, let in a second for each part that is spare
-BACK_OFF = 0.08  # held back again a second, while those who take them are full
-PATIENCE = 4.0  # seconds that all are full, before more is deferred than does not fit
-CUT = 0.2  # of all jobs, deferred at each further second
-FORGET = 0.0005  # of what a zone was seen to carry, at a look
-ABROAD = 0.1  # of a region's moved jobs, that a full one sends on to others at a look
-LEAVE = 0.02  # of an offering's jobs always let through: what they meet shows the way back
-MOST_CUT = 0.9
-SMOOTH = 0.4  # of each new look, in what the planner sees
-STAY = 2.0  # looks that a deferred job stays away, at least
-COARSE = 0.03  # shares that change by less make no new plan
+from .zones import ZoneHealth, Zones, ZoneView
+
+INITIAL_HELD_PER_LOAD = 2.0  # share of moved requests held back at first, for each unit above LIGHT_LOAD
+PREFILL_CAPACITY = 1.25  # load up to which capacity is left for prefill of moved requests
+MIN_SPARE_CAPACITY = 0.08
+ADMIT_PER_SPARE_S = 0.5  # share of moved requests admitted per second, for each unit of spare capacity
+HOLD_PER_S = 0.08  # share held back again per second, while the zones that take them are full
+SPILL_STEP = 0.1  # share of a region's moved requests sent on to other regions, per update
+RETURN_STEP = SPILL_STEP / 4
+FULL_PATIENCE_S = 4.0  # for which all zones are full, before more is rejected than does not fit
+SHED_PER_S = 0.2  # share of all requests rejected, for each second after that
+MAX_SHED_SHARE = 0.9
+RETRY_AFTER_UPDATES = 2.0
+MIN_SHARE_CHANGE = 0.03  # shares that change by less make no new plan
 
 
 @dataclass(frozen=True)
-class Map:
-    """What settings say of the fleet: the region of each zone; offerings with their credit."""
+class PlannerSettings:
+    """What the settings say of the fleet."""
 
-    regions: dict[str, str]
-    credits: dict[str, float]
-    cold_share: float
-    every: float  # milliseconds between two looks
-    carries: dict[str, float]  # by zone: jobs a second that it carries warm; learned where not told
-
-
-@dataclass
-class Moving:
-    """A zone whose jobs go elsewhere."""
-
-    held: float  # of them, the part that is deferred
+    regions: dict[str, str]  # by zone
+    credits: dict[str, float]  # by request class
+    cold_share: float  # of its full capacity, that a cold engine carries
+    interval_ms: float  # between two updates
+    capacities: dict[str, float]  # requests a second by zone; learned where not given
 
 
 class Planner:
-    def __init__(self, told: Map, plan: Plan) -> None:
+    """Makes the next plan whenever the one in force no longer fits."""
+
+    def __init__(self, settings: PlannerSettings, plan: Plan) -> None:
         """Goes on from the plan in force."""
-        self.map, self.plan = told, plan
-        self.zones = Zones(told.cold_share)
-        self.zones.take_on(plan.keep)
-        self.moving = {name: Moving(held) for name, held in plan.held.items()}
-        self.press: dict[str, float] = {}  # by zone, smoothed
-        self.full_for = 0  # looks in a row that all zones were full
-        self.excess = 0.0  # of all jobs, deferred for what shows beside the load
-        self.cut = 0.0  # of all jobs, wherever they belong
-        self.seen: dict[str, float] = {}  # jobs a second that began in a zone at ease, the most
-        self.abroad: dict[str, float] = {}  # of a region's moved jobs, the part that leaves it
-        self.asked: dict[str, float] = {}
-
-    def look(self, tally: Tally) -> Plan | None:
-        if not tally.fronts:
+        self.settings = settings
+        self.plan = plan
+        self.zones = Zones(settings.cold_share)
+        self.zones.resume(plan.kept_shares)
+        self.load = LoadEstimate(settings.capacities)
+        self.held_shares: Shares = dict(plan.held_shares)  # of each zone's moved requests
+        self._spill_shares: Shares = {}  # by region: share of its moved requests that leaves it
+        self._full_updates = 0  # in a row with all zones full
+        self._excess_share = 0.0  # of all requests, rejected as all zones stay full
+        self._shed_share = 0.0  # of all requests, wherever they belong
+
+    def update(self, tally: Tally) -> Plan | None:
+        """Takes in one tally of all nodes; gives a plan if it is a new one."""
+        if not tally.nodes:
             return None
-        self.zones.look(tally)
-        self._weigh(tally)
-        rows: dict[str, dict[str, float]] = {}
-        held: dict[str, float] = {}
-        words = []
+        self.zones.update(tally)
+        self.load.update(tally, self.settings.credits)
+        self._update_shed_share()
+        routes: dict[str, Shares] = {}
+        held_shares: Shares = {}
+        reasons = []
         for name, view in sorted(self.zones.views.items()):
-            if view.phase is Phase.WELL or view.keep >= 1.0 - LEAST_SHARE:
-                self.moving.pop(name, None)
+            if view.health is ZoneHealth.HEALTHY or view.kept_share >= 1.0 - MIN_SHARE:
+                self.held_shares.pop(name, None)
                 continue
-            self._move(name)
-            row = self._row(name, view.keep)
-            if row:
-                rows[name] = row
-            held[name] = self.moving[name].held * (1.0 - view.keep)
-            words.append(f"{name} {view.phase.value}")
-        if self.cut:
-            words.append(f"{self.cut:.0%} of all jobs are deferred")
-        return self._next(rows, held, ", ".join(words))
-
-    def _weigh(self, tally: Tally) -> None:
-        """What clients ask, how full zones are, and whether all are, for long."""
-        for name in self.map.credits:
-            flow = tally.asked.get(name, 0.0)
-            old = self.asked.get(name, flow)
-            self.asked[name] = old + SMOOTH * (flow - old)
-        for name, zone in tally.zones.items():
-            if zone.met > 0:
-                now = zone.press / zone.met
-                old = self.press.get(name, now)
-                self.press[name] = old + SMOOTH * (now - old)
-            if self.press.get(name, 1.0) < EASY:
-                self.seen[name] = max(self.seen.get(name, 0.0) * (1 - FORGET), zone.begun)
-        serving = [name for name, view in self.zones.views.items() if view.keep > 0]
-        troubled = any(view.phase is not Phase.WELL for view in self.zones.views.values())
-        full = bool(serving) and all(self.press.get(name, 0.0) > FULL for name in serving)
-        # In calm nothing is taken off: a plan is for failures, and what else is too much the fronts know.
-        self.full_for = self.full_for + 1 if full and troubled else 0
-        if self.full_for > PATIENCE / self.second:
-            self.excess = min(MOST_CUT, self.excess + CUT * self.second)
-        elif not full:
-            self.excess = max(0.0, self.excess - CUT * self.second)
-        load = self._load(serving)
-        self.cut = min(MOST_CUT, max(self.excess, 1 - 1 / load if troubled and load > 1 else 0.0))
+            self._update_held_share(name)
+            route = self._route(name, view.kept_share)
+            if route:
+                routes[name] = route
+            held_shares[name] = self.held_shares[name] * (1.0 - view.kept_share)
+            reasons.append(f"{name} {view.health.value}")
+        if self._shed_share:
+            reasons.append(f"{self._shed_share:.0%} of all jobs are deferred")
+        return self._next_plan(routes, held_shares, ", ".join(reasons))
 
     @property
-    def second(self) -> float:
-        """Seconds between two looks."""
-        return self.map.every / 1000
-
-    def _load(self, serving: Iterable[str]) -> float:
-        """All that is asked, as a part of what these zones carry.  Where that is not told it is guessed from
-        their waits, and taken for less where they were seen to carry as much at ease."""
-        names, asked = list(serving), sum(self.asked.values())
-        if all(self.map.carries.get(name) for name in names):
-            carried = 0.0
-            for name in names:
-                view = self.zones.views[name]
-                carried += self.map.carries[name] * view.keep * (view.ready / view.size if view.size else 0.0)
-            return asked / carried if carried else 1.0
-        seen = sum(self.seen.get(name, 0.0) for name in names)
-        waits = max((self.press.get(name, 1.0) for name in names), default=1.0)
-        guess = min(1.0, LIGHT + GUESS * max(0.0, waits - IDLE))
-        return min(guess, asked / seen) if seen else guess
+    def _interval_s(self) -> float:
+        return self.settings.interval_ms / 1000
+
+    def _serving(self) -> dict[str, ZoneView]:
+        return {name: view for name, view in self.zones.views.items() if view.kept_share > 0}
+
+    def _update_shed_share(self) -> None:
+        """Sets the share of all requests to reject.
+
+        None without a failure, as overload alone is for the nodes to handle.
+        """
+        serving = self._serving()
+        troubled = any(view.health is not ZoneHealth.HEALTHY for view in self.zones.views.values())
+        full = bool(serving) and all(self.load.is_full(name) for name in serving)
+        self._full_updates = self._full_updates + 1 if full and troubled else 0
+        step = SHED_PER_S * self._interval_s
+        if self._full_updates > FULL_PATIENCE_S / self._interval_s:
+            self._excess_share = min(MAX_SHED_SHARE, self._excess_share + step)
+        elif not full:
+            self._excess_share = max(0.0, self._excess_share - step)
+        load = self.load.load(serving)
+        does_not_fit = 1 - 1 / load if troubled and load > 1 else 0.0
+        self._shed_share = min(MAX_SHED_SHARE, max(self._excess_share, does_not_fit))
 
     def _takers(self, name: str) -> tuple[dict[str, float], dict[str, float]]:
-        """What is ready in the other zones of the region, and in those of others."""
-        region = self.map.regions.get(name, "")
-        room = {
-            other: view.ready * view.keep
+        """Ready sizes of the zones that can take a zone's requests: in its region, and in others."""
+        region = self.settings.regions.get(name, "")
+        sizes = {
+            other: view.ready_size * view.kept_share
             for other, view in self.zones.views.items()
-            if other != name and view.phase is not Phase.LOST and view.ready * view.keep > 0
+            if other != name
+            and view.health is not ZoneHealth.FAILED
+            and view.ready_size * view.kept_share > 0
         }
-        near = {other: size for other, size in room.items() if self.map.regions.get(other, "") == region}
-        return near, {other: size for other, size in room.items() if other not in near}
+        near = {other: size for other, size in sizes.items() if self._region(other) == region}
+        return near, {other: size for other, size in sizes.items() if other not in near}
+
+    def _region(self, zone: str) -> str:
+        return self.settings.regions.get(zone, "")
+
+    def _update_held_share(self, name: str) -> None:
+        """Admits more of the requests that a zone does not keep, or fewer while their takers are full.
 
-    def _move(self, name: str) -> None:
-        """One step of letting in what a zone does not keep."""
+        When only its own region is full, more of them are sent on to other regions instead.
+        """
         near, far = self._takers(name)
-        region = self.map.regions.get(name, "")
-        leaves = self.abroad.get(region, 0.0)
-        takers = near or far
-        load = self._load(other for other, view in self.zones.views.items() if view.keep > 0)
-        moving = self.moving.setdefault(name, Moving(max(0.0, min(1.0, STEEP * (load - LIGHT)))))
-        press = max((self.press.get(other, 0.0) for other in takers), default=1.0)
-        if press > FULL and near and far and max(self.press.get(other, 0.0) for other in far) < FULL:
-            self.abroad[region] = min(1.0, leaves + ABROAD)  # regions before that pay their price
-        elif press > FULL:
-            moving.held = min(1.0 - LEAVE, moving.held + BACK_OFF * self.second)
+        region = self._region(name)
+        spill = self._spill_shares.get(region, 0.0)
+        load = self.load.load(self._serving())
+        initial = max(0.0, min(1.0, INITIAL_HELD_PER_LOAD * (load - LIGHT_LOAD)))
+        held = self.held_shares.get(name, initial)
+        wait = self._longest_wait(near or far, 1.0)
+        if wait > FULL_WAIT and near and far and self._longest_wait(far, 0.0) < FULL_WAIT:
+            self._spill_shares[region] = min(1.0, spill + SPILL_STEP)
+        elif wait > FULL_WAIT:
+            held = min(1.0 - MIN_PASSED_SHARE, held + HOLD_PER_S * self._interval_s)
         else:
-            moving.held = max(0.0, moving.held - LET_IN * max(LEAST_SPARE, SPARE - load) * self.second)
-            if press < EASY:
-                self.abroad[region] = max(0.0, leaves - ABROAD / 4)
+            spare = max(MIN_SPARE_CAPACITY, PREFILL_CAPACITY - load)
+            held = max(0.0, held - ADMIT_PER_SPARE_S * spare * self._interval_s)
+            if wait < SHORT_WAIT:
+                self._spill_shares[region] = max(0.0, spill - RETURN_STEP)
+        self.held_shares[name] = held
 
-    def _row(self, name: str, keep: float) -> dict[str, float]:
-        """Where the jobs of a zone go: what it keeps, then its region up to what that can take, then the
-        others, each by what is ready there."""
+    def _longest_wait(self, zones: dict[str, float], default: float) -> float:
+        return max((self.load.waits.get(zone, 0.0) for zone in zones), default=default)
+
+    def _route(self, name: str, kept_share: float) -> Shares:
+        """Where the requests of a zone go: what it keeps, then its region, then other regions.
+
+        Within each, by what is ready there. Empty if no zone can take them: they stay, for what that is
+        worth.
+        """
         near, far = self._takers(name)
         if not near and not far:
-            return {}  # nowhere to go: it stays, for what it is worth
-        leaves = 1.0 if not near else self.abroad.get(self.map.regions.get(name, ""), 0.0) if far else 0.0
-        row = {name: keep} if keep else {}
-        for others, part in ((near, 1.0 - leaves), (far, leaves)):
-            whole = sum(others.values())
-            for other, size in sorted(others.items()):
-                share = round((1.0 - keep) * part * size / whole, 4)
-                if share >= LEAST_SHARE:
-                    row[other] = share
-        total = sum(row.values())
-        return {other: share / total for other, share in row.items()}
-
-    def _shed(self, part: float) -> dict[str, float]:
-        """A part of jobs by offering: the lowest credit first, each but for a little that shows how things
-        are."""
-        left = part * sum(self.asked.values())
-        shed: dict[str, float] = {}
-        for name in sorted(self.asked, key=lambda name: self.map.credits.get(name, 0.0)):
-            flow = self.asked[name]
-            if left <= 0 or flow <= 0:
-                continue
-            share = min(1.0 - LEAVE, left / flow)
-            left -= share * flow
-            if share >= LEAST_SHARE:
-                shed[name] = round(share, 3)
+            return {}
+        route = {name: kept_share} if kept_share else {}
+        spill = self._spill_share(name, near, far)
+        for takers, part in ((near, 1.0 - spill), (far, spill)):
+            total_size = sum(takers.values())
+            for other, size in sorted(takers.items()):
+                share = round((1.0 - kept_share) * part * size / total_size, 4)
+                if share >= MIN_SHARE:
+                    route[other] = share
+        total = sum(route.values())
+        return {other: share / total for other, share in route.items()}
+
+    def _spill_share(self, name: str, near: dict[str, float], far: dict[str, float]) -> float:
+        """The share of a zone's moved requests that leaves its region."""
+        if not near:
+            return 1.0
+        return self._spill_shares.get(self._region(name), 0.0) if far else 0.0
+
+    def _shed(self, held_shares: Shares) -> dict[str, Shares]:
+        """By zone, what is rejected for want of capacity or held back for being moved, whichever is more."""
+        demand, credits = self.load.demand, self.settings.credits
+        shed: dict[str, Shares] = {}
+        for name in self.zones.views:
+            shares = shed_lowest_credit(self._shed_share, demand, credits)
+            for request_class, share in hold_by_rank(held_shares.get(name, 0.0), demand, credits).items():
+                shares[request_class] = max(share, shares.get(request_class, 0.0))
+            if shares:
+                shed[name] = shares
         return shed
 
-    def _hold(self, part: float) -> dict[str, float]:
-        """What is held back of moved jobs, by offering: all of that part of the lowest credit, nothing of the
-        highest.  By rank and not one after the other: the beginnings of all are let in side by side."""
-        ranked = sorted(self.asked, key=lambda name: self.map.credits.get(name, 0.0))
-        last = max(1, len(ranked) - 1)
-        return {
-            name: round(share, 3)
-            for at, name in enumerate(ranked)
-            if (share := min(1.0 - LEAVE, part * (1 - at / last))) >= LEAST_SHARE
-        }
-
-    def _next(self, rows: dict[str, dict[str, float]], held: dict[str, float], why: str) -> Plan | None:
+    def _next_plan(self, routes: dict[str, Shares], held_shares: Shares, reason: str) -> Plan | None:
         old = self.plan
-        shed = {}
-        for name in self.zones.views:
-            found = self._shed(self.cut)
-            for request_class, share in self._hold(held.get(name, 0.0)).items():
-                found[request_class] = max(share, found.get(request_class, 0.0))
-            if found:
-                shed[name] = found
-        if _near(rows, old.rows) and _near(shed, old.shed):
+        shed = self._shed(held_shares)
+        if _is_similar(routes, old.routes) and _is_similar(shed, old.shed):
             return None
-        calm = not rows and not shed
-        keep = {
-            name: round(view.keep, 4)
-            for name, view in self.zones.views.items()
-            if view.phase is not Phase.WELL
-        }
+        begins_event = old.calm and bool(routes or shed)
         self.plan = Plan(
-            old.number + 1,
-            rows,
-            shed,
-            STAY * self.map.every if shed else 0.0,
-            why or "all zones are well",
-            keep,
-            held,
-            old.event + (old.calm and not calm),
+            number=old.number + 1,
+            routes=routes,
+            shed=shed,
+            retry_after_ms=RETRY_AFTER_UPDATES * self.settings.interval_ms if shed else 0.0,
+            reason=reason or "all zones are well",
+            kept_shares={
+                name: round(view.kept_share, 4)
+                for name, view in self.zones.views.items()
+                if view.health is not ZoneHealth.HEALTHY
+            },
+            held_shares=held_shares,
+            event=old.event + begins_event,
         )
         return self.plan
 
 
-def _alike(one: dict[str, float], other: dict[str, float]) -> bool:
-    """Whether shares differ by next to nothing; none against some is always a difference."""
-    return one.keys() == other.keys() and all(abs(one[key] - other[key]) < COARSE for key in one)
+def _is_similar(one: dict[str, Shares], other: dict[str, Shares]) -> bool:
+    """Whether no share differs by much; a share against none is always a difference."""
+    return one.keys() == other.keys() and all(_are_close(one[key], other[key]) for key in one)
 
 
-def _near(one: dict[str, dict[str, float]], other: dict[str, dict[str, float]]) -> bool:
-    return one.keys() == other.keys() and all(_alike(one[key], other[key]) for key in one)
+def _are_close(one: Shares, other: Shares) -> bool:
+    return one.keys() == other.keys() and all(abs(one[key] - other[key]) < MIN_SHARE_CHANGE for key in one)
--- a/worksmux/failover/tally.py
+++ b/worksmux/failover/tally.py
@@ -1,7 +1,7 @@
-"""What fronts report of zones, added up on its way to the seat that leads.  Pure.
+"""What nodes report of zones, added up on its way to the leader. Pure.
 
-A front's own report counts as one, whatever its load, where it votes on how a zone is; only flows are summed.
-So one front that lies has one vote, and its flows are bounded by what a front can claim.
+On the health of a zone each node has one vote, whatever its load; only rates are summed. A node that reports
+nonsense therefore has one vote, and its rates are bounded by what a single node can claim.
 """
 
 from __future__ import annotations
@@ -11,70 +11,81 @@
 
 import msgspec
 
-MOST_ZONES = 256
-MOST_REQUEST_CLASSES = 256
-MOST_FLOW = 1e5  # jobs a second that one front may claim
+MAX_ZONES = 256
+MAX_REQUEST_CLASSES = 256
+MAX_RATE_PER_NODE = 1e5  # requests a second that one node may claim
 
 
 class ZoneTally(msgspec.Struct):
-    """Of one zone's engines.  Sums over the fronts that spoke; flows in jobs a second."""
+    """What is reported of one zone's engines: sums over nodes, sizes in engines, rates per second."""
 
-    spoke: int = 0  # fronts that had something to say of it
-    lost: int = 0  # votes: nothing there answers
-    grey: int = 0  # votes: much fails there, or is late
-    listed: int = 0  # fronts that know engines of it
-    ready: float = 0.0  # size listed as ready
-    had: float = 0.0  # the most that was, slowly forgotten
-    cold: float = 0.0  # of it, still to warm up
-    begun: float = 0.0  # jobs a second whose answer began
-    met: float = 0.0  # the same, and those that wait there
-    press: float = 0.0  # of these, the sum of waits as parts of what was promised
-    vain: float = 0.0  # trips a second that failed
+    voters: int = msgspec.field(name="spoke", default=0)  # nodes that saw enough of it to vote
+    failed_votes: int = msgspec.field(name="lost", default=0)  # nothing there answers
+    degraded_votes: int = msgspec.field(name="grey", default=0)  # much fails there, or is late
+    listed_by: int = msgspec.field(name="listed", default=0)  # nodes that know ready engines of it
+    ready_size: float = msgspec.field(name="ready", default=0.0)
+    full_size: float = msgspec.field(name="had", default=0.0)  # the most that was ready, slowly forgotten
+    cold_size: float = msgspec.field(name="cold", default=0.0)  # of the ready size, still to warm up
+    begun_rate: float = msgspec.field(name="begun", default=0.0)  # requests whose answer began
+    met_rate: float = msgspec.field(name="met", default=0.0)  # these, and requests that wait there
+    wait_rate: float = msgspec.field(name="press", default=0.0)  # their waits, in latency targets
+    fault_rate: float = msgspec.field(name="vain", default=0.0)  # attempts that failed
 
+    def is_valid(self, nodes: int) -> bool:
+        """Whether these can be the figures of so many nodes."""
+        votes = (self.voters, self.failed_votes, self.degraded_votes, self.listed_by)
+        figures = (
+            self.ready_size,
+            self.full_size,
+            self.cold_size,
+            self.begun_rate,
+            self.met_rate,
+            self.wait_rate,
+            self.fault_rate,
+        )
+        return all(0 <= count <= nodes for count in votes) and all(
+            _is_possible(figure, nodes) for figure in figures
+        )
 
-class Tally(msgspec.Struct):
-    fronts: int = 0
-    zones: dict[str, ZoneTally] = {}
-    asked: dict[str, float] = {}  # jobs a second that clients ask, by offering
 
-    def sound(self) -> bool:
-        """Whether these can be the figures of so many fronts."""
+class Tally(msgspec.Struct):
+    """The reports of `nodes` nodes, added up."""
 
-        def flow(value: float) -> bool:
-            return isfinite(value) and 0.0 <= value <= MOST_FLOW * max(1, self.fronts)
+    nodes: int = msgspec.field(name="fronts", default=0)
+    zones: dict[str, ZoneTally] = {}
+    demand: dict[str, float] = msgspec.field(name="asked", default_factory=dict)  # requests/s by class
 
+    def is_valid(self) -> bool:
+        """Whether these can be the figures of so many nodes."""
         return (
-            self.fronts >= 0
-            and len(self.zones) <= MOST_ZONES
-            and len(self.asked) <= MOST_REQUEST_CLASSES
-            and all(map(flow, self.asked.values()))
-            and all(
-                0 <= votes <= self.fronts
-                for one in self.zones.values()
-                for votes in (one.spoke, one.lost, one.grey, one.listed)
-            )
-            and all(
-                flow(value)
-                for one in self.zones.values()
-                for value in (one.ready, one.had, one.cold, one.begun, one.met, one.press, one.vain)
-            )
+            self.nodes >= 0
+            and len(self.zones) <= MAX_ZONES
+            and len(self.demand) <= MAX_REQUEST_CLASSES
+            and all(_is_possible(rate, self.nodes) for rate in self.demand.values())
+            and all(zone.is_valid(self.nodes) for zone in self.zones.values())
         )
 
 
+def _is_possible(figure: float, nodes: int) -> bool:
+    return isfinite(figure) and 0.0 <= figure <= MAX_RATE_PER_NODE * max(1, nodes)
+
+
 def added(tallies: Iterable[Tally]) -> Tally:
-    """
+    """The sum of several reports.
+
     >>> one = Tally(1, {"n": ZoneTally(1, 1, 0, 1, 4.0)}, {"hint": 3.0})
-    >>> both = added([one, one]); both.fronts, both.zones["n"].lost, both.asked
+    >>> both = added([one, one]); both.nodes, both.zones["n"].failed_votes, both.demand
     (2, 2, {'hint': 6.0})
     """
-    found = Tally(zones={}, asked={})
+    total = Tally(zones={}, demand={})
     for tally in tallies:
-        found.fronts += tally.fronts
-        for name, flow in tally.asked.items():
-            found.asked[name] = found.asked.get(name, 0.0) + flow
+        total.nodes += tally.nodes
+        for name, rate in tally.demand.items():
+            total.demand[name] = total.demand.get(name, 0.0) + rate
         for name, zone in tally.zones.items():
-            old = found.zones.get(name, ZoneTally())
-            found.zones[name] = ZoneTally(
-                *(getattr(old, field) + getattr(zone, field) for field in ZoneTally.__struct_fields__)
-            )
-    return found
+            total.zones[name] = _added_zone(total.zones.get(name, ZoneTally()), zone)
+    return total
+
+
+def _added_zone(one: ZoneTally, other: ZoneTally) -> ZoneTally:
+    return ZoneTally(*(getattr(one, field) + getattr(other, field) for field in ZoneTally.__struct_fields__))
--- a/worksmux/failover/watcher.py
+++ b/worksmux/failover/watcher.py
@@ -1,6 +1,6 @@
-"""What one front sees of zones, from the events that its module is told.
+"""What one node sees of the zones, from the events that its policy is given.
 
-Free of I/O; times are milliseconds.
+No I/O; times are milliseconds on the node's clock.
 """
 
 from __future__ import annotations
@@ -15,24 +15,24 @@
 from ..policy.state import Engine, Outcome, Request
 from .tally import Tally, ZoneTally
 
-SPAN = 1000.0  # that a report looks back
-BUCKETS = 5
-MIN_ATTEMPTS = 3  # before a front votes on a zone
-HALF_LIFE = 600 * SPAN  # after which half of the size that a zone had is forgotten
-FINDING_LIFETIME = 6 * SPAN  # how long it counts how an engine was last found
-SINCE_LAST_SUCCESS = SPAN / 4  # no vote for lost sooner after an attempt that ended well
-MOST_ENGINES = 0.6  # of a zone's engines were last found at fault: it is lost
-GREY_FAULTS = 0.25  # of attempts fail: the zone is grey
-GREY_WAIT = 0.9  # of the latency target is spent waiting, on average: the zone is grey
+WINDOW_MS = 1000.0  # that a report looks back
+WINDOW_BUCKETS = 5
+MIN_ATTEMPTS = 3  # seen before a node votes on a zone
+SIZE_HALF_LIFE_MS = 600 * WINDOW_MS  # after which half of a zone's full size is forgotten
+FINDING_LIFETIME_MS = 6 * WINDOW_MS  # for which the last finding at an engine counts
+FAILED_AFTER_SUCCESS_MS = WINDOW_MS / 4  # no vote for failed sooner after a success
+FAILED_ENGINE_SHARE = 0.6  # of a zone's engines last found at fault: it has failed
+DEGRADED_FAULT_SHARE = 0.25  # of attempts that failed: the zone is degraded
+DEGRADED_WAIT = 0.9  # mean wait, in latency targets: the zone is degraded
 FAULTS = frozenset({Outcome.ERROR, Outcome.UNREACHABLE, Outcome.RESET, Outcome.TIMED_OUT})
 SUCCESSES = frozenset({Outcome.READ, Outcome.DELIVERED})
-STAGES = ("read", "write")
-EITHER_STAGE = "both"
+STAGES = ("read", "write")  # as the roles of engines have them
+BOTH_STAGES = "both"
 ANY_ZONE = -1  # of requests that have no attempt yet
 
 
 class ListedEngine(NamedTuple):
-    """What the list says of an engine."""
+    """What the endpoint list says of an engine."""
 
     state: str
     zone: int
@@ -41,11 +41,11 @@
 
 
 class Vote(NamedTuple):
-    """What this front has to say of a zone."""
+    """How this node finds a zone."""
 
-    spoke: bool  # whether it has anything to say
-    lost: bool
-    grey: bool
+    votes: bool  # whether it has seen enough to say
+    failed: bool
+    degraded: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,106 +53,133 @@
     """Requests whose answer has not begun."""
 
     count: float = 0.0
-    pressure: float = 0.0  # the sum of their waits, as parts of their latency targets
+    wait: float = 0.0  # the sum of their waits, in latency targets
 
-    def plus(self, count: float, pressure: float) -> Waiting:
-        return Waiting(self.count + count, self.pressure + pressure)
+    def plus(self, count: float, wait: float) -> Waiting:
+        """These and other requests."""
+        return Waiting(self.count + count, self.wait + wait)
 
 
-def _ring() -> Ring:
-    return Ring(SPAN, BUCKETS)
+def _window() -> Ring:
+    return Ring(WINDOW_MS, WINDOW_BUCKETS)
 
 
 @dataclass(eq=False)
 class ZoneRecord:
     """What was lately seen of one zone."""
 
-    successes: Ring = field(default_factory=_ring)
-    faults: Ring = field(default_factory=_ring)
-    pressure: Ring = field(default_factory=_ring)  # waits of answers that began, as parts of their targets
-    last_success: float = 0.0
-    size: float = 0.0  # the most that was listed as ready, slowly forgotten
-    sized_at: float = 0.0
-    healthy: dict[Engine, float] = field(default_factory=dict)  # when an attempt last ended well there
-    faulty: dict[Engine, float] = field(default_factory=dict)  # of the others, when one ended in a fault
-
-    def succeeded(self, now: float, engine: Engine) -> None:
-        self.successes.add(now)
-        self.last_success = self.healthy[engine] = now
+    successes: Ring = field(default_factory=_window)
+    faults: Ring = field(default_factory=_window)
+    waits: Ring = field(default_factory=_window)  # of answers that began, in latency targets
+    last_success_ms: float = 0.0
+    full_size: float = 0.0  # the most that was listed as ready, slowly forgotten
+    sized_at_ms: float = 0.0
+    healthy: dict[Engine, float] = field(default_factory=dict)  # engines and when they last succeeded
+    faulty: dict[Engine, float] = field(default_factory=dict)  # the others, and when they last failed
+
+    def succeeded(self, now_ms: float, engine: Engine) -> None:
+        """An attempt made progress at the engine."""
+        self.successes.add(now_ms)
+        self.last_success_ms = self.healthy[engine] = now_ms
         self.faulty.pop(engine, None)
 
-    def failed(self, now: float, engine: Engine) -> None:
-        self.faults.add(now)
-        self.faulty[engine] = now
+    def failed(self, now_ms: float, engine: Engine) -> None:
+        """An attempt failed at the engine."""
+        self.faults.add(now_ms)
+        self.faulty[engine] = now_ms
         self.healthy.pop(engine, None)
 
-    def forget_old_findings(self, now: float) -> None:
-        """An engine that the module has set aside after a fault gets no attempts: how it was last found goes
-        on counting for a while."""
+    def forget_old_findings(self, now_ms: float) -> None:
+        """Forgets how engines were found long ago.
+
+        An engine that was ejected after a fault gets no attempts, so that its last finding counts for longer
+        than the sliding windows.
+        """
         for found in (self.healthy, self.faulty):
-            for engine in [one for one, at in found.items() if at < now - FINDING_LIFETIME]:
+            for engine in [one for one, at_ms in found.items() if at_ms < now_ms - FINDING_LIFETIME_MS]:
                 del found[engine]
 
     def lacks_stage(self, ready: list[Engine]) -> bool:
-        """Whether the engines for prefill, or those for decode, were last found at fault, and nothing in the
-        zone has ended well since.  Without prefill, decode engines get no attempts that could tell how they
-        are."""
+        """Whether the engines of one stage were last found at fault, with no success since.
+
+        Without prefill, decode engines get no attempts that could show how they are.
+        """
         for stage in STAGES:
-            able = [engine for engine in ready if engine.role in (stage, EITHER_STAGE)]
+            able = [engine for engine in ready if engine.role in (stage, BOTH_STAGES)]
             found = [self.faulty[engine] for engine in able if engine in self.faulty]
-            if found and len(found) >= MOST_ENGINES * len(able) and max(found) > self.last_success:
+            mostly_faulty = bool(found) and len(found) >= FAILED_ENGINE_SHARE * len(able)
+            if mostly_faulty and max(found) > self.last_success_ms:
                 return True
         return False
 
-    def remembered_size(self, now: float, size: float) -> float:
-        """Guards against a seat that begins to lead after a zone was lost, and would take it for one that
-        never was: fronts remember what they knew of it.  Fleets shrink on purpose too, so it fades."""
-        age = max(0.0, now - self.sized_at) if self.sized_at else 0.0
-        self.size, self.sized_at = max(size, self.size * 0.5 ** (age / HALF_LIFE)), now
-        return self.size
+    def remembered_size(self, now_ms: float, ready_size: float) -> float:
+        """The most that was ready here, which fades, as fleets also shrink on purpose.
+
+        Failure: a leader elected after a zone failed has never seen its engines, and takes it for a zone
+        without any. The nodes remember its size and report it.
+        """
+        age_ms = max(0.0, now_ms - self.sized_at_ms) if self.sized_at_ms else 0.0
+        self.full_size = max(ready_size, self.full_size * 0.5 ** (age_ms / SIZE_HALF_LIFE_MS))
+        self.sized_at_ms = now_ms
+        return self.full_size
 
 
 class Watcher:
-    """`saw` each event, in the order told; `report` what came of it."""
+    """Observes each event in the order in which the policy is given it, and reports what came of it."""
 
     def __init__(self, zones: list[str], request_classes: list[str], settings: PolicySettings) -> None:
-        self.zones, self.request_classes, self.settings = zones, request_classes, settings
-        self.records: dict[int, ZoneRecord] = defaultdict(ZoneRecord)
-        self.arrivals = [_ring() for _ in request_classes]
         self.engines: dict[Engine, ListedEngine] = {}
-        self.open: dict[
-            Request, float
-        ] = {}  # requests whose answer has not begun, with their latency targets
-
-    def saw(self, now: float, event: Event) -> None:
+        self._zones = zones
+        self._request_classes = request_classes
+        self._settings = settings
+        self._records: dict[int, ZoneRecord] = defaultdict(ZoneRecord)
+        self._arrivals = [_window() for _ in request_classes]
+        self._latency_targets_ms: dict[Request, float] = {}  # of requests whose answer has not begun
+
+    def observe(self, now_ms: float, event: Event) -> None:
+        """Takes note of an event."""
         match event:
             case RequestArrived(request):
-                self._arrived(now, request)
+                self._request_arrived(now_ms, request)
             case FirstToken(attempt, _):
-                record = self.records[attempt.engine.zone]
-                if target := self.open.pop(attempt.request, 0.0):
-                    record.pressure.add(now, (now - attempt.request.arrived) / target)
-                record.succeeded(now, attempt.engine)
+                record = self._records[attempt.engine.zone]
+                if target_ms := self._latency_targets_ms.pop(attempt.request, 0.0):
+                    record.waits.add(now_ms, (now_ms - attempt.request.arrived) / target_ms)
+                record.succeeded(now_ms, attempt.engine)
             case AttemptEnded(attempt, outcome):
-                record = self.records[attempt.engine.zone]
+                record = self._records[attempt.engine.zone]
                 if outcome in FAULTS:
-                    record.failed(now, attempt.engine)
+                    record.failed(now_ms, attempt.engine)
                 elif outcome in SUCCESSES:
-                    record.succeeded(now, attempt.engine)
+                    record.succeeded(now_ms, attempt.engine)
             case EndpointListUpdate(scope, entries) if scope != "failed":
-                self._listed(scope, entries)
+                self._list_updated(scope, entries)
             case _:
                 pass
 
-    def _arrived(self, now: float, request: Request) -> None:
-        self.arrivals[request.request_class].add(now)
-        request_class = self.settings.request_classes[request.request_class]
-        self.open[request] = (
+    def report(self, now_ms: float) -> Tally:
+        """This node's own report."""
+        demand = {
+            name: arrivals.count(now_ms) / (WINDOW_MS / 1000)
+            for name, arrivals in zip(self._request_classes, self._arrivals, strict=True)
+        }
+        waiting = self._waiting(now_ms)
+        fleet_size = sum(one.size for one in self.engines.values() if one.state == "ready") or 1.0
+        zones = {
+            name: self._zone_report(now_ms, zone, waiting, fleet_size)
+            for zone, name in enumerate(self._zones)
+        }
+        return Tally(1, zones, demand)
+
+    def _request_arrived(self, now_ms: float, request: Request) -> None:
+        self._arrivals[request.request_class].add(now_ms)
+        request_class = self._settings.request_classes[request.request_class]
+        self._latency_targets_ms[request] = (
             request_class.latency_target_ms
             + request_class.latency_target_per_1000_tokens_ms * request.prompt / 1000
         )
 
-    def _listed(self, scope: str, entries: list[EndpointEntry]) -> None:
+    def _list_updated(self, scope: str, entries: list[EndpointEntry]) -> None:
         if scope != "delta":
             self.engines = {}
         for entry in entries:
@@ -161,74 +188,68 @@
             else:
                 self.engines[entry.engine] = ListedEngine(entry.state, entry.zone, entry.size, entry.started)
 
-    def report(self, now: float) -> Tally:
-        seconds = SPAN / 1000
-        flows = {
-            name: ring.count(now) / seconds
-            for name, ring in zip(self.request_classes, self.arrivals, strict=True)
-        }
-        waiting = self._waiting(now)
-        whole = sum(one.size for one in self.engines.values() if one.state == "ready") or 1.0
-        told = Tally(1, {}, flows)
-        for zone, name in enumerate(self.zones):
-            told.zones[name] = self._zone_report(now, zone, waiting, whole)
-        return told
-
-    def _zone_report(self, now: float, zone: int, waiting: dict[int, Waiting], whole: float) -> ZoneTally:
-        """`whole`: the size of all engines that are ready."""
-        record, seconds = self.records[zone], SPAN / 1000
+    def _zone_report(
+        self, now_ms: float, zone: int, waiting: dict[int, Waiting], fleet_size: float
+    ) -> ZoneTally:
+        """The report on one zone; `fleet_size` is the size of all ready engines."""
+        record, window_s = self._records[zone], WINDOW_MS / 1000
         ready = [engine for engine, one in self.engines.items() if one.zone == zone and one.state == "ready"]
         size = sum(self.engines[engine].size for engine in ready)
-        # Who waits for any engine waits for each, as far as it is there.
+        # A request that waits for any engine counts at each zone, in proportion to the zone's size.
         anywhere = waiting[ANY_ZONE]
-        open_ = waiting[zone].plus(anywhere.count * size / whole, anywhere.pressure * size / whole)
-        begun = record.pressure.count(now)
-        pressure = record.pressure.mean(now) * begun + open_.pressure
-        wait = pressure / (begun + open_.count) if begun + open_.count else 0.0
-        record.forget_old_findings(now)
-        vote = self._vote(now, record, ready, wait)
+        here = waiting[zone].plus(anywhere.count * size / fleet_size, anywhere.wait * size / fleet_size)
+        begun = record.waits.count(now_ms)
+        wait = record.waits.mean(now_ms) * begun + here.wait
+        mean_wait = wait / (begun + here.count) if begun + here.count else 0.0
+        record.forget_old_findings(now_ms)
+        vote = self._vote(now_ms, record, ready, mean_wait)
         return ZoneTally(
-            spoke=int(vote.spoke),
-            lost=int(vote.lost),
-            grey=int(vote.grey),
-            listed=int(bool(ready)),
-            ready=size,
-            had=record.remembered_size(now, size),
-            cold=sum(self._cold_size(now, engine) for engine in ready),
-            begun=begun / seconds,
-            met=(begun + open_.count) / seconds,
-            press=pressure / seconds,
-            vain=record.faults.count(now) / seconds,
+            voters=int(vote.votes),
+            failed_votes=int(vote.failed),
+            degraded_votes=int(vote.degraded),
+            listed_by=int(bool(ready)),
+            ready_size=size,
+            full_size=record.remembered_size(now_ms, size),
+            cold_size=sum(self._cold_size(now_ms, engine) for engine in ready),
+            begun_rate=begun / window_s,
+            met_rate=(begun + here.count) / window_s,
+            wait_rate=wait / window_s,
+            fault_rate=record.faults.count(now_ms) / window_s,
         )
 
-    def _vote(self, now: float, record: ZoneRecord, ready: list[Engine], wait: float) -> Vote:
-        """Where nothing was sent, the list alone is told."""
-        successes, faults = record.successes.count(now), record.faults.count(now)
+    def _vote(self, now_ms: float, record: ZoneRecord, ready: list[Engine], mean_wait: float) -> Vote:
+        """How the zone is found; no vote where too few attempts were sent to tell."""
+        successes, faults = record.successes.count(now_ms), record.faults.count(now_ms)
         lacks_stage = record.lacks_stage(ready)
         found = len(record.faulty) + len(record.healthy)
-        enough = successes + faults >= MIN_ATTEMPTS or found >= min(MIN_ATTEMPTS, max(1, len(ready)))
-        spoke = lacks_stage or enough
+        seen_enough = successes + faults >= MIN_ATTEMPTS or found >= min(MIN_ATTEMPTS, max(1, len(ready)))
+        votes = lacks_stage or seen_enough
         mostly_faults = faults >= MIN_ATTEMPTS and faults > successes
-        engines_faulty = len(record.faulty) >= MOST_ENGINES * len(ready)
-        quiet = bool(record.faulty) and now - record.last_success > SINCE_LAST_SUCCESS
-        lost = spoke and quiet and (mostly_faults or engines_faulty or lacks_stage)
-        late = record.pressure.count(now) >= MIN_ATTEMPTS and wait > GREY_WAIT
-        grey = spoke and not lost and (faults > GREY_FAULTS * (successes + faults) or late)
-        return Vote(spoke, lost, grey)
-
-    def _cold_size(self, now: float, engine: Engine) -> float:
+        engines_faulty = len(record.faulty) >= FAILED_ENGINE_SHARE * len(ready)
+        quiet = bool(record.faulty) and now_ms - record.last_success_ms > FAILED_AFTER_SUCCESS_MS
+        failed = votes and quiet and (mostly_faults or engines_faulty or lacks_stage)
+        late = record.waits.count(now_ms) >= MIN_ATTEMPTS and mean_wait > DEGRADED_WAIT
+        many_faults = faults > DEGRADED_FAULT_SHARE * (successes + faults)
+        degraded = votes and not failed and (many_faults or late)
+        return Vote(votes, failed, degraded)
+
+    def _cold_size(self, now_ms: float, engine: Engine) -> float:
         """The part of an engine's size that has still to warm up."""
-        listed, warm_up = self.engines[engine], float(self.settings.slow_start_ms)
-        return listed.size * max(0.0, 1 - (now - listed.started) / warm_up) if listed.started > 0 else 0.0
+        listed, warm_up_ms = self.engines[engine], float(self._settings.slow_start_ms)
+        if listed.started <= 0:
+            return 0.0
+        return listed.size * max(0.0, 1 - (now_ms - listed.started) / warm_up_ms)
+
+    def _waiting(self, now_ms: float) -> dict[int, Waiting]:
+        """Requests that have not begun, by the zone of their latest attempt.
 
-    def _waiting(self, now: float) -> dict[int, Waiting]:
-        """Requests that have not begun, by the zone of their latest attempt.  What began tells of a jam too
-        late."""
+        They show a congested zone sooner than the requests that began there.
+        """
         found: dict[int, Waiting] = defaultdict(Waiting)
-        for request, target in list(self.open.items()):
-            if request.ended or request.began or now > request.give_up_at:
-                del self.open[request]
+        for request, target_ms in list(self._latency_targets_ms.items()):
+            if request.ended or request.began or now_ms > request.give_up_at:
+                del self._latency_targets_ms[request]
                 continue
             zone = request.attempts[-1].engine.zone if request.attempts else ANY_ZONE
-            found[zone] = found[zone].plus(1, (now - request.arrived) / target)
+            found[zone] = found[zone].plus(1, (now_ms - request.arrived) / target_ms)
         return found
--- a/worksmux/failover/zones.py
+++ b/worksmux/failover/zones.py
@@ -1,7 +1,9 @@
-"""How each zone is, from what all fronts report: well, grey, lost, or coming back.  Pure.
+"""The health of each zone, from what all nodes report: healthy, degraded, failed or recovering. Pure.
 
-A zone is lost at once when most of those that spoke say so, grey when they say so twice, and back by steps:
-first a trial, then as fast as its engines warm up.  Each relapse doubles the time it has to be well first.
+A zone has failed as soon as most of the voters say so, and is degraded once they say so twice in a row. It
+comes back by steps: after a while without bad reports it is given a trial share, which then grows as fast as
+its engines warm up. Each relapse doubles the time that it has to be well before its next trial, so that a
+flapping zone is used ever more seldom.
 """
 
 from __future__ import annotations
@@ -11,98 +13,132 @@
 
 from .tally import Tally, ZoneTally
 
-MOST = 0.5  # of the votes that count
-SURE = 2  # looks in a row, before a zone counts as grey
-GONE = 0.3  # of the size that it had: with less listed as ready a zone counts as lost
-DOWN = 0.5  # of what it kept, at each look at a grey zone
-LEAST = 0.1  # that a grey zone keeps, or nothing would show its mending
-TRIAL = 0.05  # of its jobs, that a zone coming back is given first
-GROWTH = 1.3  # times what it kept, at each look while it comes back
-HOLD = 2.0  # looks, that a zone has to be well before its trial, doubled with each relapse
-MOST_HOLD = 32.0
-LASTING = 30.0  # looks without a relapse, after which relapses are forgotten
+MAJORITY = 0.5  # of the votes
+MIN_VOTERS_FRACTION = 0.25  # of the nodes: fewer voters are counted as so many
+DEGRADED_AFTER_UPDATES = 2  # in a row
+FAILED_BELOW_SIZE = 0.3  # of its full size: with less that is ready a zone has failed
+DEGRADED_FACTOR = 0.5  # times the kept share, at each update of a degraded zone
+MIN_DEGRADED_SHARE = 0.1  # kept by a degraded zone, as without requests nothing would show that it is well
+TRIAL_SHARE = 0.05  # of its requests, for a recovering zone
+GROWTH_FACTOR = 1.3  # times the kept share, at each update of a recovering zone
+WELL_UPDATES = 2.0  # without bad reports before the trial; doubled by each relapse
+MAX_WELL_UPDATES = 32.0
+RELAPSES_FORGOTTEN_AFTER = 30.0  # updates, for each relapse
+FULL_SHARE = 1.0 - 1e-9
+RECOVERED_SIZE = 0.98  # of the ready size, kept
+RECOVERED_WARMTH = 0.99  # of the ready size, warm
 
 
-class Phase(Enum):
-    WELL = "well"
-    GREY = "grey"
-    LOST = "lost"
-    BACK = "coming back"
+class ZoneHealth(Enum):
+    """The values are shown to operators and stand in the plan's reason."""
+
+    HEALTHY = "well"
+    DEGRADED = "grey"
+    FAILED = "lost"
+    RECOVERING = "coming back"
 
 
 @dataclass
 class ZoneView:
-    phase: Phase = Phase.WELL
-    keep: float = 1.0  # the part of its own jobs that it keeps
-    size: float = 0.0  # the most that was ready there, as the fronts remember
-    ready: float = 0.0
-    warm: float = 1.0  # part of what is ready
-    well_since: int = -1  # looks
-    grey: int = 0  # looks in a row that say so
+    """What the planner holds of one zone. Sizes are in engines, per node that reports."""
+
+    health: ZoneHealth = ZoneHealth.HEALTHY
+    kept_share: float = 1.0  # of its own requests
+    full_size: float = 0.0  # the most that was ready there, as the nodes remember
+    ready_size: float = 0.0
+    warm_share: float = 1.0  # of the ready size
+    well_since: int = -1  # update number; -1: not well
+    impaired_updates: int = 0  # in a row
     relapses: int = 0
-    relapsed: int = 0  # at which look it last did
+    last_relapse: int = 0  # update number
 
-    def hold(self) -> float:
-        return min(MOST_HOLD, HOLD * 2.0 ** max(0, self.relapses - 1))
+    def required_well_updates(self) -> float:
+        """How long it has to be without bad reports before its trial."""
+        return min(MAX_WELL_UPDATES, WELL_UPDATES * 2.0 ** max(0, self.relapses - 1))
 
 
 class Zones:
-    """One look at each tally.  `cold_share` is the part that a cold engine carries."""
+    """The views of all zones; `cold_share` is the part of its full capacity that a cold engine carries."""
 
     def __init__(self, cold_share: float) -> None:
         self.cold_share = cold_share
         self.views: dict[str, ZoneView] = {}
-        self.looks = 0
+        self.updates = 0
 
-    def look(self, tally: Tally) -> None:
-        self.looks += 1
+    def update(self, tally: Tally) -> None:
+        """Takes in one tally of all nodes."""
+        self.updates += 1
         for name in {*self.views, *tally.zones}:
             view = self.views.setdefault(name, ZoneView())
-            self._look(view, tally.zones.get(name, ZoneTally()), tally.fronts)
+            self._update_view(view, tally.zones.get(name, ZoneTally()), tally.nodes)
 
-    def _look(self, view: ZoneView, told: ZoneTally, fronts: int) -> None:
-        if not fronts:
-            return
-        view.ready = told.ready / fronts
-        view.warm = 1.0 - told.cold / told.ready if told.ready else 0.0
-        view.size = told.had / fronts
-        if not view.size:
-            return  # nobody has ever known an engine of it
-        # A few fronts that alone fail to reach a zone are cut off from it: that is theirs to see to.
-        lost = told.lost > MOST * max(told.spoke, fronts / 4) or view.ready < GONE * view.size
-        bad = told.lost + told.grey > MOST * max(told.spoke, fronts / 4)
-        view.grey = view.grey + 1 if bad else 0
-        if lost:
-            self._relapse(view)
-            view.phase, view.keep, view.well_since = Phase.LOST, 0.0, -1
-        elif view.phase is Phase.LOST:
-            view.well_since = self.looks if view.well_since < 0 else view.well_since
-            if self.looks - view.well_since >= view.hold():
-                view.phase, view.keep = Phase.BACK, TRIAL
-        elif bad and view.grey >= SURE:
-            self._relapse(view)
-            view.phase, view.keep = Phase.GREY, max(LEAST, view.keep * DOWN)
-            view.well_since = -1
-        elif view.phase is Phase.GREY and not bad:
-            view.well_since = self.looks if view.well_since < 0 else view.well_since
-            if self.looks - view.well_since >= view.hold():
-                view.phase = Phase.BACK
-        elif view.phase is Phase.BACK and not bad:
-            warm = view.warm + (1 - view.warm) * self.cold_share
-            view.keep = min(1.0, view.keep * GROWTH, max(warm * view.ready / view.size, TRIAL))
-            if view.keep >= 1.0 - 1e-9 or view.keep >= 0.98 * view.ready / view.size and view.warm > 0.99:
-                view.phase, view.keep = Phase.WELL, 1.0
-        if view.phase is Phase.WELL and self.looks - view.relapsed > LASTING * max(1, view.relapses):
-            view.relapses = 0
+    def resume(self, kept_shares: dict[str, float]) -> None:
+        """Goes on from the plan in force, on a node that begins to lead."""
+        for name, share in kept_shares.items():
+            view = self.views.setdefault(name, ZoneView())
+            view.kept_share = share
+            view.health = ZoneHealth.RECOVERING if share else ZoneHealth.FAILED
 
-    def _relapse(self, view: ZoneView) -> None:
-        if view.phase in (Phase.WELL, Phase.BACK):
+    def _update_view(self, view: ZoneView, report: ZoneTally, nodes: int) -> None:
+        if not nodes:
+            return
+        view.ready_size = report.ready_size / nodes
+        view.warm_share = 1.0 - report.cold_size / report.ready_size if report.ready_size else 0.0
+        view.full_size = report.full_size / nodes
+        if view.full_size:  # else no node has ever known an engine of it
+            self._update_health(view, report, nodes)
+            self._forget_relapses(view)
+
+    def _update_health(self, view: ZoneView, report: ZoneTally, nodes: int) -> None:
+        """One step of the state machine.
+
+        A few nodes that alone cannot reach a zone are cut off from it, and that is theirs to see to: their
+        votes are weighed against a minimum of voters.
+        """
+        majority = MAJORITY * max(report.voters, nodes * MIN_VOTERS_FRACTION)
+        failed = report.failed_votes > majority or view.ready_size < FAILED_BELOW_SIZE * view.full_size
+        impaired = report.failed_votes + report.degraded_votes > majority
+        view.impaired_updates = view.impaired_updates + 1 if impaired else 0
+        if failed:
+            self._record_relapse(view)
+            view.health, view.kept_share, view.well_since = ZoneHealth.FAILED, 0.0, -1
+        elif view.health is ZoneHealth.FAILED:
+            if self._is_well_for_long(view):
+                view.health, view.kept_share = ZoneHealth.RECOVERING, TRIAL_SHARE
+        elif impaired:
+            if view.impaired_updates >= DEGRADED_AFTER_UPDATES:
+                self._degrade(view)
+        elif view.health is ZoneHealth.DEGRADED:
+            if self._is_well_for_long(view):
+                view.health = ZoneHealth.RECOVERING
+        elif view.health is ZoneHealth.RECOVERING:
+            self._recover(view)
+
+    def _degrade(self, view: ZoneView) -> None:
+        self._record_relapse(view)
+        view.health, view.well_since = ZoneHealth.DEGRADED, -1
+        view.kept_share = max(MIN_DEGRADED_SHARE, view.kept_share * DEGRADED_FACTOR)
+
+    def _is_well_for_long(self, view: ZoneView) -> bool:
+        if view.well_since < 0:
+            view.well_since = self.updates
+        return self.updates - view.well_since >= view.required_well_updates()
+
+    def _recover(self, view: ZoneView) -> None:
+        """Gives a recovering zone more of its requests, up to what its warm and cold engines carry."""
+        carried = view.warm_share + (1 - view.warm_share) * self.cold_share
+        limit = max(carried * view.ready_size / view.full_size, TRIAL_SHARE)
+        view.kept_share = min(1.0, view.kept_share * GROWTH_FACTOR, limit)
+        keeps_all_ready = view.kept_share >= RECOVERED_SIZE * view.ready_size / view.full_size
+        if view.kept_share >= FULL_SHARE or keeps_all_ready and view.warm_share > RECOVERED_WARMTH:
+            view.health, view.kept_share = ZoneHealth.HEALTHY, 1.0
+
+    def _record_relapse(self, view: ZoneView) -> None:
+        if view.health in (ZoneHealth.HEALTHY, ZoneHealth.RECOVERING):
             view.relapses += 1
-        view.relapsed = self.looks
+        view.last_relapse = self.updates
 
-    def take_on(self, keep: dict[str, float]) -> None:
-        """A seat that begins to lead goes on from the plan in force."""
-        for name, part in keep.items():
-            view = self.views.setdefault(name, ZoneView())
-            view.keep = part
-            view.phase = Phase.LOST if not part else Phase.BACK
+    def _forget_relapses(self, view: ZoneView) -> None:
+        well_for = self.updates - view.last_relapse
+        if view.health is ZoneHealth.HEALTHY and well_for > RELAPSES_FORGOTTEN_AFTER * max(1, view.relapses):
+            view.relapses = 0
--- a/worksmux/gateway/fleet/peering.py
+++ b/worksmux/gateway/fleet/peering.py
@@ -24,7 +24,7 @@
 from ...consensus.state_machine import PLAN, Chapter, Put
 from ...failover import acting
 from ...failover.plan import Plan, decode, encode
-from ...failover.planner import Map, Planner
+from ...failover.planner import Planner, PlannerSettings
 from ...failover.tally import Tally, added
 from ...failover.watcher import Watcher
 from ...gossip import swim as peers
@@ -69,7 +69,7 @@
         self.watcher = Watcher(
             settings.zones, [one.name for one in settings.request_classes], settings.module
         )
-        self.map = Map(
+        self.map = PlannerSettings(
             {zone: settings.regions.get(zone, "") for zone in settings.zones},
             {one.name: one.credit for one in settings.request_classes},
             settings.module.slow_start_share,
@@ -83,7 +83,7 @@
         self.alone = True
         self.told: FailoverPlan | None = None
         self.history: deque[dict[str, Any]] = deque(maxlen=KEPT)
-        self.own = Tally(zones={}, asked={})  # this front's latest report
+        self.own = Tally(zones={}, demand={})  # this front's latest report
         self.proposed_at = -inf
         self.contradictions = 0  # of followers; the seat counts its own
         self.ended = False
@@ -107,7 +107,7 @@
         )
         self.swim = peers.Swim(me, self.fleet.seeds, self.fleet.period, mix(self.seed, 3), clock.now())
         before = self.core.on_event
-        self.core.on_event = self._both(before) if before else self.watcher.saw
+        self.core.on_event = self._both(before) if before else self.watcher.observe
         self.core.before_turn, self.core.acts_on = self.check, self.acts_on
         self.core.on_decision = self._decided
         LOG.info(
@@ -126,7 +126,7 @@
     def _both(self, other: Callable[[float, Event], None]) -> Callable[[float, Event], None]:
         def saw(now: float, event: Event) -> None:
             other(now, event)
-            self.watcher.saw(now, event)
+            self.watcher.observe(now, event)
 
         return saw
 
@@ -294,12 +294,12 @@
                 "at": clock.wall(),
                 "number": plan.number,
                 "event": plan.event,
-                "why": plan.why,
-                "rows": plan.rows,
+                "why": plan.reason,
+                "rows": plan.routes,
                 "shed": plan.shed,
             }
         )
-        LOG.info("plan", number=plan.number, of_event=plan.event, why=plan.why)
+        LOG.info("plan", number=plan.number, of_event=plan.event, why=plan.reason)
         self.core.wake()  # so that it is acted on now, not with the next job
 
     def _report(self, below: list[bytes]) -> bytes:
@@ -311,7 +311,7 @@
         for data in below:
             try:
                 told = READ_TALLY.decode(data)
-                if not told.sound():
+                if not told.is_valid():
                     raise msgspec.ValidationError("its figures make no sense")
                 found.append(told)
             except msgspec.DecodeError as error:
@@ -373,7 +373,7 @@
             return
         if self.planner is None or self.planner.plan.number != in_force.number:
             self.planner = Planner(self.map, in_force)
-        plan = self.planner.look(self._tally(self.follower.reports()))
+        plan = self.planner.update(self._tally(self.follower.reports()))
         if plan is not None:
             self.proposed_at = now
             self.council.propose(Put(PLAN, encode(plan), held.index if held else 0))
@@ -391,7 +391,7 @@
                 else "with the others again",
                 plan=self.plan.number,
             )
-        event = acting.told(
+        event = acting.plan_event(
             self.plan,
             self.settings.zones,
             [one.name for one in self.settings.request_classes],
@@ -469,12 +469,12 @@
             return {}
         return {
             name: {
-                "phase": view.phase.value,
-                "keeps": round(view.keep, 3),
-                "ready": round(view.ready, 1),
-                "of": round(view.size, 1),
-                "warm": round(view.warm, 2),
-                "waits": round(self.planner.press.get(name, 0.0), 3),
+                "phase": view.health.value,
+                "keeps": round(view.kept_share, 3),
+                "ready": round(view.ready_size, 1),
+                "of": round(view.full_size, 1),
+                "warm": round(view.warm_share, 2),
+                "waits": round(self.planner.load.waits.get(name, 0.0), 3),
                 "relapses": view.relapses,
             }
             for name, view in self.planner.zones.views.items()
--- a/worksmux/simulation/conductor.py
+++ b/worksmux/simulation/conductor.py
@@ -10,9 +10,10 @@
 
 from dataclasses import dataclass
 
-from ..failover.acting import told
+from ..failover.acting import plan_event
 from ..failover.plan import Plan
-from ..failover.planner import Map, Planner
+from ..failover.planner import Planner, PlannerSettings
+from ..failover.shedding import hold_by_rank
 from ..failover.tally import Tally, added
 from ..failover.watcher import ListedEngine, Watcher
 from ..policy.events import FailoverPlan
@@ -40,7 +41,7 @@
     ) -> None:
         self.model, self.day, self.mode, self.ways = model, model.day, mode, ways or Ways()
         day = self.day
-        self.map = Map(
+        self.map = PlannerSettings(
             {zone: day.regions.get(zone, "") for zone in day.zones},
             {one.name: one.credit for one in day.request_classes},
             day.rules["cold_share"],
@@ -55,11 +56,11 @@
         self.sizes = dict.fromkeys(day.zones, 0.0)
         self.since: dict[str, float] = {}  # when a zone was found lost
         if mode != "today":
-            model.sim.after(self.map.every, self.look)
+            model.sim.after(self.map.interval_ms, self.look)
 
     def look(self) -> None:
         model, now = self.model, self.model.sim.now
-        model.sim.after(self.map.every, self.look)
+        model.sim.after(self.map.interval_ms, self.look)
         reports: dict[int, Tally] = {}
         for at, front in enumerate(model.fronts):
             if front is None:
@@ -77,7 +78,7 @@
         if self.mode == "alone":
             for at, own in reports.items():
                 planner = self.alone.setdefault(at, Planner(self.map, Plan()))
-                plan = planner.look(own)
+                plan = planner.update(own)
                 front = model.fronts[at]
                 if plan is not None and front is not None:
                     self.tell(at, front, plan)
@@ -91,9 +92,9 @@
                     self.tell(at, front, self.plan)
 
     def plan_for_all(self, tally: Tally) -> None:
-        plan = self.planner.look(tally)
+        plan = self.planner.update(tally)
         if plan is not None and self.mode == "static":
-            plan = Plan(plan.number, plan.rows, {}, 0.0, plan.why)
+            plan = Plan(plan.number, plan.routes, {}, 0.0, plan.reason)
         if plan is not None:
             self.plans.append((self.model.sim.now, plan))
             self.model.sim.after(self.ways.down, self.spread, plan)
@@ -106,7 +107,7 @@
 
     def tell(self, at: int, front: ModelFront, plan: Plan) -> None:
         self.told[at] = front, plan.number
-        event = told(plan, self.day.zones, [one.name for one in self.day.request_classes], alone=False)
+        event = plan_event(plan, self.day.zones, [one.name for one in self.day.request_classes], alone=False)
         front.tell(event or FailoverPlan({}, {}, 0.0))
 
     def see_all(self, asked: Tally) -> None:
@@ -119,7 +120,7 @@
                 up[place.zone] += engine.warmth()
         rows: dict[str, dict[str, float]] = {}
         shed: dict[str, dict[str, float]] = {}
-        self.planner.asked = dict(asked.asked)
+        self.planner.load.demand = dict(asked.demand)
         for zone in day.zones:
             self.sizes[zone] = max(self.sizes[zone], up[zone])
             part = up[zone] / self.sizes[zone] if self.sizes[zone] else 1.0
@@ -134,8 +135,8 @@
                 rows[zone][zone] = part
             held = min(1.0, 1 - (past - RAMP[1]) / RAMP[2])
             if held > 0 and not part:
-                shed[zone] = self.planner._hold(RAMP[0] * held)
-        if rows != self.plan.rows or shed != self.plan.shed:
+                shed[zone] = hold_by_rank(RAMP[0] * held, self.planner.load.demand, self.map.credits)
+        if rows != self.plan.routes or shed != self.plan.shed:
             self.plan = Plan(self.plan.number + 1, rows, shed, 500.0 if shed else 0.0)
             self.spread(self.plan)
 
--- a/worksmux/simulation/front.py
+++ b/worksmux/simulation/front.py
@@ -153,7 +153,7 @@
                 self.learner.observe(self.sim.now, event)
         if self.watcher is not None:
             for event in events:
-                self.watcher.saw(self.sim.now, event)
+                self.watcher.observe(self.sim.now, event)
         for action in self.door.decide(self.sim.now, events):
             self._carry_out(action)
         closing, self.closing = self.closing, []
