--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,32 +5,36 @@
 
 import os
 
-import known_red
 import pytest
 from hypothesis import settings
+from known_red import KnownRed, KnownRedError, read_known_red
 
 settings.register_profile("same", derandomize=True, deadline=None)
 settings.register_profile("long", deadline=None)
 settings.load_profile("long" if os.environ.get("WORKSMUX_LONG") else "same")
 
 
-REDS = pytest.StashKey[list[known_red.Red]]()
+KNOWN_RED = pytest.StashKey[list[KnownRed]]()
 
 
 def pytest_configure(config: pytest.Config) -> None:
     try:
-        config.stash[REDS] = known_red.read(config.rootpath)
-    except known_red.Wrong as fault:
-        raise pytest.UsageError(str(fault)) from None
+        config.stash[KNOWN_RED] = read_known_red(config.rootpath)
+    except KnownRedError as error:
+        raise pytest.UsageError(str(error)) from None
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     for item in items:
-        for red in config.stash[REDS]:
-            if item.nodeid.partition("[")[0] == red.test:
-                item.add_marker(pytest.mark.xfail(reason=f"{red.cause} (issue {red.issue})"))
+        for entry in config.stash[KNOWN_RED]:
+            if item.nodeid.partition("[")[0] == entry.test:
+                item.add_marker(pytest.mark.xfail(reason=f"{entry.seen} (issue {entry.issue})"))
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    for red in config.stash[REDS]:
-        terminalreporter.write_line(f"known red: {red.test}: {red.cause} (issue {red.issue})")
+    passed = {report.nodeid.partition("[")[0] for report in terminalreporter.stats.get("xpassed", [])}
+    for entry in config.stash[KNOWN_RED]:
+        note = "; it PASSED in this run" if entry.test in passed else ""
+        terminalreporter.write_line(
+            f"known red: {entry.test}: {entry.seen} (issue {entry.issue}; {entry.command}){note}"
+        )
