--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -12,7 +12,7 @@
 from worksmux.consensus.raft import Raft
 from worksmux.consensus.steps import Change, Figures, HandOver, Out, Role
 from worksmux.policy.measure import Chance
-from worksmux.simulation.consensus import Broken, CouncilWorld, Make, SeatInTime, storm
+from worksmux.simulation.consensus import CouncilWorld, InvariantViolationError, Make, SeatInTime, storm
 
 SAMPLE = 60  # storms in CI; thousands are played by benchmarks/council_storms.py
 
@@ -28,7 +28,7 @@
     for seed in range(seeds):
         try:
             storm(seed, make, patient=patient, fragile=fragile)
-        except Broken as broken:
+        except InvariantViolationError as broken:
             if say(str(broken)):
                 return str(broken)
         except AssertionError:
@@ -109,7 +109,7 @@
             world.run(12.0)
         try:
             world.read(leader.name)
-        except Broken:
+        except InvariantViolationError:
             stale = True
     assert stale == (make is VotesDespiteLeader)
 
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -9,7 +9,7 @@
 from typer.testing import CliRunner
 
 from worksmux.commands.main import app
-from worksmux.experiment.book import Book, NotABook, to_parquet
+from worksmux.experiment.book import Book, RunStoreError, to_parquet
 from worksmux.experiment.plan import Experiment, load_experiment
 from worksmux.experiment.play import back_after, busiest, play
 from worksmux.experiment.runner import run_all
@@ -99,7 +99,7 @@
 def test_file_that_is_no_book_is_left_alone(tmp_path: Path) -> None:
     path = tmp_path / "runs"
     path.write_bytes(b"something else" * 100)
-    with pytest.raises(NotABook):
+    with pytest.raises(RunStoreError):
         Book(path)
     assert path.read_bytes() == b"something else" * 100
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -17,7 +17,7 @@
 from worksmux.load.generator import LoadError, run
 from worksmux.load.page import page
 from worksmux.load.settings import LoadSettings, read_load
-from worksmux.load.trace import BadTrace, Recorder, Row, merge, read
+from worksmux.load.trace import Recorder, Row, TraceFormatError, merge, read
 from worksmux.load.wheel import Wheel
 from worksmux.settings.document import SettingsError, parse
 
@@ -100,7 +100,7 @@
 @pytest.mark.parametrize("data", [b"", b"PAR1", b"nonsense" * 100])
 def test_file_that_is_no_trace_is_told(tmp_path: Path, data: bytes) -> None:
     (tmp_path / "bad").write_bytes(data)
-    with pytest.raises(BadTrace, match="bad"):
+    with pytest.raises(TraceFormatError, match="bad"):
         list(read(tmp_path / "bad"))
 
 
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -16,7 +16,7 @@
 from worksmux.scenarios.figures import figures_of
 from worksmux.scenarios.scenario import Scenario, load_scenario, read_scenario
 from worksmux.settings.document import parse
-from worksmux.simulation.day import Model, NotPlayed
+from worksmux.simulation.day import Model, UnsupportedScenarioError
 from worksmux.simulation.sim import Sim
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
@@ -81,7 +81,7 @@
 
 
 def test_trouble_of_sockets_alone_is_refused_by_name() -> None:
-    with pytest.raises(NotPlayed, match="slow-links"):
+    with pytest.raises(UnsupportedScenarioError, match="slow-links"):
         Model(load_scenario(EXAMPLES / "bad-day.kdl"))
 
 
--- a/tests/test_tokens.py
+++ b/tests/test_tokens.py
@@ -28,7 +28,7 @@
 from worksmux.tokenization.samples import SAMPLES
 from worksmux.tokenization.service import Result, TokenService
 from worksmux.tokenization.sketch import Sketch
-from worksmux.tokenization.vocabulary import BadTokenizer, load, tokens
+from worksmux.tokenization.vocabulary import TokenizerFormatError, load, tokens
 from worksmux.tokenization.worker import Counted, frame
 
 VOCABULARIES = [load(f"examples/tokenizers/{name}.json") for name in ("lab-1", "lab-2")]
@@ -99,9 +99,9 @@
     ):
         path = tmp_path / f"{name}.json"
         path.write_text(content)
-        with pytest.raises(BadTokenizer, match=words):
+        with pytest.raises(TokenizerFormatError, match=words):
             load(path)
-    with pytest.raises(BadTokenizer, match="cannot be read"):
+    with pytest.raises(TokenizerFormatError, match="cannot be read"):
         load(tmp_path / "none.json")
 
 
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -11,7 +11,7 @@
 
 from worksmux.admission.overload import Pressure
 from worksmux.api import embeddings, rerank
-from worksmux.api.errors import BadRequest
+from worksmux.api.errors import InvalidRequestError
 from worksmux.checker.records import load
 from worksmux.checker.rules import check
 from worksmux.fakes.vectors import score, vector
@@ -245,7 +245,7 @@
     ],
 )
 def test_bad_call_is_told_what_is_wrong(body: bytes, wanted: str) -> None:
-    with pytest.raises(BadRequest, match=wanted):
+    with pytest.raises(InvalidRequestError, match=wanted):
         embeddings.asked(body)
 
 
--- a/tests/test_wire_forms.py
+++ b/tests/test_wire_forms.py
@@ -12,8 +12,8 @@
 from twisted.internet.testing import StringTransport
 
 from worksmux.api import chat
-from worksmux.api.errors import BadRequest
-from worksmux.api.events import DONE, Events, TooLong, event
+from worksmux.api.errors import InvalidRequestError
+from worksmux.api.events import DONE, Events, EventTooLongError, event
 from worksmux.api.listing import Line, Listing
 from worksmux.endpoints.list_reader import ListKeeper
 from worksmux.gateway import attempts as carriers
@@ -182,7 +182,7 @@
 
 def test_event_without_end_is_bounded() -> None:
     events = Events(100)
-    with pytest.raises(TooLong):
+    with pytest.raises(EventTooLongError):
         for _ in range(50):
             events.feed(b"data: xxxxxxxx\n")
 
@@ -218,7 +218,7 @@
     "headers", [{chat.TIME_LEFT: "soon"}, {chat.TIME_LEFT: "-1"}, {chat.PREFIX_TOKENS: "nan"}]
 )
 def test_headers_that_are_no_figures_are_refused(headers: dict[str, str]) -> None:
-    with pytest.raises(BadRequest):
+    with pytest.raises(InvalidRequestError):
         asked(headers)
 
 
@@ -238,7 +238,7 @@
 
 @given(st.binary(max_size=200))
 def test_any_bytes_are_a_request_or_a_clear_refusal(body: bytes) -> None:
-    with pytest.raises(BadRequest):
+    with pytest.raises(InvalidRequestError):
         chat.asked(body, {}.get, {"hint": 0}, [50])
 
 
--- a/worksmux/api/chat.py
+++ b/worksmux/api/chat.py
@@ -18,7 +18,7 @@
 import msgspec
 import xxhash
 
-from .errors import BadRequest
+from .errors import InvalidRequestError
 
 Text = str | list[dict[str, Any]] | None
 TIME_LEFT, SESSION, PREFIX = "x-worksmux-time-left-ms", "x-worksmux-session", "x-worksmux-prefix"
@@ -142,7 +142,7 @@
     except ValueError:
         found = -1.0
     if not 0 <= found < 1e12:
-        raise BadRequest(f"the header {name} must be a number from 0", name)
+        raise InvalidRequestError(f"the header {name} must be a number from 0", name)
     return found
 
 
@@ -165,22 +165,22 @@
     try:
         known, fields = READ_KNOWN.decode(body), READ_FIELDS.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise BadRequest(f"the body is no chat completion: {error}") from error
+        raise InvalidRequestError(f"the body is no chat completion: {error}") from error
     if known.model not in request_classes:
-        raise BadRequest(
+        raise InvalidRequestError(
             f"the model {known.model[:100]!r} does not exist; GET /v1/models lists those that do",
             "model",
             "model_not_found",
             404,
         )
     if not known.messages:
-        raise BadRequest("messages must hold at least one message", "messages")
+        raise InvalidRequestError("messages must hold at least one message", "messages")
     if known.n not in (None, 1):
-        raise BadRequest("n must be 1: one job has one answer", "n")
+        raise InvalidRequestError("n must be 1: one job has one answer", "n")
     at = request_classes[known.model]
     longest = known.max_completion_tokens if known.max_completion_tokens is not None else known.max_tokens
     if longest is not None and longest < 1:
-        raise BadRequest("max_tokens must be at least 1", "max_tokens")
+        raise InvalidRequestError("max_tokens must be at least 1", "max_tokens")
     parts = [(message.role, text_of(message.content)) for message in known.messages]
     lengths = [len(text.encode("utf-8", "surrogatepass")) for _, text in parts]
     first = known.messages[0]
--- a/worksmux/api/embeddings.py
+++ b/worksmux/api/embeddings.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from .chat import BYTES_A_TOKEN
-from .errors import BadRequest
+from .errors import InvalidRequestError
 
 PATH = "/v1/embeddings"
 MOST_INPUTS = 2048  # of one call, as the published form has it
@@ -80,12 +80,14 @@
     try:
         known = READ.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise BadRequest(f"the body is not an embeddings call: {error}") from error
+        raise InvalidRequestError(f"the body is not an embeddings call: {error}") from error
     if known.dimensions is not None and known.dimensions < 1:
-        raise BadRequest("dimensions must be at least 1", "dimensions")
+        raise InvalidRequestError("dimensions must be at least 1", "dimensions")
     inputs = _inputs(known.input)
     if len(inputs) > MOST_INPUTS:
-        raise BadRequest(f"input has {len(inputs)} entries; {MOST_INPUTS} at most", "input", status=400)
+        raise InvalidRequestError(
+            f"input has {len(inputs)} entries; {MOST_INPUTS} at most", "input", status=400
+        )
     costs = [tokens_of(one) for one in inputs]
     return Asked(known.model, inputs, costs, known.encoding_format, known.dimensions, known.user or "")
 
@@ -94,16 +96,18 @@
     if isinstance(given, str):
         given = [given]
     if not isinstance(given, list) or not given:
-        raise BadRequest("input must be a text, a list of texts, or token ids; it must not be empty", "input")
+        raise InvalidRequestError(
+            "input must be a text, a list of texts, or token ids; it must not be empty", "input"
+        )
     if all(isinstance(one, str) for one in given):
         if not all(given):
-            raise BadRequest("input holds an empty text", "input")
+            raise InvalidRequestError("input holds an empty text", "input")
         return given
     if all(_id(one) for one in given):
         return [given]
     if all(isinstance(one, list) and one and all(map(_id, one)) for one in given):
         return given
-    raise BadRequest("input mixes forms; give texts only, or lists of token ids only", "input")
+    raise InvalidRequestError("input mixes forms; give texts only, or lists of token ids only", "input")
 
 
 def _id(one: object) -> bool:
--- a/worksmux/api/errors.py
+++ b/worksmux/api/errors.py
@@ -4,6 +4,8 @@
 
 import msgspec
 
+from ..errors import WorksmuxError
+
 
 class ErrorBody(msgspec.Struct):
     message: str
@@ -16,7 +18,7 @@
     error: ErrorBody
 
 
-class BadRequest(Exception):
+class InvalidRequestError(WorksmuxError):
     """A client's job that cannot be taken, with the status and the body to answer."""
 
     def __init__(
--- a/worksmux/api/events.py
+++ b/worksmux/api/events.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from ..errors import WorksmuxError
+
 DONE = b"data: [DONE]\n\n"
 
 
@@ -13,7 +15,7 @@
     return b"data: " + data + b"\n\n"
 
 
-class TooLong(Exception):
+class EventTooLongError(WorksmuxError):
     """An event is longer than the bound."""
 
 
@@ -50,7 +52,7 @@
                 self._data.append(line[5:].removeprefix(b" "))
                 self._size += len(line)
         if self._size + len(self._rest) > self.bound:
-            raise TooLong(f"an event is longer than {self.bound} bytes")
+            raise EventTooLongError(f"an event is longer than {self.bound} bytes")
         return found
 
     @property
--- a/worksmux/api/rerank.py
+++ b/worksmux/api/rerank.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from .embeddings import Usage, tokens_of
-from .errors import BadRequest
+from .errors import InvalidRequestError
 
 PATH = "/v1/rerank"
 MOST_DOCUMENTS = 1000
@@ -68,13 +68,13 @@
     try:
         known = READ.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise BadRequest(f"the body is not a rerank call: {error}") from error
+        raise InvalidRequestError(f"the body is not a rerank call: {error}") from error
     if not known.query:
-        raise BadRequest("query must not be empty", "query")
+        raise InvalidRequestError("query must not be empty", "query")
     if not 1 <= len(known.documents) <= MOST_DOCUMENTS:
-        raise BadRequest(f"documents must be 1 to {MOST_DOCUMENTS}", "documents")
+        raise InvalidRequestError(f"documents must be 1 to {MOST_DOCUMENTS}", "documents")
     if known.top_n is not None and known.top_n < 1:
-        raise BadRequest("top_n must be at least 1", "top_n")
+        raise InvalidRequestError("top_n must be at least 1", "top_n")
     texts = [one if isinstance(one, str) else one.text for one in known.documents]
     query = tokens_of(known.query)
     costs = [query + tokens_of(text) for text in texts]
--- a/worksmux/commands/experiments.py
+++ b/worksmux/commands/experiments.py
@@ -25,14 +25,14 @@
 
 
 def _open(file: Path, book: Path | None) -> tuple[Experiment, Book]:
-    from ..experiment.book import Book, NotABook
+    from ..experiment.book import Book, RunStoreError
     from ..experiment.plan import load_experiment
 
     try:
         return load_experiment(file), Book(book or file.with_suffix(".runs"))
     except SettingsError as error:
         raise refuse(error) from error
-    except NotABook as error:
+    except RunStoreError as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(BAD_CALL) from error
 
--- a/worksmux/commands/main.py
+++ b/worksmux/commands/main.py
@@ -31,13 +31,13 @@
 def serve(file: File) -> None:
     """Run one front until SIGTERM; SIGHUP reloads its settings."""
     from ..gateway.serve import run
-    from ..tokenization.vocabulary import BadTokenizer
+    from ..tokenization.vocabulary import TokenizerFormatError
 
     try:
         sys.exit(run(file))
     except SettingsError as error:
         raise refuse(error) from error
-    except BadTokenizer as error:
+    except TokenizerFormatError as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(BAD_CALL) from error
 
@@ -55,14 +55,14 @@
     """Check a front's settings and name every fault, with line and remedy."""
     from ..gateway.serve import vocabularies
     from ..settings.front import load_front
-    from ..tokenization.vocabulary import BadTokenizer
+    from ..tokenization.vocabulary import TokenizerFormatError
 
     try:
         settings = load_front(file)
         vocabularies(settings)
     except SettingsError as error:
         raise refuse(error) from error
-    except BadTokenizer as error:
+    except TokenizerFormatError as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(BAD_CALL) from error
     host, port = settings.source.address
@@ -93,7 +93,7 @@
 
     Exit codes: 0 all rules kept, 1 a rule was broken or the day could not be run, 2 the file is wrong.
     """
-    from ..fault_trial.runner import TrialError, play
+    from ..fault_trial.runner import FaultTrialError, play
     from ..scenarios.scenario import load_scenario
     from .trials import finish, run_all
 
@@ -107,7 +107,7 @@
         told = play(
             day, policy[0] if policy else day.policy, lambda text: typer.echo(text, err=True), keep, not guess
         )
-    except TrialError as error:
+    except FaultTrialError as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(1) from error
     raise finish(told, as_json)
@@ -130,18 +130,18 @@
     from ..scenarios.figures import figures_of
     from ..scenarios.scenario import load_scenario
     from ..settings.front import POLICIES
-    from ..simulation.day import Model, NotPlayed
+    from ..simulation.day import Model, UnsupportedScenarioError
     from .trials import finish
 
     try:
         day = load_scenario(file)
         if policy and policy not in POLICIES:
-            raise NotPlayed(f"there is no policy {policy}; name one of {', '.join(POLICIES)}")
+            raise UnsupportedScenarioError(f"there is no policy {policy}; name one of {', '.join(POLICIES)}")
         day = replace(day, policy=policy or day.policy, seed=day.seed if seed < 0 else seed)
         records = Model(day).run()
     except SettingsError as error:
         raise refuse(error) from error
-    except NotPlayed as error:
+    except UnsupportedScenarioError as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(BAD_CALL) from error
     assert records is not None
--- a/worksmux/commands/tokens.py
+++ b/worksmux/commands/tokens.py
@@ -17,7 +17,7 @@
 from ..tokenization.cache import Frequent
 from ..tokenization.pieces import cut, render
 from ..tokenization.samples import SAMPLES
-from ..tokenization.vocabulary import BadTokenizer, Vocabulary, load
+from ..tokenization.vocabulary import TokenizerFormatError, Vocabulary, load
 from ..tokenization.vocabulary import tokens as ids_of
 
 PIECE, WIDTH = 4000, array("I").itemsize
@@ -34,7 +34,7 @@
 def _open(path: Path) -> Vocabulary:
     try:
         return load(path)
-    except BadTokenizer as error:
+    except TokenizerFormatError as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(2) from error
 
--- a/worksmux/experiment/book.py
+++ b/worksmux/experiment/book.py
@@ -11,6 +11,8 @@
 import pyarrow as pa
 import pyarrow.parquet as pq
 
+from ..errors import WorksmuxError
+
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS run (key TEXT PRIMARY KEY, seed INTEGER NOT NULL, vals TEXT NOT NULL,
     figures TEXT NOT NULL) WITHOUT ROWID;
@@ -18,7 +20,7 @@
 Row = dict[str, Any]  # values and figures of one run, with its seed
 
 
-class NotABook(Exception):
+class RunStoreError(WorksmuxError):
     """The file is not one of ours; the message says what to do."""
 
 
@@ -31,7 +33,9 @@
             self.database.execute("PRAGMA journal_mode = WAL")
             self.database.executescript(SCHEMA)
         except sqlite3.DatabaseError as error:
-            raise NotABook(f"{path} holds no runs of an experiment ({error}); name another file") from error
+            raise RunStoreError(
+                f"{path} holds no runs of an experiment ({error}); name another file"
+            ) from error
 
     def done(self) -> set[str]:
         return {key for (key,) in self.database.execute("SELECT key FROM run")}
--- a/worksmux/fakes/vectors.py
+++ b/worksmux/fakes/vectors.py
@@ -52,7 +52,7 @@
             return self._refuse(exchange, facts, calls.DRAINING)
         try:
             asked = embeddings.asked(body) if path == embeddings.PATH else rerank.asked(body)
-        except errors.BadRequest as bad:
+        except errors.InvalidRequestError as bad:
             self.end("bad", **facts)
             return exchange.answer(bad.status, bad.body)
         if "bad" in process.faults and any("BAD" in str(one) for one in asked.inputs):
--- a/worksmux/fault_trial/runner.py
+++ b/worksmux/fault_trial/runner.py
@@ -18,6 +18,7 @@
 from ..checker.fleet import summary as fleet_summary
 from ..checker.records import load
 from ..checker.report import summary
+from ..errors import WorksmuxError
 from ..fakes.clients import Burst, ClientsSpec, FrontSpec, RequestClassSpec
 from ..fakes.engine import Fault
 from ..fakes.journal import Journal
@@ -45,7 +46,7 @@
 }
 
 
-class TrialError(Exception):
+class FaultTrialError(WorksmuxError):
     """The day could not be run: a process did not start, or died when it should not."""
 
 
@@ -98,7 +99,7 @@
         self.counts: dict[str, int] = {}
 
     def run(self) -> dict[str, Any]:
-        """Plays the day and returns its report; raises TrialError."""
+        """Plays the day and returns its report; raises FaultTrialError."""
         self.reactor.callWhenRunning(self._begin)
         self.reactor.run()
         if self.error:
@@ -113,7 +114,7 @@
 
     def _fail(self, text: str) -> None:
         if not self.ending:
-            self.error = self.error or TrialError(f"{text}; its output is in {self.folder}")
+            self.error = self.error or FaultTrialError(f"{text}; its output is in {self.folder}")
             self._stop()
 
     def _begin(self) -> None:
@@ -496,7 +497,7 @@
     folder = keep or Path(tempfile.mkdtemp(prefix="worksmux-day-"))
     folder.mkdir(parents=True, exist_ok=True)
     if any(folder.glob("*.jsonl")):
-        raise TrialError(f"{folder} holds the records of another run; name an empty folder")
+        raise FaultTrialError(f"{folder} holds the records of another run; name an empty folder")
     told = {"day": day.name, "policy": policy, **Trial(day, folder, policy, say, counting).run()}
     if keep is None and told["kept"]:
         shutil.rmtree(folder)
--- a/worksmux/gateway/attempts.py
+++ b/worksmux/gateway/attempts.py
@@ -13,7 +13,7 @@
 from ..api import engine as calls
 from ..api.chat import READ_CHUNK, READ_REPLY, Usage
 from ..api.errors import code_of
-from ..api.events import Events, TooLong
+from ..api.events import Events, EventTooLongError
 from ..forwarding.attempt import Carriage, Streaming
 from ..net import client
 from ..policy.state import Outcome
@@ -66,7 +66,7 @@
                 self._event(event)
                 if self.over:
                     return
-        except (TooLong, msgspec.DecodeError, UnicodeDecodeError, RecursionError):
+        except (EventTooLongError, msgspec.DecodeError, UnicodeDecodeError, RecursionError):
             self._end(Outcome.ERROR)
 
     def _event(self, data: bytes) -> None:
--- a/worksmux/gateway/clients.py
+++ b/worksmux/gateway/clients.py
@@ -142,7 +142,7 @@
         arrived = clock.now()
         try:
             asked = chat.asked(exchange.body(), exchange.header, self.request_classes, self.most)
-        except errors.BadRequest as bad:
+        except errors.InvalidRequestError as bad:
             self.core.metrics.turned_away("bad job")
             exchange.answer(bad.status, bad.body)
             return
--- a/worksmux/gateway/serve.py
+++ b/worksmux/gateway/serve.py
@@ -20,7 +20,7 @@
 from ..settings.document import SettingsError
 from ..settings.front import Admission, FrontSettings, load_front
 from ..tokenization.service import TokenService
-from ..tokenization.vocabulary import BadTokenizer, Vocabulary
+from ..tokenization.vocabulary import TokenizerFormatError, Vocabulary
 from ..tokenization.vocabulary import load as load_vocabulary
 from .chat_engine_client import PublishedCore
 from .clients import ClientSide
@@ -297,7 +297,7 @@
         if self.tokens:
             try:
                 told = vocabularies(fresh)
-            except BadTokenizer as error:
+            except TokenizerFormatError as error:
                 LOG.error("the settings were not reloaded: the tokenizers at work stay", why=str(error))
                 return
             changed = sum(
--- a/worksmux/gateway/vectors.py
+++ b/worksmux/gateway/vectors.py
@@ -215,7 +215,7 @@
         try:
             one = self._read(exchange, call)
             left = self._time_left(exchange, one.request_class)
-        except errors.BadRequest as bad:
+        except errors.InvalidRequestError as bad:
             metrics.turned_away("bad job")
             return exchange.answer(bad.status, bad.body)
         self._take(one, left)
@@ -226,7 +226,7 @@
         asked = embeddings.asked(body) if call == "embeddings" else rerank.asked(body)
         known = self.request_classes.get((call, asked.model))
         if known is None:
-            raise errors.BadRequest(
+            raise errors.InvalidRequestError(
                 f"the model {asked.model[:100]!r} does not exist for {call}; GET /v1/models "
                 "lists those that do",
                 "model",
@@ -235,7 +235,7 @@
             )
         number, at, request_class = known
         if max(asked.costs) > request_class.most_prompt:
-            raise errors.BadRequest(
+            raise errors.InvalidRequestError(
                 f"an input has about {max(asked.costs):.0f} tokens; {asked.model} takes "
                 f"{request_class.most_prompt} at most; shorten it",
                 "input",
--- a/worksmux/load/generator.py
+++ b/worksmux/load/generator.py
@@ -14,6 +14,7 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
+from ..errors import WorksmuxError
 from ..net import clock
 from .settings import LoadSettings
 from .trace import merge
@@ -23,7 +24,7 @@
 PERCENTS = (50.0, 90.0, 99.0, 99.9)
 
 
-class LoadError(Exception):
+class LoadError(WorksmuxError):
     """A process of the generator ended early; the message has its last words."""
 
 
--- a/worksmux/load/trace.py
+++ b/worksmux/load/trace.py
@@ -9,6 +9,8 @@
 import pyarrow as pa
 import pyarrow.parquet as pq
 
+from ..errors import WorksmuxError
+
 PIECE = 4096
 COLUMNS = pa.schema(
     [
@@ -23,7 +25,7 @@
 )
 
 
-class BadTrace(Exception):
+class TraceFormatError(WorksmuxError):
     """The file is no recorded load; the message says what is wrong."""
 
 
@@ -66,19 +68,19 @@
 
 
 def read(path: Path, part: int = 0, parts: int = 1, speed: float = 1.0) -> Iterator[Row]:
-    """The rows of every `parts`th session, in the order of the file; raises BadTrace."""
+    """The rows of every `parts`th session, in the order of the file; raises TraceFormatError."""
     try:
         file = pq.ParquetFile(path)
         missing = set(COLUMNS.names) - set(file.schema_arrow.names)
         if missing:
-            raise BadTrace(f"{path}: columns are missing: {', '.join(sorted(missing))}")
+            raise TraceFormatError(f"{path}: columns are missing: {', '.join(sorted(missing))}")
         for batch in file.iter_batches(PIECE, columns=COLUMNS.names):
             for values in batch.to_pylist():
                 if values["session"] % parts == part:
                     values["at"] /= speed
                     yield msgspec.convert(values, Row)
     except (pa.ArrowException, msgspec.ValidationError, OSError, TypeError) as error:
-        raise BadTrace(f"{path}: {error}") from error
+        raise TraceFormatError(f"{path}: {error}") from error
 
 
 def merge(paths: list[Path], out: Path) -> None:
--- a/worksmux/node/config.py
+++ b/worksmux/node/config.py
@@ -11,7 +11,7 @@
 
 from ..policy.settings import PolicySettings
 from ..settings import units
-from ..settings.platform import Place, Untold, settings_from
+from ..settings.platform import JsonObject, PlatformSettingsError, settings_from
 from .endpoint_list import HostList
 
 Address = tuple[str, int]
@@ -85,13 +85,13 @@
     try:
         told = READ.decode(data)
         settings = settings_from(told.settings, "$.settings")
-        root = Place(told.settings, "$.settings")
+        root = JsonObject(told.settings, "$.settings")
         request_classes = [
-            Place(one, f"$.settings.services[{at}]").text("name")
+            JsonObject(one, f"$.settings.services[{at}]").text("name")
             for at, one in enumerate(told.settings["services"])
         ]
         kinds, zones = root.texts("kinds"), root.texts("zones", [])
-    except (Untold, msgspec.ValidationError) as error:  # they name the place themselves
+    except (PlatformSettingsError, msgspec.ValidationError) as error:  # they name the place themselves
         raise BadConfig(f"{place}: {error}") from None
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise BadConfig(f"{place}: {len(data)} bytes: whole JSON was expected: {error}") from None
--- a/worksmux/settings/document.py
+++ b/worksmux/settings/document.py
@@ -17,6 +17,7 @@
 from kdl.errors import ParseError
 from kdl.parsing import ParseConfig, Parser
 
+from ..errors import WorksmuxError
 from . import units
 
 T = TypeVar("T")
@@ -34,7 +35,7 @@
         return f"{self.file}:{self.line}: {self.text}"
 
 
-class SettingsError(Exception):
+class SettingsError(WorksmuxError):
     """All complaints about one file, sorted by line."""
 
     def __init__(self, complaints: list[Complaint]) -> None:
--- a/worksmux/settings/platform.py
+++ b/worksmux/settings/platform.py
@@ -1,8 +1,8 @@
-"""The settings that an operator's platform hands to a node, in the policy's terms.
+"""Settings that an operator's platform hands to a node, in the policy's terms.
 
-The simulator's first message and the platform's configuration carry the same object, so that the module is
-given the same by both.  Standard library only: where the simulator runs the adapter nothing else is
-installed.
+The simulator's first message and the platform's configuration carry the same JSON object.  Its names stand
+here alone; the rest of the program knows PolicySettings.  Standard library only: where the simulator runs the
+adapter nothing else is installed.
 """
 
 from __future__ import annotations
@@ -10,88 +10,113 @@
 import json
 from typing import Any
 
-from ..policy.settings import PolicySettings, RequestClassSettings
+from ..errors import WorksmuxError
+from ..policy.settings import (
+    DEDUPLICATED,
+    IDEMPOTENT,
+    NON_IDEMPOTENT,
+    SCOPE_ALL,
+    PolicySettings,
+    RequestClassSettings,
+)
 
-EFFECTS = {"free": "redoable", "guarded": "labelled", "single_shot": "irreversible"}
-MISSING: Any = object()
+EFFECTS = {"free": IDEMPOTENT, "guarded": DEDUPLICATED, "single_shot": NON_IDEMPOTENT}
+POLL_MODE = "subscribe"  # the node asks for the endpoint list; in any other mode changes are pushed
+REPORTS_OFF = "off"
+MAX_SHOWN_CHARACTERS = 40  # of a wrong value, in an error
+REQUIRED: Any = object()  # the default of a key that must be given
 
 
-class Untold(ValueError):
-    """What is missing or wrong, with its place."""
+class PlatformSettingsError(WorksmuxError, ValueError):
+    """A setting is missing or wrong: its place in the object, what was expected, what was found."""
 
 
-class Place:
-    """A part of the object, and where it stands.
+class JsonObject:
+    """An object of the settings, with its place for errors.
 
-    >>> Place({"limits": {"tries": 4}}, "settings").part("limits").number("tries")
+    Each getter takes a key and a default, and raises PlatformSettingsError for a wrong value, or for a
+    missing one that has no default.
+
+    >>> JsonObject({"limits": {"tries": 4}}, "settings").part("limits").number("tries")
     4
-    >>> Place({"limits": {}}, "settings").part("limits").number("tries")
+    >>> JsonObject({"limits": {}}, "s").part("limits").number("tries")
     Traceback (most recent call last):
-    worksmux.settings.platform.Untold: settings.limits.tries: a number was expected, it is missing
+    worksmux.settings.platform.PlatformSettingsError: s.limits.tries: a number was expected, it is missing
     """
 
     def __init__(self, value: Any, place: str) -> None:
         self.value, self.place = value, place
 
-    def _found(self, key: str, kinds: tuple[type, ...], wanted: str, otherwise: Any) -> Any:
-        found = self.value.get(key, otherwise)
-        if found is None and otherwise is not MISSING:
-            return otherwise
-        wrong = not isinstance(found, kinds) or (isinstance(found, bool) and bool not in kinds)
-        if found is not otherwise and wrong or found is MISSING:
-            told = "it is missing" if found is MISSING else f"found {json.dumps(found)[:40]}"
-            raise Untold(f"{self.place}.{key}: {wanted} was expected, {told}")
+    def _get(self, key: str, kinds: tuple[type, ...], expected: str, default: Any) -> Any:
+        found = self.value.get(key, default)
+        if found is REQUIRED:
+            raise self._error(key, expected, "it is missing")
+        if found is default:
+            return found
+        if found is None and default is not REQUIRED:
+            return default
+        if not isinstance(found, kinds) or (isinstance(found, bool) and bool not in kinds):
+            raise self._error(key, expected, f"found {_shown(found)}")
         return found
 
-    def number(self, key: str, otherwise: Any = MISSING) -> Any:
-        return self._found(key, (int, float), "a number", otherwise)
+    def _error(self, key: str, expected: str, found: str) -> PlatformSettingsError:
+        return PlatformSettingsError(f"{self.place}.{key}: {expected} was expected, {found}")
+
+    def number(self, key: str, default: Any = REQUIRED) -> Any:
+        return self._get(key, (int, float), "a number", default)
 
-    def text(self, key: str, otherwise: Any = MISSING) -> Any:
-        return self._found(key, (str,), "a text", otherwise)
+    def text(self, key: str, default: Any = REQUIRED) -> Any:
+        return self._get(key, (str,), "a text", default)
 
-    def flag(self, key: str, otherwise: Any = False) -> Any:
-        return self._found(key, (bool,), "true or false", otherwise)
+    def flag(self, key: str, default: Any = False) -> Any:
+        return self._get(key, (bool,), "true or false", default)
 
-    def part(self, key: str, otherwise: Any = MISSING) -> Place:
-        return Place(self._found(key, (dict,), "an object", otherwise), f"{self.place}.{key}")
+    def part(self, key: str, default: Any = REQUIRED) -> JsonObject:
+        return JsonObject(self._get(key, (dict,), "an object", default), f"{self.place}.{key}")
 
-    def list(self, key: str, kinds: tuple[type, ...], wanted: str, otherwise: Any = MISSING) -> Any:
-        found = self._found(key, (list,), f"a list of {wanted}s", otherwise)
-        for at, one in enumerate(found):
-            if not isinstance(one, kinds):
-                told = json.dumps(one)[:40]
-                raise Untold(f"{self.place}.{key}[{at}]: a {wanted} was expected, found {told}")
+    def list(self, key: str, kinds: tuple[type, ...], expected: str, default: Any = REQUIRED) -> Any:
+        """A list whose items are of `kinds`, which `expected` names in the singular."""
+        found = self._get(key, (list,), f"a list of {expected}s", default)
+        for at, item in enumerate(found):
+            if not isinstance(item, kinds):
+                raise self._error(f"{key}[{at}]", f"a {expected}", f"found {_shown(item)}")
         return found
 
-    def numbers(self, key: str, otherwise: Any = MISSING) -> Any:
-        return self.list(key, (int, float), "number", otherwise)
+    def numbers(self, key: str, default: Any = REQUIRED) -> Any:
+        return self.list(key, (int, float), "number", default)
 
-    def texts(self, key: str, otherwise: Any = MISSING) -> Any:
-        return self.list(key, (str,), "text", otherwise)
+    def texts(self, key: str, default: Any = REQUIRED) -> Any:
+        return self.list(key, (str,), "text", default)
 
     def choice(self, key: str, choices: dict[str, str]) -> str:
+        """What a text stands for; `choices` are the texts that may be given."""
         found = self.text(key)
         if found not in choices:
-            raise Untold(f"{self.place}.{key}: one of {', '.join(choices)} was expected, found {found[:40]}")
+            expected = f"one of {', '.join(choices)}"
+            raise self._error(key, expected, f"found {found[:MAX_SHOWN_CHARACTERS]}")
         return choices[found]
 
 
-def settings_from(told: Any, place: str = "settings") -> PolicySettings:
-    """The policy's settings; keys not known here are left out.  Raises Untold."""
-    if not isinstance(told, dict):
-        raise Untold(f"{place}: an object was expected, found {json.dumps(told)[:40]}")
-    root = Place(told, place)
+def _shown(value: Any) -> str:
+    return json.dumps(value)[:MAX_SHOWN_CHARACTERS]
+
+
+def settings_from(value: Any, place: str = "settings") -> PolicySettings:
+    """The policy's settings; keys not known here are left out.  Raises PlatformSettingsError."""
+    if not isinstance(value, dict):
+        raise PlatformSettingsError(f"{place}: an object was expected, found {_shown(value)}")
+    root = JsonObject(value, place)
     limits, extra, rules = root.part("limits"), root.part("extra"), root.part("rules")
     stats = root.part("stats", {})
     per_k, paces = extra.numbers("aim_us_per_1000_prompt_tokens", []), extra.numbers("token_aim", [])
     request_classes = [
-        Place(one, f"{place}.services[{at}]")
+        JsonObject(one, f"{place}.services[{at}]")
         for at, one in enumerate(root.list("services", (dict,), "object"))
     ]
     if not request_classes:
-        raise Untold(f"{place}.services: at least one class was expected, there is none")
+        raise PlatformSettingsError(f"{place}.services: at least one class was expected, there is none")
     if root.number("balancers") < 1:
-        raise Untold(f"{place}.balancers: at least 1 was expected, found {told['balancers']}")
+        raise PlatformSettingsError(f"{place}.balancers: at least 1 was expected, found {value['balancers']}")
     _check_unused(root, extra, limits, rules)
     return PolicySettings(
         node_index=root.number("me"),
@@ -105,7 +130,7 @@
                 value=one.number("worth", 1.0),
                 late_value=one.number("late_worth", 0.0),
                 effect=one.choice("repeat", EFFECTS),
-                deduplication_scope=one.text("group", "all"),
+                deduplication_scope=one.text("group", SCOPE_ALL),
                 deduplication_window_ms=one.number("window", 0.0),
                 latency_target_per_1000_tokens_ms=per_k[at] / 1000 if at < len(per_k) else 0.0,
                 token_interval_ms=paces[at] if at < len(paces) else 0.0,
@@ -123,8 +148,8 @@
         max_retry_after_ms=limits.number("max_retry_after", 0.0) if limits.flag("retry_after") else 0.0,
         max_attempts=limits.number("try_limit"),
         connect_timeout_ms=limits.number("connect_timeout", 0.0),
-        polls_endpoint_list=root.text("membership_mode", "") == "subscribe",
-        load_reports=stats.text("via", "off"),
+        polls_endpoint_list=root.text("membership_mode", "") == POLL_MODE,
+        load_reports=stats.text("via", REPORTS_OFF),
         load_report_fields=tuple(stats.texts("fields", [])),
         answer_slack_ms=rules.number("answer_slack", 0.0),
         slow_start_share=rules.number("cold_share"),
@@ -134,7 +159,7 @@
     )
 
 
-def _check_unused(root: Place, extra: Place, limits: Place, rules: Place) -> None:
+def _check_unused(root: JsonObject, extra: JsonObject, limits: JsonObject, rules: JsonObject) -> None:
     """Names faults of settings that the policy does not use; a file with one is refused."""
     root.list("parties", (dict,), "object", [])
     extra.flag("resume")
--- a/worksmux/simulation/consensus.py
+++ b/worksmux/simulation/consensus.py
@@ -40,7 +40,7 @@
 Make = Callable[[str, Saved, Figures, int, float], Raft]
 
 
-class Broken(AssertionError):
+class InvariantViolationError(AssertionError):
     """Something that must always hold does not."""
 
 
@@ -270,33 +270,37 @@
             case Leads(term, leader) if leader == seat.name:
                 self.leaders.setdefault(term, set()).add(leader)
                 if len(self.leaders[term]) > 1:
-                    raise Broken(f"two leaders in term {term}: {sorted(self.leaders[term])}")
+                    raise InvariantViolationError(f"two leaders in term {term}: {sorted(self.leaders[term])}")
             case Committed(entries):
                 for entry in entries:
                     self.commits(seat, entry)
             case Rebased(base):
                 held = self.agreed.get(base.index)
                 if held is None or held.digest != base.digest:
-                    raise Broken(f"{seat.name} took a snapshot at {base.index} that was never agreed")
+                    raise InvariantViolationError(
+                        f"{seat.name} took a snapshot at {base.index} that was never agreed"
+                    )
             case Proposed(token, index, term):
                 self.proposed[token] = index, term
             case Readable(token, index):
                 self.read_count += 1
                 if index < self.reads[token]:
-                    raise Broken(f"{seat.name} read up to {index}, yet {self.reads[token]} was acknowledged")
+                    raise InvariantViolationError(
+                        f"{seat.name} read up to {index}, yet {self.reads[token]} was acknowledged"
+                    )
             case Refused():
                 self.refused += 1
             case Odd(text):
-                raise Broken(f"{seat.name}: {text}")
+                raise InvariantViolationError(f"{seat.name}: {text}")
             case _:
                 pass
 
     def commits(self, seat: SeatInTime, entry: Entry) -> None:
         held = self.agreed.setdefault(entry.index, entry)
         if held.digest != entry.digest:
-            raise Broken(f"{seat.name} agreed to another entry {entry.index}")
+            raise InvariantViolationError(f"{seat.name} agreed to another entry {entry.index}")
         if entry.index > 1 and entry.index - 1 not in self.agreed:
-            raise Broken(f"{seat.name} agreed to {entry.index} before the one before it")
+            raise InvariantViolationError(f"{seat.name} agreed to {entry.index} before the one before it")
         for token, (index, term) in list(self.proposed.items()):
             if index == entry.index:
                 del self.proposed[token]
@@ -312,12 +316,12 @@
             for index, entry in self.agreed.items():
                 held = raft.log.at(index)
                 if held is not None and index <= raft.commit and held.digest != entry.digest:
-                    raise Broken(f"{seat.name} holds another entry {index}")
+                    raise InvariantViolationError(f"{seat.name} holds another entry {index}")
         up = [seat.raft for seat in self.seats.values() if seat.raft is not None]
         most = max(raft.commit for raft in up)
         last = max(self.acknowledged.values(), default=0)
         if most < last:
-            raise Broken(f"{last} was acknowledged, and only {most} is left")
+            raise InvariantViolationError(f"{last} was acknowledged, and only {most} is left")
 
     def compact(self, name: str) -> None:
         raft = self.seats[name].raft
@@ -337,7 +341,7 @@
     fragile: float = 0.04,
 ) -> CouncilWorld:
     """One run with everything at once: loss, repeats, reordering, cuts, crashes, freezes, snapshots, reads.
-    Raises Broken where something that must always hold does not."""
+    Raises InvariantViolationError where something that must always hold does not."""
     chance = Chance(mix(seed, 99))
     weather = Weather((0.3, 3.0 + 60.0 * chance.share()), 0.2 * chance.share(), 0.2 * chance.share())
     world = CouncilWorld(
--- a/worksmux/simulation/day.py
+++ b/worksmux/simulation/day.py
@@ -19,6 +19,7 @@
 from ..checker.records import Records, gather
 from ..endpoints.learned_state import Kept, Learner, Marks, Pace, recall
 from ..endpoints.staleness import Beliefs, Saved, Turnover
+from ..errors import WorksmuxError
 from ..policy.id_map import Maker
 from ..scenarios.engines import spec_of, struck, struck_fronts
 from ..scenarios.scenario import OF_CLIENTS, OF_FRONTS, OF_THE_LIST, Place, Scenario, Trouble
@@ -50,7 +51,7 @@
 EPOCH = 1e9  # where simulated time starts, so that older times are positive
 
 
-class NotPlayed(Exception):
+class UnsupportedScenarioError(WorksmuxError):
     """The day holds a trouble that the model has no counterpart of; the message names it."""
 
 
@@ -137,7 +138,7 @@
     ) -> None:
         for trouble in day.troubles:
             if trouble.kind not in PLAYED:
-                raise NotPlayed(
+                raise UnsupportedScenarioError(
                     f'line {trouble.line}: the model does not play "{trouble.kind}"; '
                     "leave it out, or play the day with `worksmux trial`"
                 )
--- a/worksmux/tokenization/vocabulary.py
+++ b/worksmux/tokenization/vocabulary.py
@@ -11,11 +11,12 @@
 import xxhash
 from tokenizers import Tokenizer
 
+from ..errors import WorksmuxError
 from .pieces import END, START, Cuts, cut, render
 from .samples import SAMPLES
 
 
-class BadTokenizer(Exception):
+class TokenizerFormatError(WorksmuxError):
     """A file that is no usable tokenizer, with the reason."""
 
 
@@ -41,22 +42,24 @@
 
 
 def load(path: str | Path) -> Vocabulary:
-    """Reads and tries a tokenizer file; raises BadTokenizer where it is unreadable, half written or of no
-    use."""
+    """Reads and tries a tokenizer file.
+
+    Raises TokenizerFormatError where it is unreadable, half written or of no use.
+    """
     try:
         data = Path(path).read_bytes()
     except OSError as error:
-        raise BadTokenizer(f"{path}: cannot be read: {error.strerror}") from error
+        raise TokenizerFormatError(f"{path}: cannot be read: {error.strerror}") from error
     try:
         text = data.decode()
         form: dict[str, Any] = json.loads(text)
         tokenizer = Tokenizer.from_str(text)
         tokenizer.encode("try")
     except Exception as error:  # the library raises bare exceptions
-        raise BadTokenizer(f"{path}: is no whole tokenizer.json: {str(error)[:200]}") from error
+        raise TokenizerFormatError(f"{path}: is no whole tokenizer.json: {str(error)[:200]}") from error
     for marker in (START, END):
         if tokenizer.token_to_id(marker) is None:
-            raise BadTokenizer(f"{path}: has no token {marker}, which the chat template needs")
+            raise TokenizerFormatError(f"{path}: has no token {marker}, which the chat template needs")
     vocabulary = tokenizer.get_vocab()
     byte_level = _byte_level(form)
     longest = max(len(token) if byte_level else len(token.encode()) for token in vocabulary)
