--- a/worksmux/simulation/day.py
+++ b/worksmux/simulation/day.py
@@ -25,6 +25,7 @@
     restored_state,
 )
 from ..endpoints.staleness import CachedEndpointList, StoredEndpoint, Turnover
+from ..errors import WorksmuxError
 from ..policy.id_map import Maker
 from ..scenarios.engines import spec_of, struck, struck_fronts
 from ..scenarios.scenario import OF_CLIENTS, OF_FRONTS, OF_THE_LIST, Place, Scenario, Trouble
@@ -56,7 +57,7 @@
 EPOCH = 1e9  # where simulated time starts, so that older times are positive
 
 
-class NotPlayed(Exception):
+class UnsupportedScenarioError(WorksmuxError):
     """The day holds a trouble that the model has no counterpart of; the message names it."""
 
 
@@ -143,7 +144,7 @@
     ) -> None:
         for trouble in day.troubles:
             if trouble.kind not in PLAYED:
-                raise NotPlayed(
+                raise UnsupportedScenarioError(
                     f'line {trouble.line}: the model does not play "{trouble.kind}"; '
                     "leave it out, or play the day with `worksmux trial`"
                 )
