--- a/worksmux/storage/errors.py
+++ b/worksmux/storage/errors.py
@@ -2,8 +2,10 @@
 
 from __future__ import annotations
 
+from ..errors import WorksmuxError
 
-class StorageError(Exception):
+
+class StorageError(WorksmuxError):
     """Base of all errors of this package."""
 
 
