--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Lists that are empty, halved, late, or that flap; and what was learned, kept over a restart."""
+"""Endpoint lists that are empty, halved or late, and endpoints that flap."""
 
 from __future__ import annotations
 
@@ -9,19 +9,8 @@
 from worksmux.api.listing import Line, Listing
 from worksmux.endpoints.endpoint_list import EndpointList
 from worksmux.endpoints.flap_damping import MAX_HELD_FRACTION, SUPPRESS_THRESHOLD, FlapDamping
-from worksmux.endpoints.learned_state import (
-    FLEET_KEY,
-    EngineMarks,
-    FleetTimings,
-    LearnedState,
-    LearnedStateRecorder,
-    restored_state,
-)
-from worksmux.endpoints.staleness import Turnover
-from worksmux.policy.events import AttemptEnded, EndpointEntry, FirstToken
-from worksmux.policy.router import ALL, MEMORY, Front
-from worksmux.policy.settings import PolicySettings, RequestClassSettings
-from worksmux.policy.state import Attempt, Engine, Outcome, Request
+from worksmux.policy.events import EndpointEntry
+from worksmux.policy.state import Engine
 
 DOUBT, HALF_LIFE = 1000.0, 4000.0
 
@@ -190,92 +179,6 @@
 TestRoster.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
 
 
-# What was learned.
-
-
-def attempt_at(engine: Engine, request_class: int = 0, work: float = 100.0) -> Attempt:
-    return Attempt(Request(1, request_class, 1, 0, work, 0.0, 10.0, 0.0, 9e9), engine, 0, 0.0, work=work)
-
-
-def taught(faults: int, good: int) -> LearnedStateRecorder:
-    learner, engine = LearnedStateRecorder(["a", "b"]), Engine(b"e", 1)
-    for at in range(faults + good):
-        outcome = Outcome.ERROR if at < faults else Outcome.DELIVERED
-        learner.observe(1000.0 + at, AttemptEnded(attempt_at(engine), outcome, 50.0, False))
-    learner.observe(1100.0, AttemptEnded(attempt_at(engine), Outcome.READ, 200.0, False))
-    learner.observe(1200.0, FirstToken(attempt_at(engine), 900.0))
-    return learner
-
-
-def marked(now: float) -> Engine:
-    engine = Engine(b"e", 1)
-    engine.unwell, engine.good, engine.narrowed = {ALL: now + 4000, 1: now + 2000}, {0: now - 500}, 2.0
-    return engine
-
-
-def told_after(age: float, started: float = 0.0) -> tuple[Front, Engine]:
-    """A module that was told what a front had learned before it was away for `age`."""
-    learner, engine = taught(8, 1), marked(2000.0)
-    kept = learner.changes([(engine, 0.0)], 2000.0, 1e9)
-    pace, marks = kept[FLEET_KEY], kept["e"]
-    assert isinstance(pace, FleetTimings) and isinstance(marks, EngineMarks)
-    again = Engine(b"e", 1)
-    event = restored_state(
-        LearnedState(pace, {"e": marks}), ["a", "b"], [(again, started)], 1e9 + age, Turnover(), 3.6e6
-    )
-    one = RequestClassSettings(latency_target_ms=1000.0)
-    front = Front(
-        PolicySettings(
-            request_classes=(one, one),
-            tick_ms=1.0,
-            release_within_ms=100.0,
-            slow_start_ms=1000.0,
-            engine_roles=("both",),
-            slow_start_share=0.3,
-            overload_multiple=3.0,
-        ),
-        1,
-    )
-    front.decide(50.0, [event])
-    return front, again
-
-
-def test_marks_come_back_with_the_time_they_have_left_and_a_new_start_voids_them() -> None:
-    front, engine = told_after(1000.0)
-    assert engine.unwell == {ALL: 50.0 + 3000.0, 1: 50.0 + 1000.0} and engine.good == {0: 50.0 - 1500.0}
-    assert 1.5 < engine.narrowed < 2.0
-    _, other = told_after(1000.0, started=5.0)
-    assert not other.unwell and not other.good and not other.narrowed
-
-
-def test_failing_request_class_is_known_after_a_restart_until_a_few_fresh_attempts_go_well() -> None:
-    front, engine = told_after(500.0)
-    assert front._failing(0) and not front._failing(1)
-    front.fates[0].add(60.0, 0.0)
-    front.fates[0].add(60.0, 0.0)
-    assert not front._failing(0)
-
-
-def test_what_is_old_is_forgotten_but_how_fast_prompts_are_read() -> None:
-    front, engine = told_after(MEMORY + 1.0)
-    assert not front._failing(0) and not engine.unwell and not front.first.count(50.0)
-    assert front.per_token.least(50.0) == 2.0 and front.per_token.count(50.0) <= 0.5
-    ancient, _ = told_after(30 * 24 * 3.6e6)
-    assert ancient.per_token.least(50.0) == 0.0
-
-
-def test_clock_that_ran_backwards_makes_no_mark_last() -> None:
-    front, engine = told_after(-1e7)
-    assert not engine.unwell and not front._failing(0)
-
-
-def test_only_what_is_out_of_the_ordinary_is_written() -> None:
-    learner, engine = taught(1, 20), marked(2000.0)
-    assert set(learner.changes([(engine, 0.0), (Engine(b"plain", 2), 0.0)], 2000.0, 1e9)) == {FLEET_KEY, "e"}
-    engine.unwell, engine.narrowed, engine.good = {}, 0.0, {}
-    assert learner.changes([(engine, 0.0)], 2500.0, 1e9)["e"] is None
-
-
 class HandOverMachine(RosterMachine):
     """The same from a remembered list on: until the registry speaks, and from then on, nothing is used that
     neither a remembered line nor the list in force calls ready, and a remembered drain holds."""
