--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -12,13 +12,13 @@
 from worksmux.policy.events import EndpointEntry
 from worksmux.policy.state import Engine
 
-DOUBT, HALF_LIFE = 1000.0, 4000.0
+DOUBT_MS, HALF_LIFE_MS = 1000.0, 4000.0
 
 
-def roster() -> EndpointList:
+def empty_list() -> EndpointList:
     engines: dict[str, Engine] = {}
     return EndpointList(
-        ["k"], ["z"], lambda name: engines.setdefault(name, Engine(name.encode(), 1)), DOUBT, HALF_LIFE
+        ["k"], ["z"], lambda name: engines.setdefault(name, Engine(name.encode(), 1)), DOUBT_MS, HALF_LIFE_MS
     )
 
 
@@ -36,83 +36,93 @@
     view.update({entry.engine.id.decode(): entry.state for entry in entries})
 
 
-def test_empty_list_is_believed_only_once_it_was_repeated_for_the_time_of_doubt() -> None:
-    one = roster()
-    one.take(0.0, full(1, "a", "b"))
-    assert one.take(10.0, full(2)).event is None and one.next_time() == 10.0 + DOUBT / 4
-    assert one.tick(300.0) == (None, True) and one.reader.ready == 2
-    assert one.take(500.0, full(3)).event is None
-    told = one.take(10.0 + DOUBT, full(4))
-    assert told.event is not None and one.reader.ready == 0
+def test_empty_list_is_followed_only_after_the_time_of_doubt() -> None:
+    """A registry that has lost its data sends empty lists while engines are in use."""
+    endpoint_list = empty_list()
+    endpoint_list.take(0.0, full(1, "a", "b"))
+    assert (
+        endpoint_list.take(10.0, full(2)).event is None and endpoint_list.next_time() == 10.0 + DOUBT_MS / 4
+    )
+    assert endpoint_list.tick(300.0) == (None, True) and endpoint_list.reader.ready == 2
+    assert endpoint_list.take(500.0, full(3)).event is None
+    result = endpoint_list.take(10.0 + DOUBT_MS, full(4))
+    assert result.event is not None and endpoint_list.reader.ready == 0
 
 
-def test_list_that_comes_back_full_ends_the_doubt() -> None:
-    one = roster()
-    one.take(0.0, full(1, "a", "b"))
-    one.take(10.0, full(2))
-    assert one.take(20.0, full(3, "a", "b")).event is not None
-    assert one.take(30.0 + DOUBT, full(4)).event is None  # the doubt begins anew
+def test_full_list_ends_the_doubt() -> None:
+    endpoint_list = empty_list()
+    endpoint_list.take(0.0, full(1, "a", "b"))
+    endpoint_list.take(10.0, full(2))
+    assert endpoint_list.take(20.0, full(3, "a", "b")).event is not None
+    assert endpoint_list.take(30.0 + DOUBT_MS, full(4)).event is None  # the doubt begins anew
 
 
-def test_halved_list_is_obeyed_and_asked_for_again_once() -> None:
-    one, view = roster(), {}  # type: EndpointList, dict[str, str]
-    apply(view, "full", one.take(0.0, full(1, "a", "b", "c")).event.entries)  # type: ignore[union-attr]
-    told = one.take(10.0, full(2, "a"))
-    assert told.event and told.notes and one.tick(10.0 + DOUBT)[1]
-    assert one.take(20.0, full(3, "a")).event and one.next_time() is None
+def test_halved_list_is_followed_and_requested_again_once() -> None:
+    endpoint_list, view = empty_list(), {}  # type: EndpointList, dict[str, str]
+    apply(view, "full", endpoint_list.take(0.0, full(1, "a", "b", "c")).event.entries)  # type: ignore[union-attr]
+    result = endpoint_list.take(10.0, full(2, "a"))
+    assert result.event and result.notes and endpoint_list.tick(10.0 + DOUBT_MS)[1]
+    assert endpoint_list.take(20.0, full(3, "a")).event and endpoint_list.next_time() is None
 
 
-def test_lateness_is_reckoned_against_the_promptest_list() -> None:
-    one = roster()
-    one.take(1000.0, full(1, "a", now=90_000.0))
-    one.take(2000.0, full(2, "a", now=91_000.0))
-    assert one.lateness_ms == 0.0
-    one.take(9000.0, full(3, "a", now=92_000.0))
-    assert one.lateness_ms == 6000.0
+def test_lateness_is_measured_against_the_promptest_list() -> None:
+    endpoint_list = empty_list()
+    endpoint_list.take(1000.0, full(1, "a", now=90_000.0))
+    endpoint_list.take(2000.0, full(2, "a", now=91_000.0))
+    assert endpoint_list.lateness_ms == 0.0
+    endpoint_list.take(9000.0, full(3, "a", now=92_000.0))
+    assert endpoint_list.lateness_ms == 6000.0
 
 
-def test_engine_that_comes_and_goes_is_held_back_until_it_stays() -> None:
-    one, names = roster(), [f"e{at}" for at in range(8)]
-    one.take(0.0, full(1, *names))
+def test_flapping_engine_is_held_back_until_it_stays() -> None:
+    endpoint_list, names = empty_list(), [f"e{at}" for at in range(8)]
+    endpoint_list.take(0.0, full(1, *names))
     serial, shown = 1, []
     for turn in range(6):
         now = 100.0 * (turn + 1)
-        one.take(now, Listing("delta", serial + 1, serial, 0.0, [line("e0", "gone")]))
-        event = one.take(now + 50, Listing("delta", serial + 2, serial + 1, 0.0, [line("e0")])).event
+        endpoint_list.take(now, Listing("delta", serial + 1, serial, 0.0, [line("e0", "gone")]))
+        event = endpoint_list.take(
+            now + 50, Listing("delta", serial + 2, serial + 1, 0.0, [line("e0")])
+        ).event
         assert event is not None
         shown.append(event.entries[0].state)
         serial += 2
     assert shown[:3] == ["ready"] * 3 and shown[-1] == "draining"
-    at = one.next_time()
-    assert at is not None and at < 700 + 2 * HALF_LIFE
-    event, _ = one.tick(at)
-    assert event and [entry.state for entry in event.entries] == ["ready"] and one.damping.held_count == 0
+    at = endpoint_list.next_time()
+    assert at is not None and at < 700 + 2 * HALF_LIFE_MS
+    event, _ = endpoint_list.tick(at)
+    assert (
+        event
+        and [entry.state for entry in event.entries] == ["ready"]
+        and endpoint_list.damping.held_count == 0
+    )
 
 
-def test_registry_that_makes_all_flap_cannot_empty_the_fleet() -> None:
-    one, names = roster(), [f"e{at}" for at in range(20)]
+def test_registry_that_makes_all_engines_flap_cannot_empty_the_fleet() -> None:
+    """The registry alternates between the whole fleet and half of it, again and again."""
+    endpoint_list, names = empty_list(), [f"e{at}" for at in range(20)]
     view: dict[str, str] = {}
     for turn in range(30):
         listed = names[: 10 if turn % 2 else 20]
-        event = one.take(10.0 * turn, full(turn + 1, *listed)).event
+        event = endpoint_list.take(10.0 * turn, full(turn + 1, *listed)).event
         assert event is not None
         apply(view, "full", event.entries)
         ready = sum(state == "ready" for state in view.values())
         assert ready >= (1 - MAX_HELD_FRACTION) * len(listed)
 
 
-def test_penalty_fades_and_records_are_forgotten() -> None:
-    damping = FlapDamping(HALF_LIFE)
+def test_penalty_decays_and_its_record_is_forgotten() -> None:
+    damping = FlapDamping(HALF_LIFE_MS)
     for at in range(int(SUPPRESS_THRESHOLD) + 1):
         damping.record_departure("a", float(at))
     assert not damping.admit("a", 10.0, 10, 0)
-    assert damping.admit("a", 10.0 + 3 * HALF_LIFE, 10, 1) and damping.held_count == 0
+    assert damping.admit("a", 10.0 + 3 * HALF_LIFE_MS, 10, 1) and damping.held_count == 0
     for at in range(1000):
-        damping.record_departure(f"e{at}", 1e6 + at * HALF_LIFE)
+        damping.record_departure(f"e{at}", 1e6 + at * HALF_LIFE_MS)
     assert len(damping.records) < 100
 
 
-class RosterMachine(RuleBasedStateMachine):
+class EndpointListMachine(RuleBasedStateMachine):
     """The module never sees an engine as ready that the list in force does not call ready, never loses the
     fleet to one list, and in the end sees all that is ready."""
 
@@ -122,14 +132,14 @@
         super().__init__()
         self.now, self.serial = 0.0, 1
         self.truth = {f"e{at}": "ready" for at in range(6)}
-        self.roster, self.view = roster(), {}  # type: EndpointList, dict[str, str]
+        self.endpoint_list, self.view = empty_list(), {}  # type: EndpointList, dict[str, str]
         self.listed: dict[str, str] = {}  # as the list in force has it
         self.send_full(dict(self.truth))
 
     def send_full(self, states: dict[str, str]) -> None:
         self.serial += 1
         lines = [line(name, state) for name, state in states.items() if state != "gone"]
-        event = self.roster.take(self.now, Listing("full", self.serial, None, self.now, lines)).event
+        event = self.endpoint_list.take(self.now, Listing("full", self.serial, None, self.now, lines)).event
         if event is not None:
             apply(self.view, "full", event.entries)
             self.listed = dict(states)
@@ -139,7 +149,7 @@
         self.truth[name] = state
         self.serial += 1
         message = Listing("delta", self.serial, self.serial - 1, self.now, [line(name, state)])
-        event = self.roster.take(self.now, message).event
+        event = self.endpoint_list.take(self.now, message).event
         assert event is not None
         apply(self.view, "delta", event.entries)
         self.listed[name] = state
@@ -151,51 +161,54 @@
     @rule(step=st.floats(1, 3000))
     def wait(self, step: float) -> None:
         self.now += step
-        event, _ = self.roster.tick(self.now)
+        event, _ = self.endpoint_list.tick(self.now)
         if event is not None:
             apply(self.view, "delta", event.entries)
 
     @rule()
     def settle(self) -> None:
         """All quiet for long, and a true list: nothing stays held back."""
-        self.now += 10 * HALF_LIFE
+        self.now += 10 * HALF_LIFE_MS
         self.send_full(dict(self.truth))
         if "ready" in self.truth.values():
             ready = {name for name, state in self.view.items() if state == "ready"}
             assert ready == {name for name, state in self.truth.items() if state == "ready"}
 
     @invariant()
-    def nothing_is_used_against_the_list(self) -> None:
+    def only_listed_engines_are_used(self) -> None:
         for name, state in self.view.items():
             assert state != "ready" or self.listed.get(name) == "ready"
 
     @invariant()
-    def fleet_stays(self) -> None:
+    def fleet_is_never_empty(self) -> None:
         if "ready" in self.listed.values():
             assert "ready" in self.view.values()
 
 
-TestRoster = RosterMachine.TestCase
-TestRoster.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
+TestEndpointList = EndpointListMachine.TestCase
+TestEndpointList.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
+
 
+class CacheToRegistryMachine(EndpointListMachine):
+    """The same, beginning with a cached list.
 
-class HandOverMachine(RosterMachine):
-    """The same from a remembered list on: until the registry speaks, and from then on, nothing is used that
-    neither a remembered line nor the list in force calls ready, and a remembered drain holds."""
+    Nothing is used that neither a cached entry nor the list in force calls ready, and an endpoint that is
+    cached as draining stays so until the registry lists it.
+    """
 
     def __init__(self) -> None:
         super().__init__()
-        self.roster, self.view, self.listed = roster(), {}, {}
+        self.endpoint_list, self.view, self.listed = empty_list(), {}, {}
         self.truth["e5"] = "draining"
         entries = []
         for name, state in self.truth.items():
-            entry = self.roster.reader.remember(0.0, 0.0, line(name), state, careful=name < "e3")
+            entry = self.endpoint_list.reader.remember(0.0, 0.0, line(name), state, careful=name < "e3")
             assert entry is not None
             entries.append(entry)
-        self.roster.remembered(entries)
+        self.endpoint_list.remembered(entries)
         apply(self.view, "cached", entries)
         self.listed = dict(self.truth)
 
 
-TestHandOver = HandOverMachine.TestCase
-TestHandOver.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
+TestCacheToRegistry = CacheToRegistryMachine.TestCase
+TestCacheToRegistry.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
--- a/tests/test_learned_state.py
+++ b/tests/test_learned_state.py
@@ -1,4 +1,4 @@
-"""What a node learned of engines and timings, kept over a restart."""
+"""What a node learned of engines and timings, changes over a restart."""
 
 from __future__ import annotations
 
@@ -21,31 +21,31 @@
     return Attempt(Request(1, request_class, 1, 0, work, 0.0, 10.0, 0.0, 9e9), engine, 0, 0.0, work=work)
 
 
-def taught(faults: int, good: int) -> LearnedStateRecorder:
-    learner, engine = LearnedStateRecorder(["a", "b"]), Engine(b"e", 1)
+def recorder_with_outcomes(faults: int, good: int) -> LearnedStateRecorder:
+    recorder, engine = LearnedStateRecorder(["a", "b"]), Engine(b"e", 1)
     for at in range(faults + good):
         outcome = Outcome.ERROR if at < faults else Outcome.DELIVERED
-        learner.observe(1000.0 + at, AttemptEnded(attempt_at(engine), outcome, 50.0, False))
-    learner.observe(1100.0, AttemptEnded(attempt_at(engine), Outcome.READ, 200.0, False))
-    learner.observe(1200.0, FirstToken(attempt_at(engine), 900.0))
-    return learner
+        recorder.observe(1000.0 + at, AttemptEnded(attempt_at(engine), outcome, 50.0, False))
+    recorder.observe(1100.0, AttemptEnded(attempt_at(engine), Outcome.READ, 200.0, False))
+    recorder.observe(1200.0, FirstToken(attempt_at(engine), 900.0))
+    return recorder
 
 
-def marked(now: float) -> Engine:
+def marked_engine(now: float) -> Engine:
     engine = Engine(b"e", 1)
     engine.unwell, engine.good, engine.narrowed = {ALL: now + 4000, 1: now + 2000}, {0: now - 500}, 2.0
     return engine
 
 
-def told_after(age: float, started: float = 0.0) -> tuple[Front, Engine]:
-    """A module that was told what a front had learned before it was away for `age`."""
-    learner, engine = taught(8, 1), marked(2000.0)
-    kept = learner.changes([(engine, 0.0)], 2000.0, 1e9)
-    pace, marks = kept[FLEET_KEY], kept["e"]
-    assert isinstance(pace, FleetTimings) and isinstance(marks, EngineMarks)
+def restored_after(age_ms: float, started: float = 0.0) -> tuple[Front, Engine]:
+    """A policy and an engine after a restart that took `age_ms`, with the state learned before it."""
+    recorder, engine = recorder_with_outcomes(8, 1), marked_engine(2000.0)
+    changes = recorder.changes([(engine, 0.0)], 2000.0, 1e9)
+    timings, marks = changes[FLEET_KEY], changes["e"]
+    assert isinstance(timings, FleetTimings) and isinstance(marks, EngineMarks)
     again = Engine(b"e", 1)
     event = restored_state(
-        LearnedState(pace, {"e": marks}), ["a", "b"], [(again, started)], 1e9 + age, Turnover(), 3.6e6
+        LearnedState(timings, {"e": marks}), ["a", "b"], [(again, started)], 1e9 + age_ms, Turnover(), 3.6e6
     )
     one = RequestClassSettings(latency_target_ms=1000.0)
     front = Front(
@@ -64,37 +64,37 @@
     return front, again
 
 
-def test_marks_come_back_with_the_time_they_have_left_and_a_new_start_voids_them() -> None:
-    front, engine = told_after(1000.0)
+def test_marks_are_restored_with_the_time_left_unless_the_engine_restarted() -> None:
+    front, engine = restored_after(1000.0)
     assert engine.unwell == {ALL: 50.0 + 3000.0, 1: 50.0 + 1000.0} and engine.good == {0: 50.0 - 1500.0}
     assert 1.5 < engine.narrowed < 2.0
-    _, other = told_after(1000.0, started=5.0)
+    _, other = restored_after(1000.0, started=5.0)
     assert not other.unwell and not other.good and not other.narrowed
 
 
-def test_failing_request_class_is_known_after_a_restart_until_a_few_fresh_attempts_go_well() -> None:
-    front, engine = told_after(500.0)
+def test_failing_request_class_is_restored_until_fresh_attempts_succeed() -> None:
+    front, engine = restored_after(500.0)
     assert front._failing(0) and not front._failing(1)
     front.fates[0].add(60.0, 0.0)
     front.fates[0].add(60.0, 0.0)
     assert not front._failing(0)
 
 
-def test_what_is_old_is_forgotten_but_how_fast_prompts_are_read() -> None:
-    front, engine = told_after(MEMORY + 1.0)
+def test_old_state_is_forgotten_except_the_prefill_speed() -> None:
+    front, engine = restored_after(MEMORY + 1.0)
     assert not front._failing(0) and not engine.unwell and not front.first.count(50.0)
     assert front.per_token.least(50.0) == 2.0 and front.per_token.count(50.0) <= 0.5
-    ancient, _ = told_after(30 * 24 * 3.6e6)
+    ancient, _ = restored_after(30 * 24 * 3.6e6)
     assert ancient.per_token.least(50.0) == 0.0
 
 
-def test_clock_that_ran_backwards_makes_no_mark_last() -> None:
-    front, engine = told_after(-1e7)
+def test_clock_set_back_makes_no_mark_last() -> None:
+    front, engine = restored_after(-1e7)
     assert not engine.unwell and not front._failing(0)
 
 
-def test_only_what_is_out_of_the_ordinary_is_written() -> None:
-    learner, engine = taught(1, 20), marked(2000.0)
-    assert set(learner.changes([(engine, 0.0), (Engine(b"plain", 2), 0.0)], 2000.0, 1e9)) == {FLEET_KEY, "e"}
+def test_only_engines_with_marks_are_stored() -> None:
+    recorder, engine = recorder_with_outcomes(1, 20), marked_engine(2000.0)
+    assert set(recorder.changes([(engine, 0.0), (Engine(b"plain", 2), 0.0)], 2000.0, 1e9)) == {FLEET_KEY, "e"}
     engine.unwell, engine.narrowed, engine.good = {}, 0.0, {}
-    assert learner.changes([(engine, 0.0)], 2500.0, 1e9)["e"] is None
+    assert recorder.changes([(engine, 0.0)], 2500.0, 1e9)["e"] is None
--- a/tests/test_staleness.py
+++ b/tests/test_staleness.py
@@ -1,4 +1,4 @@
-"""A remembered list: trust by age and turnover, no flood, no loop, drains kept."""
+"""The cached endpoint list: confidence by age and turnover, bounded probing, drains that are kept."""
 
 from __future__ import annotations
 
@@ -16,184 +16,194 @@
     confidence,
 )
 
-HOUR = 3_600_000.0
+HOUR_MS = 3_600_000.0
 
 
 def line(name: str, kind: str = "k", state: str = "ready", started: float = 0.0) -> Line:
     return Line(name, "127.0.0.1", 1, kind, state, "z", 0, 1.0, started)  # type: ignore[arg-type]
 
 
-def remembered(
-    age: float,
+def cached_list(
+    age_ms: float,
     count: int = 10,
     turnover: Turnover | None = None,
-    fronts: int = 1,
-    rate: float = 10.0,
+    nodes: int = 1,
+    probe_rate: float = 10.0,
     whole: bool = True,
     seed: int = 1,
     state: str = "ready",
 ) -> CachedEndpointList:
-    saved = [StoredEndpoint(line(f"e{at}", state=state), 10 * HOUR - age) for at in range(count)]
-    return CachedEndpointList(saved, 0.0, 10 * HOUR, turnover or Turnover(), HOUR, fronts, rate, whole, seed)
+    saved = [StoredEndpoint(line(f"e{at}", state=state), 10 * HOUR_MS - age_ms) for at in range(count)]
+    return CachedEndpointList(
+        saved, 0.0, 10 * HOUR_MS, turnover or Turnover(), HOUR_MS, nodes, probe_rate, whole, seed
+    )
 
 
-def stands(beliefs: CachedEndpointList) -> set[EndpointStatus]:
-    return {belief.status for belief in beliefs.endpoints.values()}
+def statuses(cached: CachedEndpointList) -> set[EndpointStatus]:
+    return {endpoint.status for endpoint in cached.endpoints.values()}
 
 
-def test_trust_falls_with_age_and_faster_with_the_turnover_seen() -> None:
-    ages = [1000.0, 60_000.0, HOUR, 24 * HOUR]
-    calm, busy = Turnover(100 * HOUR, 1), Turnover(100 * HOUR, 400)
+def test_confidence_falls_with_age_and_faster_with_turnover() -> None:
+    ages = [1000.0, 60_000.0, HOUR_MS, 24 * HOUR_MS]
+    calm, busy = Turnover(100 * HOUR_MS, 1), Turnover(100 * HOUR_MS, 400)
     for seen in (Turnover(), calm, busy):
-        found = [confidence(StoredEndpoint(line("a"), -age), 0.0, seen, HOUR) for age in ages]
+        found = [confidence(StoredEndpoint(line("a"), -age), 0.0, seen, HOUR_MS) for age in ages]
         assert found == sorted(found, reverse=True)
     assert (
-        confidence(StoredEndpoint(line("a"), -HOUR), 0.0, calm, HOUR)
+        confidence(StoredEndpoint(line("a"), -HOUR_MS), 0.0, calm, HOUR_MS)
         > 0.9
-        > confidence(StoredEndpoint(line("a"), -HOUR), 0.0, busy, HOUR)
+        > confidence(StoredEndpoint(line("a"), -HOUR_MS), 0.0, busy, HOUR_MS)
     )
-    assert confidence(StoredEndpoint(line("a"), HOUR), 0.0, calm, HOUR) == confidence(
-        StoredEndpoint(line("a"), -HOUR), 0.0, calm, HOUR
+    assert confidence(StoredEndpoint(line("a"), HOUR_MS), 0.0, calm, HOUR_MS) == confidence(
+        StoredEndpoint(line("a"), -HOUR_MS), 0.0, calm, HOUR_MS
     )
 
 
-def test_fresh_is_used_older_with_care_and_weeks_old_only_asked() -> None:
-    assert stands(remembered(1000.0)) == {EndpointStatus.FRESH}
-    assert stands(remembered(HOUR / 4)) == {EndpointStatus.STALE}
-    assert stands(remembered(21 * 24 * HOUR)) == {EndpointStatus.UNVERIFIED}
-    assert stands(remembered(1000.0, whole=False)) == {EndpointStatus.STALE}
+def test_status_at_start_follows_from_the_age_of_the_entry() -> None:
+    assert statuses(cached_list(1000.0)) == {EndpointStatus.FRESH}
+    assert statuses(cached_list(HOUR_MS / 4)) == {EndpointStatus.STALE}
+    assert statuses(cached_list(21 * 24 * HOUR_MS)) == {EndpointStatus.UNVERIFIED}
+    assert statuses(cached_list(1000.0, whole=False)) == {EndpointStatus.STALE}
 
 
-def test_drain_that_was_told_outlives_a_restart_and_any_answer() -> None:
-    beliefs = remembered(1000.0, state="draining")
-    assert stands(beliefs) == {EndpointStatus.DRAINING} and beliefs.next_time() is None
-    beliefs.probe_answered("e0", ProbeReply("e0", "k", 5.0))
-    beliefs.served("e0")
-    assert stands(beliefs) == {EndpointStatus.DRAINING}
+def test_draining_endpoint_stays_draining_after_a_restart() -> None:
+    cached = cached_list(1000.0, state="draining")
+    assert statuses(cached) == {EndpointStatus.DRAINING} and cached.next_time() is None
+    cached.probe_answered("e0", ProbeReply("e0", "k", 5.0))
+    cached.served("e0")
+    assert statuses(cached) == {EndpointStatus.DRAINING}
 
 
-def test_contradiction_drops_at_once_and_a_new_start_is_cold() -> None:
-    beliefs = remembered(HOUR)
+def test_probe_reply_confirms_contradicts_or_updates_the_entry() -> None:
+    cached = cached_list(HOUR_MS)
     assert (
-        beliefs.probe_answered("e0", ProbeReply("other", "k", 0.0)).changed[0].status
+        cached.probe_answered("e0", ProbeReply("other", "k", 0.0)).changed[0].status
         is EndpointStatus.CONTRADICTED
     )
-    assert beliefs.probe_answered("e1", ProbeReply("e1", "writes now", 0.0)).notes
-    step = beliefs.probe_answered("e2", ProbeReply("e2", "k", 99.0))
-    assert step.changed[0].status is EndpointStatus.CONFIRMED and step.changed[0].line.started == 99.0
+    assert cached.probe_answered("e1", ProbeReply("e1", "writes now", 0.0)).notes
+    update = cached.probe_answered("e2", ProbeReply("e2", "k", 99.0))
+    assert update.changed[0].status is EndpointStatus.CONFIRMED and update.changed[0].line.started == 99.0
     assert (
-        beliefs.probe_answered("e3", ProbeReply("e3", "k", 0.0, draining=True)).changed[0].status
+        cached.probe_answered("e3", ProbeReply("e3", "k", 0.0, draining=True)).changed[0].status
         is EndpointStatus.DRAINING
     )
-    assert not beliefs.probe_answered("e0", ProbeReply("e0", "k", 0.0)).changed
+    assert not cached.probe_answered("e0", ProbeReply("e0", "k", 0.0)).changed
 
 
-def test_silent_engine_is_asked_ever_more_seldom_and_used_once_it_answers() -> None:
-    beliefs, now, times = remembered(1000.0, count=1), 0.0, []
+def test_silent_engine_is_probed_after_growing_pauses_until_it_answers() -> None:
+    cached, now, times = cached_list(1000.0, count=1), 0.0, []
     for _ in range(12):
-        at = beliefs.next_time()
+        at = cached.next_time()
         assert at is not None
         now = at
-        assert [one.id for one in beliefs.tick(now).to_probe] == ["e0"] and beliefs.next_time() is None
+        assert [one.id for one in cached.tick(now).to_probe] == ["e0"] and cached.next_time() is None
         times.append(now)
-        beliefs.probe_failed("e0", now)
+        cached.probe_failed("e0", now)
     pauses = [b - a for a, b in zip(times, times[1:], strict=False)]
     assert (
         all(pause >= 500 for pause in pauses)
         and min(pauses[-4:]) > 10_000
-        and stands(beliefs) == {EndpointStatus.UNVERIFIED}
+        and statuses(cached) == {EndpointStatus.UNVERIFIED}
     )
     assert (
-        beliefs.probe_answered("e0", ProbeReply("e0", "k", 0.0)).changed[0].status is EndpointStatus.CONFIRMED
+        cached.probe_answered("e0", ProbeReply("e0", "k", 0.0)).changed[0].status is EndpointStatus.CONFIRMED
     )
 
 
-def test_attempts_that_fail_together_count_once() -> None:
-    beliefs = remembered(1000.0, count=1)
-    assert beliefs.unreachable("e0", 0.0).changed and not beliefs.unreachable("e0", 1.0).changed
-    assert beliefs.endpoints["e0"].failed_probes == 1 and len(beliefs.due_probes) == 1
+def test_attempts_that_fail_together_count_as_one_failure() -> None:
+    cached = cached_list(1000.0, count=1)
+    assert cached.unreachable("e0", 0.0).changed and not cached.unreachable("e0", 1.0).changed
+    assert cached.endpoints["e0"].failed_probes == 1 and len(cached.due_probes) == 1
+
 
+def test_hundreds_of_nodes_share_the_probe_rate_of_an_engine() -> None:
+    """A whole fleet of nodes restarts on the same cached list.
 
-def test_hundreds_of_fronts_on_one_list_keep_to_the_rate_together() -> None:
-    for age in (1000.0, 60_000.0, HOUR, 24 * HOUR, 21 * 24 * HOUR):
-        asked: dict[str, list[float]] = {}
+    Each engine must get one probe of each node, and never many more a second than the configured rate.
+    """
+    for age in (1000.0, 60_000.0, HOUR_MS, 24 * HOUR_MS, 21 * 24 * HOUR_MS):
+        probed: dict[str, list[float]] = {}
         for seed in range(300):
-            beliefs = remembered(age, count=50, fronts=300, rate=50.0, seed=seed)
-            while (at := beliefs.next_time()) is not None:
-                for one in beliefs.tick(at).to_probe:
-                    asked.setdefault(one.id, []).append(at)
-        for times in asked.values():
+            cached = cached_list(age, count=50, nodes=300, probe_rate=50.0, seed=seed)
+            while (at := cached.next_time()) is not None:
+                for one in cached.tick(at).to_probe:
+                    probed.setdefault(one.id, []).append(at)
+        for times in probed.values():
             times.sort()
             most = max(sum(start <= time < start + 1000 for time in times) for start in times)
             assert len(times) == 300 and most <= 50 + 5 * 50**0.5
 
 
-def test_request_that_waits_has_one_of_each_kind_asked_now() -> None:
+def test_waiting_request_brings_one_probe_of_each_kind_forward() -> None:
     saved = [StoredEndpoint(line(f"{kind}{at}", kind), 0.0) for kind in "rw" for at in range(5)]
-    beliefs = CachedEndpointList(saved, 0.0, 1000 * HOUR, Turnover(), HOUR, 100, 1.0, True, 2)
-    step = beliefs.probe_early(0.0, ["r", "w"])
-    assert sorted(one.kind for one in step.to_probe) == ["r", "w"] and len(beliefs.due_probes) == 8
-    asked = step.to_probe[0].id
-    beliefs.probe_answered(asked, ProbeReply(asked, step.to_probe[0].kind, 0.0))
-    assert beliefs.has_usable(step.to_probe[0].kind)
+    cached = CachedEndpointList(saved, 0.0, 1000 * HOUR_MS, Turnover(), HOUR_MS, 100, 1.0, True, 2)
+    update = cached.probe_early(0.0, ["r", "w"])
+    assert sorted(one.kind for one in update.to_probe) == ["r", "w"] and len(cached.due_probes) == 8
+    probed = update.to_probe[0].id
+    cached.probe_answered(probed, ProbeReply(probed, update.to_probe[0].kind, 0.0))
+    assert cached.has_usable(update.to_probe[0].kind)
+
 
+def test_empty_list_does_not_replace_the_cached_one() -> None:
+    """A registry that has lost its data sends an empty list while a node serves from its cache."""
+    cached = cached_list(1000.0)
+    assert not cached.accept_list(empty=True) and not cached.superseded
+    assert cached.accept_list(empty=False) and cached.superseded and cached.next_time() is None
+    assert cached_list(0.0, count=0).accept_list(empty=True)
 
-def test_empty_list_does_not_wipe_a_remembered_fleet() -> None:
-    beliefs = remembered(1000.0)
-    assert not beliefs.accept_list(empty=True) and not beliefs.superseded
-    assert beliefs.accept_list(empty=False) and beliefs.superseded and beliefs.next_time() is None
-    assert remembered(0.0, count=0).accept_list(empty=True)
 
+class CachedListMachine(RuleBasedStateMachine):
+    """Random events at a cached list.
 
-class TrustMachine(RuleBasedStateMachine):
-    """A dropped line is never used again, a draining one never becomes ready, no engine is asked without
-    end."""
+    A contradicted endpoint is never used again, a draining one never becomes ready, and no engine is probed
+    without end.
+    """
 
     def __init__(self) -> None:
         super().__init__()
-        self.beliefs, self.now = remembered(HOUR / 4, count=4), 0.0
-        self.beliefs.endpoints["e3"].status = EndpointStatus.DRAINING
-        self.asks: dict[str, int] = {}
-        self.heard: dict[str, int] = {}
+        self.cached, self.now = cached_list(HOUR_MS / 4, count=4), 0.0
+        self.cached.endpoints["e3"].status = EndpointStatus.DRAINING
+        self.probes: dict[str, int] = {}
+        self.events: dict[str, int] = {}
         self.dropped: set[str] = set()
 
     @rule(step=st.floats(0, 5000))
     def wait(self, step: float) -> None:
         self.now += step
-        for one in self.beliefs.tick(self.now).to_probe:
-            self.asks[one.id] = self.asks.get(one.id, 0) + 1
+        for one in self.cached.tick(self.now).to_probe:
+            self.probes[one.id] = self.probes.get(one.id, 0) + 1
 
     @rule(
         name=st.sampled_from(["e0", "e1", "e2", "e3"]),
         how=st.sampled_from(["same", "cold", "other", "drains", "refused", "silent", "served"]),
     )
-    def hear(self, name: str, how: str) -> None:
-        self.heard[name] = self.heard.get(name, 0) + 1
+    def event(self, name: str, how: str) -> None:
+        self.events[name] = self.events.get(name, 0) + 1
         started = {"cold": self.now + 1}.get(how, 0.0)
         match how:
             case "refused":
-                step = self.beliefs.unreachable(name, self.now)
+                update = self.cached.unreachable(name, self.now)
             case "silent":
-                step = self.beliefs.probe_failed(name, self.now)
+                update = self.cached.probe_failed(name, self.now)
             case "served":
-                step = self.beliefs.served(name)
+                update = self.cached.served(name)
             case _:
-                step = self.beliefs.probe_answered(
+                update = self.cached.probe_answered(
                     name, ProbeReply("x" if how == "other" else name, "k", started, how == "drains")
                 )
-        for belief in step.changed:
-            if belief.status is EndpointStatus.CONTRADICTED:
-                self.dropped.add(belief.line.id)
+        for endpoint in update.changed:
+            if endpoint.status is EndpointStatus.CONTRADICTED:
+                self.dropped.add(endpoint.line.id)
 
     @invariant()
-    def what_is_out_stays_out(self) -> None:
-        for name, belief in self.beliefs.endpoints.items():
-            assert name not in self.dropped or belief.status is EndpointStatus.CONTRADICTED
-        assert self.beliefs.endpoints["e3"].status is EndpointStatus.DRAINING
-        names = [name for _, _, name in self.beliefs.due_probes]
+    def dropped_endpoints_stay_dropped(self) -> None:
+        for name, endpoint in self.cached.endpoints.items():
+            assert name not in self.dropped or endpoint.status is EndpointStatus.CONTRADICTED
+        assert self.cached.endpoints["e3"].status is EndpointStatus.DRAINING
+        names = [name for _, _, name in self.cached.due_probes]
         assert len(names) == len(set(names))
-        assert all(times <= 2 + self.heard.get(name, 0) for name, times in self.asks.items())
+        assert all(times <= 2 + self.events.get(name, 0) for name, times in self.probes.items())
 
 
-TestTrust = TrustMachine.TestCase
-TestTrust.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
+TestCachedList = CachedListMachine.TestCase
+TestCachedList.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
