--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -18,203 +18,219 @@
 
 REGIONS = {"a": "west", "b": "west", "c": "east", "d": "east"}
 CREDITS = {"hint": 1.0, "explain": 2.0, "mark": 5.0}
-FRONTS = 10
+NODES = 10
 
 
 def zone(
-    lost: int = 0,
-    grey: int = 0,
+    failed: int = 0,
+    degraded: int = 0,
     ready: float = 4.0,
     wait: float = 0.1,
     cold: float = 0.0,
-    spoke: int = FRONTS,
-    had: float = 4.0,
+    voters: int = NODES,
+    full_size: float = 4.0,
 ) -> ZoneTally:
     return ZoneTally(
-        spoke, lost, grey, FRONTS, ready * FRONTS, had * FRONTS, cold * FRONTS, 20.0, 20.0, 20.0 * wait, 0.0
+        voters,
+        failed,
+        degraded,
+        NODES,
+        ready * NODES,
+        full_size * NODES,
+        cold * NODES,
+        20.0,
+        20.0,
+        20.0 * wait,
+        0.0,
     )
 
 
 def tally(**zones: ZoneTally) -> Tally:
     return Tally(
-        FRONTS,
+        NODES,
         {name: zones.get(name, zone()) for name in REGIONS},
         {"hint": 40.0, "explain": 24.0, "mark": 16.0},
     )
 
 
-def made(carries: dict[str, float] | None = None, plan: Plan | None = None, every: float = 250.0) -> Planner:
-    return Planner(PlannerSettings(REGIONS, CREDITS, 0.3, every, carries or {}), plan or Plan())
+def new_planner(
+    capacities: dict[str, float] | None = None, plan: Plan | None = None, interval_ms: float = 250.0
+) -> Planner:
+    return Planner(PlannerSettings(REGIONS, CREDITS, 0.3, interval_ms, capacities or {}), plan or Plan())
 
 
-def looks(planner: Planner, count: int, **zones: ZoneTally) -> list[Plan]:
+def updates(planner: Planner, count: int, **zones: ZoneTally) -> list[Plan]:
+    """The new plans that come of as many updates with the same reports."""
     return [plan for _ in range(count) if (plan := planner.update(tally(**zones))) is not None]
 
 
-LOST = zone(lost=FRONTS, ready=0.0, wait=0.0)
+FAILED = zone(failed=NODES, ready=0.0, wait=0.0)
 
 
-# How zones are.
+# The health of zones.
 
 
 def test_calm_makes_no_plan() -> None:
-    assert not looks(made(), 50)
+    assert not updates(new_planner(), 50)
 
 
-def test_lost_zone_keeps_nothing_at_once_and_its_region_takes_its_requests() -> None:
-    planner = made()
-    looks(planner, 3)
-    plan = planner.update(tally(a=LOST))
+def test_requests_of_a_failed_zone_go_to_its_region_at_once() -> None:
+    planner = new_planner()
+    updates(planner, 3)
+    plan = planner.update(tally(a=FAILED))
     assert plan is not None and plan.routes == {"a": {"b": 1.0}} and plan.event == 1
 
 
-def test_region_that_is_lost_whole_goes_to_the_other() -> None:
-    planner = made()
-    looks(planner, 3)
-    plan = planner.update(tally(a=LOST, b=LOST))
+def test_requests_of_a_failed_region_go_to_the_other() -> None:
+    planner = new_planner()
+    updates(planner, 3)
+    plan = planner.update(tally(a=FAILED, b=FAILED))
     assert plan is not None and {*plan.routes["a"], *plan.routes["b"]} == {"c", "d"}
 
 
 def test_requests_leave_the_region_only_once_it_is_full() -> None:
-    planner = made()
-    looks(planner, 3)
-    easy = looks(planner, 12, a=LOST)
+    planner = new_planner()
+    updates(planner, 3)
+    easy = updates(planner, 12, a=FAILED)
     assert all(set(plan.routes["a"]) == {"b"} for plan in easy)
-    full = looks(planner, 12, a=LOST, b=zone(wait=0.9))
+    full = updates(planner, 12, a=FAILED, b=zone(wait=0.9))
     assert 0 < full[-1].routes["a"].get("c", 0.0) + full[-1].routes["a"].get("d", 0.0) <= 1.0
 
 
-def test_nowhere_to_go_leaves_every_zone_to_itself() -> None:
-    planner = made()
-    looks(planner, 3)
-    plans = looks(planner, 5, a=LOST, b=LOST, c=LOST, d=LOST)
+def test_plan_has_no_routes_when_all_zones_have_failed() -> None:
+    planner = new_planner()
+    updates(planner, 3)
+    plans = updates(planner, 5, a=FAILED, b=FAILED, c=FAILED, d=FAILED)
     assert all(not plan.routes for plan in plans)
 
 
-def test_zone_comes_back_by_steps_and_not_above_what_its_cold_engines_carry() -> None:
-    planner = made()
-    looks(planner, 3)
-    looks(planner, 4, a=LOST)
-    back = looks(planner, 40, a=zone(cold=4.0))
+def test_recovering_zone_grows_by_steps_up_to_what_its_cold_engines_carry() -> None:
+    planner = new_planner()
+    updates(planner, 3)
+    updates(planner, 4, a=FAILED)
+    back = updates(planner, 40, a=zone(cold=4.0))
     shares = [plan.routes["a"].get("a", 0.0) for plan in back if plan.routes]
     assert shares == sorted(shares) and 0 < shares[-1] <= 0.31
-    warm = looks(planner, 60)
+    warm = updates(planner, 60)
     assert not warm[-1].routes and planner.zones.views["a"].health is ZoneHealth.HEALTHY
 
 
-def test_one_event_makes_a_bounded_number_of_plans() -> None:
-    planner = made()
-    looks(planner, 3)
-    plans = looks(planner, 200, a=LOST) + looks(planner, 200)
+def test_one_failure_makes_a_bounded_number_of_plans() -> None:
+    planner = new_planner()
+    updates(planner, 3)
+    plans = updates(planner, 200, a=FAILED) + updates(planner, 200)
     assert len(plans) < 60 and {plan.event for plan in plans} == {1} and plans[-1].calm
-    assert len(looks(planner, 200)) == 0
+    assert len(updates(planner, 200)) == 0
 
 
-def returns(planner: Planner, looks_each: int = 4, times: int = 40) -> int:
-    """How often a zone that flaps is given jobs again."""
+def trials_of_flapping_zone(planner: Planner, updates_each: int = 4, times: int = 40) -> int:
+    """How often a zone that fails and recovers in turn is given requests again."""
     count, before = 0, 1.0
-    looks(planner, 3)
+    updates(planner, 3)
     for at in range(2 * times):
-        for _ in range(looks_each):
-            planner.update(tally(a=LOST if at % 2 == 0 else zone()))
+        for _ in range(updates_each):
+            planner.update(tally(a=FAILED if at % 2 == 0 else zone()))
             keep = planner.zones.views["a"].kept_share
             count, before = count + (keep > 0 and before == 0), keep
     return count
 
 
 def test_flapping_zone_is_given_requests_ever_more_seldom(monkeypatch: pytest.MonkeyPatch) -> None:
-    patient = returns(made())
+    """A zone fails and recovers forty times; each relapse must double the wait before its next trial."""
+    patient = trials_of_flapping_zone(new_planner())
     monkeypatch.setattr("worksmux.failover.zones.MAX_WELL_UPDATES", 2.0)
-    assert patient < 8 < 30 < returns(made())  # without the growing hold it is given them each time
+    impatient = trials_of_flapping_zone(new_planner())  # without the growing wait
+    assert patient < 8 < 30 < impatient
 
 
-def test_grey_zone_keeps_a_part_that_shows_its_mending() -> None:
-    planner = made()
-    looks(planner, 3)
-    plans = looks(planner, 20, a=zone(grey=FRONTS))
+def test_degraded_zone_keeps_a_share_that_can_show_its_recovery() -> None:
+    planner = new_planner()
+    updates(planner, 3)
+    plans = updates(planner, 20, a=zone(degraded=NODES))
     assert 0 < plans[-1].routes["a"]["a"] <= 0.11
     assert planner.zones.views["a"].health is ZoneHealth.DEGRADED
 
 
-@pytest.mark.parametrize("liars", [1, 4])
-def test_few_fronts_that_say_a_zone_is_lost_are_not_believed(liars: int) -> None:
-    assert not looks(made(), 20, a=zone(lost=liars))
+@pytest.mark.parametrize("voters", [1, 4])
+def test_minority_of_failed_votes_changes_nothing(voters: int) -> None:
+    assert not updates(new_planner(), 20, a=zone(failed=voters))
 
 
-def test_fronts_that_contradict_one_another_by_halves_change_nothing() -> None:
-    assert not looks(made(), 20, a=zone(lost=FRONTS // 2))
+def test_half_of_the_votes_is_no_majority() -> None:
+    assert not updates(new_planner(), 20, a=zone(failed=NODES // 2))
 
 
-def test_zone_that_no_front_knows_is_not_planned_for() -> None:
-    assert not looks(made(), 20, a=ZoneTally())
+def test_zone_without_known_engines_is_not_planned_for() -> None:
+    assert not updates(new_planner(), 20, a=ZoneTally())
 
 
-def test_seat_that_begins_to_lead_after_a_loss_goes_on_from_the_plan_in_force() -> None:
-    first = made()
-    looks(first, 3)
-    plan = looks(first, 5, a=LOST)[-1]
-    second = made(plan=plan)
-    assert all(one.routes == plan.routes and one.event == plan.event for one in looks(second, 5, a=LOST))
-    fresh = made()  # or where no plan was made yet
-    assert looks(fresh, 2, a=LOST)[0].routes == {"a": {"b": 1.0}}
+def test_new_leader_goes_on_from_the_plan_in_force() -> None:
+    """The leader is replaced after a zone has failed; the new one has never seen that zone healthy."""
+    first = new_planner()
+    updates(first, 3)
+    plan = updates(first, 5, a=FAILED)[-1]
+    second = new_planner(plan=plan)
+    assert all(one.routes == plan.routes and one.event == plan.event for one in updates(second, 5, a=FAILED))
+    fresh = new_planner()  # or where no plan was made yet
+    assert updates(fresh, 2, a=FAILED)[0].routes == {"a": {"b": 1.0}}
 
 
-# What is deferred.
+# Rejected and held-back requests.
 
 
-def test_light_load_is_let_in_at_once_and_heavy_load_by_degrees_highest_credit_first() -> None:
-    light, heavy = (made(dict.fromkeys(REGIONS, carry)) for carry in (400.0, 30.0))
+def test_moved_requests_are_admitted_at_once_under_light_load_and_by_credit_under_heavy() -> None:
+    light, heavy = (new_planner(dict.fromkeys(REGIONS, carry)) for carry in (400.0, 30.0))
     for planner in (light, heavy):
-        looks(planner, 3)
-    assert not light.update(tally(a=LOST)).shed  # type: ignore[union-attr]
-    shed = heavy.update(tally(a=LOST)).shed["a"]  # type: ignore[union-attr]
+        updates(planner, 3)
+    assert not light.update(tally(a=FAILED)).shed  # type: ignore[union-attr]
+    shed = heavy.update(tally(a=FAILED)).shed["a"]  # type: ignore[union-attr]
     assert shed["hint"] > shed["explain"] > shed.get("mark", 0.0) == 0.0
-    later = looks(heavy, 100, a=LOST)[-1].shed
+    later = updates(heavy, 100, a=FAILED)[-1].shed
     assert later.get("a", {}).get("hint", 0.0) < shed["hint"]
 
 
-def test_what_fits_nowhere_is_deferred_lowest_credit_first_wherever_it_belongs() -> None:
-    planner = made(dict.fromkeys(REGIONS, 20.0))  # 60 carried of 80 asked
-    looks(planner, 3)
-    shed = looks(planner, 200, a=LOST)[-1].shed
+def test_requests_that_fit_nowhere_are_rejected_lowest_credit_first_in_all_zones() -> None:
+    planner = new_planner(dict.fromkeys(REGIONS, 20.0))  # 60 carried of 80 asked
+    updates(planner, 3)
+    shed = updates(planner, 200, a=FAILED)[-1].shed
     assert {name: one.get("hint") for name, one in shed.items()} == dict.fromkeys(REGIONS, 0.5)
     assert not any("mark" in one for one in shed.values())
 
 
-def test_too_much_without_any_failure_is_left_to_the_fronts() -> None:
+def test_overload_without_a_failure_makes_no_plan() -> None:
     full = {name: zone(wait=2.0) for name in REGIONS}
-    assert not looks(made(dict.fromkeys(REGIONS, 1.0)), 100, **full)
+    assert not updates(new_planner(dict.fromkeys(REGIONS, 1.0)), 100, **full)
 
 
 ZONE = st.builds(
     zone,
-    st.integers(0, FRONTS),
-    st.integers(0, FRONTS),
+    st.integers(0, NODES),
+    st.integers(0, NODES),
     st.floats(0.0, 4.0),
     st.floats(0.0, 3.0),
     st.floats(0.0, 4.0),
 )
 
 
-def unsound(planner: Planner, zones: dict[str, ZoneTally]) -> str:
-    """What must hold of any plan, whatever was reported."""
+def violation(planner: Planner, zones: dict[str, ZoneTally]) -> str:
+    """Which rule the plan breaks after these reports; empty if none."""
     planner.update(tally(**zones))
     plan = planner.plan
     if not plan.is_valid():
         return "shares make no sense"
     for name, row in plan.routes.items():
         if any(planner.zones.views[other].health is ZoneHealth.FAILED for other in row):
-            return "jobs go to a lost zone"
+            return "requests go to a failed zone"
         near = [other for other in row if REGIONS[other] == REGIONS[name]]
         if not near and any(
             view.health is ZoneHealth.HEALTHY and REGIONS[other] == REGIONS[name]
             for other, view in planner.zones.views.items()
             if other != name
         ):
-            return "all leaves a region that has a zone that is well"
+            return "all requests leave a region that has a healthy zone"
     for one in plan.shed.values():
         if one.get("hint", 0.0) + 1e-9 < one.get("mark", 0.0):
-            return "a higher credit is deferred before a lower one"
+            return "a higher credit is rejected before a lower one"
     return ""
 
 
@@ -223,64 +239,64 @@
     st.lists(st.fixed_dictionaries(dict.fromkeys(REGIONS, ZONE)), min_size=1, max_size=25),
     st.sampled_from([{}, dict.fromkeys(REGIONS, 25.0)]),
 )
-def test_whatever_is_reported_the_plan_is_sound(
-    told_zones: list[dict[str, ZoneTally]], carries: dict[str, float]
+def test_plan_breaks_no_rule_whatever_is_reported(
+    reports: list[dict[str, ZoneTally]], capacities: dict[str, float]
 ) -> None:
-    planner = made(carries)
-    looks(planner, 2)
-    for zones in told_zones:
-        assert not unsound(planner, zones)
+    planner = new_planner(capacities)
+    updates(planner, 2)
+    for zones in reports:
+        assert not violation(planner, zones)
 
 
-def test_planner_that_takes_the_far_for_the_near_is_found() -> None:
-    class Far(Planner):
+def test_rules_detect_a_planner_that_confuses_near_and_far() -> None:
+    class FarFirstPlanner(Planner):
         def _takers(self, name: str) -> tuple[dict[str, float], dict[str, float]]:
             near, far = super()._takers(name)
             return far, near
 
-    planner = Far(PlannerSettings(REGIONS, CREDITS, 0.3, 250.0, {}), Plan())
-    looks(planner, 2)
-    assert unsound(planner, {"a": LOST})
+    planner = FarFirstPlanner(PlannerSettings(REGIONS, CREDITS, 0.3, 250.0, {}), Plan())
+    updates(planner, 2)
+    assert violation(planner, {"a": FAILED})
 
 
-def test_looks_are_reckoned_in_time_whatever_their_pace() -> None:
-    """Rates are told by the second, so that a planner that looks twice as often lets in as fast."""
+def test_admission_per_second_does_not_depend_on_the_update_interval() -> None:
+    """Rates are per second, so that a planner that updates twice as often admits as fast."""
     held = {}
-    for every in (125.0, 250.0):
-        planner = made(dict.fromkeys(REGIONS, 30.0), every=every)
-        looks(planner, 3)
-        looks(planner, int(4000 / every), a=LOST)
-        held[every] = planner.held_shares["a"]
+    for interval_ms in (125.0, 250.0):
+        planner = new_planner(dict.fromkeys(REGIONS, 30.0), interval_ms=interval_ms)
+        updates(planner, 3)
+        updates(planner, int(4000 / interval_ms), a=FAILED)
+        held[interval_ms] = planner.held_shares["a"]
     assert held[125.0] == pytest.approx(held[250.0], abs=0.03)
 
 
 # Tallies and plans.
 
 
-def test_report_whose_figures_make_no_sense_is_not_sound() -> None:
+def test_report_with_impossible_figures_is_not_valid() -> None:
     assert added([tally(), tally()]).is_valid()
-    for odd in (
+    for impossible in (
         Tally(1, {"a": ZoneTally(failed_votes=2)}),
         Tally(1, {"a": ZoneTally(begun_rate=float("nan"))}),
         Tally(1, {}, {"hint": 1e9}),
         Tally(-1),
         Tally(1, {"a": ZoneTally(ready_size=-1.0)}),
     ):
-        assert not odd.is_valid()
+        assert not impossible.is_valid()
 
 
-def test_plan_survives_its_form_and_nonsense_is_refused() -> None:
+def test_plan_is_read_back_and_an_invalid_one_is_refused() -> None:
     plan = Plan(3, {"a": {"b": 1.0}}, {"a": {"hint": 0.5}}, 500.0, "a lost", {"a": 0.0}, {"a": 1.0}, 1)
     assert decode(encode(plan)) == plan
     with pytest.raises(msgspec.DecodeError):
         decode(encode(Plan(3, {"a": {"b": 0.4}})))
 
 
-def test_calm_plan_under_a_lease_tells_the_module_nothing() -> None:
+def test_calm_plan_under_a_lease_makes_no_event() -> None:
     assert plan_event(Plan(4), ["a", "b"], ["hint"], alone=False) is None
 
 
-def test_front_that_is_alone_keeps_to_the_last_plan_and_to_what_it_sees_lost() -> None:
+def test_node_without_a_lease_keeps_the_last_plan_and_avoids_zones_it_finds_failed() -> None:
     plan = Plan(4, {"a": {"b": 1.0}}, {"a": {"hint": 0.5}}, 500.0)
     own = Tally(1, {"a": ZoneTally(), "b": ZoneTally(), "c": ZoneTally(1, 1)})
     event = plan_event(plan, ["a", "b", "c"], ["hint"], True, "b", own)
--- a/tests/test_failover_policy.py
+++ b/tests/test_failover_policy.py
@@ -15,7 +15,7 @@
 PLACES = ((0, 0, 0), (1, 0, 0), (0, 1, 1), (1, 1, 1), (0, 1, 1))
 
 
-def placed(front, count: int = 60) -> list[Request]:
+def route_requests(front, count: int = 60) -> list[Request]:
     requests = [request(number, left=9000.0) for number in range(1, count + 1)]
     for one in requests:
         front.decide(NOW, [RequestArrived(one)])
@@ -24,28 +24,28 @@
     return requests
 
 
-def test_module_moves_a_lost_zones_requests_and_leaves_the_others_where_they_were() -> None:
+def test_requests_of_a_failed_zone_move_and_the_others_stay() -> None:
     before, engines = fleet(*PLACES)
-    home = {one.id: one.attempts[0].engine.zone for one in placed(before)}
+    home = {one.id: one.attempts[0].engine.zone for one in route_requests(before)}
     front, engines = fleet(*PLACES)
     front.decide(NOW, [FailoverPlan({0: [(1, 1.0)]}, {}, 0.0)])
-    requests = placed(front)
+    requests = route_requests(front)
     assert {one.attempts[0].engine.zone for one in requests} == {1}
     assert set(home.values()) == {0, 1}
     assert not any(attempt.engine.zone == 0 for one in requests for attempt in one.attempts)
 
 
-def test_share_that_grows_moves_no_beginning_back() -> None:
+def test_growing_share_moves_no_prefix_back() -> None:
     moved: set[int] = set()
     for share in (0.2, 0.5, 0.8, 1.0):
         front, _ = fleet(*PLACES)
         front.decide(NOW, [FailoverPlan({0: [(1, share), (0, 1 - share)]}, {}, 0.0)])
-        now = {one.id for one in placed(front) if one.attempts and one.attempts[0].engine.zone == 1}
+        now = {one.id for one in route_requests(front) if one.attempts and one.attempts[0].engine.zone == 1}
         assert moved <= now
         moved = now
 
 
-def test_module_uses_a_shut_zone_where_nothing_else_is_left() -> None:
+def test_failed_zone_is_used_if_nothing_else_is_left() -> None:
     front, engines = fleet(*PLACES[:2])
     front.decide(NOW, [FailoverPlan({0: [(1, 1.0)]}, {}, 0.0)])
     one = request()
@@ -53,17 +53,17 @@
     assert one.attempts[0].engine is engines[0]
 
 
-def test_module_defers_what_the_plan_sheds_at_once_and_before_any_attempt() -> None:
+def test_requests_that_the_plan_sheds_are_rejected_before_any_attempt() -> None:
     front, _ = fleet(*PLACES, max_retry_after_ms=1.0)
     front.decide(NOW, [FailoverPlan({}, {0: [1.0, 0.0, 0.0], 1: [1.0, 0.0, 0.0]}, 400.0)])
     hint, mark = request(1), request(2, request_class=1)
     actions = front.decide(NOW, [RequestArrived(hint), RequestArrived(mark)])
-    defers = [action for action in actions if isinstance(action, RejectRequest)]
-    assert [one.request for one in defers] == [hint] and 400.0 <= defers[0].stay_away <= 800.0
+    rejections = [action for action in actions if isinstance(action, RejectRequest)]
+    assert [one.request for one in rejections] == [hint] and 400.0 <= rejections[0].stay_away <= 800.0
     assert hint.ended and not hint.attempts and mark.attempts
 
 
-def test_module_alone_keeps_each_request_in_the_zone_that_reads_it() -> None:
+def test_without_a_lease_each_request_stays_in_the_zone_of_its_prefill() -> None:
     front, engines = fleet(*PLACES)
     front.decide(NOW, [FailoverPlan({}, {}, 0.0, True)])
     full = engines[0]
@@ -76,6 +76,6 @@
     front, _ = fleet(*PLACES)
     other, _ = fleet(*PLACES)
     other.decide(NOW, [FailoverPlan({}, {}, 0.0)])
-    assert [one.attempts[0].engine.id for one in placed(front)] == [
-        one.attempts[0].engine.id for one in placed(other)
+    assert [one.attempts[0].engine.id for one in route_requests(front)] == [
+        one.attempts[0].engine.id for one in route_requests(other)
     ]
