--- a/tests/test_endpoint_cache.py
+++ b/tests/test_endpoint_cache.py
@@ -1,4 +1,4 @@
-"""A front without discovery: it serves from what it remembers, by age, and gives way to the registry."""
+"""A node without discovery serves from its cached endpoint list, and gives way to the registry."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from worksmux.storage.database import open_store
 from worksmux.storage.records import Table
 
-HOUR = 3_600_000.0
+HOUR_MS = 3_600_000.0
 FLEET = [("prefill", 0), ("decode", 0), ("prefill", 1), ("decode", 1)]
 
 
-def text_with(path: Path, more: str = "") -> str:
+def settings_with_cache(path: Path, more: str = "") -> str:
     return (
         SETTINGS
         + f"""
@@ -35,73 +35,75 @@
     )
 
 
-def remember(rig: Rig, path: Path, age: float, turnover: Turnover | None = None, **changed: Any) -> None:
-    """Writes the list as a front would have, `age` milliseconds ago; `changed` by engine id."""
+def write_cache(
+    rig: Rig, path: Path, age_ms: float, turnover: Turnover | None = None, **changed: Any
+) -> None:
+    """Writes the list as a node would have, `age_ms` ago; `changed` gives other values by engine id."""
     store, wall = open_store(path), clock.wall()
     lines = {}
     for name, line in rig.registry.engines.items():
         one = msgspec.structs.replace(line, **changed.get(name, {}))
-        lines[name] = msgspec.msgpack.encode(StoredEndpoint(one, wall - age))
-    store.replace("lines", lines.items(), wall - age)
-    facts = Facts(wall - age, 5, wall - age, turnover or Turnover())
-    store.replace("facts", [("list", msgspec.msgpack.encode(facts))], wall - age)
+        lines[name] = msgspec.msgpack.encode(StoredEndpoint(one, wall - age_ms))
+    store.replace("lines", lines.items(), wall - age_ms)
+    facts = Facts(wall - age_ms, 5, wall - age_ms, turnover or Turnover())
+    store.replace("facts", [("list", msgspec.msgpack.encode(facts))], wall - age_ms)
     store.close()
 
 
-def made(tmp_path: Path, age: float, dead: bool = True, **changed: Any) -> Rig:
-    rig = Rig(tmp_path, FLEET, text=text_with(tmp_path / "memory"))
-    remember(rig, tmp_path / "memory", age, **changed)
+def rig_with_cache(tmp_path: Path, age_ms: float, dead: bool = True, **changed: Any) -> Rig:
+    rig = Rig(tmp_path, FLEET, text=settings_with_cache(tmp_path / "memory"))
+    write_cache(rig, tmp_path / "memory", age_ms, **changed)
     if dead:
         rig.registry.cut()
     return rig
 
 
-def kept(records: Any) -> bool:
+def rules_kept(records: Any) -> bool:
     return all(verdict.kept for verdict in check(records, FIGURES))
 
 
-def stored(path: Path) -> Table:
+def stored_lines(path: Path) -> Table:
     store = open_store(path)
     table = store.read("lines")
     store.close()
     return table
 
 
-@pytest.mark.parametrize("age", [1000.0, 60_000.0, HOUR, 24 * HOUR, 21 * 24 * HOUR])
-def test_front_serves_from_a_list_of_any_age_while_discovery_is_dead(tmp_path: Path, age: float) -> None:
-    records = made(tmp_path, age).day(length=1500.0, rate=15.0)
+@pytest.mark.parametrize("age_ms", [1000.0, 60_000.0, HOUR_MS, 24 * HOUR_MS, 21 * 24 * HOUR_MS])
+def test_node_serves_from_a_list_of_any_age_while_discovery_is_down(tmp_path: Path, age_ms: float) -> None:
+    records = rig_with_cache(tmp_path, age_ms).day(length=1500.0, rate=15.0)
     done = [request["how"] for request in records.requests]
-    assert kept(records) and done.count("delivered") >= 0.9 * len(done)
+    assert rules_kept(records) and done.count("delivered") >= 0.9 * len(done)
 
 
-def test_drained_and_vanished_engines_of_the_list_get_next_to_nothing(tmp_path: Path) -> None:
-    rig = made(tmp_path, 60_000.0, e0={"state": "draining"}, e1={"port": 1})
+def test_draining_and_vanished_engines_of_the_cached_list_are_avoided(tmp_path: Path) -> None:
+    rig = rig_with_cache(tmp_path, 60_000.0, e0={"state": "draining"}, e1={"port": 1})
     records = rig.day(length=1500.0, rate=15.0)
-    assert kept(records) and not [attempt for attempt in records.attempts if attempt.engine == "e0"]
+    assert rules_kept(records) and not [attempt for attempt in records.attempts if attempt.engine == "e0"]
     beliefs = rig.fronts[0].memory.beliefs  # type: ignore[union-attr]
     assert beliefs and beliefs.endpoints["e0"].status is EndpointStatus.DRAINING
     assert beliefs.endpoints["e1"].status in (EndpointStatus.UNVERIFIED, EndpointStatus.CONTRADICTED)
     assert {request["how"] for request in records.requests} <= {"delivered", "late"}
 
 
-def test_engine_that_started_anew_is_taken_for_cold(tmp_path: Path) -> None:
-    rig = Rig(tmp_path, FLEET, text=text_with(tmp_path / "memory"), capacity=6.0)
+def test_engine_that_restarted_counts_as_cold(tmp_path: Path) -> None:
+    rig = Rig(tmp_path, FLEET, text=settings_with_cache(tmp_path / "memory"), capacity=6.0)
     cold = rig.add("decode", 0, cold=True)
-    remember(rig, tmp_path / "memory", HOUR, e4={"started": 1.0})
+    write_cache(rig, tmp_path / "memory", HOUR_MS, e4={"started": 1.0})
     rig.registry.cut()
     records = rig.day(length=2500.0, rate=20.0)
-    assert kept(records) and not records.falls and cold.spec.id == "e4"
+    assert rules_kept(records) and not records.falls and cold.spec.id == "e4"
     known = rig.fronts[0].engine_list.keeper.known["e4"]
     assert clock.now() - known.started < 20_000
 
 
-def test_registry_that_comes_back_takes_over_without_a_gap(tmp_path: Path) -> None:
-    rig = made(tmp_path, 1000.0)
+def test_registry_takes_over_without_a_gap_when_it_comes_back(tmp_path: Path) -> None:
+    rig = rig_with_cache(tmp_path, 1000.0)
     rig.list(rig.engines[1], "draining")
     rig.at(700, rig.registry.back)
     records = rig.day(length=2000.0, rate=15.0)
     told = records.told["a", "e1"].times[0]
-    assert kept(records) and {request["how"] for request in records.requests} == {"delivered"}
+    assert rules_kept(records) and {request["how"] for request in records.requests} == {"delivered"}
     assert not [
         attempt for attempt in records.attempts if attempt.engine == "e1" and attempt.got > told + 250
     ]
@@ -110,16 +112,14 @@
 
 
 def test_empty_list_does_not_wipe_a_serving_fleet(tmp_path: Path) -> None:
-    rig = made(tmp_path, 1000.0, dead=False)
+    rig = rig_with_cache(tmp_path, 1000.0, dead=False)
     rig.registry.listed = {}
     records = rig.day(length=800.0, rate=15.0)
     assert {request["how"] for request in records.requests} == {"delivered"}
 
 
-def test_list_older_than_the_remembered_one_is_left_out(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    rig = made(tmp_path, 1000.0, dead=False)
+def test_list_older_than_the_cached_one_is_ignored(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    rig = rig_with_cache(tmp_path, 1000.0, dead=False)
 
     def age_registry() -> None:
         rig.registry.serial = 3
@@ -134,34 +134,34 @@
     assert memory and memory.beliefs and not memory.beliefs.superseded
 
 
-def test_list_is_kept_as_it_changes_and_what_is_gone_is_forgotten(tmp_path: Path) -> None:
-    rig = Rig(tmp_path, FLEET, text=text_with(tmp_path / "memory"))
+def test_changes_of_the_list_are_stored_and_gone_engines_removed(tmp_path: Path) -> None:
+    rig = Rig(tmp_path, FLEET, text=settings_with_cache(tmp_path / "memory"))
     rig.at(200, rig.list, rig.engines[1], "gone")
     rig.at(300, rig.list, rig.engines[2], "draining")
     rig.day(length=600.0)
     rig.fronts[0].memory.stop()  # type: ignore[union-attr]
-    table = stored(tmp_path / "memory")
+    table = stored_lines(tmp_path / "memory")
     saved = {name: msgspec.msgpack.decode(data, type=StoredEndpoint) for name, data in table.values.items()}
     assert table.whole and set(saved) == {"e0", "e2", "e3"} and saved["e2"].line.state == "draining"
 
 
-def test_seeds_serve_where_nothing_is_remembered(tmp_path: Path) -> None:
+def test_seeds_are_used_if_nothing_is_cached(tmp_path: Path) -> None:
     rig = Rig(tmp_path, FLEET[:2])
     seeds = "".join(
         f'    seed "{engine.spec.id}" address="127.0.0.1:{engine.port}" kind="{engine.spec.kind}" '
         'zone="north"\n'
         for engine in rig.engines
     )
-    rig.text = text_with(tmp_path / "memory", seeds)
+    rig.text = settings_with_cache(tmp_path / "memory", seeds)
     rig.registry.cut()
     records = rig.day(length=1000.0, rate=10.0)
-    assert kept(records) and "delivered" in {request["how"] for request in records.requests}
+    assert rules_kept(records) and "delivered" in {request["how"] for request in records.requests}
 
 
 @pytest.mark.parametrize("data", [b"", b"nonsense" * 900])
-def test_broken_memory_is_an_empty_start(tmp_path: Path, data: bytes) -> None:
+def test_broken_store_is_an_empty_start(tmp_path: Path, data: bytes) -> None:
     (tmp_path / "memory").write_bytes(data)
-    rig = Rig(tmp_path, FLEET, text=text_with(tmp_path / "memory"))
+    rig = Rig(tmp_path, FLEET, text=settings_with_cache(tmp_path / "memory"))
     records = rig.day(length=500.0)
     assert {request["how"] for request in records.requests} == {"delivered"}
 
@@ -173,7 +173,7 @@
 
     rig = Rig(tmp_path, FLEET[:2])
     path = tmp_path / "memory"
-    remember(rig, path, HOUR)
+    write_cache(rig, path, HOUR_MS)
     rig.engines[1].port_object.stopListening()
     rig.reactor.callLater(0, rig.reactor.stop)
     rig.run()
@@ -200,7 +200,7 @@
     )
 
 
-def test_list_that_turns_empty_in_service_does_not_wipe_the_fleet(tmp_path: Path) -> None:
+def test_list_that_becomes_empty_in_service_does_not_wipe_the_fleet(tmp_path: Path) -> None:
     rig = Rig(tmp_path, FLEET)
 
     def emptied() -> None:
@@ -210,12 +210,20 @@
 
     rig.at(300, emptied)
     records = rig.day(length=1200.0, rate=15.0)
-    assert kept(records) and {request["how"] for request in records.requests} == {"delivered"}
+    assert rules_kept(records) and {request["how"] for request in records.requests} == {"delivered"}
 
 
-def test_registry_that_hangs_or_breaks_off_is_believed_once_it_speaks(tmp_path: Path) -> None:
-    rig = Rig(tmp_path, FLEET, text=text_with(tmp_path / "memory").replace('silence "5s"', 'silence "100ms"'))
-    remember(rig, tmp_path / "memory", 1000.0)
+def test_registry_that_hangs_or_breaks_off_is_followed_once_it_sends_a_list(tmp_path: Path) -> None:
+    """The registry accepts connections but sends nothing, then breaks off while it sends, then recovers.
+
+    The node must serve from its cache all the while.
+    """
+    rig = Rig(
+        tmp_path,
+        FLEET,
+        text=settings_with_cache(tmp_path / "memory").replace('silence "5s"', 'silence "100ms"'),
+    )
+    write_cache(rig, tmp_path / "memory", 1000.0)
     rig.registry.mute = True
 
     def halves() -> None:
@@ -227,13 +235,13 @@
     rig.at(300, halves)
     rig.at(800, whole)
     records = rig.day(length=1500.0, rate=15.0)
-    assert kept(records) and {request["how"] for request in records.requests} == {"delivered"}
+    assert rules_kept(records) and {request["how"] for request in records.requests} == {"delivered"}
     memory = rig.fronts[0].memory
     assert memory and memory.beliefs and memory.beliefs.superseded
 
 
-def test_what_was_learned_comes_back_after_a_restart(tmp_path: Path) -> None:
-    rig = Rig(tmp_path, FLEET, text=text_with(tmp_path / "memory"))
+def test_learned_state_is_stored_for_the_next_start(tmp_path: Path) -> None:
+    rig = Rig(tmp_path, FLEET, text=settings_with_cache(tmp_path / "memory"))
     rig.fault(rig.engines[1], "fail_fast", share=1.0)
     front = rig.front()
     rig.day(length=800.0, rate=20.0)
