--- a/worksmux/fault_trial/fleet.py
+++ b/worksmux/fault_trial/fleet.py
@@ -23,7 +23,6 @@
 from ..checker.records import Records, load
 from ..fakes.clients import Clients, ClientsSpec, FrontSpec
 from ..fakes.engine import EngineProcess
-from ..fakes.generator import Spec
 from ..fakes.journal import Journal
 from ..fakes.registry import Registry
 from ..net import client, clock
@@ -31,6 +30,7 @@
 from .processes import Child
 from .relays import Network
 from .small import SETTINGS, plain_request_class
+from .small_engines import list_entry, small_spec
 
 ZONES = ("north", "south", "east")
 WITHIN = 40.0  # seconds that a test waits for what it expects to see
@@ -139,24 +139,7 @@
     # Engines.
 
     def engine(self, name: str, kind: str, zone: str, cell: int, cold: bool = False) -> EngineProcess:
-        role = {"prefill": "read", "decode": "write"}.get(kind, "both")
-        spec = Spec(
-            name,
-            kind,
-            role,
-            zone,
-            cell,
-            16,
-            16,
-            100_000.0,
-            40_000.0,
-            4.0,
-            0.1,
-            cold=cold,
-            warm_up=4000.0,
-            fall_time=1000.0,
-            journal=str(self.folder / f"engine-{name}.jsonl"),
-        )
+        spec = small_spec(self.folder, name, kind, zone, cell, cold)
         engine = EngineProcess(spec, self.reactor)
         engine.start()
         self.engines[name] = engine
@@ -173,21 +156,7 @@
                 self.engine(f"{zone}-write-{number}", "decode", zone, at)
 
     def tell(self, name: str, state: Any, started: float = 0.0) -> None:
-        spec = self.engines[name].spec
-        self.registry.change(
-            Line(
-                spec.id,
-                "127.0.0.1",
-                self.engines[name].port,
-                spec.kind,
-                state,
-                spec.zone,
-                spec.cell,
-                1.0,
-                started,
-            ),
-            at_once=True,
-        )
+        self.registry.change(list_entry(self.engines[name], state, started), at_once=True)
 
     def _way(self, front: str, line: Line) -> Line:
         return msgspec.structs.replace(line, port=self.net.relay(front, line.id).port)
--- a/worksmux/fault_trial/small.py
+++ b/worksmux/fault_trial/small.py
@@ -11,12 +11,10 @@
 from twisted.internet.epollreactor import EPollReactor
 
 from worksmux.api import engine as calls
-from worksmux.api.listing import Line
 from worksmux.checker.records import Records, load
 from worksmux.checker.rules import Figures
 from worksmux.fakes.clients import Clients, ClientsSpec, FrontSpec, RequestClassSpec
 from worksmux.fakes.engine import EngineProcess, Fault
-from worksmux.fakes.generator import Spec
 from worksmux.fakes.journal import Journal
 from worksmux.fakes.registry import Registry
 from worksmux.gateway.serve import FrontProcess
@@ -25,6 +23,8 @@
 from worksmux.settings.document import parse
 from worksmux.settings.front import FrontSettings, read_front
 
+from .small_engines import list_entry, small_spec
+
 SETTINGS = """
 front "a" {
     listen "127.0.0.1:0"
@@ -147,25 +147,7 @@
         self.failed: BaseException | None = None
 
     def add(self, kind: str, cell: int = 0, cold: bool = False, listed: bool = True) -> EngineProcess:
-        role = {"prefill": "read", "decode": "write"}.get(kind, "both")
-        name = f"e{len(self.engines)}"
-        spec = Spec(
-            name,
-            kind,
-            role,
-            "north",
-            cell,
-            16,
-            16,
-            100_000.0,
-            40_000.0,
-            4.0,
-            0.1,
-            cold=cold,
-            warm_up=4000.0,
-            fall_time=1000.0,
-            journal=str(self.folder / f"engine-{name}.jsonl"),
-        )
+        spec = small_spec(self.folder, f"e{len(self.engines)}", kind, "north", cell, cold)
         engine = EngineProcess(msgspec.structs.replace(spec, **self.spec), self.reactor)
         engine.start()
         self.engines.append(engine)
@@ -174,11 +156,7 @@
         return engine
 
     def list(self, engine: EngineProcess, state: Any, started: float = 0.0) -> None:
-        spec = engine.spec
-        self.registry.change(
-            Line(spec.id, "127.0.0.1", engine.port, spec.kind, state, spec.zone, spec.cell, 1.0, started),
-            at_once=True,
-        )
+        self.registry.change(list_entry(engine, state, started), at_once=True)
 
     def settings(self) -> FrontSettings:
         return read_front(parse(self.text.replace('127.0.0.1:1"', f'127.0.0.1:{self.registry.port}"')))
