--- a/benchmarks/fleet_growth.py
+++ b/benchmarks/fleet_growth.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from worksmux.consensus.replication import Fresh
+from worksmux.consensus.replica import ValuesChanged
 from worksmux.failover.tally import Tally, ZoneTally, added
 from worksmux.gossip.members import State
 from worksmux.simulation.followers import LEASE, Following
@@ -54,7 +54,7 @@
     seen = ZoneTally(1, 0, 0, 1, 3.0, 3.0, 0.0, 1.25, 1.5, 0.3, 0.0)
     own = Tally(1, {f"zone-{at}": seen for at in range(zones)}, {"hint": 1.0, "explain": 0.6, "mark": 0.4})
     for one in fleet.followers.values():
-        one.report = lambda below: msgspec.msgpack.encode(
+        one.build_report = lambda below: msgspec.msgpack.encode(
             added([own, *(msgspec.msgpack.decode(data, type=Tally) for data in below)])
         )
     fleet.run(2 * LEASE)
@@ -67,9 +67,11 @@
     start = fleet.sim.now
     fleet.put(b"x" * 2000)
     fleet.run(2000.0)
-    told = sorted(at - start for at, _, fact in fleet.facts if isinstance(fact, Fresh) and at >= start)
+    told = sorted(
+        at - start for at, _, fact in fleet.facts if isinstance(fact, ValuesChanged) and at >= start
+    )
     leader = fleet.followers["f0"]
-    heard = msgspec.msgpack.decode(leader.report(leader.reports()), type=Tally)
+    heard = msgspec.msgpack.decode(leader.build_report(leader.child_reports()), type=Tally)
     return (
         f"following {count:5} fronts, {zones} zones: {rate:.1f} messages and {size:.0f} bytes a front a "
         f"second, {most:.0f} at the busiest; a plan of 2 kB is with half after "
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -7,10 +7,12 @@
 
 import pytest
 
-from worksmux.consensus.entries import Seats
-from worksmux.consensus.messages import Vote
+from worksmux.consensus.entries import Configuration
+from worksmux.consensus.inputs import ChangeConfiguration, TransferLeadership
+from worksmux.consensus.messages import RequestVote
+from worksmux.consensus.outputs import Output
 from worksmux.consensus.raft import Raft
-from worksmux.consensus.steps import Change, Figures, HandOver, Out, Role
+from worksmux.consensus.voter import RaftTiming, Role
 from worksmux.policy.measure import Chance
 from worksmux.simulation.consensus import Broken, CouncilWorld, Make, SeatInTime, storm
 
@@ -50,29 +52,30 @@
 
 
 class VotesTwice(Raft):
-    def _may_vote(self, seat: str) -> bool:
+    def _may_vote_for(self, candidate: str) -> bool:
         return True
 
 
 class VotesForAnyLog(Raft):
-    def _up_to_date(self, vote: Vote) -> bool:
+    def _log_is_up_to_date(self, request: RequestVote) -> bool:
         return True
 
 
 class ReadsWithoutLease(Raft):
-    def leads_surely(self, now: float) -> bool:
+    def holds_lease(self, now: float) -> bool:
         return self.role is Role.LEADER
 
 
 class AgreesAlone(Raft):
-    def _agreed_index(self) -> int:
-        return self.durable
+    def _quorum_match_index(self) -> int:
+        return self.synced_index
 
 
 class VotesDespiteLeader(Raft):
-    def _asked(self, now: float, seat: str, vote: Vote, out: Out) -> None:
-        self.heard_at = min(self.heard_at, now - 2 * self.figures.patience)
-        super()._asked(now, seat, vote, out)
+    def _on_request_vote(self, now: float, sender: str, request: RequestVote, output: Output) -> None:
+        expired = now - 2 * self.timing.election_timeout_ms
+        self.leader_contact_at = min(self.leader_contact_at, expired)
+        super()._on_request_vote(now, sender, request, output)
 
 
 @pytest.mark.parametrize(
@@ -135,7 +138,7 @@
     leader = world.led()
     some = [leader.name, next(name for name in world.seats if name != leader.name)]
     world.wire.cut(some, [name for name in world.seats if name not in some])
-    world.run(3 * world.figures.patience)
+    world.run(3 * world.figures.election_timeout_ms)
     assert leader.raft is not None and leader.raft.role is not Role.LEADER
     refused = world.refused
     world.read(leader.name)
@@ -167,8 +170,8 @@
     while not any(
         seat.raft is not None
         and not seat.frozen
-        and seat.raft.leads_surely(seat.now)
-        and seat.raft.commit >= seat.raft.began
+        and seat.raft.holds_lease(seat.now)
+        and seat.raft.commit_index >= seat.raft.term_start_index
         for seat in others
     ):
         world.run(5.0)
@@ -178,7 +181,7 @@
 def test_majority_outlasts_its_leases_without_a_leader_only_where_its_processes_starve() -> None:
     """A front whose lease ends acts alone, as it must: on a machine without processor time so does one of a
     majority.  There are never two leaders in a term, which the world looks at as it goes."""
-    lease = 4.0 * Figures(60.0, 400.0).patience  # as the fleet's tests have it
+    lease = 4.0 * RaftTiming(60.0, 400.0).election_timeout_ms  # as the fleet's tests have it
     assert max(leaderless_time(seed, 0.0) for seed in range(40)) < lease / 2
     assert max(leaderless_time(seed, 300.0) for seed in range(40)) > lease
 
@@ -200,10 +203,10 @@
     world = CouncilWorld(3)
     leader = world.led()
     start = world.sim.now
-    leader.step(HandOver())
+    leader.step(TransferLeadership())
     world.run(100.0)
     new = world.led()
-    assert new is not leader and world.sim.now - start < world.figures.patience
+    assert new is not leader and world.sim.now - start < world.figures.election_timeout_ms
 
 
 def test_one_seat_a_time_and_a_learner_before_it_votes() -> None:
@@ -211,11 +214,11 @@
     leader = world.led()
     assert leader.raft is not None
     now = tuple(world.seats)
-    leader.step(Change(Seats(now[:1], ())))  # two at once
-    assert leader.raft.seats.voters == now
-    leader.step(Change(Seats(now, ("z",))))
+    leader.step(ChangeConfiguration(Configuration(now[:1], ())))  # two at once
+    assert leader.raft.configuration.voters == now
+    leader.step(ChangeConfiguration(Configuration(now, ("z",))))
     world.run(1_000.0)
-    assert leader.raft.seats.learners == ("z",) and not leader.raft.caught_up("z")
+    assert leader.raft.configuration.learners == ("z",) and not leader.raft.caught_up("z")
 
 
 def test_log_is_cut_at_a_snapshot_and_a_seat_far_behind_gets_it_in_pieces() -> None:
@@ -229,8 +232,8 @@
     world.run(1_000.0)
     assert leader.raft is not None
     world.compact(leader.name)
-    assert leader.raft.log.base.index > 300
+    assert leader.raft.log.snapshot.index > 300
     behind.start()
     world.run(5_000.0)
-    assert behind.raft is not None and behind.raft.commit == leader.raft.commit
+    assert behind.raft is not None and behind.raft.commit_index == leader.raft.commit_index
     world.final_check()
--- a/worksmux/consensus/__init__.py
+++ b/worksmux/consensus/__init__.py
@@ -1,2 +1,5 @@
-"""What the fronts decide in common: a replicated log with few seats that vote; all others follow.  Free of
-I/O."""
+"""Consensus among gateway nodes: Raft for the few that vote, replication to all others. Free of I/O.
+
+References: "Raft" is Ongaro and Ousterhout, In Search of an Understandable Consensus Algorithm (extended
+version, 2014); "thesis" is Ongaro, Consensus: Bridging Theory and Practice (2014).
+"""
--- a/worksmux/consensus/entries.py
+++ b/worksmux/consensus/entries.py
@@ -1,7 +1,7 @@
-"""The log's entries, who has a seat, and what a seat keeps on disk.  Pure.
+"""Log entries, configurations, snapshots and what a voter persists. Pure.
 
-Each entry carries a digest over itself and all before it: two logs that agree in one digest agree in
-everything up to there, and the same number with another digest is a fault that shows.
+Each entry carries a digest over itself and the digest of the entry before it. Two logs that agree in one
+digest agree in everything up to it, and two entries with one index and different digests reveal a fault.
 """
 
 from __future__ import annotations
@@ -11,18 +11,26 @@
 import msgspec
 import xxhash
 
-NOOP, SEATS, CHANGE = "noop", "seats", "change"
+# Kinds of log entries.
+NOOP = "noop"
+CONFIGURATION = "seats"
+COMMAND = "change"
 
+ENTRY_OVERHEAD_BYTES = 64  # of an entry on the wire, beside its data
 
-class Seats(msgspec.Struct, frozen=True):
-    """Who votes, and who is being brought up to date in order to.  A seat is a front's name and a mark of its
-    disk, as `front-1#9f3a`: one that lost its disk is another seat."""
+
+class Configuration(msgspec.Struct, frozen=True):
+    """Who votes, and which non-voting learners are catching up to become voters.
+
+    A server is identified by its node's name and a mark of its disk, as in `front-1#9f3a`. A node that lost
+    its disk also lost its votes and its log (Raft §5.1), so it comes back as another server.
+    """
 
     voters: tuple[str, ...] = ()
     learners: tuple[str, ...] = ()
 
     @property
-    def all(self) -> tuple[str, ...]:
+    def members(self) -> tuple[str, ...]:
         return self.voters + self.learners
 
     @property
@@ -30,15 +38,18 @@
         return len(self.voters) // 2 + 1
 
 
-def front_of(seat: str) -> str:
-    """
-    >>> front_of("front-1#9f3a")
+def node_of(server: str) -> str:
+    """The name of a server's node.
+
+    >>> node_of("front-1#9f3a")
     'front-1'
     """
-    return seat.rpartition("#")[0]
+    return server.rpartition("#")[0]
 
 
 class Entry(msgspec.Struct, frozen=True):
+    """One entry of the replicated log; `kind` is NOOP, CONFIGURATION or COMMAND."""
+
     index: int
     term: int
     kind: str
@@ -46,101 +57,127 @@
     digest: int
 
 
-class Base(msgspec.Struct, frozen=True):
-    """A snapshot: all up to `index` stands for `data`."""
+class Snapshot(msgspec.Struct, frozen=True):
+    """Replaces all entries up to and including `index`, which had `term` and `digest` (Raft §7)."""
 
     index: int = 0
     term: int = 0
     digest: int = 0
-    seats: Seats = Seats()
+    configuration: Configuration = msgspec.field(default=Configuration(), name="seats")
     data: bytes = b""
 
 
 @dataclass
-class Saved:
-    """What a seat finds on its disk."""
+class PersistentState:
+    """What a voter reads from its disk at its start (Raft figure 2)."""
 
     term: int = 0
-    vote: str = ""
-    base: Base = field(default_factory=Base)
+    voted_for: str = ""
+    snapshot: Snapshot = field(default_factory=Snapshot)
     entries: list[Entry] = field(default_factory=list)
 
 
 @dataclass(frozen=True)
-class Write:
-    """What has to be on disk; each number once, in order.  `cut` removes all entries from that index on,
-    before the new ones are added; a new base removes all up to its own."""
+class HardState:
+    """What must be on disk before a vote or a reply of this term is sent (Raft figure 2)."""
+
+    term: int
+    voted_for: str
+
+
+@dataclass(frozen=True)
+class StorageWrite:
+    """One change of the persistent state. Writes are numbered and applied in order, each once.
+
+    `truncate_from` removes all entries from that index on, before `entries` are appended. `snapshot`
+    removes all entries up to its own index.
+    """
 
     number: int
-    hard: tuple[int, str] | None = None  # term and vote
-    cut: int | None = None
+    hard_state: HardState | None = None
+    truncate_from: int | None = None
     entries: tuple[Entry, ...] = ()
-    base: Base | None = None
+    snapshot: Snapshot | None = None
 
 
-def next_entry(last: Entry | Base, term: int, kind: str, data: bytes) -> Entry:
+def next_entry(last: Entry | Snapshot, term: int, kind: str, data: bytes) -> Entry:
+    """The entry that follows `last`."""
     index = last.index + 1
-    return Entry(index, term, kind, data, digest(last.digest, index, term, kind, data))
+    return Entry(index, term, kind, data, entry_digest(last.digest, index, term, kind, data))
 
 
-def digest(before: int, index: int, term: int, kind: str, data: bytes) -> int:
-    head = f"{before}:{index}:{term}:{kind}:{len(data)}:".encode()
-    return xxhash.xxh3_64_intdigest(head + data)
+def entry_digest(previous_digest: int, index: int, term: int, kind: str, data: bytes) -> int:
+    header = f"{previous_digest}:{index}:{term}:{kind}:{len(data)}:".encode()
+    return xxhash.xxh3_64_intdigest(header + data)
 
 
-def sound(last: Entry | Base, entry: Entry) -> bool:
-    """Whether an entry is the one that follows."""
-    return entry.index == last.index + 1 and entry.digest == digest(
-        last.digest, entry.index, entry.term, entry.kind, entry.data
-    )
+def is_successor(last: Entry | Snapshot, entry: Entry) -> bool:
+    """Whether `entry` has the index and the digest of the entry that follows `last`."""
+    if entry.index != last.index + 1:
+        return False
+    return entry.digest == entry_digest(last.digest, entry.index, entry.term, entry.kind, entry.data)
 
 
-def seats_of(entry: Entry) -> Seats:
-    return msgspec.msgpack.decode(entry.data, type=Seats)
+def configuration_in(entry: Entry) -> Configuration:
+    """The configuration that an entry of the kind CONFIGURATION holds."""
+    return msgspec.msgpack.decode(entry.data, type=Configuration)
 
 
 class Log:
-    """The entries after a base, with the seats that each of them leaves."""
+    """A snapshot and the entries after it."""
 
-    def __init__(self, base: Base, entries: list[Entry]) -> None:
-        self.base, self.entries = base, entries
+    def __init__(self, snapshot: Snapshot, entries: list[Entry]) -> None:
+        self.snapshot = snapshot
+        self.entries = entries
 
     @property
-    def last(self) -> Entry | Base:
-        return self.entries[-1] if self.entries else self.base
-
-    def at(self, index: int) -> Entry | Base | None:
-        """The entry, or the base for its own index; None for what is cut off or not there yet."""
-        if index == self.base.index:
-            return self.base
-        place = index - self.base.index - 1
-        return self.entries[place] if 0 <= place < len(self.entries) else None
-
-    def after(self, index: int, most_bytes: int) -> tuple[Entry, ...]:
-        """Those after `index`, as many as fit, one at least."""
+    def last(self) -> Entry | Snapshot:
+        return self.entries[-1] if self.entries else self.snapshot
+
+    def get(self, index: int) -> Entry | Snapshot | None:
+        """The entry, or the snapshot for its own index; None if compacted or not yet appended."""
+        if index == self.snapshot.index:
+            return self.snapshot
+        position = index - self.snapshot.index - 1
+        return self.entries[position] if 0 <= position < len(self.entries) else None
+
+    def between(self, after: int, last: int) -> tuple[Entry, ...]:
+        """The entries after `after`, up to and including `last`."""
+        start = max(0, after - self.snapshot.index)
+        return tuple(self.entries[start : last - self.snapshot.index])
+
+    def entries_after(self, index: int, max_bytes: int) -> tuple[Entry, ...]:
+        """As many entries after `index` as fit into `max_bytes`, but at least one if there is any."""
         found: list[Entry] = []
         size = 0
-        for entry in self.entries[max(0, index - self.base.index) :]:
-            size += len(entry.data) + 64
-            if found and size > most_bytes:
+        for entry in self.entries[max(0, index - self.snapshot.index) :]:
+            size += len(entry.data) + ENTRY_OVERHEAD_BYTES
+            if found and size > max_bytes:
                 break
             found.append(entry)
         return tuple(found)
 
-    def cut(self, index: int) -> None:
-        """Removes all from `index` on."""
-        del self.entries[max(0, index - self.base.index - 1) :]
-
-    def rebase(self, base: Base) -> None:
-        """A base that stands for some of the entries, or for all and more."""
-        held = self.at(base.index)
-        keep = held is not None and held.digest == base.digest
-        self.entries = self.entries[base.index - self.base.index :] if keep else []
-        self.base = base
-
-    def seats(self) -> tuple[int, Seats]:
-        """Those in force, which are the newest told, and where they stand."""
-        for entry in reversed(self.entries):
-            if entry.kind == SEATS:
-                return entry.index, seats_of(entry)
-        return self.base.index, self.base.seats
+    def truncate_from(self, index: int) -> None:
+        """Removes the entry at `index` and all after it."""
+        del self.entries[max(0, index - self.snapshot.index - 1) :]
+
+    def replace_prefix(self, snapshot: Snapshot) -> None:
+        """Puts a snapshot in place of the entries up to its index.
+
+        Later entries are kept only if the log holds the snapshot's last entry (Raft §7, figure 13 rule 6).
+        """
+        held = self.get(snapshot.index)
+        matches = held is not None and held.digest == snapshot.digest
+        self.entries = self.entries[snapshot.index - self.snapshot.index :] if matches else []
+        self.snapshot = snapshot
+
+    def latest_configuration(self, last: int | None = None) -> tuple[int, Configuration]:
+        """The newest configuration up to index `last` and its index; of the whole log if `last` is None.
+
+        A server uses the newest one in its log, committed or not (Raft §6).
+        """
+        end = None if last is None else last - self.snapshot.index
+        for entry in reversed(self.entries[:end]):
+            if entry.kind == CONFIGURATION:
+                return entry.index, configuration_in(entry)
+        return self.snapshot.index, self.snapshot.configuration
--- a/worksmux/consensus/leader.py
+++ b/worksmux/consensus/leader.py
@@ -1,4 +1,8 @@
-"""What a leader does: its log goes to the others, what a majority has is agreed, reads are answered."""
+"""What a leader does: replicate its log, commit what a majority holds, answer reads, change the
+configuration.
+
+Times are milliseconds.
+"""
 
 from __future__ import annotations
 
@@ -6,223 +10,255 @@
 
 import msgspec
 
-from .entries import SEATS, Base, Entry, Seats, next_entry, seats_of
-from .messages import Append, Appended, Hurry, Install, Installed
-from .steps import Out, Progress, Proposed, Readable, Refused, Role
-from .voter import Seat
+from .entries import CONFIGURATION, Configuration, Entry, Snapshot, next_entry
+from .messages import AppendEntries, AppendReply, InstallSnapshot, SnapshotReply, TimeoutNow
+from .outputs import Output, ProposalAppended, ReadReady, Rejected
+from .voter import PendingRead, Progress, Role, Voter
 
-MOST_BYTES = 48_000  # of entries or of a snapshot in one message
-NEAR = 64  # entries: a learner that lacks no more than that is up to date
-MOST_OPEN = 1000  # entries that wait to be agreed; more are refused
+MAX_MESSAGE_BYTES = 48_000  # of entries or of snapshot data
+MAX_LEARNER_LAG = 64  # entries that a learner may lack and still be made a voter
+MAX_UNCOMMITTED = 1000  # entries; beyond that proposals are rejected
+RESEND_HEARTBEATS = 2  # heartbeat intervals without an answer, after which entries are sent again
+ROUNDS_KEPT_TIMEOUTS = 2  # election timeouts for which the time of a round is remembered
 
 
-class Leading(Seat):
-    def caught_up(self, seat: str) -> bool:
-        """Whether a seat lacks next to nothing."""
-        progress = self.progress.get(seat)
-        return progress is not None and progress.match >= max(self.began, self.log.last.index - NEAR)
+class LeaderDuties(Voter):
+    def caught_up(self, server: str) -> bool:
+        """Whether a learner is near enough to the end of the log to be made a voter (thesis §4.2.1)."""
+        progress = self.progress.get(server)
+        if progress is None:
+            return False
+        return progress.match_index >= max(self.term_start_index, self.log.last.index - MAX_LEARNER_LAG)
 
-    def _deserted(self, now: float) -> bool:
-        """Whether no majority has answered for too long; who was only just watched gets time."""
-        heard = self._quorum(now, lambda one: max(one.heard, one.since))
-        return now - heard > self.figures.patience
+    def _lost_quorum(self, now: float) -> bool:
+        """Whether no majority has answered for an election timeout, so that this leader steps down (thesis
+        §6.2).
 
-    def _watch(self, now: float) -> None:
-        """Keeps account of each other seat there is."""
-        others = [seat for seat in self.seats.all if seat != self.me]
+        A server that is tracked since a moment ago gets the time to answer.
+        """
+        contact = self._reached_by_quorum(
+            now, lambda progress: max(progress.last_contact, progress.tracked_since)
+        )
+        return now - contact > self.timing.election_timeout_ms
+
+    def _track_members(self, now: float) -> None:
+        """Keeps the progress of each other member of the configuration, and of no one else."""
+        others = [server for server in self.configuration.members if server != self.server_id]
         self.progress = {
-            seat: self.progress.get(seat) or Progress(0, self.log.last.index + 1, now) for seat in others
+            server: self.progress.get(server) or Progress(0, self.log.last.index + 1, now)
+            for server in others
         }
 
-    def _hand_over(self, now: float, out: Out) -> None:
-        """The best one is told to stand at once; until it does, no more reads by lease."""
+    def _transfer_leadership(self, now: float, output: Output) -> None:
+        """Asks an up-to-date voter to start an election at once (thesis §3.10).
+
+        Until the transfer ends, this leader takes no proposals and holds no lease: the other one may win
+        before this leader learns of it, and a read by lease would miss what the other commits.
+        """
         if self.role is not Role.LEADER:
             return
-        able = [
-            seat
-            for seat in self.seats.voters
-            if seat != self.me and self.progress[seat].match == self.log.last.index
+        up_to_date = [
+            voter
+            for voter in self.configuration.voters
+            if voter != self.server_id and self.progress[voter].match_index == self.log.last.index
         ]
-        if able:
-            self.handed, self.handed_until = True, now + self.figures.patience
-            best = max(able, key=lambda seat: self.progress[seat].heard)
-            out.messages.append((best, Hurry(self.term)))
+        if up_to_date:
+            self.transferring = True
+            self.transfer_deadline = now + self.timing.election_timeout_ms
+            target = max(up_to_date, key=lambda voter: self.progress[voter].last_contact)
+            output.messages.append((target, TimeoutNow(self.term)))
 
-    def _add(self, kind: str, data: bytes, out: Out) -> Entry:
+    def _append_own(self, kind: str, data: bytes, output: Output) -> Entry:
         entry = next_entry(self.log.last, self.term, kind, data)
         self.log.entries.append(entry)
-        self._write(out, entries=(entry,))
+        self._write(output, entries=(entry,))
         return entry
 
-    def _propose(self, now: float, kind: str, data: bytes, token: int, out: Out) -> None:
-        if self.role is not Role.LEADER or self.handed or self.log.last.index - self.commit > MOST_OPEN:
-            out.facts.append(Refused(token, self.leader))
+    def _propose(self, now: float, kind: str, data: bytes, token: int, output: Output) -> None:
+        uncommitted = self.log.last.index - self.commit_index
+        if self.role is not Role.LEADER or self.transferring or uncommitted > MAX_UNCOMMITTED:
+            output.events.append(Rejected(token, self.leader))
             return
-        entry = self._add(kind, data, out)
-        out.facts.append(Proposed(token, entry.index, entry.term))
-        self._send_all(now, out)
-        self._advance(now, out)
-
-    def _change(self, now: float, seats: Seats, out: Out) -> None:
-        """One voter at a time, the last change agreed, and something of this term too: else two majorities
-        that share no seat could come about (Ongaro's correction of 2015)."""
-        voters, fresh = set(self.seats.voters), set(seats.voters)
-        odd = (
-            self.role is not Role.LEADER
-            or self.seats_at > self.commit
-            or self.commit < self.began
-            or len(voters ^ fresh) > 1
-            or not fresh
-            or seats == self.seats
+        entry = self._append_own(kind, data, output)
+        output.events.append(ProposalAppended(token, entry.index, entry.term))
+        self._send_to_all(now, output)
+        self._advance_commit(now, output)
+
+    def _may_change_to(self, configuration: Configuration) -> bool:
+        """Whether the configuration may change now: by one voter at a time (thesis §4.1).
+
+        The last change and an entry of this term must be committed before. Failure: without the latter, two
+        majorities that share no server can form when a leader crashes between changes (Ongaro, "bug in
+        single-server membership changes", raft-dev 2015). It shows as two different entries committed at
+        one index.
+        """
+        changed_voters = set(self.configuration.voters) ^ set(configuration.voters)
+        return (
+            self.role is Role.LEADER
+            and self.configuration_index <= self.commit_index
+            and self.commit_index >= self.term_start_index
+            and len(changed_voters) <= 1
+            and bool(configuration.voters)
+            and configuration != self.configuration
         )
-        if odd:
-            out.facts.append(Refused(0, self.leader))
+
+    def _change_configuration(self, now: float, configuration: Configuration, output: Output) -> None:
+        if not self._may_change_to(configuration):
+            output.events.append(Rejected(0, self.leader))
             return
-        entry = self._add(SEATS, msgspec.msgpack.encode(seats), out)
-        self.seats_at, self.seats = entry.index, seats
-        self._watch(now)
-        self._send_all(now, out)
-        self._advance(now, out)
-
-    def _beat(self, now: float, out: Out) -> None:
-        self.beat_at = now + self.figures.beat
-        self.rounds = {
-            number: sent for number, sent in self.rounds.items() if sent > now - 2 * self.figures.patience
+        entry = self._append_own(CONFIGURATION, msgspec.msgpack.encode(configuration), output)
+        self.configuration_index, self.configuration = entry.index, configuration
+        self._track_members(now)
+        self._send_to_all(now, output)
+        self._advance_commit(now, output)
+
+    def _heartbeat(self, now: float, output: Output) -> None:
+        self.heartbeat_at = now + self.timing.heartbeat_ms
+        oldest = now - ROUNDS_KEPT_TIMEOUTS * self.timing.election_timeout_ms
+        self.round_sent_at = {
+            number: sent_at for number, sent_at in self.round_sent_at.items() if sent_at > oldest
         }
-        self._send_all(now, out)
+        self._send_to_all(now, output)
 
-    def _send_all(self, now: float, out: Out) -> None:
+    def _send_to_all(self, now: float, output: Output) -> None:
         self.round += 1
-        self.rounds[self.round] = now
-        for seat in self.progress:
-            self._send(now, seat, out)
-
-    def _send(self, now: float, seat: str, out: Out) -> None:
-        """What it lacks; while that is not answered, signs of life alone."""
-        progress, log = self.progress[seat], self.log
-        if progress.next <= log.base.index:
-            return self._send_base(now, seat, progress, out)
-        progress.offset = -1
-        before = log.at(progress.next - 1)
-        assert before is not None
-        busy = now < progress.sent + 2 * self.figures.beat
-        entries = () if busy else log.after(progress.next - 1, MOST_BYTES)
+        self.round_sent_at[self.round] = now
+        for server in self.progress:
+            self._send(now, server, output)
+
+    def _awaits_answer(self, now: float, progress: Progress) -> bool:
+        return now < progress.data_sent_at + RESEND_HEARTBEATS * self.timing.heartbeat_ms
+
+    def _send(self, now: float, server: str, output: Output) -> None:
+        """Sends the entries that a server lacks; while some await an answer, a heartbeat without entries."""
+        progress = self.progress[server]
+        if progress.next_index <= self.log.snapshot.index:
+            self._send_snapshot(now, server, progress, output)
+            return
+        progress.snapshot_offset = -1
+        previous = self.log.get(progress.next_index - 1)
+        assert previous is not None
+        entries: tuple[Entry, ...] = ()
+        if not self._awaits_answer(now, progress):
+            entries = self.log.entries_after(previous.index, MAX_MESSAGE_BYTES)
         if entries:
-            progress.sent = now
-        out.messages.append(
-            (seat, Append(self.term, before.index, before.term, entries, self.commit, self.round))
+            progress.data_sent_at = now
+        message = AppendEntries(
+            self.term, previous.index, previous.term, entries, self.commit_index, self.round
         )
+        output.messages.append((server, message))
 
-    def _send_base(self, now: float, seat: str, progress: Progress, out: Out) -> None:
-        base = self.log.base
-        busy = now < progress.sent + 2 * self.figures.beat
-        offset = max(0, progress.offset)
-        data = b"" if busy else base.data[offset : offset + MOST_BYTES]
-        if not busy:
-            progress.sent, progress.offset = now, offset
-        out.messages.append(
-            (
-                seat,
-                Install(
-                    self.term,
-                    base.index,
-                    base.term,
-                    base.digest,
-                    base.seats,
-                    offset,
-                    len(base.data),
-                    data,
-                    self.round,
-                ),
-            )
+    def _send_snapshot(self, now: float, server: str, progress: Progress, output: Output) -> None:
+        snapshot = self.log.snapshot
+        offset = max(0, progress.snapshot_offset)
+        data = b""
+        if not self._awaits_answer(now, progress):
+            data = snapshot.data[offset : offset + MAX_MESSAGE_BYTES]
+            progress.data_sent_at, progress.snapshot_offset = now, offset
+        message = InstallSnapshot(
+            self.term,
+            snapshot.index,
+            snapshot.term,
+            snapshot.digest,
+            snapshot.configuration,
+            offset,
+            len(snapshot.data),
+            data,
+            self.round,
         )
+        output.messages.append((server, message))
 
-    def _answered(self, now: float, seat: str, number: int) -> Progress | None:
-        progress = self.progress.get(seat)
+    def _record_contact(self, server: str, round_number: int) -> Progress | None:
+        """Counts contact from when the answered message was sent: the server followed this leader at least
+        then."""
+        progress = self.progress.get(server)
         if progress is not None:
-            progress.heard = max(progress.heard, self.rounds.get(number, -inf))
+            sent_at = self.round_sent_at.get(round_number, -inf)
+            progress.last_contact = max(progress.last_contact, sent_at)
         return progress
 
-    def _appended(self, now: float, seat: str, told: Appended, out: Out) -> None:
-        progress = self._answered(now, seat, told.round)
+    def _on_append_reply(self, now: float, server: str, reply: AppendReply, output: Output) -> None:
+        progress = self._record_contact(server, reply.round)
         if progress is None:
             return
-        if told.agreed:
-            if told.index > progress.match:
-                progress.match, progress.next, progress.sent = told.index, told.index + 1, -inf
-                self._advance(now, out)
-            if progress.next <= self.log.last.index and progress.sent == -inf:
-                self._send(now, seat, out)
-        elif told.index + 1 < progress.next:
-            progress.next = max(progress.match, told.index) + 1
-            progress.sent = -inf
-            self._send(now, seat, out)
-
-    def _installed(self, now: float, seat: str, told: Installed, out: Out) -> None:
-        progress, base = self._answered(now, seat, told.round), self.log.base
-        if progress is None or told.index != base.index or progress.next > base.index:
+        if reply.success:
+            if reply.index > progress.match_index:
+                progress.match_index, progress.next_index = reply.index, reply.index + 1
+                progress.data_sent_at = -inf
+                self._advance_commit(now, output)
+            if progress.next_index <= self.log.last.index and progress.data_sent_at == -inf:
+                self._send(now, server, output)
+        elif reply.index + 1 < progress.next_index:
+            progress.next_index = max(progress.match_index, reply.index) + 1
+            progress.data_sent_at = -inf
+            self._send(now, server, output)
+
+    def _on_snapshot_reply(self, now: float, server: str, reply: SnapshotReply, output: Output) -> None:
+        progress, snapshot = self._record_contact(server, reply.round), self.log.snapshot
+        if progress is None:
             return
-        progress.sent = -inf
-        if told.offset >= len(base.data):
-            progress.match = max(progress.match, base.index)
-            progress.next, progress.offset = progress.match + 1, -1
+        if reply.last_included_index != snapshot.index or progress.next_index > snapshot.index:
+            return
+        progress.data_sent_at = -inf
+        if reply.offset >= len(snapshot.data):
+            progress.match_index = max(progress.match_index, snapshot.index)
+            progress.next_index, progress.snapshot_offset = progress.match_index + 1, -1
         else:
-            progress.offset = told.offset
-        self._send(now, seat, out)
+            progress.snapshot_offset = reply.offset
+        self._send(now, server, output)
 
-    def _agreed_index(self) -> int:
+    def _quorum_match_index(self) -> int:
         """The highest index that a majority has on disk."""
-        return int(self._quorum(self.durable, lambda one: one.match))
+        return int(self._reached_by_quorum(self.synced_index, lambda progress: progress.match_index))
 
-    def _advance(self, now: float, out: Out) -> None:
-        """Only an entry of its own term is agreed by counting (Raft, figure 8)."""
-        index = self._agreed_index()
-        if index <= self.commit or index < self.began:
-            return
-        self._commit(index, out)
-        if self.seats_at <= self.commit and self.me not in self.seats.voters:
-            self._send_all(now, out)  # its last word: who leads from here on knows it is agreed
-            self._follow(now, self.term, "", out)
+    def _advance_commit(self, now: float, output: Output) -> None:
+        """Commits what a majority holds, from the first entry of this leader's own term on (Raft §5.4.2,
+        figure 8)."""
+        index = self._quorum_match_index()
+        if index <= self.commit_index or index < self.term_start_index:
             return
-        self._send_all(now, out)
+        self._commit(index, output)
+        self._send_to_all(now, output)
+        if self.configuration_index <= self.commit_index and not self._is_voter():
+            # A leader that is no longer a voter steps down once that is committed (thesis §4.2.2); the
+            # messages above tell the others that it is.
+            self._become_follower(now, self.term, "", output)
 
-    def _read(self, now: float, token: int, out: Out) -> None:
-        if self.role is not Role.LEADER or self.commit < self.began:
-            out.facts.append(Refused(token, self.leader))
+    def _read_index(self, now: float, token: int, output: Output) -> None:
+        """Answers at once under a lease, else after a majority has answered a new round (thesis §6.4).
+
+        The commit index is up to date only after an entry of this term is committed (Raft §8).
+        """
+        if self.role is not Role.LEADER or self.commit_index < self.term_start_index:
+            output.events.append(Rejected(token, self.leader))
             return
-        if self.leads_surely(now):
-            out.facts.append(Readable(token, self.commit))
+        if self.holds_lease(now):
+            output.events.append(ReadReady(token, self.commit_index))
             return
-        self._send_all(now, out)
-        self.reads.append((token, self.commit, self.round))
+        self._send_to_all(now, output)
+        self.pending_reads.append(PendingRead(token, self.commit_index, self.round))
 
-    def _told_reads(self, out: Out) -> None:
-        """Those whose round a majority has answered: it led when they were asked."""
-        if self.role is not Role.LEADER or not self.reads:
+    def _answer_pending_reads(self, output: Output) -> None:
+        """Answers reads whose round a majority has answered: this server still led after they were asked."""
+        if self.role is not Role.LEADER or not self.pending_reads:
             return
-        until = self._quorum(inf, lambda one: one.heard)
+        confirmed_at = self._reached_by_quorum(inf, lambda progress: progress.last_contact)
         waiting = []
-        for token, index, number in self.reads:
-            if self.rounds.get(number, inf) <= until:
-                out.facts.append(Readable(token, index))
-            elif number in self.rounds:
-                waiting.append((token, index, number))
+        for read in self.pending_reads:
+            if self.round_sent_at.get(read.round, inf) <= confirmed_at:
+                output.events.append(ReadReady(read.token, read.index))
+            elif read.round in self.round_sent_at:
+                waiting.append(read)
             else:
-                out.facts.append(Refused(token, ""))
-        self.reads = waiting
+                output.events.append(Rejected(read.token, ""))
+        self.pending_reads = waiting
 
-    def _compact(self, index: int, data: bytes, out: Out) -> None:
-        held = self.log.at(index)
-        if held is None or index <= self.log.base.index or index > self.commit:
+    def _compact(self, index: int, data: bytes, output: Output) -> None:
+        """Replaces committed entries by a snapshot; an index out of range is ignored."""
+        held = self.log.get(index)
+        if held is None or index <= self.log.snapshot.index or index > self.commit_index:
             return
-        seats = next(
-            (
-                seats_of(entry)
-                for entry in reversed(self.log.entries[: index - self.log.base.index])
-                if entry.kind == SEATS
-            ),
-            self.log.base.seats,
-        )
-        base = Base(index, held.term, held.digest, seats, data)
-        self.log.rebase(base)
-        self._write(out, base=base)
+        _, configuration = self.log.latest_configuration(index)
+        snapshot = Snapshot(index, held.term, held.digest, configuration, data)
+        self.log.replace_prefix(snapshot)
+        self._write(output, snapshot=snapshot)
--- a/worksmux/consensus/messages.py
+++ b/worksmux/consensus/messages.py
@@ -1,75 +1,88 @@
-"""What seats tell each other."""
+"""Messages among voters and learners. Names on the wire differ from those in the code."""
 
 from __future__ import annotations
 
 import msgspec
 
-from .entries import Entry, Seats
+from .entries import Configuration, Entry
 
 
-class Vote(msgspec.Struct, tag="vote"):
-    """Vote for me; as a trial it changes nothing, and asks whether it would be given."""
+class RequestVote(msgspec.Struct, tag="vote"):
+    """Asks for a vote (Raft §5.2). A pre-vote changes no state: it asks whether the vote would be granted
+    (thesis §9.6).
+
+    `leadership_transfer` says that the leader itself asked for this election (thesis §3.10).
+    """
 
     term: int
-    last_index: int
-    last_term: int
-    trial: bool
-    handed: bool = False  # the leader itself asked for this election
+    last_log_index: int = msgspec.field(name="last_index")
+    last_log_term: int = msgspec.field(name="last_term")
+    pre_vote: bool = msgspec.field(name="trial")
+    leadership_transfer: bool = msgspec.field(default=False, name="handed")
+
 
+class VoteReply(msgspec.Struct, tag="voted"):
+    """The answer to RequestVote."""
 
-class Voted(msgspec.Struct, tag="voted"):
     term: int
     granted: bool
-    trial: bool
+    pre_vote: bool = msgspec.field(name="trial")
 
 
-class Append(msgspec.Struct, tag="append"):
-    """The entries after `index`; without any, a sign of life.  `round` counts what this leader sent."""
+class AppendEntries(msgspec.Struct, tag="append"):
+    """The entries after `prev_log_index`; without any it is a heartbeat (Raft §5.3).
+
+    `round` numbers what a leader sends, so that it knows when the message that a reply belongs to was sent.
+    """
 
     term: int
-    index: int
-    before: int  # the term of the entry at `index`
+    prev_log_index: int = msgspec.field(name="index")
+    prev_log_term: int = msgspec.field(name="before")
     entries: tuple[Entry, ...]
-    commit: int
+    leader_commit: int = msgspec.field(name="commit")
     round: int
 
 
-class Appended(msgspec.Struct, tag="appended"):
-    """`index`: up to where the logs now agree; where they do not, up to where they may."""
+class AppendReply(msgspec.Struct, tag="appended"):
+    """The answer to AppendEntries.
+
+    `index` is the last one at which the logs are known to match; without success, the last at which they
+    may match.
+    """
 
     term: int
-    agreed: bool
+    success: bool = msgspec.field(name="agreed")
     index: int
     round: int
 
 
-class Install(msgspec.Struct, tag="install"):
-    """A piece of a snapshot, from `offset` on."""
+class InstallSnapshot(msgspec.Struct, tag="install"):
+    """A part of a snapshot, from byte `offset` on (Raft §7). `size` is that of the whole, in bytes."""
 
     term: int
-    index: int
-    before: int
+    last_included_index: int = msgspec.field(name="index")
+    last_included_term: int = msgspec.field(name="before")
     digest: int
-    seats: Seats
+    configuration: Configuration = msgspec.field(name="seats")
     offset: int
     size: int
     data: bytes
     round: int
 
 
-class Installed(msgspec.Struct, tag="installed"):
-    """`offset`: what of that snapshot is here."""
+class SnapshotReply(msgspec.Struct, tag="installed"):
+    """The answer to InstallSnapshot; `offset` is the next byte that the receiver lacks."""
 
     term: int
-    index: int
+    last_included_index: int = msgspec.field(name="index")
     offset: int
     round: int
 
 
-class Hurry(msgspec.Struct, tag="hurry"):
-    """Stand for election at once: the leader steps down in order."""
+class TimeoutNow(msgspec.Struct, tag="hurry"):
+    """Start an election without waiting: the leader transfers its leadership (thesis §3.10)."""
 
     term: int
 
 
-Message = Vote | Voted | Append | Appended | Install | Installed | Hurry
+Message = RequestVote | VoteReply | AppendEntries | AppendReply | InstallSnapshot | SnapshotReply | TimeoutNow
--- a/worksmux/consensus/raft.py
+++ b/worksmux/consensus/raft.py
@@ -1,251 +1,234 @@
-"""One seat of the council: Raft (Ongaro and Ousterhout 2014), with trial votes, a leader that steps down
-without a majority, reads by lease or index, snapshots in pieces and changes of one seat at a time (Ongaro
-2014).
+"""One server of a Raft group, with pre-vote, leases, snapshots and single-server changes of membership.
 
-    out = raft.step(now, what)       # times are milliseconds
+    output = raft.step(now, raft_input)
 
-Free of I/O and clock.  `out.writes` have to reach the disk, in order; `out.messages` may leave only once
-they have, and all writes before them too; then `Written` tells so.  `raft.due` is when the next tick is
-wanted.
+Free of I/O and clock; times are milliseconds. `output.writes` have to reach the disk in order.
+`output.messages` may be sent only once these writes, and all before them, are on disk; `WritesSynced` then
+reports that. `raft.due` is when the next `Tick` is wanted.
 
-Leases rest on this: who has heard from a leader gives no vote for the least patience, not after a restart
-either; so a leader that a majority answered within it, counted from when it asked, is the only one.  Clocks
-may run apart by the part `DRIFT`.
+Leases rest on one rule: a server that heard from a leader votes for no other within an election timeout,
+after a restart neither. A leader that a majority answered within that time, counted from when it sent the
+message, is thus the only one. Clocks may drift apart by MAX_CLOCK_DRIFT.
 """
 
 from __future__ import annotations
 
-from .entries import NOOP, Base, Entry, sound
-from .leader import Leading
-from .messages import Append, Appended, Hurry, Install, Installed, Message, Vote, Voted
-from .steps import (
-    Change,
+from .election import Elections
+from .entries import Entry, Snapshot, is_successor
+from .inputs import (
+    ChangeConfiguration,
     Compact,
-    HandOver,
-    Heard,
-    Odd,
-    Out,
+    Input,
+    MessageReceived,
     Propose,
-    Read,
-    Rebased,
-    Role,
+    ReadIndex,
     Tick,
-    What,
-    Written,
+    TransferLeadership,
+    WritesSynced,
 )
+from .messages import (
+    AppendEntries,
+    AppendReply,
+    InstallSnapshot,
+    Message,
+    RequestVote,
+    SnapshotReply,
+    TimeoutNow,
+    VoteReply,
+)
+from .outputs import InvariantViolation, Output, SnapshotInstalled
+from .voter import IncomingSnapshot, Role
 
 
-class Raft(Leading):
-    def step(self, now: float, what: What) -> Out:
-        out = Out()
-        match what:
+class Raft(Elections):
+    def step(self, now: float, raft_input: Input) -> Output:
+        """Takes one input and returns what to write, to send and to report."""
+        output = Output()
+        match raft_input:
             case Tick():
-                self._tick(now, out)
-            case Heard(seat, message):
-                self._heard(now, seat, message, out)
-            case Written(number):
-                self.appended = [(other, index) for other, index in self.appended if other > number]
+                self._tick(now, output)
+            case MessageReceived(sender, message):
+                self._receive(now, sender, message, output)
+            case WritesSynced(number):
+                self.unsynced = [append for append in self.unsynced if append.write_number > number]
                 if self.role is Role.LEADER:
-                    self._advance(now, out)
+                    self._advance_commit(now, output)
             case Propose(kind, data, token):
-                self._propose(now, kind, data, token, out)
-            case Change(seats):
-                self._change(now, seats, out)
-            case Read(token):
-                self._read(now, token, out)
+                self._propose(now, kind, data, token, output)
+            case ChangeConfiguration(configuration):
+                self._change_configuration(now, configuration, output)
+            case ReadIndex(token):
+                self._read_index(now, token, output)
             case Compact(index, data):
-                self._compact(index, data, out)
-            case HandOver():
-                self._hand_over(now, out)
-        return out
+                self._compact(index, data, output)
+            case TransferLeadership():
+                self._transfer_leadership(now, output)
+        return output
 
-    def _tick(self, now: float, out: Out) -> None:
+    def _tick(self, now: float, output: Output) -> None:
         if self.role is Role.LEADER:
-            self.handed = self.handed and now < self.handed_until
-            if self._deserted(now):
-                self._follow(now, self.term, "", out)  # it may be cut off
-            elif now >= self.beat_at:
-                self._beat(now, out)
-        elif now >= self.stand_at and self._votes_itself():
-            self._stand(now, out, trial=True)
-
-    def _stand(self, now: float, out: Out, trial: bool, handed: bool = False) -> None:
-        """A trial first: a seat that was cut off does not disturb the others when it comes back."""
-        if not trial:
-            self.term, self.vote = self.term + 1, self.me
-            self._write(out, hard=True)
-        self.role, self.trial, self.votes = Role.CANDIDATE, trial, {self.me}
-        self._lead_by("", out)
-        self.stand_at = self._patience(now)
-        last = self.log.last
-        term = self.term + 1 if trial else self.term
-        for seat in self.seats.voters:
-            if seat != self.me:
-                out.messages.append((seat, Vote(term, last.index, last.term, trial, handed)))
-        self._count(now, out)
-
-    def _count(self, now: float, out: Out) -> None:
-        if len(self.votes & set(self.seats.voters)) < self.seats.quorum:
-            return
-        if self.trial:
-            self._stand(now, out, trial=False)
-        else:
-            self._lead(now, out)
-
-    def _up_to_date(self, vote: Vote) -> bool:
-        last = self.log.last
-        return (vote.last_term, vote.last_index) >= (last.term, last.index)
-
-    def _may_vote(self, seat: str) -> bool:
-        return self.vote in ("", seat)
-
-    def _asked(self, now: float, seat: str, vote: Vote, out: Out) -> None:
-        followed = self.role is Role.LEADER or now < self.heard_at + self.figures.patience
-        if followed and not vote.handed:
-            # Guards the leader's lease, and its peace.
-            if vote.trial and vote.term > self.term:
-                out.messages.append((seat, Voted(self.term, False, True)))
-            return
-        if vote.trial:
-            granted = vote.term > self.term and self._up_to_date(vote)
-            out.messages.append((seat, Voted(vote.term if granted else self.term, granted, True)))
-            return
-        if vote.term > self.term:
-            self._follow(now, vote.term, "", out)
-        granted = vote.term == self.term and self._may_vote(seat) and self._up_to_date(vote)
-        if granted and not self.vote:
-            self.vote = seat
-            self._write(out, hard=True)
-        if granted:
-            self.stand_at = self._patience(now)
-        out.messages.append((seat, Voted(self.term, granted, False)))
-
-    def _voted(self, now: float, seat: str, voted: Voted, out: Out) -> None:
-        if self.role is not Role.CANDIDATE or voted.trial != self.trial:
-            return
-        if voted.granted and voted.term == self.term + self.trial:
-            self.votes.add(seat)
-            self._count(now, out)
-
-    def _lead(self, now: float, out: Out) -> None:
-        self.role = Role.LEADER
-        last = self.log.last.index
-        self.progress = {}
-        self.rounds, self.handed, self.reads = {}, False, []
-        self._watch(now)
-        self.began = last + 1
-        self._lead_by(self.me, out)
-        self._add(NOOP, b"", out)
-        self._beat(now, out)
-        self._advance(now, out)
-
-    def _heard(self, now: float, seat: str, message: Message, out: Out) -> None:
+            self.transferring = self.transferring and now < self.transfer_deadline
+            if self._lost_quorum(now):
+                self._become_follower(now, self.term, "", output)
+            elif now >= self.heartbeat_at:
+                self._heartbeat(now, output)
+        elif now >= self.election_at and self._is_voter():
+            self._start_pre_vote(now, output)
+
+    def _receive(self, now: float, sender: str, message: Message, output: Output) -> None:
         match message:
-            case Vote():
-                return self._asked(now, seat, message, out)
-            case Voted() if message.trial and message.granted:
-                return self._voted(now, seat, message, out)
+            case RequestVote():
+                self._on_request_vote(now, sender, message, output)
+                return
+            case VoteReply() if message.pre_vote and message.granted:
+                # It carries the term that the candidate would take, which must not raise the term yet.
+                self._on_vote_reply(now, sender, message, output)
+                return
         if message.term > self.term:
-            self._follow(now, message.term, "", out)
+            self._become_follower(now, message.term, "", output)
         if message.term < self.term:
-            if isinstance(message, Append | Install):  # an old leader: our term ends its reign
-                out.messages.append((seat, Appended(self.term, False, 0, message.round)))
+            if isinstance(message, AppendEntries | InstallSnapshot):
+                # The higher term makes a deposed leader step down (Raft §5.1).
+                output.messages.append((sender, AppendReply(self.term, False, 0, message.round)))
             return
+        self._receive_in_term(now, sender, message, output)
+
+    def _receive_in_term(self, now: float, sender: str, message: Message, output: Output) -> None:
+        """A message of this server's own term."""
         match message:
-            case Voted():
-                self._voted(now, seat, message, out)
-            case Append():
-                self._append(now, seat, message, out)
-            case Install():
-                self._install(now, seat, message, out)
-            case Appended() if self.role is Role.LEADER:
-                self._appended(now, seat, message, out)
-                self._told_reads(out)
-            case Installed() if self.role is Role.LEADER:
-                self._installed(now, seat, message, out)
-                self._told_reads(out)
-            case Hurry() if self._votes_itself() and seat == self.leader:
-                self._stand(now, out, trial=False, handed=True)
+            case VoteReply():
+                self._on_vote_reply(now, sender, message, output)
+            case AppendEntries():
+                self._on_append_entries(now, sender, message, output)
+            case InstallSnapshot():
+                self._on_install_snapshot(now, sender, message, output)
+            case AppendReply() if self.role is Role.LEADER:
+                self._on_append_reply(now, sender, message, output)
+                self._answer_pending_reads(output)
+            case SnapshotReply() if self.role is Role.LEADER:
+                self._on_snapshot_reply(now, sender, message, output)
+                self._answer_pending_reads(output)
+            case TimeoutNow() if self._is_voter() and sender == self.leader:
+                self._start_election(now, True, output)
             case _:
                 pass
 
-    def _led(self, now: float, seat: str, out: Out) -> bool:
-        """A leader of this term speaks."""
+    def _accept_leader(self, now: float, sender: str, output: Output) -> bool:
+        """Follows the leader of this term; False if this server itself leads in it."""
         if self.role is Role.LEADER:
-            out.facts.append(Odd(f"{seat} leads in term {self.term}, and so does {self.me}"))
+            text = f"{sender} leads in term {self.term}, and so does {self.server_id}"
+            output.events.append(InvariantViolation(text))
             return False
-        self.role, self.heard_at, self.stand_at = Role.FOLLOWER, now, self._patience(now)
-        self._lead_by(seat, out)
+        self.role, self.leader_contact_at = Role.FOLLOWER, now
+        self.election_at = self._election_deadline(now)
+        self._set_leader(sender, output)
         return True
 
-    def _append(self, now: float, seat: str, message: Append, out: Out) -> None:
-        if not self._led(now, seat, out):
+    def _on_append_entries(self, now: float, sender: str, message: AppendEntries, output: Output) -> None:
+        if not self._accept_leader(now, sender, output):
             return
-        log, index = self.log, message.index
-        before = log.at(index)
-        if index < log.base.index:
-            agreed = log.base.index  # all that is agreed here already
-        elif before is None or before.term != message.before:
-            # Where the logs differ, all of that term is skipped at once.
-            hint = min(index, log.last.index + 1) - 1
-            term = before.term if before else -1
-            while hint > log.base.index and (held := log.at(hint)) is not None and held.term == term:
-                hint -= 1
-            out.messages.append((seat, Appended(self.term, False, max(hint, log.base.index), message.round)))
-            return
-        else:
-            agreed = index
-        agreed = self._take(message.entries, agreed, out)
-        self._commit(min(message.commit, agreed), out)
-        out.messages.append((seat, Appended(self.term, True, agreed, message.round)))
-
-    def _take(self, entries: tuple[Entry, ...], agreed: int, out: Out) -> int:
-        """Adds what is new; up to where the log is the leader's."""
+        log, index = self.log, message.prev_log_index
+        if index >= log.snapshot.index:
+            previous = log.get(index)
+            if previous is None or previous.term != message.prev_log_term:
+                reply = AppendReply(self.term, False, self._last_possible_match(index), message.round)
+                output.messages.append((sender, reply))
+                return
+        matched = max(index, log.snapshot.index)  # what the snapshot holds is committed, hence the same
+        matched = self._append_received(message.entries, matched, output)
+        self._commit(min(message.leader_commit, matched), output)
+        output.messages.append((sender, AppendReply(self.term, True, matched, message.round)))
+
+    def _last_possible_match(self, index: int) -> int:
+        """Where the leader should look next: all entries of a conflicting term are skipped at once (Raft
+        §5.3)."""
         log = self.log
-        for at, entry in enumerate(entries):
-            held = log.at(entry.index)
-            if entry.index <= log.base.index or held is not None and held.term == entry.term:
-                agreed = max(agreed, entry.index)
+        conflicting = log.get(index)
+        conflicting_term = conflicting.term if conflicting else -1
+        hint = min(index, log.last.index + 1) - 1
+        while hint > log.snapshot.index:
+            held = log.get(hint)
+            if held is None or held.term != conflicting_term:
+                break
+            hint -= 1
+        return max(hint, log.snapshot.index)
+
+    def _append_received(self, entries: tuple[Entry, ...], matched: int, output: Output) -> int:
+        """Appends the entries that are new and returns the last index that matches the leader's log.
+
+        Entries that conflict are removed (Raft §5.3), those already held are kept: a late message must not
+        shorten the log.
+        """
+        for position, entry in enumerate(entries):
+            held = self.log.get(entry.index)
+            known = held is not None and held.term == entry.term
+            if entry.index <= self.log.snapshot.index or known:
+                matched = max(matched, entry.index)
                 continue
-            cut = entry.index if held is not None else None
-            if cut is not None and cut <= self.commit:
-                out.facts.append(Odd(f"what was agreed at {cut} would be overwritten"))
-                return agreed
-            if cut is not None:
-                log.cut(cut)
-                self.appended = [pair for pair in self.appended if pair[1] < cut]
-            fresh = entries[at:]
-            last = log.last
-            for one in fresh:
-                if not sound(last, one):
-                    out.facts.append(Odd(f"entry {one.index} of term {one.term} does not follow"))
-                    return agreed
-                last = one
-            log.entries += fresh
-            self._write(out, cut=cut, entries=fresh)
-            self.seats_at, self.seats = log.seats()
-            return fresh[-1].index
-        return agreed
-
-    def _install(self, now: float, seat: str, message: Install, out: Out) -> None:
-        if not self._led(now, seat, out):
-            return
-        if message.index <= self.commit:
-            out.messages.append((seat, Installed(self.term, message.index, message.size, message.round)))
+            new = entries[position:]
+            return new[-1].index if self._replace_tail(new, held is not None, output) else matched
+        return matched
+
+    def _replace_tail(self, new: tuple[Entry, ...], conflicting: bool, output: Output) -> bool:
+        """Puts `new` at its place in the log; False and a report if that would break an invariant."""
+        log = self.log
+        truncate_from = new[0].index if conflicting else None
+        if truncate_from is not None:
+            if truncate_from <= self.commit_index:
+                text = f"the committed entry {truncate_from} would be overwritten"
+                output.events.append(InvariantViolation(text))
+                return False
+            log.truncate_from(truncate_from)
+            self.unsynced = [append for append in self.unsynced if append.first_index < truncate_from]
+        last = log.last
+        for entry in new:
+            if not is_successor(last, entry):
+                text = f"entry {entry.index} of term {entry.term} does not follow entry {last.index}"
+                output.events.append(InvariantViolation(text))
+                return False
+            last = entry
+        log.entries += new
+        self._write(output, truncate_from=truncate_from, entries=new)
+        self.configuration_index, self.configuration = log.latest_configuration()
+        return True
+
+    def _on_install_snapshot(self, now: float, sender: str, message: InstallSnapshot, output: Output) -> None:
+        if not self._accept_leader(now, sender, output):
             return
-        if self.incoming is None or self.incoming[:2] != (message.index, message.digest):
-            self.incoming = message.index, message.digest, bytearray()
-        come = self.incoming[2]
-        if message.offset == len(come):
-            come += message.data
-        if len(come) >= message.size:
-            base = Base(message.index, message.before, message.digest, message.seats, bytes(come))
-            self.incoming = None
-            self.log.rebase(base)
-            kept = bool(self.log.entries)
-            self.appended = [pair for pair in self.appended if kept and pair[1] > base.index]
-            self._write(out, cut=None if kept else base.index + 1, base=base)
-            self.seats_at, self.seats = self.log.seats()
-            self.commit = base.index
-            out.facts.append(Rebased(base))
-        out.messages.append((seat, Installed(self.term, message.index, len(come), message.round)))
+        index = message.last_included_index
+        received = message.size
+        if index > self.commit_index:
+            received = self._add_snapshot_part(message, output)
+        output.messages.append((sender, SnapshotReply(self.term, index, received, message.round)))
+
+    def _add_snapshot_part(self, message: InstallSnapshot, output: Output) -> int:
+        """Adds the next part and installs a complete snapshot; returns the bytes received so far."""
+        incoming = self.incoming_snapshot
+        key = (message.last_included_index, message.digest)
+        if incoming is None or (incoming.index, incoming.digest) != key:
+            incoming = self.incoming_snapshot = IncomingSnapshot(*key, bytearray())
+        if message.offset == len(incoming.data):
+            incoming.data += message.data
+        if len(incoming.data) >= message.size:
+            self.incoming_snapshot = None
+            snapshot = Snapshot(
+                message.last_included_index,
+                message.last_included_term,
+                message.digest,
+                message.configuration,
+                bytes(incoming.data),
+            )
+            self._install(snapshot, output)
+        return len(incoming.data)
+
+    def _install(self, snapshot: Snapshot, output: Output) -> None:
+        self.log.replace_prefix(snapshot)
+        tail_kept = bool(self.log.entries)
+        self.unsynced = [
+            append for append in self.unsynced if tail_kept and append.first_index > snapshot.index
+        ]
+        truncate_from = None if tail_kept else snapshot.index + 1
+        self._write(output, truncate_from=truncate_from, snapshot=snapshot)
+        self.configuration_index, self.configuration = self.log.latest_configuration()
+        self.commit_index = snapshot.index
+        output.events.append(SnapshotInstalled(snapshot))
--- a/worksmux/consensus/reconfiguration.py
+++ b/worksmux/consensus/reconfiguration.py
@@ -1,10 +1,10 @@
-"""Who gets a seat: the leader brings the council to its size, in as many zones as there are, one change at a
-time.  Pure.
+"""Which configuration comes next: the leader brings the group to its size, spread over the zones.
 
-A seat is a front with its disk.  One whose front is gone for good, or is back with another disk, is given
-to another; who takes it learns first and votes once it lacks nothing.  Without another to take it it stays:
-a smaller council would keep fewer copies.  A council is founded once: by the first of the founders that the
-settings name, when all of them are there and none of them knows of any.
+Pure functions; one change at a time. A voter whose node is gone for good, or is back with another disk, is
+replaced: its replacement joins as a learner and votes once it has caught up (thesis §4.2.1). Without a
+replacement the voter stays, as a smaller group would keep fewer copies. A group is bootstrapped once, by
+the first of the founders named in the settings, when all of them are present and none of them knows of a
+group.
 """
 
 from __future__ import annotations
@@ -13,112 +13,168 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-from .entries import Seats, front_of
+from .entries import Configuration, node_of
 
 
 @dataclass(frozen=True)
-class Able:
-    """A front that could hold a seat: there, with a disk."""
+class Candidate:
+    """A node that could be a member: it is present and has a disk.
 
-    name: str
-    seat: str  # its name and its disk's mark
+    `group` is the Raft group it knows of, or empty.
+    """
+
+    node: str
+    server: str
     zone: str
-    council: str = ""  # which council it knows of
+    group: str = ""
+
 
+def should_bootstrap(
+    node: str, founders: list[str], present: Mapping[str, Candidate], known_group: str
+) -> bool:
+    """Whether this node bootstraps the group now.
 
-def founds(me: str, founders: list[str], there: Mapping[str, Able], knows: str) -> bool:
-    """Whether this front founds the council now.  Guards against a second one beside the first: it waits for
-    every founder, and for one of them that knows a council it never does.
+    Failure: two groups, each with a leader and a plan of its own. It cannot come about by a founder that
+    starts late or alone: the first founder waits for all others, and does nothing once one of those present
+    knows of a group.
 
-    >>> able = {name: Able(name, name + "#1", "z") for name in "abc"}
-    >>> founds("a", ["a", "b", "c"], able, ""), founds("b", ["a", "b", "c"], able, "")
-    (True, False)
-    >>> founds("a", ["a", "b"], {"a": able["a"]}, "")
+    >>> present = {name: Candidate(name, name + "#1", "z") for name in "abc"}
+    >>> [should_bootstrap(name, ["a", "b", "c"], present, "") for name in "ab"]
+    [True, False]
+    >>> should_bootstrap("a", ["a", "b"], {"a": present["a"]}, "")
     False
     """
-    return (
-        bool(founders)
-        and founders[0] == me
-        and not knows
-        and all(name in there for name in founders)
-        and not any(one.council for one in there.values())
-    )
-
-
-def next_seats(
-    seats: Seats,
-    able: Mapping[str, Able],
-    wanted: int,
-    gone: Callable[[str], bool],
+    if not founders or founders[0] != node or known_group:
+        return False
+    if any(founder not in present for founder in founders):
+        return False
+    return not any(candidate.group for candidate in present.values())
+
+
+def next_configuration(
+    configuration: Configuration,
+    candidates: Mapping[str, Candidate],
+    target_size: int,
+    is_gone: Callable[[str], bool],
     caught_up: Callable[[str], bool],
-) -> Seats | None:
-    """The next change, or none.  `gone` says whether a front has been away for so long that its seat is
-    given to another; `able` are those that are there."""
-
-    def lost(seat: str) -> bool:
-        here = able.get(front_of(seat))
-        return here.seat != seat if here else gone(front_of(seat))
-
-    voters, dead = seats.voters, [seat for seat in seats.voters if lost(seat)]
-    odd = len(able) - 1 + len(able) % 2  # an even one more would bear no more losses
-    count = max(1, min(wanted, max(odd, len(voters))))
-    learners = tuple(seat for seat in seats.learners if not lost(seat))
-    ready = [seat for seat in learners if caught_up(seat)]
-    spare = [seat for seat in voters if seat not in dead]
-
-    def with_voter(seat: str) -> Seats:
-        return Seats(voters + (seat,), tuple(one for one in learners if one != seat))
-
-    if dead and len(voters) > 1 and (ready or len(voters) > wanted):
-        # The newcomer waits at the door, so that the council is short by one for a moment only.
-        return Seats(tuple(seat for seat in voters if seat != dead[0]), learners)
-    if len(spare) < count:
-        if ready:
-            return with_voter(ready[0])
-        if not learners:
-            chosen = _best(spare, able)
-            return Seats(voters, (chosen,)) if chosen else _tidy(seats, learners)
-        return _tidy(seats, learners)
-    if len(spare) > count:
-        return Seats(tuple(seat for seat in voters if seat != _worst(spare, able)), ())
-    better = _better(spare, able)
-    if better:
-        if better in ready:
-            return with_voter(better)
-        if better not in learners:
-            return Seats(voters, (better,))
+) -> Configuration | None:
+    """The next change, or None if none is wanted.
+
+    Args:
+        candidates: by node, those that are present.
+        target_size: voters wanted.
+        is_gone: whether a node has been away for so long that its voter is replaced.
+        caught_up: whether a learner is near enough to the end of the log to vote.
+    """
+
+    def is_lost(server: str) -> bool:
+        candidate = candidates.get(node_of(server))
+        return candidate.server != server if candidate else is_gone(node_of(server))
+
+    voters = configuration.voters
+    lost = [voter for voter in voters if is_lost(voter)]
+    kept = [voter for voter in voters if voter not in lost]
+    learners = tuple(learner for learner in configuration.learners if not is_lost(learner))
+    ready = [learner for learner in learners if caught_up(learner)]
+    size = _reachable_size(target_size, len(candidates), len(voters))
+
+    # The replacement has caught up before the lost voter goes, so that the group is short for a moment only.
+    if lost and len(voters) > 1 and (ready or len(voters) > target_size):
+        return Configuration(_without(voters, lost[0]), learners)
+    if len(kept) < size:
+        return _grow(configuration, kept, learners, ready, candidates)
+    if len(kept) > size:
+        return Configuration(_without(voters, _most_redundant(kept, candidates)), ())
+    return _spread(configuration, kept, learners, ready, candidates)
+
+
+def _reachable_size(target_size: int, present: int, voters: int) -> int:
+    """An odd number of voters: one more would raise the quorum and survive no further failure."""
+    odd = present if present % 2 else present - 1
+    return max(1, min(target_size, max(odd, voters)))
+
+
+def _grow(
+    configuration: Configuration,
+    kept: list[str],
+    learners: tuple[str, ...],
+    ready: list[str],
+    candidates: Mapping[str, Candidate],
+) -> Configuration | None:
+    """One voter more: a learner that has caught up, else a new learner."""
+    if ready:
+        return _promote(configuration, learners, ready[0])
+    added = "" if learners else _best_addition(kept, candidates)
+    if added:
+        return Configuration(configuration.voters, (added,))
+    return _with_learners(configuration, learners)
+
+
+def _spread(
+    configuration: Configuration,
+    kept: list[str],
+    learners: tuple[str, ...],
+    ready: list[str],
+    candidates: Mapping[str, Candidate],
+) -> Configuration | None:
+    """A voter for a zone without one; the zone that has two gives one up afterwards."""
+    added = _in_uncovered_zone(kept, candidates)
+    if not added:
+        return _with_learners(configuration, ())
+    if added in ready:
+        return _promote(configuration, learners, added)
+    if added in learners:
+        return None  # it is still catching up
+    return Configuration(configuration.voters, (added,))
+
+
+def _promote(configuration: Configuration, learners: tuple[str, ...], learner: str) -> Configuration:
+    return Configuration((*configuration.voters, learner), _without(learners, learner))
+
+
+def _with_learners(configuration: Configuration, learners: tuple[str, ...]) -> Configuration | None:
+    if learners == configuration.learners:
         return None
-    return _tidy(seats, ())
+    return Configuration(configuration.voters, learners)
 
 
-def _tidy(seats: Seats, learners: tuple[str, ...]) -> Seats | None:
-    return Seats(seats.voters, learners) if learners != seats.learners else None
+def _without(servers: tuple[str, ...], removed: str) -> tuple[str, ...]:
+    return tuple(server for server in servers if server != removed)
 
 
-def _zones(seats: list[str], able: Mapping[str, Able]) -> Counter[str]:
-    return Counter(able[front_of(seat)].zone for seat in seats if front_of(seat) in able)
+def _voters_by_zone(voters: list[str], candidates: Mapping[str, Candidate]) -> Counter[str]:
+    return Counter(candidates[node_of(voter)].zone for voter in voters if node_of(voter) in candidates)
 
 
-def _best(seats: list[str], able: Mapping[str, Able]) -> str:
-    """The seat to add: in the zone that has the fewest."""
-    taken = {front_of(seat) for seat in seats}
-    zones = _zones(seats, able)
-    free = [one for one in able.values() if one.name not in taken]
-    return min(free, key=lambda one: (zones[one.zone], one.name)).seat if free else ""
+def _available(voters: list[str], candidates: Mapping[str, Candidate]) -> list[Candidate]:
+    taken = {node_of(voter) for voter in voters}
+    return [candidate for candidate in candidates.values() if candidate.node not in taken]
 
 
-def _worst(seats: list[str], able: Mapping[str, Able]) -> str:
-    """The seat to give up: in the zone that has the most."""
-    zones = _zones(seats, able)
-    here = [seat for seat in seats if front_of(seat) in able] or seats
-    return max(here, key=lambda seat: (zones[able[front_of(seat)].zone] if here is not seats else 0, seat))
+def _best_addition(voters: list[str], candidates: Mapping[str, Candidate]) -> str:
+    """The server to add, in the zone that has the fewest voters; empty if none is available."""
+    by_zone = _voters_by_zone(voters, candidates)
+    available = _available(voters, candidates)
+    if not available:
+        return ""
+    return min(available, key=lambda candidate: (by_zone[candidate.zone], candidate.node)).server
+
 
+def _most_redundant(voters: list[str], candidates: Mapping[str, Candidate]) -> str:
+    """The voter to give up, in the zone that has the most."""
+    by_zone = _voters_by_zone(voters, candidates)
+    present = [voter for voter in voters if node_of(voter) in candidates]
+    if not present:
+        return max(voters)
+    return max(present, key=lambda voter: (by_zone[candidates[node_of(voter)].zone], voter))
 
-def _better(seats: list[str], able: Mapping[str, Able]) -> str:
-    """A seat in a zone without any, where another zone has two or more."""
-    zones = _zones(seats, able)
-    if max(zones.values(), default=0) < 2:
+
+def _in_uncovered_zone(voters: list[str], candidates: Mapping[str, Candidate]) -> str:
+    """A server in a zone without voters, if another zone has two or more; else empty."""
+    by_zone = _voters_by_zone(voters, candidates)
+    if max(by_zone.values(), default=0) < 2:
+        return ""
+    available = [candidate for candidate in _available(voters, candidates) if not by_zone[candidate.zone]]
+    if not available:
         return ""
-    taken = {front_of(seat) for seat in seats}
-    free = [one for one in able.values() if one.name not in taken and not zones[one.zone]]
-    return min(free, key=lambda one: one.name).seat if free else ""
+    return min(available, key=lambda candidate: candidate.node).server
--- a/worksmux/consensus/state_machine.py
+++ b/worksmux/consensus/state_machine.py
@@ -1,7 +1,7 @@
-"""What the council's log adds up to: a book of chapters, each a bounded piece of bytes.  Pure.
+"""The state that the log's commands add up to: a small map of keys to bounded values (Raft §2). Pure.
 
-A change may name the index of the chapter that it builds on; one that builds on an older one is passed over
-by all alike, so that two writers at once cannot undo one another unseen.
+A command may name the version of the value that it builds on. If that is no longer the current one, every
+server ignores the command alike, so that of two concurrent writers neither overwrites the other unseen.
 """
 
 from __future__ import annotations
@@ -9,75 +9,80 @@
 import msgspec
 import xxhash
 
-from .entries import CHANGE, Base, Entry
+from .entries import COMMAND, Entry, Snapshot
 
-MOST_CHAPTERS = 64
-MOST_BYTES = 65_536  # of a chapter
-PLAN = "plan"
+MAX_KEYS = 64
+MAX_VALUE_BYTES = 65_536
+PLAN_KEY = "plan"
+ANY_VERSION = -1
 
 
 class Put(msgspec.Struct, frozen=True):
-    """`after`: the index of the chapter's last change as the writer knew it; -1: whatever it is."""
+    """A command: set a key if its value still has the version `expected_index`, or whatever it is
+    (ANY_VERSION).
 
-    chapter: str
+    The version of a key that does not exist is 0.
+    """
+
+    key: str = msgspec.field(name="chapter")
     value: bytes
-    after: int = -1
+    expected_index: int = msgspec.field(default=ANY_VERSION, name="after")
+
 
+class VersionedValue(msgspec.Struct, frozen=True):
+    """A value; its version is the index of the entry that last changed it."""
 
-class Chapter(msgspec.Struct, frozen=True):
-    index: int  # of the entry that last changed it
+    index: int
     value: bytes
 
 
-class _Whole(msgspec.Struct):
+class StateSnapshot(msgspec.Struct):
+    """The data of a snapshot."""
+
     index: int
-    chapters: dict[str, Chapter]
+    values: dict[str, VersionedValue] = msgspec.field(name="chapters")
 
 
-class Book:
+class KeyValueState:
     """
     >>> from .entries import next_entry
-    >>> book, put = Book(), msgspec.msgpack.encode(Put("plan", b"one", 0))
-    >>> book.apply(next_entry(Base(), 1, CHANGE, put)), book.chapters["plan"].value, book.index
+    >>> state, command = KeyValueState(), msgspec.msgpack.encode(Put("plan", b"one", 0))
+    >>> state.apply(next_entry(Snapshot(), 1, COMMAND, command)), state.values["plan"].value, state.index
     ('plan', b'one', 1)
     """
 
     def __init__(self) -> None:
-        self.index = 0
-        self.chapters: dict[str, Chapter] = {}
+        self.index = 0  # of the last entry that was applied
+        self.values: dict[str, VersionedValue] = {}
 
     def apply(self, entry: Entry) -> str:
-        """The chapter that the entry changed; empty where it changed none."""
+        """Applies a committed entry; returns the key that it changed, empty if none."""
         self.index = entry.index
-        if entry.kind != CHANGE:
+        if entry.kind != COMMAND:
             return ""
         try:
             put = msgspec.msgpack.decode(entry.data, type=Put)
         except msgspec.DecodeError:
-            return ""  # from a newer program: all of this form pass it over
-        old = self.chapters.get(put.chapter)
-        stale = put.after >= 0 and put.after != (old.index if old else 0)
-        full = old is None and len(self.chapters) >= MOST_CHAPTERS
-        if stale or full or len(put.value) > MOST_BYTES:
+            return ""  # written by a newer version of the program; all servers of this version ignore it
+        old = self.values.get(put.key)
+        outdated = put.expected_index >= 0 and put.expected_index != (old.index if old else 0)
+        full = old is None and len(self.values) >= MAX_KEYS
+        if outdated or full or len(put.value) > MAX_VALUE_BYTES:
             return ""
-        self.chapters[put.chapter] = Chapter(entry.index, put.value)
-        return put.chapter
+        self.values[put.key] = VersionedValue(entry.index, put.value)
+        return put.key
 
-    def whole(self) -> bytes:
-        return msgspec.msgpack.encode(_Whole(self.index, dict(sorted(self.chapters.items()))))
+    def snapshot_data(self) -> bytes:
+        return msgspec.msgpack.encode(StateSnapshot(self.index, dict(sorted(self.values.items()))))
 
-    def take_whole(self, base: Base) -> None:
-        """A snapshot in place of what is here."""
-        if base.data:
-            told = msgspec.msgpack.decode(base.data, type=_Whole)
-            self.index, self.chapters = told.index, told.chapters
+    def restore(self, snapshot: Snapshot) -> None:
+        """Replaces the state by that of a snapshot; one without data is the start of an empty group."""
+        if snapshot.data:
+            restored = msgspec.msgpack.decode(snapshot.data, type=StateSnapshot)
+            self.index, self.values = restored.index, restored.values
         else:
-            self.index, self.chapters = base.index, {}
-
-    def since(self, index: int) -> dict[str, Chapter]:
-        """The chapters changed after `index`."""
-        return {name: one for name, one in self.chapters.items() if one.index > index}
+            self.index, self.values = snapshot.index, {}
 
-    def mark(self) -> int:
-        """Of all chapters: two fronts that hold the same index hold the same mark."""
-        return xxhash.xxh3_64_intdigest(msgspec.msgpack.encode(dict(sorted(self.chapters.items()))))
+    def state_hash(self) -> int:
+        """A hash of all values: nodes that have applied the same index have the same hash."""
+        return xxhash.xxh3_64_intdigest(msgspec.msgpack.encode(dict(sorted(self.values.items()))))
--- a/worksmux/gateway/fleet/consensus_disk.py
+++ b/worksmux/gateway/fleet/consensus_disk.py
@@ -18,7 +18,7 @@
 import msgspec
 import structlog
 
-from ...consensus.entries import Base, Entry, Saved, Write
+from ...consensus.entries import Entry, PersistentState, Snapshot, StorageWrite
 from ...storage.database import Changes, Store, open_store
 
 LOG = structlog.get_logger()
@@ -51,11 +51,13 @@
         self.store: Store = open_store(self.path)
         self.store.database.execute("PRAGMA synchronous = FULL")
         self.notes = list(self.store.notes)
-        self.saved = Saved()
+        self.saved = PersistentState()
         self.first = self.last = 0  # entries that are there
         self.own = self._read()
         self.failing = self.ended = False
-        self.waiting: queue.SimpleQueue[tuple[Write, Callable[[int], object]] | None] = queue.SimpleQueue()
+        self.waiting: queue.SimpleQueue[tuple[StorageWrite, Callable[[int], object]] | None] = (
+            queue.SimpleQueue()
+        )
         self.thread = threading.Thread(target=self._run, name="council", daemon=True)
         self.thread.start()
 
@@ -71,7 +73,7 @@
                 raise ValueError(f"{council.bad} records of the council fail their checks")
         except (msgspec.DecodeError, ValueError) as error:
             self.notes.append(f"{self.path}: {error}; this front takes a seat anew, under another mark")
-            self.saved = Saved()
+            self.saved = PersistentState()
             life = own.life if own else 0
             self.store.replace(COUNCIL, [], time.time() * 1000)
             own = Own(secrets.token_hex(4), life)
@@ -85,27 +87,27 @@
         return own
 
     @staticmethod
-    def _saved(values: dict[str, bytes]) -> Saved:
+    def _saved(values: dict[str, bytes]) -> PersistentState:
         """Raises ValueError where something between is missing."""
         hard = msgspec.msgpack.decode(values["hard"], type=Hard) if "hard" in values else Hard(0, "")
-        base = msgspec.msgpack.decode(values["base"], type=Base) if "base" in values else Base()
+        base = msgspec.msgpack.decode(values["base"], type=Snapshot) if "base" in values else Snapshot()
         entries = [
             msgspec.msgpack.decode(values[key], type=Entry) for key in sorted(values) if key.startswith("e")
         ]
         entries = [entry for entry in entries if entry.index > base.index]
         if [entry.index for entry in entries] != list(range(base.index + 1, base.index + 1 + len(entries))):
             raise ValueError("entries of the council are missing")
-        return Saved(hard.term, hard.vote, base, entries)
+        return PersistentState(hard.term, hard.vote, base, entries)
 
     def _write(self, changes: Changes) -> None:
         self.store.write(changes, time.time() * 1000)
 
-    def put(self, write: Write, told: Callable[[int], object]) -> None:
+    def put(self, write: StorageWrite, told: Callable[[int], object]) -> None:
         self.waiting.put((write, told))
 
-    def found(self, base: Base) -> None:
+    def found(self, base: Snapshot) -> None:
         """The first snapshot of a new council, at once."""
-        self.saved = Saved(base=base)
+        self.saved = PersistentState(snapshot=base)
         self._write(
             {COUNCIL: {"base": msgspec.msgpack.encode(base), "hard": msgspec.msgpack.encode(Hard(0, ""))}}
         )
@@ -123,7 +125,7 @@
             if None in taken:
                 return
 
-    def _keep(self, writes: list[Write]) -> bool:
+    def _keep(self, writes: list[StorageWrite]) -> bool:
         """Tries until they are on disk; false where the front ends meanwhile."""
         while not self.ended:
             changes, first, last = self._changes(writes)
@@ -146,22 +148,24 @@
             return True
         return False
 
-    def _changes(self, writes: list[Write]) -> tuple[dict[str, bytes | None], int, int]:
+    def _changes(self, writes: list[StorageWrite]) -> tuple[dict[str, bytes | None], int, int]:
         changes: dict[str, bytes | None] = {}
         first, last = self.first, self.last
         for write in writes:
-            if write.hard is not None:
-                changes["hard"] = msgspec.msgpack.encode(Hard(*write.hard))
-            if write.cut is not None and first:
-                for index in range(max(first, write.cut), last + 1):
+            if write.hard_state is not None:
+                changes["hard"] = msgspec.msgpack.encode(
+                    Hard(write.hard_state.term, write.hard_state.voted_for)
+                )
+            if write.truncate_from is not None and first:
+                for index in range(max(first, write.truncate_from), last + 1):
                     changes[_key(index)] = None
-                last = min(last, max(first, write.cut) - 1)
-            if write.base is not None:
-                changes["base"] = msgspec.msgpack.encode(write.base)
-                for index in range(first, min(last, write.base.index) + 1):
+                last = min(last, max(first, write.truncate_from) - 1)
+            if write.snapshot is not None:
+                changes["base"] = msgspec.msgpack.encode(write.snapshot)
+                for index in range(first, min(last, write.snapshot.index) + 1):
                     changes[_key(index)] = None
-                first = max(first, write.base.index + 1)
-                last = max(last, write.base.index)
+                first = max(first, write.snapshot.index + 1)
+                last = max(last, write.snapshot.index)
             for entry in write.entries:
                 changes[_key(entry.index)] = msgspec.msgpack.encode(entry)
                 first, last = first or entry.index, entry.index
--- a/worksmux/gateway/fleet/consensus_voter.py
+++ b/worksmux/gateway/fleet/consensus_voter.py
@@ -15,10 +15,11 @@
 import msgspec
 import structlog
 
-from ...consensus import raft, steps
-from ...consensus import replication as follow
-from ...consensus.entries import CHANGE, Base, Seats, front_of
-from ...consensus.state_machine import Book, Put
+from ...consensus import inputs, outputs, raft
+from ...consensus import replica as follow
+from ...consensus.entries import COMMAND, Configuration, Snapshot, node_of
+from ...consensus.state_machine import KeyValueState, Put
+from ...consensus.voter import RaftTiming
 from ...net import clock
 from ...net.loop import Reactor
 from ...policy.measure import mix
@@ -50,8 +51,8 @@
         self.send = send
         self.name = f"{front}#{disk.own.mark}"
         self.raft = self._core(FIRST)
-        self.book = Book()
-        self.book.take_whole(disk.saved.base)
+        self.book = KeyValueState()
+        self.book.restore(disk.saved.snapshot)
         self.led_since = -inf
         self.contradictions = 0
         self.ended = False
@@ -62,52 +63,52 @@
         self._marked = -1, 0  # of the book: index and mark
 
     def _core(self, stream: int) -> raft.Raft:
-        figures = steps.Figures(self.fleet.beat, self.fleet.patience)
+        figures = RaftTiming(self.fleet.beat, self.fleet.patience)
         return raft.Raft(self.name, self.disk.saved, figures, mix(self.seed, stream), clock.now())
 
     @property
     def voters(self) -> tuple[str, ...]:
-        return self.raft.seats.voters
+        return self.raft.configuration.voters
 
     @property
     def leads(self) -> bool:
         """Surely, and with all that was agreed before it applied."""
-        return self.raft.leads_surely(clock.now()) and self.raft.commit >= self.raft.began
+        return self.raft.holds_lease(clock.now()) and self.raft.commit_index >= self.raft.term_start_index
 
-    def agreed(self) -> follow.Agreed:
+    def agreed(self) -> follow.LocalVoterApplied:
         """What this seat has applied, for this front's follower."""
         if self.book.index != self._marked[0]:
-            self._marked = self.book.index, self.book.mark()
-        age = self.raft.quorum_age(clock.now()) if self.leads else -1.0
-        leader = front_of(self.raft.leader)
-        return follow.Agreed(self.book.index, self._marked[1], self.book.chapters, age, leader)
+            self._marked = self.book.index, self.book.state_hash()
+        age = self.raft.quorum_contact_age(clock.now()) if self.leads else -1.0
+        leader = node_of(self.raft.leader)
+        return follow.LocalVoterApplied(self.book.index, self._marked[1], self.book.values, age, leader)
 
     def found(self) -> None:
         """Begins a council of this seat alone."""
         LOG.info("the council is founded", by=self.name)
-        self.disk.found(Base(seats=Seats((self.name,))))
+        self.disk.found(Snapshot(configuration=Configuration((self.name,))))
         self.raft = self._core(FOUNDED)
         self._synced_number = 0
         self._held.clear()
-        self.step(steps.Tick())
+        self.step(inputs.Tick())
 
     def propose(self, put: Put) -> None:
-        self.step(steps.Propose(CHANGE, msgspec.msgpack.encode(put)))
+        self.step(inputs.Propose(COMMAND, msgspec.msgpack.encode(put)))
 
-    def step(self, what: steps.What) -> None:
+    def step(self, what: inputs.Input) -> None:
         if self.ended:
             return
         out = self.raft.step(clock.now(), what)
         for write in out.writes:
             self.disk.put(write, self._synced)
-        if out.messages and self.raft.number > self._synced_number:
-            self._held.append((self.raft.number, out.messages))
+        if out.messages and self.raft.last_write_number > self._synced_number:
+            self._held.append((self.raft.last_write_number, out.messages))
         else:
             self._post(out.messages)
-        for fact in out.facts:
+        for fact in out.events:
             self._fact(fact)
         self.on_step()
-        self.timers.ring_at("raft", self.raft.due, lambda: self.step(steps.Tick()))
+        self.timers.ring_at("raft", self.raft.due, lambda: self.step(inputs.Tick()))
 
     def _synced(self, number: int) -> None:
         if self.ended:
@@ -115,27 +116,27 @@
         self._synced_number = max(self._synced_number, number)
         while self._held and self._held[0][0] <= self._synced_number:
             self._post(self._held.popleft()[1])
-        self.step(steps.Written(number))
+        self.step(inputs.WritesSynced(number))
 
     def _post(self, messages: list[tuple[str, Any]]) -> None:
         for seat, message in messages:
-            self.send(front_of(seat), ToSeat(self.name, seat, message))
+            self.send(node_of(seat), ToSeat(self.name, seat, message))
 
-    def _fact(self, fact: steps.Fact) -> None:
+    def _fact(self, fact: outputs.Event) -> None:
         match fact:
-            case steps.Committed(entries):
+            case outputs.EntriesCommitted(entries):
                 for entry in entries:
                     self.book.apply(entry)
-                if self.book.index - self.raft.log.base.index > LONGEST_LOG:
-                    compact = steps.Compact(self.book.index, self.book.whole())
+                if self.book.index - self.raft.log.snapshot.index > LONGEST_LOG:
+                    compact = inputs.Compact(self.book.index, self.book.snapshot_data())
                     self.reactor.callLater(0, self.step, compact)
-            case steps.Rebased(base):
-                self.book.take_whole(base)
-            case steps.Leads(term, seat):
-                LOG.info("council", term=term, leader=front_of(seat), seats=list(self.voters))
+            case outputs.SnapshotInstalled(base):
+                self.book.restore(base)
+            case outputs.LeaderChanged(term, seat):
+                LOG.info("council", term=term, leader=node_of(seat), seats=list(self.voters))
                 self.led_since = clock.now()
                 self.on_leader()
-            case steps.Odd(text):
+            case outputs.InvariantViolation(text):
                 LOG.error("the council contradicts itself", what=text)
                 self.contradictions += 1
             case _:
--- a/worksmux/gateway/fleet/peering.py
+++ b/worksmux/gateway/fleet/peering.py
@@ -18,10 +18,10 @@
 import msgspec
 import structlog
 
-from ...consensus import replication as follow
-from ...consensus import steps
-from ...consensus.reconfiguration import Able, founds, next_seats
-from ...consensus.state_machine import PLAN, Chapter, Put
+from ...consensus import inputs
+from ...consensus import replica as follow
+from ...consensus.reconfiguration import Candidate, next_configuration, should_bootstrap
+from ...consensus.state_machine import PLAN_KEY, Put, VersionedValue
 from ...failover import acting
 from ...failover.plan import Plan, decode, encode
 from ...failover.planner import Map, Planner
@@ -65,7 +65,7 @@
         self.council = CouncilSeat(settings.name, fleet, reactor, seed, disk, self.timers, self._send_to_seat)
         self.council.on_step, self.council.on_leader = self._tell_follower, self._forget_planner
         self.swim: peers.Swim | None = None
-        self.follower = follow.Follower(settings.name, fleet.lease, mix(seed, 2), clock.now(), self._report)
+        self.follower = follow.Replica(settings.name, fleet.lease, mix(seed, 2), clock.now(), self._report)
         self.watcher = Watcher(
             settings.zones, [one.name for one in settings.request_classes], settings.module
         )
@@ -119,8 +119,8 @@
         )
         self.keeper.start(self.life)
         self._swim(peers.Tick())
-        self.council.step(steps.Tick())
-        self._follow(follow.Tick())
+        self.council.step(inputs.Tick())
+        self._follow(inputs.Tick())
         self._look()
 
     def _both(self, other: Callable[[float, Event], None]) -> Callable[[float, Event], None]:
@@ -133,7 +133,7 @@
     def leave(self) -> None:
         """This front ends in order: another seat leads, and nobody calls it dead."""
         if not self.ended:
-            self.council.step(steps.HandOver())
+            self.council.step(inputs.TransferLeadership())
             self._swim(peers.Leave())
 
     def close(self) -> None:
@@ -153,7 +153,7 @@
         for fact in out.facts:
             self._peer_fact(fact)
         if out.facts:
-            self._follow(follow.Fronts(frozenset(self.swim.members.there), self._seat_fronts()))
+            self._follow(follow.TopologyChanged(frozenset(self.swim.members.there), self._seat_fronts()))
         self.timers.ring_at("swim", self.swim.due, lambda: self._swim(peers.Tick()))
 
     def _peer_fact(self, fact: peers.Fact) -> None:
@@ -182,12 +182,12 @@
                 )
                 self.on_outlived()
 
-    def able(self) -> dict[str, Able]:
+    def able(self) -> dict[str, Candidate]:
         """Fronts that could hold a seat, this one included."""
         assert self.swim is not None
         rumours = [self.swim.me, *(member.rumour for member in self.swim.members.there.values())]
         return {
-            one.name: Able(one.name, one.facts[SEAT], one.zone, one.facts.get(COUNCIL, ""))
+            one.name: Candidate(one.name, one.facts[SEAT], one.zone, one.facts.get(COUNCIL, ""))
             for one in rumours
             if one.facts.get(SEAT)
         }
@@ -199,7 +199,7 @@
         return frozenset(one.name for one in there if one.facts.get(VOTES))
 
     def _council(self) -> str:
-        told = self.council.book.chapters.get(COUNCIL) or self.follower.chapters.get(COUNCIL)
+        told = self.council.book.values.get(COUNCIL) or self.follower.values.get(COUNCIL)
         # A seat that has not applied anything yet knows that there is one.
         return told.value.decode() if told else "?" if self.council.voters else ""
 
@@ -210,7 +210,7 @@
             facts[VOTES] = "yes"
         if self.swim is not None and facts != self.swim.me.facts:
             self._swim(peers.Carry(facts))
-            self._follow(follow.Fronts(frozenset(self.swim.members.there), self._seat_fronts()))
+            self._follow(follow.TopologyChanged(frozenset(self.swim.members.there), self._seat_fronts()))
 
     # Messages.
 
@@ -226,7 +226,7 @@
             case ToPeer(message):
                 self._swim(peers.Heard(envelope.name, envelope.address, message))
             case ToFollower(message):
-                self._follow(follow.Heard(envelope.name, message))
+                self._follow(follow.MessageReceived(envelope.name, message))
             case ToAccount(message):
                 self.keeper.heard(envelope.name, message)
             case ToSeat(seat, to, message):
@@ -234,7 +234,7 @@
                     return self.link.refuse(
                         "seat", envelope.name, f"it is for {to}; this is {self.council.name}"
                     )
-                self.council.step(steps.Heard(seat, message))
+                self.council.step(inputs.MessageReceived(seat, message))
 
     def _address(self, name: str) -> str:
         assert self.swim is not None
@@ -262,25 +262,25 @@
 
     # What all follow.
 
-    def _follow(self, what: follow.What) -> None:
+    def _follow(self, what: follow.Input) -> None:
         if self.ended:
             return
         out = self.follower.step(clock.now(), what)
-        for name, message in out.posts:
+        for name, message in out.messages:
             self.link.post(name, self._address(name), ToFollower(message))
-        for fact in out.facts:
+        for fact in out.events:
             match fact:
-                case follow.Fresh(chapters):
-                    if PLAN in chapters:
-                        self._take_plan(self.follower.chapters[PLAN])
-                case follow.Contradicts(name, index):
+                case follow.ValuesChanged(chapters):
+                    if PLAN_KEY in chapters:
+                        self._take_plan(self.follower.values[PLAN_KEY])
+                case follow.StateMismatch(name, index):
                     LOG.error(
                         "another front holds something else under the same number", name=name, index=index
                     )
                     self.contradictions += 1
-        self.timers.ring_at("follow", self.follower.due, lambda: self._follow(follow.Tick()))
+        self.timers.ring_at("follow", self.follower.due, lambda: self._follow(inputs.Tick()))
 
-    def _take_plan(self, chapter: Chapter) -> None:
+    def _take_plan(self, chapter: VersionedValue) -> None:
         try:
             plan = decode(chapter.value)
         except msgspec.DecodeError as error:
@@ -336,12 +336,14 @@
 
     def _found(self) -> None:
         founders = list(self.fleet.founders)
-        if not self.council.voters and founds(self.settings.name, founders, self.able(), self._council()):
+        if not self.council.voters and should_bootstrap(
+            self.settings.name, founders, self.able(), self._council()
+        ):
             self.council.found()
 
     def _seat(self, now: float) -> None:
         """Brings the council to its size; names it once."""
-        if COUNCIL not in self.council.book.chapters:
+        if COUNCIL not in self.council.book.values:
             return self.council.propose(Put(COUNCIL, secrets.token_hex(8).encode(), 0))
         swim = self.swim
         assert swim is not None
@@ -353,17 +355,21 @@
                 since, self.council.led_since
             ) > self.fleet.gone
 
-        if self.council.raft.seats_at <= self.council.raft.commit:
-            seats = next_seats(
-                self.council.raft.seats, self.able(), self.fleet.seats, gone, self.council.raft.caught_up
+        if self.council.raft.configuration_index <= self.council.raft.commit_index:
+            seats = next_configuration(
+                self.council.raft.configuration,
+                self.able(),
+                self.fleet.seats,
+                gone,
+                self.council.raft.caught_up,
             )
             if seats is not None:
                 LOG.info("seats", voters=list(seats.voters), learners=list(seats.learners))
-                self.council.step(steps.Change(seats))
+                self.council.step(inputs.ChangeConfiguration(seats))
 
     def _plan(self) -> None:
         """One look of the planner; no other while what it proposed is not agreed."""
-        now, held = clock.now(), self.council.book.chapters.get(PLAN)
+        now, held = clock.now(), self.council.book.values.get(PLAN_KEY)
         in_force = decode(held.value) if held else Plan()
         if (
             self.planner is not None
@@ -373,16 +379,16 @@
             return
         if self.planner is None or self.planner.plan.number != in_force.number:
             self.planner = Planner(self.map, in_force)
-        plan = self.planner.look(self._tally(self.follower.reports()))
+        plan = self.planner.look(self._tally(self.follower.child_reports()))
         if plan is not None:
             self.proposed_at = now
-            self.council.propose(Put(PLAN, encode(plan), held.index if held else 0))
+            self.council.propose(Put(PLAN_KEY, encode(plan), held.index if held else 0))
 
     # What the module acts on.
 
     def check(self, now: float) -> None:
         """Before each turn of the module: the lease is looked at before anything is decided."""
-        alone = not self.follower.holds(now)
+        alone = not self.follower.holds_lease(now)
         if alone != self.alone:
             self.alone = alone
             LOG.warning(
@@ -427,14 +433,14 @@
             "life": self.life,
             "seat": self.council.name,
             "alone": self.alone,
-            "lease_ms": round(max(0.0, self.follower.until() - now)),
+            "lease_ms": round(max(0.0, self.follower.lease_expires_at() - now)),
             "doubts_itself": swim.health.level,
             "council": {
                 "term": self.council.raft.term,
                 "role": self.council.raft.role.value,
                 "leader": self.follower.leader,
                 "voters": list(self.council.voters),
-                "learners": list(self.council.raft.seats.learners),
+                "learners": list(self.council.raft.configuration.learners),
                 "agreed": self.council.book.index,
                 "known": self.follower.index,
             },
--- a/worksmux/gateway/fleet/peers_link.py
+++ b/worksmux/gateway/fleet/peers_link.py
@@ -17,7 +17,7 @@
 
 from ...config_audit import copies
 from ...consensus import messages as council
-from ...consensus import replication as following
+from ...consensus import replication_messages as following
 from ...gossip import messages as peers
 from ...net import client, clock
 from ...net.loop import Reactor, listen
--- a/worksmux/simulation/consensus.py
+++ b/worksmux/simulation/consensus.py
@@ -10,34 +10,27 @@
 
 import msgspec
 
-from ..consensus.entries import CHANGE, Base, Entry, Saved, Seats, Write
+from ..consensus.entries import COMMAND, Configuration, Entry, PersistentState, Snapshot, StorageWrite
+from ..consensus.inputs import Compact, Input, MessageReceived, Propose, ReadIndex, Tick, WritesSynced
 from ..consensus.messages import Message
-from ..consensus.raft import Raft
-from ..consensus.steps import (
-    Committed,
-    Compact,
-    Fact,
-    Figures,
-    Heard,
-    Leads,
-    Odd,
-    Out,
-    Propose,
-    Proposed,
-    Read,
-    Readable,
-    Rebased,
-    Refused,
-    Role,
-    Tick,
-    What,
-    Written,
+from ..consensus.outputs import (
+    EntriesCommitted,
+    Event,
+    InvariantViolation,
+    LeaderChanged,
+    Output,
+    ProposalAppended,
+    ReadReady,
+    Rejected,
+    SnapshotInstalled,
 )
+from ..consensus.raft import Raft
+from ..consensus.voter import RaftTiming, Role
 from ..policy.measure import Chance, mix
 from .sim import Sim, Timer
 from .wire import Weather, Wire
 
-Make = Callable[[str, Saved, Figures, int, float], Raft]
+Make = Callable[[str, PersistentState, RaftTiming, int, float], Raft]
 
 
 class Broken(AssertionError):
@@ -48,21 +41,23 @@
 class Disk:
     """What a seat has on disk."""
 
-    saved: Saved = field(default_factory=Saved)
+    saved: PersistentState = field(default_factory=PersistentState)
 
-    def put(self, write: Write) -> None:
+    def put(self, write: StorageWrite) -> None:
         saved = self.saved
-        if write.hard is not None:
-            saved.term, saved.vote = write.hard
-        if write.cut is not None:
-            saved.entries = [entry for entry in saved.entries if entry.index < write.cut]
-        if write.base is not None:
-            saved.base = write.base
-            saved.entries = [entry for entry in saved.entries if entry.index > write.base.index]
+        if write.hard_state is not None:
+            saved.term, saved.voted_for = write.hard_state.term, write.hard_state.voted_for
+        if write.truncate_from is not None:
+            saved.entries = [entry for entry in saved.entries if entry.index < write.truncate_from]
+        if write.snapshot is not None:
+            saved.snapshot = write.snapshot
+            saved.entries = [entry for entry in saved.entries if entry.index > write.snapshot.index]
         saved.entries += write.entries
 
-    def read(self) -> Saved:
-        return Saved(self.saved.term, self.saved.vote, self.saved.base, list(self.saved.entries))
+    def read(self) -> PersistentState:
+        return PersistentState(
+            self.saved.term, self.saved.voted_for, self.saved.snapshot, list(self.saved.entries)
+        )
 
 
 class SeatInTime:
@@ -77,7 +72,7 @@
         self.timer: Timer | None = None
         self.starts = 0
         self.frozen = False
-        self.waiting: list[tuple[Write | None, list[tuple[str, Message]]]] = []
+        self.waiting: list[tuple[StorageWrite | None, list[tuple[str, Message]]]] = []
         self.writing = False
         self.unheard: list[tuple[str, Message]] = []
         self.applied: dict[int, Entry] = {}
@@ -108,13 +103,13 @@
         if lose_disk:
             self.disk = Disk()
 
-    def step(self, what: What) -> Out:
+    def step(self, what: Input) -> Output:
         assert self.raft is not None
         out = self.raft.step(self.now, what)
         for write in out.writes[:-1]:
             self.waiting.append((write, []))
         self.waiting.append((out.writes[-1] if out.writes else None, out.messages))
-        for fact in out.facts:
+        for fact in out.events:
             self.world.fact(self, fact)
         self.write_on()
         self.rest()
@@ -144,7 +139,7 @@
             self.post(messages)
             if write is not None:  # an impatient shell: messages leave before the write
                 self.world.sim.after(self.world.disk_ms, self.late_write, self.starts, write)
-                self.step(Written(write.number))
+                self.step(WritesSynced(write.number))
 
     def falls(self) -> bool:
         """Whether the machine loses its power at this very write."""
@@ -162,9 +157,9 @@
         assert write is not None
         self.disk.put(write)
         self.post(messages)
-        self.step(Written(write.number))
+        self.step(WritesSynced(write.number))
 
-    def late_write(self, start: int, write: Write) -> None:
+    def late_write(self, start: int, write: StorageWrite) -> None:
         if start == self.starts and self.raft is not None and not self.falls():
             self.disk.put(write)
 
@@ -176,7 +171,7 @@
         if self.frozen:
             self.unheard.append((sender, message))
         elif self.raft is not None:
-            self.step(Heard(sender, message))
+            self.step(MessageReceived(sender, message))
 
     def freeze(self) -> None:
         self.frozen = True
@@ -212,12 +207,12 @@
         self.seed, self.make, self.drift, self.disk_ms, self.patient = seed, make, drift, disk_ms, patient
         self.chance = Chance(mix(seed, 17))
         self.wire = Wire(self.sim, mix(seed, 3), weather)
-        self.figures = Figures(60.0, 400.0)
+        self.figures = RaftTiming(60.0, 400.0)
         names = [chr(ord("a") + at) for at in range(count)]
         self.seats: dict[str, SeatInTime] = {}
-        base = Base(seats=Seats(tuple(names)))
+        base = Snapshot(configuration=Configuration(tuple(names)))
         for name in names:
-            self.seats[name] = SeatInTime(self, name, Disk(Saved(base=base)))
+            self.seats[name] = SeatInTime(self, name, Disk(PersistentState(snapshot=base)))
         self.leaders: dict[int, set[str]] = {}
         self.agreed: dict[int, Entry] = {}
         self.token = 0
@@ -248,8 +243,8 @@
             if (
                 leader is not None
                 and leader.raft is not None
-                and leader.raft.leads_surely(leader.now)
-                and leader.raft.commit >= leader.raft.began
+                and leader.raft.holds_lease(leader.now)
+                and leader.raft.commit_index >= leader.raft.term_start_index
             ):
                 return leader
             assert self.sim.now < end, "no leader in time"
@@ -257,36 +252,36 @@
 
     def propose(self, name: str, data: bytes = b"x") -> int:
         self.token += 1
-        self.seats[name].step(Propose(CHANGE, data + str(self.token).encode(), self.token))
+        self.seats[name].step(Propose(COMMAND, data + str(self.token).encode(), self.token))
         return self.token
 
     def read(self, name: str) -> None:
         self.token += 1
         self.reads[self.token] = max(self.acknowledged.values(), default=0)
-        self.seats[name].step(Read(self.token))
+        self.seats[name].step(ReadIndex(self.token))
 
-    def fact(self, seat: SeatInTime, fact: Fact) -> None:
+    def fact(self, seat: SeatInTime, fact: Event) -> None:
         match fact:
-            case Leads(term, leader) if leader == seat.name:
+            case LeaderChanged(term, leader) if leader == seat.name:
                 self.leaders.setdefault(term, set()).add(leader)
                 if len(self.leaders[term]) > 1:
                     raise Broken(f"two leaders in term {term}: {sorted(self.leaders[term])}")
-            case Committed(entries):
+            case EntriesCommitted(entries):
                 for entry in entries:
                     self.commits(seat, entry)
-            case Rebased(base):
+            case SnapshotInstalled(base):
                 held = self.agreed.get(base.index)
                 if held is None or held.digest != base.digest:
                     raise Broken(f"{seat.name} took a snapshot at {base.index} that was never agreed")
-            case Proposed(token, index, term):
+            case ProposalAppended(token, index, term):
                 self.proposed[token] = index, term
-            case Readable(token, index):
+            case ReadReady(token, index):
                 self.read_count += 1
                 if index < self.reads[token]:
                     raise Broken(f"{seat.name} read up to {index}, yet {self.reads[token]} was acknowledged")
-            case Refused():
+            case Rejected():
                 self.refused += 1
-            case Odd(text):
+            case InvariantViolation(text):
                 raise Broken(f"{seat.name}: {text}")
             case _:
                 pass
@@ -310,22 +305,26 @@
             if raft is None:
                 continue
             for index, entry in self.agreed.items():
-                held = raft.log.at(index)
-                if held is not None and index <= raft.commit and held.digest != entry.digest:
+                held = raft.log.get(index)
+                if held is not None and index <= raft.commit_index and held.digest != entry.digest:
                     raise Broken(f"{seat.name} holds another entry {index}")
         up = [seat.raft for seat in self.seats.values() if seat.raft is not None]
-        most = max(raft.commit for raft in up)
+        most = max(raft.commit_index for raft in up)
         last = max(self.acknowledged.values(), default=0)
         if most < last:
             raise Broken(f"{last} was acknowledged, and only {most} is left")
 
     def compact(self, name: str) -> None:
         raft = self.seats[name].raft
-        if raft is not None and raft.commit > raft.log.base.index + 5:
+        if raft is not None and raft.commit_index > raft.log.snapshot.index + 5:
             data = msgspec.msgpack.encode(
-                [self.agreed[index].digest for index in range(1, raft.commit + 1) if index in self.agreed]
+                [
+                    self.agreed[index].digest
+                    for index in range(1, raft.commit_index + 1)
+                    if index in self.agreed
+                ]
             )
-            self.seats[name].step(Compact(raft.commit, data))
+            self.seats[name].step(Compact(raft.commit_index, data))
 
 
 def storm(
--- a/worksmux/simulation/followers.py
+++ b/worksmux/simulation/followers.py
@@ -7,8 +7,9 @@
 from functools import partial
 from typing import Any
 
-from ..consensus.replication import Agreed, Follower, Fronts, Heard, Out, Tick
-from ..consensus.state_machine import Chapter
+from ..consensus.inputs import Tick
+from ..consensus.replica import LocalVoterApplied, MessageReceived, Output, Replica, TopologyChanged
+from ..consensus.state_machine import VersionedValue
 from ..policy.measure import Chance
 from .sim import Sim
 from .wire import Weather, Wire
@@ -19,7 +20,7 @@
 class Following:
     """The first front is the leader's."""
 
-    def __init__(self, count: int, seed: int = 1, make: type[Follower] = Follower, loss: float = 0.0) -> None:
+    def __init__(self, count: int, seed: int = 1, make: type[Replica] = Replica, loss: float = 0.0) -> None:
         self.sim = Sim()
         self.sim.now = 1000.0
         self.wire = Wire(self.sim, seed, Weather((0.3, 3.0), loss, loss / 2))
@@ -31,20 +32,20 @@
         self.frozen: set[str] = set()
         self.unheard: list[tuple[str, str, Any]] = []
         self.sent = 0
-        self.chapters: dict[str, Chapter] = {}
+        self.chapters: dict[str, VersionedValue] = {}
         self.index, self.agreed_at = 0, {0: 0.0}
         self.old: list[str] = []
         self.facts: list[tuple[float, str, Any]] = []
         for name in self.names:
             self.wire.listen(name, partial(self.take, name))
-            self.step(name, Fronts(frozenset(set(self.names) - {name}), frozenset(self.names[:1])))
+            self.step(name, TopologyChanged(frozenset(set(self.names) - {name}), frozenset(self.names[:1])))
         self.sim.after(0.0, self.beat)
 
     def now(self, name: str) -> float:
         return self.zero[name] + self.sim.now
 
     def beat(self) -> None:
-        self.step("f0", Agreed(self.index, hash(self.index) & 0xFFFF, self.chapters, 50.0, "f0"))
+        self.step("f0", LocalVoterApplied(self.index, hash(self.index) & 0xFFFF, self.chapters, 50.0, "f0"))
         for name, one in self.followers.items():
             if name not in self.frozen and one.due <= self.now(name):
                 self.step(name, Tick())
@@ -54,7 +55,7 @@
     def look(self, name: str) -> None:
         """Nobody acts on what was replaced longer ago than the lease."""
         one = self.followers[name]
-        if name not in self.frozen and one.holds(self.now(name)) and one.index < self.index:
+        if name not in self.frozen and one.holds_lease(self.now(name)) and one.index < self.index:
             replaced = self.agreed_at[one.index + 1]
             if self.sim.now > replaced + LEASE:
                 self.old.append(name)
@@ -63,18 +64,18 @@
         if name in self.frozen:
             self.unheard.append((name, sender, message))
         else:
-            self.step(name, Heard(sender, message))
+            self.step(name, MessageReceived(sender, message))
 
     def step(self, name: str, what: Any) -> None:
-        out: Out = self.followers[name].step(self.now(name), what)
-        for to, message in out.posts:
+        out: Output = self.followers[name].step(self.now(name), what)
+        for to, message in out.messages:
             self.sent += 1
             self.wire.send(name, to, message)
-        self.facts += [(self.sim.now, name, fact) for fact in out.facts]
+        self.facts += [(self.sim.now, name, fact) for fact in out.events]
 
     def put(self, value: bytes = b"x") -> None:
         self.index += 1
-        self.chapters = {**self.chapters, "plan": Chapter(self.index, value)}
+        self.chapters = {**self.chapters, "plan": VersionedValue(self.index, value)}
         self.agreed_at[self.index] = self.sim.now
 
     def run(self, ms: float) -> None:
@@ -84,6 +85,6 @@
         self.frozen.discard(name)
         self.look(name)
         for to, sender, message in [one for one in self.unheard if one[0] == name]:
-            self.step(to, Heard(sender, message))
+            self.step(to, MessageReceived(sender, message))
             self.look(name)
         self.unheard = [one for one in self.unheard if one[0] != name]
