--- a/benchmarks/fleet_growth.py
+++ b/benchmarks/fleet_growth.py
@@ -14,7 +14,7 @@
 
 from worksmux.consensus.replica import ValuesChanged
 from worksmux.failover.tally import Tally, ZoneTally, added
-from worksmux.gossip.members import State
+from worksmux.gossip.members import MemberState
 from worksmux.simulation.followers import LEASE, Following
 from worksmux.simulation.peers import World
 from worksmux.simulation.wire import Weather
@@ -40,7 +40,7 @@
     world.wire.weigh = False
     world.peers["f1"].stop()
     found = world.agree(200 * PERIOD)
-    false = {fact.now.name for _, _, fact in world.told if fact.now.state == State.DEAD} - {"f1"}
+    false = {fact.after.name for _, _, fact in world.told if fact.after.state == MemberState.DEAD} - {"f1"}
     return (
         f"peers {count:5} fronts, loss {loss:4.0%}: {messages:5.1f} messages and {size:6.0f} bytes a "
         f"front a second; all joined {joined / 1000:.1f} s after the last; a death known by all after "
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -8,8 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from worksmux.gossip.members import Member, Members, Rumour, State
-from worksmux.gossip.swim import Outlived
+from worksmux.gossip.members import AppliedUpdate, MemberList, MembershipUpdate, MemberState
+from worksmux.gossip.outputs import Superseded
 from worksmux.policy.measure import Chance
 from worksmux.simulation.peers import Peer, World
 from worksmux.simulation.wire import Weather
@@ -27,18 +27,18 @@
 
 
 def deaths(found: World) -> list[tuple[str, str]]:
-    return [(by, fact.now.name) for _, by, fact in found.told if fact.now.state == State.DEAD]
+    return [(by, fact.after.name) for _, by, fact in found.told if fact.after.state == MemberState.DEAD]
 
 
 # What is believed.
 
 RUMOURS = st.lists(
     st.builds(
-        Rumour,
+        MembershipUpdate,
         st.sampled_from(["a", "b"]),
         st.integers(1, 3),
         st.integers(0, 3),
-        st.sampled_from(list(State)),
+        st.sampled_from(list(MemberState)),
         st.just("h:1"),
         st.just("z"),
         st.just("r"),
@@ -47,64 +47,70 @@
 )
 
 
-def order_matters(make: type[Members], rumours: list[Rumour], other: list[Rumour]) -> bool:
+def order_matters(
+    make: type[MemberList], rumours: list[MembershipUpdate], other: list[MembershipUpdate]
+) -> bool:
     """Whether two fronts that heard the same in different orders believe different things."""
     found = []
     for told in (rumours, other):
-        members = make("me")
+        members = make()
         for rumour in told:
-            members.take(rumour, 0.0)
-        found.append({name: member.rumour.rank for name, member in members.known.items()})
+            members.apply(rumour, 0.0)
+        found.append({name: member.update.precedence for name, member in members.known.items()})
     return found[0] != found[1]
 
 
 @given(RUMOURS, st.randoms(use_true_random=False))
-def test_all_believe_the_same_whatever_the_order_they_heard_it_in(rumours: list[Rumour], chance: Any) -> None:
+def test_all_believe_the_same_whatever_the_order_they_heard_it_in(
+    rumours: list[MembershipUpdate], chance: Any
+) -> None:
     other = list(rumours)
     chance.shuffle(other)
-    assert not order_matters(Members, rumours, other)
+    assert not order_matters(MemberList, rumours, other)
 
 
 def test_members_that_believe_the_last_they_heard_are_found_to_differ() -> None:
-    class Gullible(Members):
-        def take(self, rumour: Rumour, now: float) -> tuple[Rumour | None, Member] | None:
-            self.known.pop(rumour.name, None)
-            return super().take(rumour, now)
-
-    pair = [Rumour("a", 1, 0, state, "h:1", "z", "r") for state in (State.ALIVE, State.DEAD)]
+    class Gullible(MemberList):
+        def apply(self, update: MembershipUpdate, now: float) -> AppliedUpdate | None:
+            self.known.pop(update.name, None)
+            return super().apply(update, now)
+
+    pair = [
+        MembershipUpdate("a", 1, 0, state, "h:1", "z", "r") for state in (MemberState.ALIVE, MemberState.DEAD)
+    ]
     assert order_matters(Gullible, pair, pair[::-1])
 
 
 @given(RUMOURS)
-def test_what_is_there_and_suspected_agrees_with_what_is_known(rumours: list[Rumour]) -> None:
-    members = Members("me")
+def test_what_is_there_and_suspected_agrees_with_what_is_known(rumours: list[MembershipUpdate]) -> None:
+    members = MemberList()
     for rumour in rumours:
-        members.take(rumour, 0.0)
+        members.apply(rumour, 0.0)
         known = members.known.values()
-        assert set(members.there) == {one.name for one in known if one.state <= State.SUSPECT}
-        assert set(members.suspects) == {one.name for one in known if one.state == State.SUSPECT}
+        assert set(members.present) == {one.name for one in known if one.state <= MemberState.SUSPECT}
+        assert set(members.suspects) == {one.name for one in known if one.state == MemberState.SUSPECT}
 
 
 def test_fronts_that_are_gone_are_forgotten_and_memory_stays_bounded() -> None:
-    members = Members("me")
+    members = MemberList()
     for at in range(1000):
-        members.take(Rumour(f"f{at}", 1, 0, State.DEAD, "h:1", "z", "r"), float(at))
+        members.apply(MembershipUpdate(f"f{at}", 1, 0, MemberState.DEAD, "h:1", "z", "r"), float(at))
     assert len(members.known) <= 64 and "f999" in members.known
 
 
 @pytest.mark.parametrize(
     "odd",
     [
-        Rumour("", 1, 0, 0, "h:1", "z", "r"),
-        Rumour("a", 0, 0, 0, "h:1", "z", "r"),
-        Rumour("a", 1, -1, 0, "h:1", "z", "r"),
-        Rumour("a", 1, 0, 9, "h:1", "z", "r"),
-        Rumour("a" * 999, 1, 0, 0, "h:1", "z", "r"),
-        Rumour("a", 1, 0, 0, "h:1", "z", "r", {str(at): "" for at in range(99)}),
+        MembershipUpdate("", 1, 0, 0, "h:1", "z", "r"),
+        MembershipUpdate("a", 0, 0, 0, "h:1", "z", "r"),
+        MembershipUpdate("a", 1, -1, 0, "h:1", "z", "r"),
+        MembershipUpdate("a", 1, 0, 9, "h:1", "z", "r"),
+        MembershipUpdate("a" * 999, 1, 0, 0, "h:1", "z", "r"),
+        MembershipUpdate("a", 1, 0, 0, "h:1", "z", "r", {str(at): "" for at in range(99)}),
     ],
 )
-def test_rumours_that_make_no_sense_are_not_sound(odd: Rumour) -> None:
-    assert not odd.sound()
+def test_rumours_that_make_no_sense_are_not_sound(odd: MembershipUpdate) -> None:
+    assert not odd.is_valid()
 
 
 # Deaths.
@@ -138,7 +144,9 @@
     found.agree(30 * PERIOD)
     assert not [pair for pair in deaths(found) if pair[0] == "f3"]
     assert all(
-        peer.swim.members.known["f3"].rumour.life == 1 for name, peer in found.peers.items() if name != "f3"
+        peer.swim.members.known["f3"].update.generation == 1
+        for name, peer in found.peers.items()
+        if name != "f3"
     )
 
 
@@ -159,7 +167,7 @@
     found.agree(10 * PERIOD)
     found.run(40 * PERIOD)
     assert not deaths(found)
-    assert all(peer.swim.members.known["f5"].state == State.LEFT for peer in found.peers.values())
+    assert all(peer.swim.members.known["f5"].state == MemberState.LEFT for peer in found.peers.values())
 
 
 # Lives.
@@ -171,7 +179,7 @@
     found.run(40 * PERIOD)
     found.start("f1", life=2)
     found.agree(20 * PERIOD)
-    assert found.peers["f0"].swim.members.known["f1"].rumour.life == 2
+    assert found.peers["f0"].swim.members.known["f1"].update.generation == 2
 
 
 def test_front_that_lost_its_disk_and_whose_clock_is_behind_takes_a_higher_life() -> None:
@@ -182,8 +190,8 @@
     found.run(5 * PERIOD)
     back = found.start("f4", life=3)
     found.run(20 * PERIOD)
-    assert back.swim.me.life > 50
-    assert found.peers["f0"].swim.members.known["f4"].rumour.life == back.swim.me.life
+    assert back.swim.me.generation > 50
+    assert found.peers["f0"].swim.members.known["f4"].update.generation == back.swim.me.generation
 
 
 def test_of_two_processes_with_one_name_the_older_ends() -> None:
@@ -192,9 +200,9 @@
     younger = Peer(found, "f3", 9, ["f0", "f1"], address="f3-again")
     found.peers["f3"] = younger
     found.run(30 * PERIOD)
-    assert [fact for _, fact in older.facts if isinstance(fact, Outlived)]
-    assert not [fact for _, fact in younger.facts if isinstance(fact, Outlived)]
-    assert found.peers["f0"].swim.members.known["f3"].rumour.address == "f3-again"
+    assert [fact for _, fact in older.facts if isinstance(fact, Superseded)]
+    assert not [fact for _, fact in younger.facts if isinstance(fact, Superseded)]
+    assert found.peers["f0"].swim.members.known["f3"].update.address == "f3-again"
 
 
 # Cuts.
--- a/worksmux/consensus/entries.py
+++ b/worksmux/consensus/entries.py
@@ -23,7 +23,7 @@
     """Who votes, and which non-voting learners are catching up to become voters.
 
     A server is identified by its node's name and a mark of its disk, as in `front-1#9f3a`. A node that lost
-    its disk also lost its votes and its log (Raft §5.1), so it comes back as another server.
+    its disk also lost its votes and its log (Raft figure 2), so it comes back as another server.
     """
 
     voters: tuple[str, ...] = ()
--- a/worksmux/gateway/fleet/peering.py
+++ b/worksmux/gateway/fleet/peering.py
@@ -27,8 +27,10 @@
 from ...failover.planner import Map, Planner
 from ...failover.tally import Tally, added
 from ...failover.watcher import Watcher
+from ...gossip import inputs as gossip_inputs
+from ...gossip import outputs as gossip_outputs
 from ...gossip import swim as peers
-from ...gossip.members import Rumour, State
+from ...gossip.members import MembershipUpdate, MemberState
 from ...net import clock
 from ...net.loop import Reactor
 from ...policy.events import Event, FailoverPlan
@@ -95,11 +97,11 @@
         self.link.start()
         self.link.life = self.life
         zone = self.settings.zones[self.settings.module["zone"]]
-        me = Rumour(
+        me = MembershipUpdate(
             self.settings.name,
             self.life,
             0,
-            State.ALIVE,
+            MemberState.ALIVE,
             self.link.address,
             zone,
             self.settings.regions.get(zone, ""),
@@ -118,7 +120,7 @@
             seats=list(self.council.voters),
         )
         self.keeper.start(self.life)
-        self._swim(peers.Tick())
+        self._swim(gossip_inputs.Tick())
         self.council.step(inputs.Tick())
         self._follow(inputs.Tick())
         self._look()
@@ -134,7 +136,7 @@
         """This front ends in order: another seat leads, and nobody calls it dead."""
         if not self.ended:
             self.council.step(inputs.TransferLeadership())
-            self._swim(peers.Leave())
+            self._swim(gossip_inputs.Leave())
 
     def close(self) -> None:
         self.ended = True
@@ -145,36 +147,36 @@
 
     # Peers.
 
-    def _swim(self, what: peers.What) -> None:
+    def _swim(self, what: gossip_inputs.Input) -> None:
         assert self.swim is not None
         out = self.swim.step(clock.now(), what)
-        for post in out.posts:
-            self.link.post(post.name, post.address, ToPeer(post.message))
-        for fact in out.facts:
+        for post in out.messages:
+            self.link.post(post.receiver, post.address, ToPeer(post.message))
+        for fact in out.events:
             self._peer_fact(fact)
-        if out.facts:
-            self._follow(follow.TopologyChanged(frozenset(self.swim.members.there), self._seat_fronts()))
-        self.timers.ring_at("swim", self.swim.due, lambda: self._swim(peers.Tick()))
+        if out.events:
+            self._follow(follow.TopologyChanged(frozenset(self.swim.members.present), self._seat_fronts()))
+        self.timers.ring_at("swim", self.swim.due, lambda: self._swim(gossip_inputs.Tick()))
 
-    def _peer_fact(self, fact: peers.Fact) -> None:
+    def _peer_fact(self, fact: gossip_outputs.Event) -> None:
         match fact:
-            case peers.Changed(before, now):
-                state = State(now.state)
-                if before is None or before.state != now.state or before.life != now.life:
+            case gossip_outputs.MemberChanged(before, now):
+                state = MemberState(now.state)
+                if before is None or before.state != now.state or before.generation != now.generation:
                     LOG.info(
                         "front",
                         name=now.name,
                         state=state.name.lower(),
-                        life=now.life,
-                        by=now.by,
-                        before=State(before.state).name.lower() if before else None,
+                        life=now.generation,
+                        by=now.accuser,
+                        before=MemberState(before.state).name.lower() if before else None,
                     )
-                if state >= State.DEAD:
+                if state >= MemberState.DEAD:
                     self.link.forget(now.address)
-            case peers.Lives(life):
+            case gossip_outputs.GenerationRaised(life):
                 LOG.info("this front takes a higher life: an earlier start of it is known", life=life)
                 self.life = self.link.life = life
-            case peers.Outlived(life, address):
+            case gossip_outputs.Superseded(life, address):
                 LOG.error(
                     "another process with this name has started later; this one ends",
                     life=life,
@@ -185,18 +187,18 @@
     def able(self) -> dict[str, Candidate]:
         """Fronts that could hold a seat, this one included."""
         assert self.swim is not None
-        rumours = [self.swim.me, *(member.rumour for member in self.swim.members.there.values())]
+        rumours = [self.swim.me, *(member.update for member in self.swim.members.present.values())]
         return {
-            one.name: Candidate(one.name, one.facts[SEAT], one.zone, one.facts.get(COUNCIL, ""))
+            one.name: Candidate(one.name, one.metadata[SEAT], one.zone, one.metadata.get(COUNCIL, ""))
             for one in rumours
-            if one.facts.get(SEAT)
+            if one.metadata.get(SEAT)
         }
 
     def _seat_fronts(self) -> frozenset[str]:
         """Those that vote, by what each carries along."""
         assert self.swim is not None
-        there = [self.swim.me, *(member.rumour for member in self.swim.members.there.values())]
-        return frozenset(one.name for one in there if one.facts.get(VOTES))
+        there = [self.swim.me, *(member.update for member in self.swim.members.present.values())]
+        return frozenset(one.name for one in there if one.metadata.get(VOTES))
 
     def _council(self) -> str:
         told = self.council.book.values.get(COUNCIL) or self.follower.values.get(COUNCIL)
@@ -208,9 +210,9 @@
         facts = {SEAT: self.council.name, COUNCIL: self._council()}
         if self.council.name in self.council.voters:
             facts[VOTES] = "yes"
-        if self.swim is not None and facts != self.swim.me.facts:
-            self._swim(peers.Carry(facts))
-            self._follow(follow.TopologyChanged(frozenset(self.swim.members.there), self._seat_fronts()))
+        if self.swim is not None and facts != self.swim.me.metadata:
+            self._swim(gossip_inputs.MetadataChanged(facts))
+            self._follow(follow.TopologyChanged(frozenset(self.swim.members.present), self._seat_fronts()))
 
     # Messages.
 
@@ -218,13 +220,17 @@
         if self.ended or self.swim is None:
             return
         known = self.swim.members.known.get(envelope.name)
-        if known is not None and envelope.life < known.rumour.life and not isinstance(envelope.inner, ToPeer):
+        if (
+            known is not None
+            and envelope.life < known.update.generation
+            and not isinstance(envelope.inner, ToPeer)
+        ):
             return self.link.refuse(
-                "life", envelope.name, f"life {envelope.life} is over; {known.rumour.life} is known"
+                "life", envelope.name, f"life {envelope.life} is over; {known.update.generation} is known"
             )
         match envelope.inner:
             case ToPeer(message):
-                self._swim(peers.Heard(envelope.name, envelope.address, message))
+                self._swim(gossip_inputs.MessageReceived(envelope.name, envelope.address, message))
             case ToFollower(message):
                 self._follow(follow.MessageReceived(envelope.name, message))
             case ToAccount(message):
@@ -239,7 +245,7 @@
     def _address(self, name: str) -> str:
         assert self.swim is not None
         known = self.swim.members.known.get(name)
-        return known.rumour.address if known else ""
+        return known.update.address if known else ""
 
     def _send_account(self, name: str, message: Any) -> None:
         self.link.post(name, self._address(name), ToAccount(message))
@@ -350,8 +356,10 @@
 
         def gone(name: str) -> bool:
             known = swim.members.known.get(name)
-            since = known.since if known is not None and not known.there else self.council.led_since
-            return (known is None or not known.there) and now - max(
+            since = (
+                known.state_since if known is not None and not known.is_present else self.council.led_since
+            )
+            return (known is None or not known.is_present) and now - max(
                 since, self.council.led_since
             ) > self.fleet.gone
 
@@ -426,7 +434,7 @@
         """All that an operator may want to see, from this front's own view."""
         now, swim = clock.now(), self.swim
         assert swim is not None
-        members = [swim.me, *(member.rumour for member in swim.members.known.values())]
+        members = [swim.me, *(member.update for member in swim.members.known.values())]
         return {
             "front": self.settings.name,
             "fleet": self.fleet.name,
@@ -447,12 +455,12 @@
             "fronts": [
                 {
                     "name": one.name,
-                    "state": State(one.state).name.lower(),
-                    "life": one.life,
+                    "state": MemberState(one.state).name.lower(),
+                    "life": one.generation,
                     "zone": one.zone,
                     "region": one.region,
                     "address": one.address,
-                    "seat": bool(one.facts.get(VOTES)),
+                    "seat": bool(one.metadata.get(VOTES)),
                 }
                 for one in sorted(members, key=lambda x: x.name)
             ],
--- a/worksmux/gossip/__init__.py
+++ b/worksmux/gossip/__init__.py
@@ -1,1 +1,6 @@
-"""Which fronts there are, alive, suspected or dead, and what is spread among them.  Free of I/O."""
+"""Membership of the fleet by gossip: which nodes are alive, suspected or dead. Free of I/O and clock.
+
+References: "SWIM" is Das, Gupta and Motivala, SWIM: Scalable Weakly-consistent Infection-style Process Group
+Membership Protocol (2002); "Lifeguard" is Dadgar, Phillips and Currey, Lifeguard: Local Health Awareness for
+More Accurate Failure Detection (2018).
+"""
--- a/worksmux/gossip/health.py
+++ b/worksmux/gossip/health.py
@@ -1,31 +1,31 @@
-"""A front's doubt of itself (Lifeguard, Dadgar, Phillips and Currey 2018): one that is slow or starved
-gives others more time before it accuses them.  Pure.
-"""
+"""The local health multiplier: a node that is slow itself gives others more time (Lifeguard, LHA-Probe).
+Pure."""
 
 from __future__ import annotations
 
-MOST = 8
+MAX_LEVEL = 8
 
 
-class Health:
-    """`level` 0: it has no reason to doubt itself.
+class LocalHealth:
+    """`level` 0 is healthy; each level above lengthens the timeouts that this node applies to others.
 
-    >>> health = Health(); health.worse(); health.worse(); health.better(); health.level, health.factor
+    >>> health = LocalHealth(); health.degrade(); health.degrade(); health.improve()
+    >>> health.level, health.timeout_multiplier
     (1, 2)
     """
 
     def __init__(self) -> None:
         self.level = 0
 
-    def worse(self, by: int = 1) -> None:
-        """A probe failed, a helper did not say so, it was accused itself, or its own clock rang late."""
-        self.level = min(MOST, self.level + by)
+    def degrade(self, by: int = 1) -> None:
+        """A probe failed, a helper did not answer, this node was suspected itself, or its own timer fired
+        late."""
+        self.level = min(MAX_LEVEL, self.level + by)
 
-    def better(self) -> None:
+    def improve(self) -> None:
         """A probe was answered in time."""
         self.level = max(0, self.level - 1)
 
     @property
-    def factor(self) -> int:
-        """Times its patience with others."""
+    def timeout_multiplier(self) -> int:
         return 1 + self.level
--- a/worksmux/gossip/members.py
+++ b/worksmux/gossip/members.py
@@ -1,139 +1,170 @@
-"""What is believed of each front: one rumour a front, the newer one wins.  Pure.
+"""What is known of each node: one membership update per node, of which the one with precedence wins. Pure.
 
-A front is known by its name.  Each start of it is a *life*, a number that grows; within a life it counts
-its own *beat* up to refute what is said of it or to tell that what it carries has changed.  Life and beat
-together are its incarnation.
+A node is known by its name. Each start of it has a generation, a number that grows. Within a generation the
+node raises its incarnation number to refute a suspicion, or to announce that its metadata changed (SWIM
+§4.2).
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from enum import IntEnum
-from typing import NamedTuple
 
 import msgspec
 import xxhash
 
-KEPT = 2  # times the fronts that are there: of those that are not, so many are kept
-LEAST_KEPT = 64
-MOST_FACTS = 16  # that one front may have carried along
-LONGEST = 200  # characters of a name, an address or a fact
+ABSENT_KEPT_RATIO = 2  # absent nodes that are remembered, as a multiple of those present
+MIN_ABSENT_KEPT = 64
+MAX_METADATA = 16  # entries of a node's metadata
+MAX_TEXT_LENGTH = 200  # characters of a name, an address, or a key or value of the metadata
+DIGEST_BUCKETS = 64  # nodes are compared bucket by bucket, by a hash of their names
+LEFT_PRECEDENCE = 2**62  # above any incarnation
 
 
-PARTS = 64  # of all rumours, by a hash of the name: compared one by one
+def bucket_of(name: str) -> int:
+    return xxhash.xxh3_64_intdigest(name.encode()) % DIGEST_BUCKETS
 
 
-def part_of(name: str) -> int:
-    return xxhash.xxh3_64_intdigest(name.encode()) % PARTS
-
-
-class State(IntEnum):
+class MemberState(IntEnum):
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
-    LEFT = 3  # it ended in order; this life of it does not come back
-
+    LEFT = 3  # it shut down in order; this generation does not come back
 
-class Incarnation(NamedTuple):
-    life: int
-    beat: int
 
-
-class Rumour(msgspec.Struct, frozen=True):
-    """What one front tells of another; `facts` are the versions and the like that this one has told of
-    itself."""
+class MembershipUpdate(msgspec.Struct, frozen=True):
+    """What one node tells of another, or of itself. `metadata` is what the node announces of itself."""
 
     name: str
-    life: int
-    beat: int
+    generation: int = msgspec.field(name="life")
+    incarnation: int = msgspec.field(name="beat")
     state: int
     address: str  # host:port of its listener for peers
     zone: str
     region: str
-    facts: dict[str, str] = {}
-    by: str = ""  # of a suspicion: who accuses
+    metadata: dict[str, str] = msgspec.field(default_factory=dict, name="facts")
+    accuser: str = msgspec.field(default="", name="by")  # the node that suspects it or found it dead
 
     @property
-    def rank(self) -> tuple[int, int, int]:
-        """The higher one is believed.  Of one incarnation the worse state wins: only the front itself may
-        take it back, by a higher beat.  Who has left stays so for that life."""
-        return (self.life, int(self.state == State.LEFT) * 2**62 + self.beat, self.state)
+    def precedence(self) -> tuple[int, int, int]:
+        """The higher one is believed (SWIM §4.2).
 
-    @property
-    def mark(self) -> int:
-        """A hash of who it is about and of its rank."""
-        return xxhash.xxh3_64_intdigest(repr((self.name, *self.rank)).encode())
+        Within an incarnation the worse state wins: only the node itself can refute it, by a higher
+        incarnation. A node that has left stays so for that generation.
+        """
+        has_left = self.state == MemberState.LEFT
+        return self.generation, (LEFT_PRECEDENCE if has_left else 0) + self.incarnation, self.state
 
-    def sound(self) -> bool:
-        """Whether its figures can be what they claim to be."""
-        texts = (self.name, self.address, self.zone, self.region, self.by, *self.facts, *self.facts.values())
+    @property
+    def digest(self) -> int:
+        return xxhash.xxh3_64_intdigest(repr((self.name, *self.precedence)).encode())
+
+    def is_valid(self) -> bool:
+        """Whether all values are in their range; what a peer sends may be anything."""
+        texts = (
+            self.name,
+            self.address,
+            self.zone,
+            self.region,
+            self.accuser,
+            *self.metadata,
+            *self.metadata.values(),
+        )
         return (
             bool(self.name)
-            and self.life > 0
-            and self.beat >= 0
-            and self.state in tuple(State)
-            and len(self.facts) <= MOST_FACTS
-            and all(len(text) <= LONGEST for text in texts)
+            and self.generation > 0
+            and self.incarnation >= 0
+            and self.state in tuple(MemberState)
+            and len(self.metadata) <= MAX_METADATA
+            and all(len(text) <= MAX_TEXT_LENGTH for text in texts)
         )
 
 
 @dataclass(slots=True)
 class Member:
-    """A front as it is believed to be; times of this front's own clock, milliseconds."""
+    """Another node as known here; times are milliseconds of this node's clock."""
 
-    rumour: Rumour
-    since: float  # in this state
-    accusers: set[str] = field(default_factory=set)  # who told, each on its own, that it is suspected
+    update: MembershipUpdate
+    state_since: float
+    accusers: set[str] = field(default_factory=set)  # nodes that suspect it, each on its own
     suspected_at: float = 0.0
 
     @property
     def name(self) -> str:
-        return self.rumour.name
+        return self.update.name
+
+    @property
+    def address(self) -> str:
+        return self.update.address
 
     @property
-    def state(self) -> State:
-        return State(self.rumour.state)
+    def state(self) -> MemberState:
+        return MemberState(self.update.state)
 
     @property
-    def there(self) -> bool:
-        """Alive as far as is agreed: a suspect is still asked and counted."""
-        return self.rumour.state <= State.SUSPECT
+    def is_present(self) -> bool:
+        """Alive or suspected: a suspect is still probed and counted."""
+        return self.update.state <= MemberState.SUSPECT
 
 
-class Members:
-    """All fronts but this one."""
+@dataclass(frozen=True, slots=True)
+class AppliedUpdate:
+    """`before` is None for a node that was not known."""
 
-    def __init__(self, me: str) -> None:
-        self.me = me
+    before: MembershipUpdate | None
+    member: Member
+
+
+class MemberList:
+    """All nodes but this one."""
+
+    def __init__(self) -> None:
         self.known: dict[str, Member] = {}
-        self.there: dict[str, Member] = {}  # those of them that are
+        self.present: dict[str, Member] = {}
         self.suspects: dict[str, Member] = {}
-        self.marks = [0] * PARTS  # of the rumours in each part, whatever their order
-
-    def take(self, rumour: Rumour, now: float) -> tuple[Rumour | None, Member] | None:
-        """What was believed before and what is now; None where the rumour is old news."""
-        old = self.known.get(rumour.name)
-        if old is not None and rumour.rank <= old.rumour.rank:
+        self.bucket_digests = [
+            0
+        ] * DIGEST_BUCKETS  # XOR of the updates' digests, so that order does not matter
+
+    def apply(self, update: MembershipUpdate, now: float) -> AppliedUpdate | None:
+        """Takes an update over; None if what is known has precedence."""
+        member = self.known.get(update.name)
+        if member is not None and update.precedence <= member.update.precedence:
             return None
-        before = old.rumour if old else None
-        self.marks[part_of(rumour.name)] ^= rumour.mark ^ (before.mark if before else 0)
-        if old is None or old.rumour.state != rumour.state or old.rumour.life != rumour.life:
-            old = self.known[rumour.name] = Member(rumour, now)
-        old.rumour = rumour
-        if rumour.state == State.ALIVE:
-            old.accusers.clear()
-        for group, within in ((self.there, old.there), (self.suspects, old.state == State.SUSPECT)):
-            if within:
-                group[rumour.name] = old
+        before = member.update if member else None
+        self.bucket_digests[bucket_of(update.name)] ^= update.digest ^ (before.digest if before else 0)
+        if member is None or before is None or _is_other_phase(before, update):
+            member = self.known[update.name] = Member(update, now)
+        member.update = update
+        if update.state == MemberState.ALIVE:
+            member.accusers.clear()
+        self._classify(member)
+        if len(self.known) - len(self.present) > max(MIN_ABSENT_KEPT, ABSENT_KEPT_RATIO * len(self.present)):
+            self._forget_absent()
+        return AppliedUpdate(before, member)
+
+    def _classify(self, member: Member) -> None:
+        """Keeps `present` and `suspects` in step with `known`."""
+        for group, belongs in (
+            (self.present, member.is_present),
+            (self.suspects, member.state == MemberState.SUSPECT),
+        ):
+            if belongs:
+                group[member.name] = member
             else:
-                group.pop(rumour.name, None)
-        if len(self.known) - len(self.there) > max(LEAST_KEPT, KEPT * len(self.there)):
-            self._forget()
-        return before, old
-
-    def _forget(self) -> None:
-        """Guards against a fleet that is replaced all day: of those gone only the latest stay known."""
-        gone = [member for member in self.known.values() if not member.there]
-        for member in sorted(gone, key=lambda member: member.since)[: len(gone) // 2]:
-            self.marks[part_of(member.name)] ^= member.rumour.mark
+                group.pop(member.name, None)
+
+    def _forget_absent(self) -> None:
+        """Forgets the absent nodes that have been so the longest.
+
+        Failure: in a fleet whose nodes are replaced all day under new names, memory and messages grow
+        without end.
+        """
+        absent = [member for member in self.known.values() if not member.is_present]
+        for member in sorted(absent, key=lambda member: member.state_since)[: len(absent) // 2]:
+            self.bucket_digests[bucket_of(member.name)] ^= member.update.digest
             del self.known[member.name]
+
+
+def _is_other_phase(before: MembershipUpdate, after: MembershipUpdate) -> bool:
+    return (before.state, before.generation) != (after.state, after.generation)
--- a/worksmux/gossip/messages.py
+++ b/worksmux/gossip/messages.py
@@ -1,63 +1,68 @@
-"""What fronts tell each other about who is there."""
+"""Messages between nodes. Tags and names of fields on the wire differ from those in the code.
+
+`updates` are membership updates that ride on a message; the sender's own comes first.
+"""
 
 from __future__ import annotations
 
 import msgspec
 
-from .members import Rumour
+from .members import MembershipUpdate
+
+NO_REPLY = -1  # as the generation in a Ping
 
 
 class Ping(msgspec.Struct, tag="ping"):
-    """Is this life of you there?  The sender's own rumour comes first."""
+    """Is this generation of you alive? `generation` is that of the receiver, or NO_REPLY."""
 
     number: int
-    life: int  # of who is meant; -1: no answer is wanted
-    rumours: list[Rumour] = []
+    generation: int = msgspec.field(name="life")
+    updates: list[MembershipUpdate] = msgspec.field(default_factory=list, name="rumours")
 
 
 class Ack(msgspec.Struct, tag="ack"):
     number: int
-    rumours: list[Rumour] = []
+    updates: list[MembershipUpdate] = msgspec.field(default_factory=list, name="rumours")
 
 
-class Ask(msgspec.Struct, tag="ask"):
-    """Ping that one for me."""
+class PingRequest(msgspec.Struct, tag="ask"):
+    """Ping `target` for me (SWIM §3.1, ping-req)."""
 
     number: int
     target: str
-    rumours: list[Rumour] = []
+    updates: list[MembershipUpdate] = msgspec.field(default_factory=list, name="rumours")
 
 
 class Nack(msgspec.Struct, tag="nack"):
-    """I am there, but have not heard from the one you asked for."""
+    """I am alive, but the target of your PingRequest has not answered me (Lifeguard, LHA-Probe)."""
 
     number: int
 
 
-class Same(msgspec.Struct, tag="same"):
-    """The digest of all that is believed: where it differs, both tell the parts that do."""
+class StateDigest(msgspec.Struct, tag="same"):
+    """A digest of all that the sender knows. If it differs, the receiver answers with BucketDigests."""
 
     digest: int
 
 
-class Parts(msgspec.Struct, tag="parts"):
-    """Digests of all that is believed, part by part."""
+class BucketDigests(msgspec.Struct, tag="parts"):
+    """A digest of each bucket. The receiver answers with the buckets that differ."""
 
-    marks: list[int]
+    digests: list[int] = msgspec.field(name="marks")
 
 
-class Some(msgspec.Struct, tag="some"):
-    """What is believed in the parts that differ; the same of those `wanted` is asked for."""
+class BucketState(msgspec.Struct, tag="some"):
+    """All that is known of some buckets; `wanted_buckets` are asked for in return."""
 
-    rumours: list[Rumour]
-    wanted: list[int] = []
+    updates: list[MembershipUpdate] = msgspec.field(name="rumours")
+    wanted_buckets: list[int] = msgspec.field(default_factory=list, name="wanted")
 
 
-class Everyone(msgspec.Struct, tag="everyone"):
-    """All that is believed; with `wanted` the same is asked for."""
+class FullState(msgspec.Struct, tag="everyone"):
+    """All that is known; `reply_wanted` asks for the same in return."""
 
-    rumours: list[Rumour]
-    wanted: bool = False
+    updates: list[MembershipUpdate] = msgspec.field(name="rumours")
+    reply_wanted: bool = msgspec.field(default=False, name="wanted")
 
 
-Message = Ping | Ack | Ask | Nack | Same | Parts | Some | Everyone
+Message = Ping | Ack | PingRequest | Nack | StateDigest | BucketDigests | BucketState | FullState
--- /dev/null
+++ b/worksmux/gossip/state_sync.py
@@ -0,0 +1,123 @@
+"""Full-state sync: joining by seeds, comparing all that is known, and meeting again after a partition.
+
+Dissemination alone reaches every node with high probability only. So from time to time two nodes compare
+digests and exchange the buckets that differ. Times are milliseconds.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from functools import reduce
+from math import inf
+from operator import xor
+
+from ..policy.measure import Chance
+from .inputs import MessageReceived
+from .members import DIGEST_BUCKETS, MembershipUpdate, MemberState, bucket_of
+from .membership import Membership
+from .messages import BucketDigests, BucketState, FullState, StateDigest
+from .outputs import Output
+
+COMPARE_PERIODS = 10.0  # between two comparisons with one other node
+RECONNECT_PERIODS = 6.0  # between two attempts to reach nodes that seem dead
+MAX_QUEUED_UPDATES = 40  # beyond it states are compared at once, as after a restart of the whole fleet
+BACKLOG_COMPARE_PERIODS = 2.0  # between two such comparisons
+
+
+class StateSync:
+    def __init__(
+        self,
+        membership: Membership,
+        seeds: Iterable[str],
+        period_ms: float,
+        random: Chance,
+        now: float,
+    ) -> None:
+        """`seeds` are addresses of nodes to join by."""
+        self.membership, self.seeds, self.period_ms, self.random = membership, list(seeds), period_ms, random
+        self.next_compare_at = now + period_ms * COMPARE_PERIODS * random.share()
+        self.next_reconnect_at = now
+        self.backlog_compared_at = -inf
+
+    def deadlines(self) -> list[float]:
+        return [self.next_compare_at, self.next_reconnect_at]
+
+    def tick(self, now: float, output: Output) -> None:
+        if self.next_compare_at <= now:
+            self._compare(output)
+            self.next_compare_at = now + COMPARE_PERIODS * self.period_ms
+        if self.next_reconnect_at <= now:
+            self.next_reconnect_at = now + RECONNECT_PERIODS * self.period_ms
+            self._reconnect(output)
+
+    def compare_on_backlog(self, now: float, output: Output) -> None:
+        """Compares states if more updates are queued than messages carry in reasonable time."""
+        compared_lately = now <= self.backlog_compared_at + BACKLOG_COMPARE_PERIODS * self.period_ms
+        if len(self.membership.queue) > MAX_QUEUED_UPDATES and not compared_lately:
+            self.backlog_compared_at = now
+            self._compare(output)
+
+    def _compare(self, output: Output) -> None:
+        for member in self.random.some(self.membership.members.present.values(), 1):
+            output.send_to(member, StateDigest(self.digest()))
+
+    def _reconnect(self, output: Output) -> None:
+        """Sends the full state to a node that seems dead and to seeds.
+
+        Failure: after a partition both halves hold each other for dead and never ping each other again. A
+        seed may also know nodes that are not known here. Before this node has joined, all seeds are asked.
+        """
+        known = self.membership.members.known.values()
+        dead = [member for member in known if member.state == MemberState.DEAD]
+        reached = {member.address for member in known if member.is_present} | {self.membership.me.address}
+        unreached_seeds = [address for address in self.seeds if address not in reached]
+        request = FullState(self.membership.all_updates(), reply_wanted=True)
+        for member in self.random.some(dead, 1):
+            output.send_to(member, request)
+        if self.membership.joined:
+            unreached_seeds = self.random.some(unreached_seeds, 1)
+        for address in unreached_seeds:
+            output.send("", address, request)
+
+    def digest(self) -> int:
+        """A digest of all that is known, this node's own state included."""
+        return reduce(xor, self._bucket_digests())
+
+    def _bucket_digests(self) -> list[int]:
+        digests = list(self.membership.members.bucket_digests)
+        me = self.membership.me
+        digests[bucket_of(me.name)] ^= me.digest
+        return digests
+
+    def _updates_in(self, buckets: list[int]) -> list[MembershipUpdate]:
+        wanted = set(buckets)
+        return [update for update in self.membership.all_updates() if bucket_of(update.name) in wanted]
+
+    def on_state_digest(self, received: MessageReceived, digest: int, output: Output) -> None:
+        if digest != self.digest():
+            output.send(received.sender, received.address, BucketDigests(self._bucket_digests()))
+
+    def on_bucket_digests(self, received: MessageReceived, digests: list[int], output: Output) -> None:
+        """Sends and asks for the buckets that differ.
+
+        Failure: while messages get lost some update is always under way, and two nodes hardly ever know the
+        same. A full exchange each time would cost the more the larger the fleet.
+        """
+        if len(digests) != DIGEST_BUCKETS:
+            return
+        own = self._bucket_digests()
+        differing = [bucket for bucket in range(DIGEST_BUCKETS) if own[bucket] != digests[bucket]]
+        if differing:
+            reply = BucketState(self._updates_in(differing), differing)
+            output.send(received.sender, received.address, reply)
+
+    def on_bucket_state(self, received: MessageReceived, state: BucketState, output: Output) -> None:
+        if state.wanted_buckets:
+            reply = BucketState(self._updates_in(state.wanted_buckets))
+            output.send(received.sender, received.address, reply)
+
+    def on_full_state(self, received: MessageReceived, state: FullState, output: Output) -> None:
+        self.membership.joined = True
+        if state.reply_wanted:
+            reply = FullState(self.membership.all_updates())
+            output.send(received.sender, received.address, reply)
--- a/worksmux/simulation/peers.py
+++ b/worksmux/simulation/peers.py
@@ -3,9 +3,11 @@
 
 from __future__ import annotations
 
-from ..gossip.members import Rumour, State
+from ..gossip.inputs import Input, Leave, MessageReceived, Tick
+from ..gossip.members import MembershipUpdate, MemberState
 from ..gossip.messages import Message
-from ..gossip.swim import Changed, Fact, Heard, Leave, Outlived, Swim, Tick, What
+from ..gossip.outputs import Event, MemberChanged, Superseded
+from ..gossip.swim import Swim
 from ..policy.measure import mix
 from ..scenarios.engines import hash_of
 from .sim import Sim, Timer
@@ -17,24 +19,24 @@
 
     def __init__(self, world: World, name: str, life: int, seeds: list[str], address: str = "") -> None:
         self.world, self.name, self.address = world, name, address or name
-        me = Rumour(name, life, 0, State.ALIVE, self.address, world.zone_of(name), "")
+        me = MembershipUpdate(name, life, 0, MemberState.ALIVE, self.address, world.zone_of(name), "")
         self.swim = Swim(me, seeds, world.period, mix(world.seed, hash_of(name) + life), world.sim.now)
-        self.facts: list[tuple[float, Fact]] = []
+        self.facts: list[tuple[float, Event]] = []
         self.timer: Timer | None = None
         self.frozen = False
         self.unheard: list[tuple[str, tuple[str, Message]]] = []
         world.wire.listen(self.address, self.take)
         self.step(Tick())
 
-    def step(self, what: What) -> None:
+    def step(self, what: Input) -> None:
         out = self.swim.step(self.world.sim.now, what)
-        for post in out.posts:
+        for post in out.messages:
             self.world.wire.send(self.address, post.address, (self.name, post.message))
-        for fact in out.facts:
+        for fact in out.events:
             self.facts.append((self.world.sim.now, fact))
-            if isinstance(fact, Changed):
+            if isinstance(fact, MemberChanged):
                 self.world.told.append((self.world.sim.now, self.name, fact))
-            if isinstance(fact, Outlived):
+            if isinstance(fact, Superseded):
                 self.stop()
                 return
         self.rest()
@@ -54,7 +56,7 @@
             self.unheard.append((sender, told))
             return
         name, message = told
-        self.step(Heard(name, sender, message))
+        self.step(MessageReceived(name, sender, message))
 
     def freeze(self) -> None:
         self.frozen = True
@@ -78,7 +80,7 @@
         if self.world.peers.get(self.name) is self:
             del self.world.peers[self.name]
 
-    def believes(self) -> dict[str, State]:
+    def believes(self) -> dict[str, MemberState]:
         return {name: member.state for name, member in self.swim.members.known.items()}
 
 
@@ -91,7 +93,7 @@
         self.seed, self.period, self.zones = seed, period, zones
         self.wire = Wire(self.sim, seed, weather)
         self.peers: dict[str, Peer] = {}
-        self.told: list[tuple[float, str, Changed]] = []
+        self.told: list[tuple[float, str, MemberChanged]] = []
 
     def zone_of(self, name: str) -> str:
         return f"z{hash_of(name) % self.zones}"
@@ -109,7 +111,8 @@
         now."""
         names = set(self.peers)
         return all(
-            {name for name, state in peer.believes().items() if state <= State.SUSPECT} == names - {peer.name}
+            {name for name, state in peer.believes().items() if state <= MemberState.SUSPECT}
+            == names - {peer.name}
             for peer in self.peers.values()
         )
 
