--- a/benchmarks/accounting.py
+++ b/benchmarks/accounting.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from worksmux.config_audit.audit_log import Account, Record, Version, faults
-from worksmux.config_audit.gather import Accounts
+from worksmux.config_audit.audit_log import AuditLog, AuditRecord, Version, chain_faults
+from worksmux.config_audit.fleet_audit import FleetAudit
 from worksmux.storage.database import open_store
 from worksmux.storage.writer import Writer
 
@@ -23,19 +23,19 @@
     with tempfile.TemporaryDirectory() as folder:
         store = open_store(Path(folder) / "account.db")
         writer = Writer(store, 0.25, print)
-        account, kept = Account(), []
+        account, kept = AuditLog(), []
         start, own = time.perf_counter(), time.process_time()
-        kept.append(account.begins(0.0, 0.0, 1))
+        kept.append(account.record_start(0.0, 0.0, 1))
         for number in range(requests):
             if number % 200 == 0:
                 plan = Version(number, f"{number:016x}")
-                line = account.acts_on(float(number), float(number), {"plan": plan})
+                line = account.record_versions(float(number), float(number), {"plan": plan})
                 if line is not None:
                     kept.append(line)
             for attempt in (0, 1, -1):
-                account.decides(f"front-1-1a2b3c4d.{number}", attempt, float(number))
+                account.record_decision(f"front-1-1a2b3c4d.{number}", attempt, float(number))
             if number % 100 == 99:
-                kept += account.pages(float(number), float(number))
+                kept += account.flush_decisions(float(number), float(number))
         encoded = [msgspec.msgpack.encode(record) for record in kept]
         for at, data in enumerate(encoded):
             writer.put("account", f"{at:015d}", data)
@@ -48,11 +48,11 @@
             f"{len(kept)} records, {size / requests:.0f} bytes a job, {disk / 1e6:.0f} MB on disk"
         )
         start = time.perf_counter()
-        records = [msgspec.msgpack.decode(data, type=Record) for data in encoded]
-        accounts = Accounts()
-        accounts.take("front-1", records)
+        records = [msgspec.msgpack.decode(data, type=AuditRecord) for data in encoded]
+        accounts = FleetAudit()
+        accounts.add("front-1", records)
         spans = accounts.spans("front-1", 1e12)
-        assert not faults(records)
+        assert not chain_faults(records)
         print(f"read, checked and laid out in {time.perf_counter() - start:.2f} s: {len(spans)} spans")
 
 
--- a/worksmux/config_audit/__init__.py
+++ b/worksmux/config_audit/__init__.py
@@ -1,1 +1,5 @@
-"""What fronts act on: a chained account of each, and what several of them add up to.  Free of I/O."""
+"""Which node acted on which version of its configuration: a chained audit log per node, and what several
+add up to.
+
+Free of I/O.
+"""
--- a/worksmux/config_audit/copies.py
+++ b/worksmux/config_audit/copies.py
@@ -1,8 +1,9 @@
-"""Who keeps copies of whose account, and what is asked for: so that any front answers for all, the dead too.
+"""Copies of audit logs on other nodes, so that any node can answer for all, also for those that are gone.
 Free of I/O.
 
-Each front's keepers are the first `KEEPERS` of all names by a hash of both, whether they are there or not, so
-that all agree on them without a word; one that is gone is asked in vain, one that comes asks anew.
+The holders of a node's copies are the first of all other nodes by a hash of both names (rendezvous
+hashing), whether they are present or not. So all nodes agree on them without a message; a holder that comes
+back asks for what it lacks.
 """
 
 from __future__ import annotations
@@ -12,48 +13,54 @@
 import msgspec
 import xxhash
 
-KEEPERS = 2
-MOST = 200  # records in one answer
-MOST_BYTES = 300_000
+COPIES_PER_NODE = 2
+MAX_RECORDS_PER_REPLY = 200
+MAX_REPLY_BYTES = 300_000
+COPY_QUERY = 0  # the query number of a request that fetches records for a copy
 
 
-class Want(msgspec.Struct, tag="want"):
-    """The records of a front's account after an index, as far as the one asked has them."""
+class CopyRequest(msgspec.Struct, tag="want"):
+    """Asks for the records of a node's log after an index, as far as the receiver has them."""
 
-    front: str
-    after: int
-    number: int = 0  # of a question that is waited for; 0: for a copy
+    node: str = msgspec.field(name="front")
+    after_index: int = msgspec.field(name="after")
+    query_number: int = msgspec.field(default=COPY_QUERY, name="number")
 
 
-class Have(msgspec.Struct, tag="have"):
-    front: str
-    after: int
+class CopyReply(msgspec.Struct, tag="have"):
+    """`records` are encoded; `last_index` is the newest that the sender has."""
+
+    node: str = msgspec.field(name="front")
+    after_index: int = msgspec.field(name="after")
     records: list[bytes]
-    last: int  # the newest that the one asked has
-    number: int = 0
+    last_index: int = msgspec.field(name="last")
+    query_number: int = msgspec.field(default=COPY_QUERY, name="number")
 
 
-Message = Want | Have
+Message = CopyRequest | CopyReply
 
 
-def keepers(front: str, fronts: Iterable[str]) -> list[str]:
-    """
-    >>> all(len(keepers(name, "abcd")) == 2 and name not in keepers(name, "abcd") for name in "abcd")
+def copy_holders(node: str, nodes: Iterable[str]) -> list[str]:
+    """The nodes that hold copies of a node's log.
+
+    >>> holders = {node: copy_holders(node, "abcd") for node in "abcd"}
+    >>> all(len(found) == COPIES_PER_NODE and node not in found for node, found in holders.items())
     True
     """
-    others = sorted(
-        set(fronts) - {front}, key=lambda name: xxhash.xxh3_64_intdigest(f"{front}\0{name}".encode())
-    )
-    return others[:KEEPERS]
+
+    def score(other: str) -> int:
+        return xxhash.xxh3_64_intdigest(f"{node}\0{other}".encode())
+
+    return sorted(set(nodes) - {node}, key=score)[:COPIES_PER_NODE]
 
 
-def page(records: list[bytes]) -> list[bytes]:
-    """As many as fit into one answer, one at least."""
-    found: list[bytes] = []
+def first_page(records: list[bytes]) -> list[bytes]:
+    """As many records as fit into one reply, but at least one if there is any."""
+    page: list[bytes] = []
     size = 0
-    for data in records[:MOST]:
-        size += len(data)
-        if found and size > MOST_BYTES:
+    for record in records[:MAX_RECORDS_PER_REPLY]:
+        size += len(record)
+        if page and size > MAX_REPLY_BYTES:
             break
-        found.append(data)
-    return found
+        page.append(record)
+    return page
--- a/worksmux/gateway/fleet/audit_log_keeper.py
+++ b/worksmux/gateway/fleet/audit_log_keeper.py
@@ -14,9 +14,9 @@
 import msgspec
 import structlog
 
-from ...config_audit.audit_log import Account, Record, Version, faults
-from ...config_audit.copies import Have, Message, Want, keepers, page
-from ...config_audit.gather import Accounts
+from ...config_audit.audit_log import AuditLog, AuditRecord, Version, chain_faults
+from ...config_audit.copies import CopyReply, CopyRequest, Message, copy_holders, first_page
+from ...config_audit.fleet_audit import FleetAudit
 from ...net import clock
 from ...net.loop import Reactor
 from ...storage.database import open_store
@@ -67,14 +67,14 @@
             self.sizes[front] = sum(map(len, self.kept[front].values()))
         self.kept.setdefault(self.name, {})
 
-    def _go_on(self) -> Account:
-        records = [msgspec.msgpack.decode(data, type=Record) for data in self.kept[self.name].values()]
-        for fault in faults(records):
+    def _go_on(self) -> AuditLog:
+        records = [msgspec.msgpack.decode(data, type=AuditRecord) for data in self.kept[self.name].values()]
+        for fault in chain_faults(records):
             LOG.error("the account is broken", after=fault.index, why=fault.text)
-        return Account(records[-1] if records else None)
+        return AuditLog(records[-1] if records else None)
 
     def start(self, life: int) -> None:
-        self._add(self.account.begins(clock.wall(), clock.now(), life))
+        self._add(self.account.record_start(clock.wall(), clock.now(), life))
         self.reactor.callLater(EVERY / 1000, self._round)
 
     def close(self) -> None:
@@ -86,18 +86,18 @@
     # This front's own.
 
     def acts_on(self, versions: dict[str, Version]) -> None:
-        record = self.account.acts_on(clock.wall(), clock.now(), versions)
+        record = self.account.record_versions(clock.wall(), clock.now(), versions)
         if record is not None:
             self._add(record)
 
-    def _add(self, record: Record) -> None:
+    def _add(self, record: AuditRecord) -> None:
         self._keep(self.name, record.index, msgspec.msgpack.encode(record))
 
     def _pages(self) -> None:
         wall, steady = clock.wall(), clock.now()
-        for record in self.account.pages(wall, steady):
+        for record in self.account.flush_decisions(wall, steady):
             self._add(record)
-        if (quiet := self.account.still(wall, steady, QUIET)) is not None:
+        if (quiet := self.account.heartbeat(wall, steady, QUIET)) is not None:
             self._add(quiet)
 
     def _keep(self, front: str, index: int, data: bytes) -> None:
@@ -117,8 +117,8 @@
         self._pages()
         names = self.fronts()
         for front in names:
-            if front != self.name and self.name in keepers(front, names):
-                self.send(front, Want(front, self._newest(front)))
+            if front != self.name and self.name in copy_holders(front, names):
+                self.send(front, CopyRequest(front, self._newest(front)))
 
     def _newest(self, front: str) -> int:
         return max(self.kept.get(front, {}), default=0)
@@ -127,11 +127,11 @@
 
     def heard(self, name: str, message: Message) -> None:
         match message:
-            case Want(front, after, number):
+            case CopyRequest(front, after, number):
                 kept = self._on_disk(front)
-                records = page([data for index, data in kept.items() if index > after])
-                self.send(name, Have(front, after, records, max(kept, default=0), number))
-            case Have(front, _, records, last, number):
+                records = first_page([data for index, data in kept.items() if index > after])
+                self.send(name, CopyReply(front, after, records, max(kept, default=0), number))
+            case CopyReply(front, _, records, last, number):
                 self._have(name, front, records, last, number)
 
     def _on_disk(self, front: str) -> dict[int, bytes]:
@@ -147,14 +147,14 @@
             return  # of itself a front believes its own disk alone
         for data in records:
             try:
-                index = msgspec.msgpack.decode(data, type=Record).index
+                index = msgspec.msgpack.decode(data, type=AuditRecord).index
             except msgspec.DecodeError:
                 LOG.warning("a copied record cannot be read", of=front, by=name)
                 return
             if index not in self.kept.get(front, {}):
                 self._keep(front, index, data)
         if number and records and self._newest(front) < last:
-            self.send(name, Want(front, self._newest(front), number))
+            self.send(name, CopyRequest(front, self._newest(front), number))
         elif number:
             self._answered(number, f"{name} {front}")
 
@@ -167,10 +167,10 @@
         self.number += 1
         asked: set[str] = set()
         for front in names:
-            for other in {front, *keepers(front, names)} - {self.name}:
+            for other in {front, *copy_holders(front, names)} - {self.name}:
                 if front != self.name:
                     asked.add(f"{other} {front}")
-                    self.send(other, Want(front, self._newest(front), self.number))
+                    self.send(other, CopyRequest(front, self._newest(front), self.number))
         self._pages()
         self.asking[self.number] = asked, then
         if not asked:
@@ -189,10 +189,10 @@
         if found is not None and not self.ended:
             found[1]()
 
-    def accounts(self) -> Accounts:
-        found = Accounts()
+    def accounts(self) -> FleetAudit:
+        found = FleetAudit()
         for front, kept in self.kept.items():
-            found.take(front, [msgspec.msgpack.decode(data, type=Record) for data in kept.values()])
+            found.add(front, [msgspec.msgpack.decode(data, type=AuditRecord) for data in kept.values()])
         return found
 
     def told(self, at: float | None, request: str) -> dict[str, Any]:
@@ -203,23 +203,23 @@
                 "job": request,
                 "decisions": [
                     {
-                        "front": front,
-                        "trip": one.attempt,
-                        "at": one.at,
-                        "line": one.line,
-                        "versions": msgspec.to_builtins(versions),
+                        "front": one.node,
+                        "trip": one.decision.attempt,
+                        "at": one.decision.at_ms,
+                        "line": one.decision.versions_number,
+                        "versions": msgspec.to_builtins(one.versions),
                     }
-                    for front, one, versions in accounts.explain(request)
+                    for one in accounts.explain(request)
                 ],
             }
         fronts = sorted(accounts.records)
         spans = (
-            accounts.at(at).values()
+            accounts.spans_at(at).values()
             if at is not None
             else [span for front in fronts for span in accounts.spans(front, until)]
         )
         return {
             "fronts": fronts,
             "spans": [msgspec.to_builtins(span) for span in spans],
-            "findings": [msgspec.to_builtins(one) for one in accounts.faults()],
+            "findings": [msgspec.to_builtins(one) for one in accounts.findings()],
         }
--- a/worksmux/gateway/fleet/peering.py
+++ b/worksmux/gateway/fleet/peering.py
@@ -419,7 +419,7 @@
         self.keeper.acts_on(self.holding.versions(self.plan, alone, self.core.engine_list.keeper))
 
     def _decided(self, request: str, attempt: int) -> None:
-        self.keeper.account.decides(request, attempt, clock.wall())
+        self.keeper.account.record_decision(request, attempt, clock.wall())
 
     def acts_on(self) -> str:
         return f"{self.plan.number} alone" if self.alone else str(self.plan.number)
