--- a/tests/test_config_audit.py
+++ b/tests/test_config_audit.py
@@ -1,4 +1,4 @@
-"""FleetAudit of what fronts acted on: chains that show every hole, and what several of them add up to."""
+"""Audit logs: faults of the chain are found, and several logs add up without guessing."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 ONE, TWO = Version(1, "aa"), Version(2, "bb")
 
 
-def account(steps: int = 6) -> list[AuditRecord]:
-    """A start, then lines and pages of jobs by turns, a second apart."""
+def audit_log(steps: int = 6) -> list[AuditRecord]:
+    """A start, then versions and decisions in turns, a second apart."""
     log = AuditLog()
     found = [log.record_start(0.0, 0.0, 1)]
     for at in range(1, steps):
@@ -37,7 +37,7 @@
     return found
 
 
-def test_line_is_added_where_a_version_changes_and_only_there() -> None:
+def test_versions_are_recorded_only_if_one_changes() -> None:
     log = AuditLog()
     log.record_start(0.0, 0.0, 1)
     first = log.record_versions(1.0, 1.0, {"plan": ONE})
@@ -51,8 +51,8 @@
     assert second.body.number > first.body.number and second.previous_digest == first.digest
 
 
-def test_lines_of_a_later_start_share_no_number_with_earlier_ones() -> None:
-    records = account(8)
+def test_versions_numbers_are_not_reused_after_a_restart() -> None:
+    records = audit_log(8)
     log = AuditLog(records[-1])
     log.record_start(1e6, 0.0, 2)
     line = log.record_versions(1e6 + 1, 1.0, {"plan": ONE})
@@ -62,7 +62,7 @@
     }
 
 
-def test_quiet_front_says_that_it_goes_on() -> None:
+def test_heartbeat_is_recorded_after_a_quiet_interval() -> None:
     log = AuditLog()
     log.record_start(0.0, 0.0, 1)
     assert log.heartbeat(100.0, 100.0, 500.0) is None
@@ -72,14 +72,15 @@
     )
 
 
-def test_whole_chain_has_no_fault() -> None:
-    assert not chain_faults(account(20))
-    assert not chain_faults(account(20)[7:])  # nor one whose oldest part was let go
+def test_intact_chain_has_no_fault() -> None:
+    assert not chain_faults(audit_log(20))
+    assert not chain_faults(audit_log(20)[7:])  # nor one whose oldest records were removed
 
 
 @given(st.integers(2, 12), st.data())
-def test_any_record_that_is_missing_changed_or_twice_is_found(steps: int, data: st.DataObject) -> None:
-    records = account(steps + 2)
+def test_missing_changed_repeated_or_swapped_records_are_found(steps: int, data: st.DataObject) -> None:
+    """Someone edits the log on disk, or the disk loses a part of it."""
+    records = audit_log(steps + 2)
     at = data.draw(st.integers(1, len(records) - 2))
     how = data.draw(st.sampled_from(["missing", "wall", "body", "twice", "swapped"]))
     one = records[at]
@@ -97,14 +98,16 @@
     assert chain_faults(records)
 
 
-def test_chain_without_its_digest_hides_a_change() -> None:
-    """A reader that trusts indices alone is found: this is what the digest is for."""
-    records = account(6)
+def test_changed_record_is_found_though_indices_are_complete() -> None:
+    """The content of a record is changed while all indices stay in order; only the digest shows it."""
+    records = audit_log(6)
     records[2] = msgspec.structs.replace(records[2], body=ProcessStart(9))
     assert [record.index for record in records] == list(range(1, 7)) and chain_faults(records)
 
 
-def test_wall_clock_that_stepped_is_named_and_a_restart_is_none() -> None:
+def test_wall_clock_step_is_found_and_a_restart_is_not_one() -> None:
+    """The wall clock jumps by 94 s while the process runs; later the process restarts, and its monotonic
+    clock with it."""
     log = AuditLog()
     records = [log.record_start(0.0, 0.0, 1)]
     records += [
@@ -117,7 +120,8 @@
     assert len(chain_faults(records)) == 1
 
 
-def test_what_waits_to_be_written_stays_bounded() -> None:
+def test_pending_decisions_are_bounded() -> None:
+    """The disk is slow, and decisions come faster than they are written."""
     log = AuditLog()
     log.record_start(0.0, 0.0, 1)
     for at in range(3 * MAX_DECISIONS_PER_RECORD):
@@ -137,8 +141,8 @@
     return found
 
 
-def test_accounts_add_up_whatever_their_order_and_however_often_they_come() -> None:
-    records = account(9)
+def test_records_may_come_in_any_order_and_repeatedly() -> None:
+    records = audit_log(9)
     whole = gathered(a=records)
     parts = FleetAudit()
     for piece in (records[5:], records[:3], records[2:7], records[:3]):
@@ -146,8 +150,9 @@
     assert parts.spans("a", 1e5) == whole.spans("a", 1e5) and not parts.findings()
 
 
-def test_gap_is_a_gap_and_is_named() -> None:
-    records = account(9)
+def test_missing_records_are_reported_as_an_unknown_span() -> None:
+    """Two records of a node are lost. What it acted on meanwhile must not be guessed from its neighbours."""
+    records = audit_log(9)
     found = gathered(a=records[:4] + records[6:])
     spans = found.spans("a", 8000.0)
     assert any(span.versions is None and (span.since, span.until) == (3000.0, 6000.0) for span in spans)
@@ -155,15 +160,16 @@
     assert found.spans_at(4500.0)["a"].versions is None
 
 
-def test_after_its_last_record_nothing_is_known_of_a_front() -> None:
-    found = gathered(a=account(4))
+def test_nothing_is_known_after_the_last_record() -> None:
+    found = gathered(a=audit_log(4))
     assert found.spans_at(1e9)["a"].versions is None
     held = found.spans_at(2500.0)["a"].versions
     assert held is not None and held["plan"].number == 1
 
 
-def test_time_between_two_starts_is_not_known() -> None:
-    records = account(4)
+def test_time_between_a_crash_and_the_next_start_is_unknown() -> None:
+    """A process is killed at an unknown time, and another one starts a minute after the last record."""
+    records = audit_log(4)
     log = AuditLog(records[-1])
     records.append(log.record_start(60_000.0, 0.0, 2))
     line = log.record_versions(61_000.0, 1000.0, {"plan": TWO})
@@ -172,7 +178,8 @@
     assert found.spans_at(30_000.0)["a"].versions is None and not found.findings()
 
 
-def test_same_number_with_other_content_is_named_and_never_merged() -> None:
+def test_one_version_with_two_contents_is_reported() -> None:
+    """Two nodes hold different contents under the same version number."""
     accounts = {}
     for name, version in (("a", Version(7, "x")), ("b", Version(7, "y"))):
         log = AuditLog()
@@ -184,8 +191,9 @@
     assert {span.front for span in found.spans_of_version("settings", 7)} == {"a", "b"}
 
 
-def test_disk_put_back_from_earlier_shows_as_two_records_under_one_number() -> None:
-    records = account(6)
+def test_disk_restored_from_a_backup_is_reported() -> None:
+    """A disk is restored from a backup, and the node goes on under record numbers that it had used before."""
+    records = audit_log(6)
     log = AuditLog(records[2])
     other = log.record_versions(9e4, 9e4, {"plan": TWO})
     assert other is not None
@@ -194,7 +202,7 @@
     assert any("two records" in finding.text for finding in found.findings())
 
 
-def test_request_is_explained_over_its_fronts_with_the_versions_of_each_decision() -> None:
+def test_request_is_explained_with_the_versions_of_each_decision() -> None:
     log = AuditLog()
     records = [log.record_start(0.0, 0.0, 1)]
     for at, version in ((1.0, ONE), (2.0, TWO)):
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -1,5 +1,4 @@
-"""The council: one leader a term, logs agree, nothing acknowledged is lost, reads are never old; each of
-these is shown able to fail by a core that is wrong on purpose."""
+"""Safety of Raft under faults, in simulated time; broken cores show that each check can fail."""
 
 from __future__ import annotations
 
@@ -16,7 +15,7 @@
 from worksmux.policy.measure import Chance
 from worksmux.simulation.consensus import Broken, CouncilWorld, Make, SeatInTime, storm
 
-SAMPLE = 60  # storms in CI; thousands are played by benchmarks/council_storms.py
+STORMS = 60
 
 
 def first_break(
@@ -26,7 +25,7 @@
     fragile: float = 0.04,
     say: Callable[[str], bool] = bool,
 ) -> str:
-    """What breaks first with a wrong core; empty where nothing does in all these storms."""
+    """What breaks first with a core, among the reports that `say` accepts; empty if nothing does."""
     for seed in range(seeds):
         try:
             storm(seed, make, patient=patient, fragile=fragile)
@@ -34,44 +33,58 @@
             if say(str(broken)):
                 return str(broken)
         except AssertionError:
-            pass  # it also may no longer find a leader
+            pass  # a broken core may also find no leader
     return ""
 
 
 @pytest.mark.parametrize("block", range(4))
-def test_all_invariants_hold_in_storms(block: int) -> None:
+def test_safety_holds_under_random_faults(block: int) -> None:
+    """Loss, duplicates, reordering, partitions, crashes, frozen processes and snapshots, all at random.
+
+    In every run there is one leader a term, logs agree, no acknowledged entry is lost and no read is stale.
+    """
     acknowledged = reads = 0
-    for seed in range(block * SAMPLE // 4, (block + 1) * SAMPLE // 4):
+    for seed in range(block * STORMS // 4, (block + 1) * STORMS // 4):
         world = storm(seed)
         acknowledged += len(world.acknowledged)
         reads += world.read_count
-    assert acknowledged and reads  # something was there to be lost
+    assert acknowledged and reads  # else there was nothing to lose
 
 
-# Wrong on purpose.
+# Cores that break one rule.
 
 
 class VotesTwice(Raft):
+    """More than one vote a term (Raft §5.2)."""
+
     def _may_vote_for(self, candidate: str) -> bool:
         return True
 
 
 class VotesForAnyLog(Raft):
+    """Votes for candidates that lack committed entries (Raft §5.4.1)."""
+
     def _log_is_up_to_date(self, request: RequestVote) -> bool:
         return True
 
 
 class ReadsWithoutLease(Raft):
+    """Reads without confirming that it still leads (thesis §6.4)."""
+
     def holds_lease(self, now: float) -> bool:
         return self.role is Role.LEADER
 
 
-class AgreesAlone(Raft):
+class CommitsAlone(Raft):
+    """Commits what it alone has on disk (Raft §5.3)."""
+
     def _quorum_match_index(self) -> int:
         return self.synced_index
 
 
 class VotesDespiteLeader(Raft):
+    """Votes while it hears from a leader (thesis §4.2.3)."""
+
     def _on_request_vote(self, now: float, sender: str, request: RequestVote, output: Output) -> None:
         expired = now - 2 * self.timing.election_timeout_ms
         self.leader_contact_at = min(self.leader_contact_at, expired)
@@ -84,20 +97,29 @@
         (VotesTwice, "two leaders in term"),
         (VotesForAnyLog, ""),
         (ReadsWithoutLease, "was acknowledged"),
-        (AgreesAlone, ""),
+        (CommitsAlone, ""),
     ],
 )
-def test_wrong_core_is_found(make: Make, told: str) -> None:
+def test_random_faults_reveal_a_broken_core(make: Make, told: str) -> None:
+    """Each core breaks one rule of Raft on purpose; the random faults must show that."""
     assert told in (found := first_break(make, say=lambda text: told in text)) and found
 
 
-def test_shell_that_sends_before_it_has_written_is_found() -> None:
+def test_random_faults_reveal_messages_sent_before_the_write() -> None:
+    """A caller sends messages before the writes they rest on are on disk, and the power fails in between.
+
+    A server then forgets a vote or an entry that it has acknowledged.
+    """
     assert first_break(Raft, patient=False, fragile=0.5)
 
 
 @pytest.mark.parametrize("make", [Raft, VotesDespiteLeader])
-def test_seat_that_hears_the_leader_votes_for_no_other_while_its_lease_runs(make: Make) -> None:
-    """One pair alone is cut: the leader, still followed by the third seat, reads by its lease."""
+def test_no_vote_is_granted_while_a_leader_lease_may_run(make: Make) -> None:
+    """The link between the leader and one voter is cut; the third voter still hears both.
+
+    The leader goes on reading by its lease. If the third voter granted its vote to the one that is cut off,
+    that one would commit entries which the reads of the old leader miss.
+    """
     world = CouncilWorld(3, make=make)
     leader = world.led()
     far = next(name for name in world.seats if name != leader.name)
@@ -117,10 +139,14 @@
     assert stale == (make is VotesDespiteLeader)
 
 
-# Single matters.
+# Single rules.
+
 
+def test_voter_back_from_a_partition_does_not_depose_the_leader() -> None:
+    """A voter is cut off for 10 s and its elections time out over and over.
 
-def test_seat_that_was_cut_off_does_not_disturb_the_leader() -> None:
+    With pre-votes its term stays, so the leader and its term survive when the voter is back.
+    """
     world = CouncilWorld(3)
     leader = world.led()
     assert leader.raft is not None
@@ -133,7 +159,8 @@
     assert world.led() is leader and leader.raft.term == term
 
 
-def test_leader_without_majority_steps_down_and_reads_no_more() -> None:
+def test_leader_without_majority_steps_down_and_rejects_reads() -> None:
+    """The leader is cut off with one voter of five. It must reject reads: the others elect another one."""
     world = CouncilWorld(5)
     leader = world.led()
     some = [leader.name, next(name for name in world.seats if name != leader.name)]
@@ -147,8 +174,10 @@
 
 
 def leaderless_time(seed: int, pause: float) -> float:
-    """Milliseconds from a cut around the leader until the others have a leader that they follow, where each
-    of their processes stands still for up to `pause` milliseconds, goes on for some, and so on."""
+    """Milliseconds from when the leader is cut off until the others follow a new one.
+
+    Each of their processes freezes for up to `pause` milliseconds, runs for a while, and so on.
+    """
     world = CouncilWorld(3, seed)
     old, chance = world.led(), Chance(seed + 5)
     others = [seat for seat in world.seats.values() if seat is not old]
@@ -178,15 +207,22 @@
     return world.sim.now - start
 
 
-def test_majority_outlasts_its_leases_without_a_leader_only_where_its_processes_starve() -> None:
-    """A front whose lease ends acts alone, as it must: on a machine without processor time so does one of a
-    majority.  There are never two leaders in a term, which the world looks at as it goes."""
-    lease = 4.0 * RaftTiming(60.0, 400.0).election_timeout_ms  # as the fleet's tests have it
+def test_new_leader_comes_within_the_lease_unless_processes_starve() -> None:
+    """The leader is cut off. The others elect a new one within half a lease of the replicas.
+
+    If their processes stand still again and again, as on a machine without processor time, it may take
+    longer than a lease, and their nodes act alone meanwhile. There are never two leaders in a term, which
+    the simulation checks.
+    """
+    lease = 4.0 * RaftTiming(60.0, 400.0).election_timeout_ms  # as in the fleet's tests
     assert max(leaderless_time(seed, 0.0) for seed in range(40)) < lease / 2
     assert max(leaderless_time(seed, 300.0) for seed in range(40)) > lease
 
 
-def test_leader_frozen_beyond_its_lease_reads_nothing_old() -> None:
+def test_leader_frozen_beyond_its_lease_answers_no_stale_read() -> None:
+    """A leader is frozen, another one is elected and commits an entry. Then the old leader goes on, and is
+    asked to read before its first tick.
+    """
     world = CouncilWorld(3)
     old = world.led()
     old.freeze()
@@ -194,12 +230,12 @@
     world.propose(new.name)
     world.run(500.0)
     assert world.acknowledged
-    old.go_on(asked=True)  # Broken is raised if it answers from what it had
+    old.go_on(asked=True)  # raises Broken if it answers a stale read
     world.run(3_000.0)
     assert world.led().raft is not None
 
 
-def test_leader_that_ends_in_order_hands_over_at_once() -> None:
+def test_leadership_transfer_is_faster_than_an_election_timeout() -> None:
     world = CouncilWorld(3)
     leader = world.led()
     start = world.sim.now
@@ -209,7 +245,7 @@
     assert new is not leader and world.sim.now - start < world.figures.election_timeout_ms
 
 
-def test_one_seat_a_time_and_a_learner_before_it_votes() -> None:
+def test_configuration_changes_by_one_voter_at_a_time() -> None:
     world = CouncilWorld(3)
     leader = world.led()
     assert leader.raft is not None
@@ -221,7 +257,8 @@
     assert leader.raft.configuration.learners == ("z",) and not leader.raft.caught_up("z")
 
 
-def test_log_is_cut_at_a_snapshot_and_a_seat_far_behind_gets_it_in_pieces() -> None:
+def test_voter_far_behind_catches_up_by_a_snapshot_in_parts() -> None:
+    """A voter is down while 400 entries are committed and compacted; the leader no longer has them."""
     world = CouncilWorld(3)
     leader = world.led()
     behind = next(seat for seat in world.seats.values() if seat is not leader)
--- a/tests/test_consensus_replica.py
+++ b/tests/test_consensus_replica.py
@@ -1,15 +1,10 @@
-"""The council's book, its followers and its seats."""
+"""Replicas of the committed state, and their leases."""
 
 from __future__ import annotations
 
-import msgspec
 import pytest
-from hypothesis import given, settings
-from hypothesis import strategies as st
 
-from worksmux.consensus.entries import COMMAND, Configuration, Entry, Snapshot, next_entry, node_of
 from worksmux.consensus.inputs import Tick
-from worksmux.consensus.reconfiguration import Candidate, next_configuration, should_bootstrap
 from worksmux.consensus.replica import (
     LocalVoterApplied,
     MessageReceived,
@@ -22,131 +17,13 @@
 )
 from worksmux.consensus.replication_messages import ChangeNotice, PullReply, PullRequest
 from worksmux.consensus.replication_tree import parent_of
-from worksmux.consensus.state_machine import KeyValueState, Put, VersionedValue
+from worksmux.consensus.state_machine import VersionedValue
 from worksmux.policy.measure import Chance
 from worksmux.simulation.followers import LEASE, Following
 
-# The book.
-
-
-def written(book: KeyValueState, put: Put, last: Entry | Snapshot) -> Entry:
-    entry = next_entry(last, 1, COMMAND, msgspec.msgpack.encode(put))
-    book.apply(entry)
-    return entry
-
-
-def test_change_that_builds_on_an_older_chapter_is_passed_over_by_all() -> None:
-    book = KeyValueState()
-    one = written(book, Put("plan", b"one", 0), Snapshot())
-    two = written(book, Put("plan", b"late", 0), one)
-    assert book.values["plan"].value == b"one" and book.index == 2
-    written(book, Put("plan", b"two", 1), two)
-    assert book.values["plan"].value == b"two"
-
-
-def test_what_is_no_change_of_this_form_or_too_large_changes_nothing() -> None:
-    book = KeyValueState()
-    assert book.apply(next_entry(Snapshot(), 1, COMMAND, b"\xc1")) == ""
-    assert not written(book, Put("x", b"y" * 70_000), Snapshot(1)).term == 0 and not book.values
-
-
-def test_snapshot_gives_the_same_book() -> None:
-    book, other = KeyValueState(), KeyValueState()
-    last = written(book, Put("a", b"1"), Snapshot())
-    written(book, Put("b", b"2"), last)
-    other.restore(Snapshot(book.index, 1, 0, Configuration(), book.snapshot_data()))
-    assert (other.index, other.values, other.state_hash()) == (book.index, book.values, book.state_hash())
-
-
-# Configuration.
-
-
-def ables(names: str, zones: str = "xyz") -> dict[str, Candidate]:
-    return {name: Candidate(name, f"{name}#1", zones[at % len(zones)]) for at, name in enumerate(names)}
-
-
-def settled(
-    seats: Configuration, able: dict[str, Candidate], wanted: int = 3, gone: str = ""
-) -> list[Configuration]:
-    """All changes until none is wanted; each learner catches up at once."""
-    found = []
-    while (
-        following := next_configuration(seats, able, wanted, gone.__contains__, lambda _: True)
-    ) is not None:
-        found.append(following)
-        seats = following
-        assert len(found) < 30
-    return found
-
-
-def test_council_grows_to_its_size_in_as_many_zones_as_there_are() -> None:
-    found = settled(Configuration(("a#1",)), ables("abcdef"))
-    assert {able.zone for able in ables("abcdef").values() if able.server in found[-1].voters} == {
-        "x",
-        "y",
-        "z",
-    }
-    assert len(found[-1].voters) == 3 and not found[-1].learners
-
-
-def test_seat_of_a_front_gone_for_good_is_given_to_another_and_never_before() -> None:
-    able = ables("abcd")
-    del able["b"]
-    seats = Configuration(("a#1", "b#1", "c#1"))
-    assert not settled(seats, able)
-    assert set(settled(seats, able, gone="b")[-1].voters) == {"a#1", "c#1", "d#1"}
-
-
-def test_front_back_with_another_disk_is_another_seat_and_learns_before_it_votes() -> None:
-    able = ables("abc") | {"b": Candidate("b", "b#2", "y")}
-    first = next_configuration(
-        Configuration(("a#1", "b#1", "c#1")), able, 3, lambda _: False, lambda _: False
-    )
-    assert first is not None and first.learners == ("b#2",) and "b#1" in first.voters
-    assert next_configuration(first, able, 3, lambda _: False, lambda _: False) is None
-    assert set(settled(first, able)[-1].voters) == {"a#1", "b#2", "c#1"}
-
-
-def test_council_never_shrinks_for_want_of_fronts() -> None:
-    assert not settled(Configuration(("a#1", "b#1", "c#1")), ables("a"), gone="bc")
-
-
-def test_two_seats_in_a_zone_while_another_has_none_are_parted() -> None:
-    able = ables("abcd", "xxyz")
-    found = settled(Configuration(("a#1", "b#1", "c#1")), able)
-    assert {able[node_of(seat)].zone for seat in found[-1].voters} == {"x", "y", "z"}
-
-
-@settings(max_examples=200)
-@given(
-    st.sets(st.sampled_from("abcdefgh"), min_size=1),
-    st.sets(st.sampled_from("abcdefgh"), min_size=1),
-    st.sampled_from([1, 3, 5]),
-    st.integers(1, 4),
-)
-def test_each_change_moves_one_voter_and_it_comes_to_an_end(
-    voters: set[str], there: set[str], wanted: int, zones: int
-) -> None:
-    able = {name: Candidate(name, f"{name}#1", "xyzw"[ord(name) % zones]) for name in there}
-    seats = Configuration(tuple(sorted(f"{name}#1" for name in voters)))
-    for following in settled(seats, able, wanted, "abcdefgh"):
-        assert len(set(seats.voters) ^ set(following.voters)) <= 1 and following.voters
-        seats = following
-    assert len(seats.voters) <= max(wanted, len(voters))
-
-
-def test_no_second_council_is_founded_while_a_founder_knows_of_one() -> None:
-    able = ables("abc")
-    assert should_bootstrap("a", ["a", "b", "c"], able, "")
-    assert not should_bootstrap("a", ["a", "b", "c"], able | {"b": Candidate("b", "b#1", "y", "old")}, "")
-    assert not should_bootstrap("a", ["a", "b", "c"], able, "old")
-
-
-# Followers.
-
 
 def storm(make: type[Replica], seed: int) -> Following:
-    """Cuts, freezes and losses while the council goes on agreeing."""
+    """Partitions, frozen nodes, slow links and loss while values go on changing."""
     fleet = Following(12, seed, make, loss=0.1)
     chance = Chance(seed)
     fleet.run(3000.0)
@@ -168,23 +45,30 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_nobody_acts_on_what_was_replaced_longer_ago_than_the_lease(seed: int) -> None:
+def test_no_replica_acts_on_state_older_than_its_lease(seed: int) -> None:
+    """Partitions, frozen nodes, slow links and loss at random while values go on changing.
+
+    No replica that holds a lease may lack a value that was committed longer ago than the lease.
+    """
     assert not storm(Replica, seed).old
 
 
-def test_follower_that_counts_from_the_answer_is_found() -> None:
-    class Hasty(Replica):
-        """A lease from when the answer came, however long that was under way."""
+def test_random_faults_reveal_a_lease_counted_from_the_reply() -> None:
+    """A replica that counts the age of its knowledge from when the reply arrived takes a delayed reply for
+    fresh."""
+
+    class CountsFromReply(Replica):
+        """A lease from when the reply arrived, however long it was under way."""
 
         def _on_pull_reply(self, now: float, sender: str, reply: PullReply, output: Output) -> None:
             if reply.number in self.pending_pulls:
                 self.pending_pulls[reply.number] = PendingPull(sender, now)
             super()._on_pull_reply(now, sender, reply, output)
 
-    assert any(storm(Hasty, seed).old for seed in range(30))
+    assert any(storm(CountsFromReply, seed).old for seed in range(30))
 
 
-def test_news_reaches_all_and_the_lease_holds_everywhere() -> None:
+def test_change_reaches_all_replicas_and_leases_hold() -> None:
     fleet = Following(300)
     fleet.run(2 * LEASE)
     start = fleet.sim.now
@@ -196,7 +80,7 @@
     assert all(one.holds_lease(fleet.now(name)) for name, one in fleet.followers.items())
 
 
-def test_what_a_front_sends_stays_bounded_as_the_fleet_grows() -> None:
+def test_messages_per_node_do_not_grow_with_the_fleet() -> None:
     rates = {}
     for count in (30, 240):
         fleet = Following(count)
@@ -207,19 +91,23 @@
     assert rates[240] < 1.5 * rates[30]
 
 
-def test_tree_whose_middle_is_gone_is_gone_around() -> None:
+def test_replicas_below_frozen_nodes_keep_their_lease() -> None:
+    """All inner nodes of the tree are frozen, and membership still reports them as present.
+
+    The nodes below must pull from others, or their leases end.
+    """
     fleet = Following(60)
     fleet.run(2 * LEASE)
     middle = {parent_of(name, set(fleet.names) - {name}, ["f0"]) for name in fleet.names[1:]} - {"f0", ""}
     assert middle
-    fleet.frozen |= middle  # nobody has told the others that they are
+    fleet.frozen |= middle  # membership still reports them as present
     fleet.run(4 * LEASE)
     assert all(
         one.holds_lease(fleet.now(name)) for name, one in fleet.followers.items() if name not in middle
     )
 
 
-def test_reports_run_up_the_tree_added_up() -> None:
+def test_reports_are_summed_on_their_way_up_the_tree() -> None:
     fleet = Following(80)
     for one in fleet.followers.values():
         one.build_report = lambda below: str(1 + sum(int(part) for part in below)).encode()
@@ -227,7 +115,9 @@
     assert sum(int(part) for part in fleet.followers["f0"].child_reports()) == 79
 
 
-def test_same_number_with_other_content_is_named_and_not_taken() -> None:
+def test_different_state_at_one_index_is_reported_and_not_taken() -> None:
+    """Two nodes hold different states at the same index, which correct servers never do. Neither may infect
+    the other."""
     one = Replica("a", LEASE, 1, 0.0)
     one.step(0.0, TopologyChanged(frozenset({"b"}), frozenset({"b"})))
     one.step(1.0, LocalVoterApplied(3, 77, {"plan": VersionedValue(3, b"x")}, -1.0, "b"))
@@ -240,7 +130,7 @@
     assert out.events == [StateMismatch("b", 3)] and not one.holds_lease(one.due)
 
 
-def test_answer_to_nothing_and_news_of_strangers_are_passed_over() -> None:
+def test_unsolicited_replies_and_notices_of_unknown_nodes_are_ignored() -> None:
     one = Replica("a", LEASE, 1, 0.0)
     assert not one.step(1.0, MessageReceived("b", PullReply(9, 5, 1, 0.0, "b"))).events and one.index == 0
     assert not one.step(1.0, MessageReceived("b", ChangeNotice(5))).messages
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""Membership among fronts: all agree in the end, whatever is lost, cut, frozen or started twice."""
+"""Membership by gossip: all nodes agree in the end, whatever is lost, cut, frozen or started twice."""
 
 from __future__ import annotations
 
@@ -30,9 +30,9 @@
     return [(by, fact.after.name) for _, by, fact in found.told if fact.after.state == MemberState.DEAD]
 
 
-# What is believed.
+# Precedence of updates.
 
-RUMOURS = st.lists(
+UPDATES = st.lists(
     st.builds(
         MembershipUpdate,
         st.sampled_from(["a", "b"]),
@@ -48,29 +48,29 @@
 
 
 def order_matters(
-    make: type[MemberList], rumours: list[MembershipUpdate], other: list[MembershipUpdate]
+    make: type[MemberList], updates: list[MembershipUpdate], other: list[MembershipUpdate]
 ) -> bool:
-    """Whether two fronts that heard the same in different orders believe different things."""
+    """Whether two lists differ that took the same updates in different orders."""
     found = []
-    for told in (rumours, other):
+    for told in (updates, other):
         members = make()
-        for rumour in told:
-            members.apply(rumour, 0.0)
+        for update in told:
+            members.apply(update, 0.0)
         found.append({name: member.update.precedence for name, member in members.known.items()})
     return found[0] != found[1]
 
 
-@given(RUMOURS, st.randoms(use_true_random=False))
-def test_all_believe_the_same_whatever_the_order_they_heard_it_in(
-    rumours: list[MembershipUpdate], chance: Any
-) -> None:
-    other = list(rumours)
+@given(UPDATES, st.randoms(use_true_random=False))
+def test_order_of_updates_does_not_matter(updates: list[MembershipUpdate], chance: Any) -> None:
+    other = list(updates)
     chance.shuffle(other)
-    assert not order_matters(MemberList, rumours, other)
+    assert not order_matters(MemberList, updates, other)
 
 
-def test_members_that_believe_the_last_they_heard_are_found_to_differ() -> None:
-    class Gullible(MemberList):
+def test_order_matters_if_the_last_update_wins() -> None:
+    """A list that believes whatever it heard last is shown to differ, so that the test above can fail."""
+
+    class LastUpdateWins(MemberList):
         def apply(self, update: MembershipUpdate, now: float) -> AppliedUpdate | None:
             self.known.pop(update.name, None)
             return super().apply(update, now)
@@ -78,20 +78,21 @@
     pair = [
         MembershipUpdate("a", 1, 0, state, "h:1", "z", "r") for state in (MemberState.ALIVE, MemberState.DEAD)
     ]
-    assert order_matters(Gullible, pair, pair[::-1])
+    assert order_matters(LastUpdateWins, pair, pair[::-1])
 
 
-@given(RUMOURS)
-def test_what_is_there_and_suspected_agrees_with_what_is_known(rumours: list[MembershipUpdate]) -> None:
+@given(UPDATES)
+def test_present_and_suspected_members_agree_with_known_ones(updates: list[MembershipUpdate]) -> None:
     members = MemberList()
-    for rumour in rumours:
-        members.apply(rumour, 0.0)
+    for update in updates:
+        members.apply(update, 0.0)
         known = members.known.values()
         assert set(members.present) == {one.name for one in known if one.state <= MemberState.SUSPECT}
         assert set(members.suspects) == {one.name for one in known if one.state == MemberState.SUSPECT}
 
 
-def test_fronts_that_are_gone_are_forgotten_and_memory_stays_bounded() -> None:
+def test_absent_nodes_are_forgotten_so_that_memory_stays_bounded() -> None:
+    """A fleet whose nodes are replaced all day, each under a new name."""
     members = MemberList()
     for at in range(1000):
         members.apply(MembershipUpdate(f"f{at}", 1, 0, MemberState.DEAD, "h:1", "z", "r"), float(at))
@@ -109,7 +110,7 @@
         MembershipUpdate("a", 1, 0, 0, "h:1", "z", "r", {str(at): "" for at in range(99)}),
     ],
 )
-def test_rumours_that_make_no_sense_are_not_sound(odd: MembershipUpdate) -> None:
+def test_updates_out_of_range_are_invalid(odd: MembershipUpdate) -> None:
     assert not odd.is_valid()
 
 
@@ -117,7 +118,8 @@
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.05, 0.2])
-def test_front_that_dies_is_taken_for_dead_by_all_and_no_other_is(loss: float) -> None:
+def test_crashed_node_is_declared_dead_by_all_and_no_other_is(loss: float) -> None:
+    """One node of nine crashes while the network loses messages."""
     found = world(9, loss=loss)
     found.peers["f4"].stop()
     found.agree(40 * PERIOD)
@@ -126,21 +128,27 @@
     assert {by for by, _ in deaths(found)} == set(found.peers)
 
 
-def test_front_that_cannot_be_reached_by_one_other_is_not_taken_for_dead() -> None:
+def test_node_unreachable_from_one_other_is_not_declared_dead() -> None:
+    """The link between two nodes is cut; all others reach both. Helpers must vouch for them."""
     found = world(6)
     found.wire.cut(["f1"], ["f2"])
     found.run(60 * PERIOD)
     assert not deaths(found)
 
 
-def test_frozen_front_refutes_what_is_said_of_it_and_accuses_nobody() -> None:
+def test_frozen_node_refutes_its_death_and_accuses_nobody() -> None:
+    """A process is frozen until all others declare it dead. When it goes on, all its own timeouts have
+    passed.
+
+    It must not declare the others dead, and must come back within its generation.
+    """
     found = world(6)
     sleeper = found.peers["f3"]
     sleeper.freeze()
     found.run(60 * PERIOD)
     assert {name for _, name in deaths(found)} == {"f3"}
     sleeper.go_on()
-    assert sleeper.swim.health.level > 0  # it doubts itself first
+    assert sleeper.swim.health.level > 0  # its own health is lower first
     found.agree(30 * PERIOD)
     assert not [pair for pair in deaths(found) if pair[0] == "f3"]
     assert all(
@@ -150,8 +158,8 @@
     )
 
 
-def test_starved_front_suspects_itself_before_others() -> None:
-    """All that it says is late by more than a period."""
+def test_starved_node_lowers_its_own_health_before_it_accuses_others() -> None:
+    """All that one node sends is late by more than a period."""
     found = world(8)
     starved = found.peers["f2"]
     found.wire.slow["f2"] = 1.3 * PERIOD
@@ -161,7 +169,7 @@
     assert starved.swim.health.level > max(others)
 
 
-def test_front_that_leaves_in_order_is_never_called_dead() -> None:
+def test_node_that_leaves_is_never_declared_dead() -> None:
     found = world(7)
     found.peers["f5"].leave()
     found.agree(10 * PERIOD)
@@ -170,10 +178,10 @@
     assert all(peer.swim.members.known["f5"].state == MemberState.LEFT for peer in found.peers.values())
 
 
-# Lives.
+# Generations.
 
 
-def test_front_that_comes_back_is_believed_by_its_new_life() -> None:
+def test_restarted_node_is_accepted_by_its_new_generation() -> None:
     found = world(6)
     found.peers["f1"].stop()
     found.run(40 * PERIOD)
@@ -182,7 +190,9 @@
     assert found.peers["f0"].swim.members.known["f1"].update.generation == 2
 
 
-def test_front_that_lost_its_disk_and_whose_clock_is_behind_takes_a_higher_life() -> None:
+def test_node_with_lost_disk_and_slow_clock_raises_its_generation() -> None:
+    """A node starts under a lower generation than an earlier start of it had. All would ignore what it
+    says."""
     found = world(6)
     found.peers["f4"].stop()
     found.run(40 * PERIOD)
@@ -194,7 +204,8 @@
     assert found.peers["f0"].swim.members.known["f4"].update.generation == back.swim.me.generation
 
 
-def test_of_two_processes_with_one_name_the_older_ends() -> None:
+def test_older_of_two_processes_with_one_name_is_superseded() -> None:
+    """Two processes run under one name at different addresses."""
     found = world(6)
     older = found.peers["f3"]
     younger = Peer(found, "f3", 9, ["f0", "f1"], address="f3-again")
@@ -205,11 +216,12 @@
     assert found.peers["f0"].swim.members.known["f3"].update.address == "f3-again"
 
 
-# Cuts.
+# Partitions.
 
 
 @pytest.mark.parametrize("how", ["both", "out", "in"])
-def test_halves_of_a_cut_fleet_meet_again(how: str) -> None:
+def test_partitioned_fleet_merges_again(how: str) -> None:
+    """Both halves of a fleet declare each other dead and stop pinging. Then the network heals."""
     found = world(8)
     some = ["f0", "f2", "f4", "f6"]
     found.wire.cut(some, [name for name in found.peers if name not in some], how)
@@ -219,7 +231,8 @@
     found.agree(60 * PERIOD)
 
 
-def test_front_without_any_seed_alive_joins_once_one_is() -> None:
+def test_node_joins_once_a_seed_is_up() -> None:
+    """A node starts while all its seeds are down."""
     found = World(1, PERIOD)
     late = found.start("f9", seeds=["f0", "f1"])
     found.run(20 * PERIOD)
@@ -229,7 +242,7 @@
     found.agree(30 * PERIOD)
 
 
-def test_what_a_front_sends_does_not_grow_with_their_number() -> None:
+def test_messages_per_node_do_not_grow_with_the_fleet() -> None:
     sent = {}
     for count in (10, 80):
         found = world(count)
@@ -241,7 +254,7 @@
 
 
 def storm(seed: int) -> World:
-    """Deaths, returns with and without a disk, freezes, cuts and losses; then calm: all agree."""
+    """Crashes, restarts, frozen processes, partitions and loss at random; then runs until all agree."""
     chance = Chance(seed)
     found = World(seed, PERIOD, Weather((0.3, 80.0 * chance.share()), 0.2 * chance.share(), 0.1))
     names = [f"f{at}" for at in range(7)]
@@ -279,7 +292,9 @@
 
 
 @pytest.mark.parametrize("block", range(4))
-def test_whatever_happens_all_agree_once_it_is_over(block: int) -> None:
+def test_all_nodes_agree_after_random_faults(block: int) -> None:
+    """Crashes, restarts with and without a disk, frozen processes, partitions and loss at random; then
+    calm."""
     for seed in range(block * 10, block * 10 + 10):
         found = storm(seed)
         assert len(found.peers) >= 1
