--- a/tests/test_config_audit.py
+++ b/tests/test_config_audit.py
@@ -106,8 +106,10 @@
 
 
 def test_wall_clock_step_is_found_and_a_restart_is_not_one() -> None:
-    """The wall clock jumps by 94 s while the process runs; later the process restarts, and its monotonic
-    clock with it."""
+    """The wall clock jumps by 93 s while the process runs.
+
+    Later the process restarts, and its monotonic clock with it.
+    """
     log = AuditLog()
     records = [log.record_start(0.0, 0.0, 1)]
     records += [
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -220,8 +220,9 @@
 
 
 def test_leader_frozen_beyond_its_lease_answers_no_stale_read() -> None:
-    """A leader is frozen, another one is elected and commits an entry. Then the old leader goes on, and is
-    asked to read before its first tick.
+    """A leader is frozen while another one is elected and commits an entry.
+
+    Then the old leader goes on, and is asked to read before its first tick.
     """
     world = CouncilWorld(3)
     old = world.led()
--- a/tests/test_consensus_reconfiguration.py
+++ b/tests/test_consensus_reconfiguration.py
@@ -44,8 +44,9 @@
 
 
 def test_node_back_with_another_disk_learns_before_it_votes() -> None:
-    """A node lost its disk and with it its votes. Under the old identity it could vote twice in a term, so
-    it joins as another server.
+    """A node lost its disk and with it its votes.
+
+    Under the old identity it could vote twice in a term, so it joins as another server.
     """
     present = candidates("abc") | {"b": Candidate("b", "b#2", "y")}
     first = next_configuration(
--- a/tests/test_consensus_replica.py
+++ b/tests/test_consensus_replica.py
@@ -54,8 +54,7 @@
 
 
 def test_random_faults_reveal_a_lease_counted_from_the_reply() -> None:
-    """A replica that counts the age of its knowledge from when the reply arrived takes a delayed reply for
-    fresh."""
+    """Counting the age of knowledge from when the reply arrived takes a delayed reply for fresh."""
 
     class CountsFromReply(Replica):
         """A lease from when the reply arrived, however long it was under way."""
@@ -116,8 +115,10 @@
 
 
 def test_different_state_at_one_index_is_reported_and_not_taken() -> None:
-    """Two nodes hold different states at the same index, which correct servers never do. Neither may infect
-    the other."""
+    """Two nodes hold different states at the same index, which correct servers never do.
+
+    Neither may take over the state of the other.
+    """
     one = Replica("a", LEASE, 1, 0.0)
     one.step(0.0, TopologyChanged(frozenset({"b"}), frozenset({"b"})))
     one.step(1.0, LocalVoterApplied(3, 77, {"plan": VersionedValue(3, b"x")}, -1.0, "b"))
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -137,10 +137,10 @@
 
 
 def test_frozen_node_refutes_its_death_and_accuses_nobody() -> None:
-    """A process is frozen until all others declare it dead. When it goes on, all its own timeouts have
-    passed.
+    """A process is frozen until all others declare it dead.
 
-    It must not declare the others dead, and must come back within its generation.
+    When it goes on, all its own timeouts have passed. It must not declare the others dead, and must come
+    back within its generation.
     """
     found = world(6)
     sleeper = found.peers["f3"]
@@ -191,8 +191,7 @@
 
 
 def test_node_with_lost_disk_and_slow_clock_raises_its_generation() -> None:
-    """A node starts under a lower generation than an earlier start of it had. All would ignore what it
-    says."""
+    """A node starts under a lower generation than before, so that all others ignore what it says."""
     found = world(6)
     found.peers["f4"].stop()
     found.run(40 * PERIOD)
@@ -293,8 +292,7 @@
 
 @pytest.mark.parametrize("block", range(4))
 def test_all_nodes_agree_after_random_faults(block: int) -> None:
-    """Crashes, restarts with and without a disk, frozen processes, partitions and loss at random; then
-    calm."""
+    """Crashes, restarts, lost disks, frozen processes, partitions and loss at random; then calm."""
     for seed in range(block * 10, block * 10 + 10):
         found = storm(seed)
         assert len(found.peers) >= 1
--- a/worksmux/config_audit/__init__.py
+++ b/worksmux/config_audit/__init__.py
@@ -1,5 +1,6 @@
-"""Which node acted on which version of its configuration: a chained audit log per node, and what several
-add up to.
+"""Which node acted on which version: a chained audit log per node, and what several logs add up to.
+
+
 
 Free of I/O.
 """
--- a/worksmux/config_audit/audit_log.py
+++ b/worksmux/config_audit/audit_log.py
@@ -26,8 +26,10 @@
 
 
 class ActiveVersions(msgspec.Struct, frozen=True, tag="line"):
-    """The versions, by name, that are active from this record on. Each set of a log has a number of its
-    own."""
+    """The versions, by name, that are active from this record on.
+
+    Each set of versions has a number that is unique within the log.
+    """
 
     number: int
     versions: dict[str, Version]
@@ -46,8 +48,10 @@
 
 
 class DecisionBatch(msgspec.Struct, frozen=True, tag="jobs"):
-    """Decisions since the last batch; an empty one says that the node is alive and its versions are
-    unchanged."""
+    """Decisions since the last batch.
+
+    An empty one is a heartbeat: the node is alive and its versions are unchanged.
+    """
 
     decisions: tuple[Decision, ...]
 
@@ -62,8 +66,7 @@
 
 
 class AuditRecord(msgspec.Struct, frozen=True):
-    """`index` counts all records of the log; `monotonic_ms` is of a clock that starts anew with each
-    process."""
+    """`index` counts all records of the log; `monotonic_ms` starts anew with each process."""
 
     index: int
     previous_digest: int = msgspec.field(name="before")
--- a/worksmux/config_audit/fleet_audit.py
+++ b/worksmux/config_audit/fleet_audit.py
@@ -38,8 +38,7 @@
 
 @dataclass(frozen=True)
 class Finding:
-    """A fault in a node's log, at or after the record `index`; the fields' names are those of the JSON,
-    too."""
+    """A fault in a node's log, at or after the record `index`; fields are named as in the JSON."""
 
     front: str
     index: int
@@ -78,8 +77,7 @@
         return [record for _, record in sorted(self.records.get(node, {}).items())]
 
     def findings(self) -> list[Finding]:
-        """Conflicting records, broken chains, missing records, clock steps, and one version with two
-        contents."""
+        """Conflicting records, faults of the chains, and versions with more than one content."""
         findings = list(self.conflicts)
         for node in sorted(self.records):
             faults = chain_faults(self.records_of(node))
--- a/worksmux/consensus/inputs.py
+++ b/worksmux/consensus/inputs.py
@@ -44,8 +44,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadIndex:
-    """Ask up to which index a linearizable read must have applied (thesis §6.4). `ReadReady` or `Rejected`
-    answers."""
+    """Ask up to which index a linearizable read must have applied (thesis §6.4).
+
+    `ReadReady` or `Rejected` answers, with the same token.
+    """
 
     token: int
 
--- a/worksmux/consensus/leader.py
+++ b/worksmux/consensus/leader.py
@@ -1,5 +1,6 @@
-"""What a leader does: replicate its log, commit what a majority holds, answer reads, change the
-configuration.
+"""What a leader does: replicate, commit, answer reads, change the configuration, transfer leadership.
+
+
 
 Times are milliseconds.
 """
@@ -31,8 +32,7 @@
         return progress.match_index >= max(self.term_start_index, self.log.last.index - MAX_LEARNER_LAG)
 
     def _lost_quorum(self, now: float) -> bool:
-        """Whether no majority has answered for an election timeout, so that this leader steps down (thesis
-        §6.2).
+        """Whether no majority has answered for an election timeout: then a leader steps down (thesis §6.2).
 
         A server that is tracked since a moment ago gets the time to answer.
         """
@@ -169,8 +169,7 @@
         output.messages.append((server, message))
 
     def _record_contact(self, server: str, round_number: int) -> Progress | None:
-        """Counts contact from when the answered message was sent: the server followed this leader at least
-        then."""
+        """Records that a server followed this leader, when the message that it answers was sent."""
         progress = self.progress.get(server)
         if progress is not None:
             sent_at = self.round_sent_at.get(round_number, -inf)
@@ -212,8 +211,10 @@
         return int(self._reached_by_quorum(self.synced_index, lambda progress: progress.match_index))
 
     def _advance_commit(self, now: float, output: Output) -> None:
-        """Commits what a majority holds, from the first entry of this leader's own term on (Raft §5.4.2,
-        figure 8)."""
+        """Commits what a majority holds.
+
+        Only entries of the leader's own term are committed by counting replicas (Raft §5.4.2, figure 8).
+        """
         index = self._quorum_match_index()
         if index <= self.commit_index or index < self.term_start_index:
             return
--- a/worksmux/consensus/messages.py
+++ b/worksmux/consensus/messages.py
@@ -8,8 +8,9 @@
 
 
 class RequestVote(msgspec.Struct, tag="vote"):
-    """Asks for a vote (Raft §5.2). A pre-vote changes no state: it asks whether the vote would be granted
-    (thesis §9.6).
+    """Asks for a vote (Raft §5.2).
+
+    A pre-vote changes no state: it asks whether the vote would be granted (thesis §9.6).
 
     `leadership_transfer` says that the leader itself asked for this election (thesis §3.10).
     """
--- a/worksmux/consensus/outputs.py
+++ b/worksmux/consensus/outputs.py
@@ -30,8 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ProposalAppended:
-    """The proposal is in the leader's log. It is committed once the entry committed at `index` has that
-    `term`."""
+    """The proposal is in the leader's log.
+
+    It is committed once the entry committed at `index` has that `term`.
+    """
 
     token: int
     index: int
@@ -40,8 +42,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """A proposal, a read or a change of the configuration was refused; `leader` is who to ask, empty if
-    unknown."""
+    """A proposal, a read or a change of the configuration was refused.
+
+    `leader` is the server to ask instead; empty if unknown.
+    """
 
     token: int
     leader: str
@@ -75,8 +79,10 @@
 
 @dataclass(slots=True)
 class Output:
-    """`messages` are (receiver, message); they may be sent once `writes` and all writes before them are on
-    disk."""
+    """`messages` are (receiver, message).
+
+    They may be sent once `writes`, and all writes before them, are on disk.
+    """
 
     writes: list[StorageWrite] = field(default_factory=list)
     messages: list[tuple[str, Message]] = field(default_factory=list)
--- a/worksmux/consensus/raft.py
+++ b/worksmux/consensus/raft.py
@@ -140,8 +140,7 @@
         output.messages.append((sender, AppendReply(self.term, True, matched, message.round)))
 
     def _last_possible_match(self, index: int) -> int:
-        """Where the leader should look next: all entries of a conflicting term are skipped at once (Raft
-        §5.3)."""
+        """Where the logs may match: all entries of a conflicting term are skipped at once (Raft §5.3)."""
         log = self.log
         conflicting = log.get(index)
         conflicting_term = conflicting.term if conflicting else -1
--- a/worksmux/consensus/replica.py
+++ b/worksmux/consensus/replica.py
@@ -48,8 +48,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalVoterApplied:
-    """This node's own voter has applied up to `index`; `age_ms` as in `PullReply` if it leads, else
-    negative."""
+    """This node's own voter has applied up to `index`.
+
+    `age_ms` is as in `PullReply` if the voter leads, else negative.
+    """
 
     index: int
     state_hash: int
--- a/worksmux/consensus/state_machine.py
+++ b/worksmux/consensus/state_machine.py
@@ -18,10 +18,9 @@
 
 
 class Put(msgspec.Struct, frozen=True):
-    """A command: set a key if its value still has the version `expected_index`, or whatever it is
-    (ANY_VERSION).
+    """A command: set a key if its value still has the version `expected_index`.
 
-    The version of a key that does not exist is 0.
+    ANY_VERSION sets it unconditionally. The version of a key that does not exist is 0.
     """
 
     key: str = msgspec.field(name="chapter")
--- a/worksmux/consensus/voter.py
+++ b/worksmux/consensus/voter.py
@@ -1,5 +1,7 @@
-"""State that a server has in every role: its term and vote, its log, the leader it follows. Times are
-milliseconds."""
+"""State that a server has in every role: its term and vote, its log, the leader it follows.
+
+Times are milliseconds.
+"""
 
 from __future__ import annotations
 
@@ -122,8 +124,7 @@
         return reached[self.configuration.quorum - 1]
 
     def quorum_contact_age(self, now: float) -> float:
-        """Milliseconds since a majority is known to have followed this leader; infinite if it does not
-        lead."""
+        """Milliseconds since a majority is known to have followed this leader; infinite if it is none."""
         if self.role is not Role.LEADER:
             return inf
         return now - self._reached_by_quorum(now, lambda progress: progress.last_contact)
--- a/worksmux/gossip/health.py
+++ b/worksmux/gossip/health.py
@@ -18,8 +18,7 @@
         self.level = 0
 
     def degrade(self, by: int = 1) -> None:
-        """A probe failed, a helper did not answer, this node was suspected itself, or its own timer fired
-        late."""
+        """A probe failed, a helper was silent, this node was suspected itself, or its timer fired late."""
         self.level = min(MAX_LEVEL, self.level + by)
 
     def improve(self) -> None:
--- a/worksmux/gossip/outputs.py
+++ b/worksmux/gossip/outputs.py
@@ -27,8 +27,10 @@
 
 @dataclass(frozen=True, slots=True)
 class GenerationRaised:
-    """This node has taken a higher generation, since others know of a start that its clock and disk do not
-    show."""
+    """This node has taken a higher generation.
+
+    Others knew of a start of it that its own clock and disk do not show.
+    """
 
     generation: int
 
--- a/worksmux/gossip/probing.py
+++ b/worksmux/gossip/probing.py
@@ -108,8 +108,7 @@
         self.next_probe_at = now + self.period_ms * self.membership.health.timeout_multiplier
 
     def next_target(self) -> Member | None:
-        """Round-robin in an order that is shuffled for each round, which bounds the time to detection (SWIM
-        §4.3)."""
+        """Round-robin in a new random order each round, which bounds the time to detection (SWIM §4.3)."""
         members = self.membership.members
         for refilled in (False, True):
             while self.probe_order:
