--- a/benchmarks/module_by_size.py
+++ b/benchmarks/module_by_size.py
@@ -18,7 +18,7 @@
     FirstToken,
     RequestArrived,
 )
-from worksmux.policy.router import Front
+from worksmux.policy.router import Router
 from worksmux.policy.settings import PolicySettings
 from worksmux.policy.state import Attempt, Engine, Outcome, Request
 from worksmux.settings.document import load
@@ -42,7 +42,7 @@
 
 def milliseconds_a_request(engines: int) -> float:
     """Mean time in the module for one job with all its events."""
-    chance, front, now = random.Random(1), Front(settings(), 1), 100_000.0
+    chance, front, now = random.Random(1), Router(settings(), 1), 100_000.0
     front.decide(now, [EndpointListUpdate("full", fleet(engines))])
     line: deque[tuple[float, Attempt]] = deque()
     spent, begun, ended = 0.0, 0, 0
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -2,7 +2,7 @@
 
 from worksmux.policy.actions import SetTimer
 from worksmux.policy.events import AttemptEnded, EndpointEntry, EndpointListUpdate
-from worksmux.policy.router import Front
+from worksmux.policy.router import Router
 from worksmux.policy.settings import PolicySettings, RequestClassSettings
 from worksmux.policy.state import Engine, Request
 
@@ -40,7 +40,7 @@
 
 def fleet(*places, seed=1, **changes):
     """A front that knows an engine for each (kind, zone, cell), and those engines."""
-    front = Front(settings(**changes), seed)
+    front = Router(settings(**changes), seed)
     engines = [Engine(bytes([at]), at + 1) for at in range(len(places))]
     entries = [
         EndpointEntry(engine, "ready", 0.0, zone, cell, kind, 1.0)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -23,7 +23,7 @@
     RequestArrived,
     TimerFired,
 )
-from worksmux.policy.router import Front
+from worksmux.policy.router import Router
 from worksmux.policy.state import Attempt, Engine, Outcome, Request
 
 ENGINES = 10  # of each role
@@ -35,7 +35,7 @@
 class Instance:
     """One front; `alive` until it is killed."""
 
-    def __init__(self, front: Front, engines: list[Engine]) -> None:
+    def __init__(self, front: Router, engines: list[Engine]) -> None:
         self.front, self.engines, self.alive = front, engines, True
         self.told: set[int] = set()  # engines whose start it has heard of
 
@@ -61,7 +61,7 @@
 
     def _new(self) -> Instance:
         made = Instance(
-            Front(self.settings, self.chance.getrandbits(60)),
+            Router(self.settings, self.chance.getrandbits(60)),
             [Engine(bytes([number]), number + 1) for number in range(2 * ENGINES)],
         )
         entries = [self._entry(made.engines, one) for one in range(2 * ENGINES)]
--- a/tests/test_cost_by_fleet_size.py
+++ b/tests/test_cost_by_fleet_size.py
@@ -32,7 +32,7 @@
     RequestArrived,
     TimerFired,
 )
-from worksmux.policy.router import Front
+from worksmux.policy.router import Router
 from worksmux.policy.state import Attempt, Engine, Outcome, Request
 
 FEW, MANY = 200, 3200
@@ -73,7 +73,7 @@
 
     def __init__(self, engines: int, hung: float, answered: float, cold: float, effect: int) -> None:
         self.chance = Random(7)
-        self.front = Front(settings(node_count=FRONTS, engine_roles=("read", "write")), 1)
+        self.front = Router(settings(node_count=FRONTS, engine_roles=("read", "write")), 1)
         self.hung, self.answered, self.effect = hung, answered, effect
         self.engines = [Engine(b"%d" % at, at + 1) for at in range(engines)]
         self.line: list[tuple[float, int, Callable[[], Event | None]]] = []
@@ -147,10 +147,14 @@
         return self
 
     def worst(self) -> int:
-        return max(cost for kind, costs in self.costs.items() if kind != "EndpointListUpdate" for cost in costs)
+        return max(
+            cost for kind, costs in self.costs.items() if kind != "EndpointListUpdate" for cost in costs
+        )
 
     def a_request(self) -> float:
-        return sum(sum(costs) for kind, costs in self.costs.items() if kind != "EndpointListUpdate") / REQUESTS
+        return (
+            sum(sum(costs) for kind, costs in self.costs.items() if kind != "EndpointListUpdate") / REQUESTS
+        )
 
 
 def days() -> list[Any]:
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -412,8 +412,8 @@
     front.decide(NOW, [FailoverPlan({}, {}, 0.0, True)])
     full = engines[0]
     requests = (request(number) for number in range(1, 100))
-    one = next(one for one in requests if next(iter(front._ranked(one)[2])) is full)
-    assert {engine.zone for engine, _ in front._order(one)} == {0}
+    one = next(one for one in requests if next(iter(front.index.ranked_for(one)[2])) is full)
+    assert {engine.zone for engine, _ in front.prefill_order.candidates(one)} == {0}
 
 
 def test_calm_plan_changes_no_placement() -> None:
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -47,7 +47,7 @@
     RequestArrived,
     TimerFired,
 )
-from worksmux.policy.router import Front
+from worksmux.policy.router import Router
 from worksmux.policy.settings import PolicySettings
 from worksmux.policy.state import Attempt, Engine, Outcome, Request
 
@@ -175,33 +175,36 @@
 # The audit is proven by modules and fronts that are wrong on purpose.
 
 
-class Repeats(Front):
+class Repeats(Router):
     """Sends again whatever happened, and promises that it was harmless."""
 
-    def _may_send(self, request: Request, engine: Engine) -> bool:
-        return engine.state == "ready" and not request.out and self._attempts_left(request) > 0
+    def __init__(self, settings: PolicySettings, seed: int) -> None:
+        super().__init__(settings, seed)
+        self.retry.may_send = self._may_send
+        self.retry.may_reject = lambda request: True
 
-    def _may_defer(self, request: Request) -> bool:
-        return True
+    def _may_send(self, request: Request, engine: Engine) -> bool:
+        return engine.state == "ready" and not request.out and self.retry.attempts_left(request) > 0
 
 
-class Deaf(Front):
+class Deaf(Router):
     """Does not hear of drains."""
 
-    def _list(self, event: EndpointListUpdate) -> None:
+    def _on_endpoint_list(self, event: EndpointListUpdate) -> None:
         for entry in event.entries:
             entry.state = "ready"
-        super()._list(event)
+        super()._on_endpoint_list(event)
 
 
-class Pusher(Front):
+class Pusher(Router):
     """Takes every engine for warm."""
 
-    def _cold(self, engine: Engine) -> bool:
-        return False
+    def __init__(self, settings: PolicySettings, seed: int) -> None:
+        super().__init__(settings, seed)
+        self.slow_start.is_cold = lambda engine, now: False
 
 
-class Hoarder(Front):
+class Hoarder(Router):
     """Never lets go, and leaves read state lying."""
 
     def decide(self, now: float, events: list[Event]) -> list[Action]:
@@ -209,7 +212,7 @@
         return [action for action in actions if not isinstance(action, ReleaseKvCache)]
 
 
-class Late(Front):
+class Late(Router):
     """Sends for a job after its answer."""
 
     def decide(self, now: float, events: list[Event]) -> list[Action]:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -430,7 +430,7 @@
         discovery.watching.piece(
             json.dumps({"index": 2 + at, "snapshot": False, "endpoints": [entry, gone]}).encode() + b"\n"
         )
-        door.module.now += 60_000.0
+        door.module.context.now += 60_000.0
         for engine in door.module.engines:
             engine.left -= 60_000.0  # a minute goes by
         rig.until(lambda at=at: f"x{at}".encode() in [engine.id for engine in door.module.engines])
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -25,7 +25,7 @@
     RequestArrived,
     TimerFired,
 )
-from worksmux.policy.router import Front
+from worksmux.policy.router import Router
 from worksmux.policy.settings import RequestClassSettings
 from worksmux.policy.state import Engine, Outcome, Request
 
@@ -78,7 +78,7 @@
             )
             for one in self.classes
         )
-        front = Front(plain(node_count=1, request_classes=request_classes), self.seed)
+        front = Router(plain(node_count=1, request_classes=request_classes), self.seed)
         engines = [Engine(bytes([at]), at + 1) for at in range(READERS + WRITERS)]
         front.decide(
             0.0,
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -12,9 +12,10 @@
 from worksmux.endpoints.learned_state import FLEET, Kept, Learner, Marks, Pace, recall
 from worksmux.endpoints.staleness import Turnover
 from worksmux.policy.events import AttemptEnded, EndpointEntry, FirstToken
-from worksmux.policy.router import ALL, MEMORY, Front
+from worksmux.policy.load_estimates import HISTORY_MS
+from worksmux.policy.router import Router
 from worksmux.policy.settings import PolicySettings, RequestClassSettings
-from worksmux.policy.state import Attempt, Engine, Outcome, Request
+from worksmux.policy.state import ALL_REQUEST_CLASSES, Attempt, Engine, Outcome, Request
 
 DOUBT, HALF_LIFE = 1000.0, 4000.0
 
@@ -202,11 +203,15 @@
 
 def marked(now: float) -> Engine:
     engine = Engine(b"e", 1)
-    engine.unwell, engine.good, engine.narrowed = {ALL: now + 4000, 1: now + 2000}, {0: now - 500}, 2.0
+    engine.unwell, engine.good, engine.narrowed = (
+        {ALL_REQUEST_CLASSES: now + 4000, 1: now + 2000},
+        {0: now - 500},
+        2.0,
+    )
     return engine
 
 
-def told_after(age: float, started: float = 0.0) -> tuple[Front, Engine]:
+def told_after(age: float, started: float = 0.0) -> tuple[Router, Engine]:
     """A module that was told what a front had learned before it was away for `age`."""
     learner, engine = taught(8, 1), marked(2000.0)
     kept = learner.changes([(engine, 0.0)], 2000.0, 1e9)
@@ -215,7 +220,7 @@
     again = Engine(b"e", 1)
     event = recall(Kept(pace, {"e": marks}), ["a", "b"], [(again, started)], 1e9 + age, Turnover(), 3.6e6)
     one = RequestClassSettings(latency_target_ms=1000.0)
-    front = Front(
+    front = Router(
         PolicySettings(
             request_classes=(one, one),
             tick_ms=1.0,
@@ -233,7 +238,9 @@
 
 def test_marks_come_back_with_the_time_they_have_left_and_a_new_start_voids_them() -> None:
     front, engine = told_after(1000.0)
-    assert engine.unwell == {ALL: 50.0 + 3000.0, 1: 50.0 + 1000.0} and engine.good == {0: 50.0 - 1500.0}
+    assert engine.unwell == {ALL_REQUEST_CLASSES: 50.0 + 3000.0, 1: 50.0 + 1000.0} and engine.good == {
+        0: 50.0 - 1500.0
+    }
     assert 1.5 < engine.narrowed < 2.0
     _, other = told_after(1000.0, started=5.0)
     assert not other.unwell and not other.good and not other.narrowed
@@ -241,23 +248,30 @@
 
 def test_failing_request_class_is_known_after_a_restart_until_a_few_fresh_attempts_go_well() -> None:
     front, engine = told_after(500.0)
-    assert front._failing(0) and not front._failing(1)
-    front.fates[0].add(60.0, 0.0)
-    front.fates[0].add(60.0, 0.0)
-    assert not front._failing(0)
+    assert front.estimates.is_failing(0) and not front.estimates.is_failing(1)
+    front.estimates.failures[0].add(60.0, 0.0)
+    front.estimates.failures[0].add(60.0, 0.0)
+    assert not front.estimates.is_failing(0)
 
 
 def test_what_is_old_is_forgotten_but_how_fast_prompts_are_read() -> None:
-    front, engine = told_after(MEMORY + 1.0)
-    assert not front._failing(0) and not engine.unwell and not front.first.count(50.0)
-    assert front.per_token.least(50.0) == 2.0 and front.per_token.count(50.0) <= 0.5
+    front, engine = told_after(HISTORY_MS + 1.0)
+    assert (
+        not front.estimates.is_failing(0)
+        and not engine.unwell
+        and not front.estimates.first_token_waits.count(50.0)
+    )
+    assert (
+        front.estimates.prefill_per_token.least(50.0) == 2.0
+        and front.estimates.prefill_per_token.count(50.0) <= 0.5
+    )
     ancient, _ = told_after(30 * 24 * 3.6e6)
-    assert ancient.per_token.least(50.0) == 0.0
+    assert ancient.estimates.prefill_per_token.least(50.0) == 0.0
 
 
 def test_clock_that_ran_backwards_makes_no_mark_last() -> None:
     front, engine = told_after(-1e7)
-    assert not engine.unwell and not front._failing(0)
+    assert not engine.unwell and not front.estimates.is_failing(0)
 
 
 def test_only_what_is_out_of_the_ordinary_is_written() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -80,22 +80,22 @@
 
 def test_restarted_front_is_not_stuck_at_one_request_a_writer():
     front, (_, writer) = fleet(*PAIR)
-    front.out = 8
-    assert front._window(writer) > 8
+    front.in_flight.decode_requests = 8
+    assert front.window.size(writer) > 8
 
 
 def test_writer_whose_memory_share_is_used_up_is_skipped():
     front, (_, writer) = fleet(*PAIR, kind_memory_tokens=(200_000, 10_000))
     writer.attempts = {Attempt(request(number), writer, 0, NOW, began=NOW): None for number in range(7)}
-    front.out = 7
-    assert front._window(writer) > 8 and not front._has_window(writer, request())
+    front.in_flight.decode_requests = 7
+    assert front.window.size(writer) > 8 and not front.window.has_capacity(writer, request())
 
 
 def test_reader_with_a_waiting_line_has_no_room():
     front, (slow, quick, _) = fleet((0, 0, 0), (0, 0, 0), (1, 0, 0))
-    front.now = NOW + 600
+    front.context.now = NOW + 600
     slow.attempts, slow.quiet_since = {Attempt(request(9), slow, 0, NOW, True): None}, NOW
-    assert front._has_room(quick, request()) and not front._has_room(slow, request())
+    assert front.placer.has_capacity(quick, request()) and not front.placer.has_capacity(slow, request())
 
 
 def test_time_out_at_the_clients_own_limit_is_answered_at_once():
@@ -117,23 +117,23 @@
 
 def test_line_is_cut_by_chance_before_the_usual_need_no_longer_fits():
     front, _ = fleet((0, 0, 0))
-    front.first.add(NOW, 600.0)
-    front.now, lucky, unlucky = NOW, request(1), request(2)
+    front.estimates.first_token_waits.add(NOW, 600.0)
+    front.context.now, lucky, unlucky = NOW, request(1), request(2)
     lucky.promised_at = unlucky.promised_at = NOW + 1000
     lucky.luck, unlucky.luck = 0.1, 0.9
-    assert not front._late(lucky) and front._late(unlucky)
+    assert not front.admission.target_unreachable(lucky) and front.admission.target_unreachable(unlucky)
     lucky.repeat = True
-    assert front._late(lucky)
+    assert front.admission.target_unreachable(lucky)
 
 
 def test_trouble_that_is_over_is_forgotten():
     front, _ = fleet((0, 0, 0))
-    front.first.add(NOW - 10_000, 2000.0)
-    front.now, one = NOW, request()
+    front.estimates.first_token_waits.add(NOW - 10_000, 2000.0)
+    front.context.now, one = NOW, request()
     one.promised_at, one.luck = NOW + 1000, 0.5
-    assert front._late(one)
-    front.first.add(NOW, 20.0)
-    assert not front._late(one)
+    assert front.admission.target_unreachable(one)
+    front.estimates.first_token_waits.add(NOW, 20.0)
+    assert not front.admission.target_unreachable(one)
 
 
 def test_full_reader_counts_as_a_long_wait_and_a_few_requests_go_ahead_all_the_same():
@@ -141,10 +141,10 @@
     one = request()
     front.decide(NOW, [RequestArrived(one)])
     ended(front, one.attempts[0], Outcome.FULL)
-    assert one.ended and front.per_token.mean(front.now) * one.prompt == 1000.0
-    trial = request(2, now=front.now)
-    trial.promised_at, trial.luck = front.now + 1000, 0.01
-    assert not front._late(trial)
+    assert one.ended and front.estimates.prefill_per_token.mean(front.context.now) * one.prompt == 1000.0
+    trial = request(2, now=front.context.now)
+    trial.promised_at, trial.luck = front.context.now + 1000, 0.01
+    assert not front.admission.target_unreachable(trial)
 
 
 def test_irreversible_request_that_may_have_run_is_broken_off():
@@ -160,7 +160,7 @@
     read(front, one)
     attempt = one.attempts[1]
     front.decide(NOW + 60, [FirstToken(attempt, 10.0), AttemptEnded(attempt, Outcome.DELIVERED, 10.0, True)])
-    assert one.ended and not writer.attempts and not front.awaited
+    assert one.ended and not writer.attempts and not front.outliers.awaited
 
 
 def test_labelled_request_is_repeated_only_in_its_group_and_time():
@@ -168,10 +168,10 @@
     one = request(request_class=2)
     read(front, one)
     one.attempts[1].engine, one.attempts[1].outcome = same, Outcome.RESET
-    front.now = NOW + 60
-    assert front._may_send(one, same) and not front._may_send(one, other)
-    front.now += 4500
-    assert not front._may_send(one, same)
+    front.context.now = NOW + 60
+    assert front.retry.may_send(one, same) and not front.retry.may_send(one, other)
+    front.context.now += 4500
+    assert not front.retry.may_send(one, same)
 
 
 def test_deduplicated_request_is_read_again_within_its_group_alone():
@@ -299,7 +299,10 @@
     assert front.index.keeps[0] < 0.5
     far, near = request(1), request(2)
     far.luck, near.luck = 0.9, 0.1
-    assert front._writer(far, lean) is not rich and front._writer(near, lean) is rich
+    assert (
+        front.decode_selection.select(far, lean) is not rich
+        and front.decode_selection.select(near, lean) is rich
+    )
 
 
 def test_shared_beginning_is_kept_by_a_few_readers():
@@ -308,7 +311,7 @@
     for number in range(1, 100):
         one = request(number)
         one.prefix = 7
-        firsts.add(next(front._order(one))[0])
+        firsts.add(next(front.prefill_order.candidates(one))[0])
     assert len(firsts) == 6
 
 
@@ -316,29 +319,29 @@
     front, (reader, writer) = fleet(*PAIR)
     one = request()
     front.decide(NOW, [RequestArrived(one)])
-    front._ended(AttemptEnded(one.attempts[0], Outcome.ERROR, 5.0, False))
-    assert not front._well(reader, 0) and front._well(reader, 1)
+    front._on_attempt_ended(AttemptEnded(one.attempts[0], Outcome.ERROR, 5.0, False))
+    assert not front.outliers.is_healthy(reader, 0) and front.outliers.is_healthy(reader, 1)
 
 
 def test_faults_that_all_engines_share_set_none_of_them_aside():
     front, (_, *writers) = fleet((0, 0, 0), *[(1, 0, 0)] * 4)
     for writer in writers:
         writer.faults.add(NOW, 1.0, 2.0)
-        front.faulty[writer] = None
+        front.outliers.failed[writer] = None
     attempt = Attempt(request(), writers[0], 0, NOW)
-    front._judge(AttemptEnded(attempt, Outcome.RESET, 5.0, False))
-    assert front._well(writers[0], 0)
+    front._learn(AttemptEnded(attempt, Outcome.RESET, 5.0, False))
+    assert front.outliers.is_healthy(writers[0], 0)
     for _ in range(2):  # now it stands out
-        front._judge(AttemptEnded(attempt, Outcome.RESET, 5.0, False))
-    assert not front._well(writers[0], 0)
+        front._learn(AttemptEnded(attempt, Outcome.RESET, 5.0, False))
+    assert not front.outliers.is_healthy(writers[0], 0)
 
 
 def test_engines_known_to_serve_come_first_while_an_request_class_fails():
     front, (_, *writers) = fleet((0, 0, 0), (1, 0, 0), (1, 0, 0), (1, 0, 0))
-    front.fates[0].add(NOW, 1.0)
-    writers[2].good[0], front.good[0][writers[2]] = NOW, None
+    front.estimates.failures[0].add(NOW, 1.0)
+    writers[2].good[0], front.outliers.known_good[0][writers[2]] = NOW, None
     writers[2].turn = 9.0
-    assert front._writer(request(), None) is writers[2]
+    assert front.decode_selection.select(request(), None) is writers[2]
 
 
 def test_read_left_unanswered_by_an_engine_that_lives_is_called_off():
@@ -349,13 +352,13 @@
     assert kinds(front.decide(NOW + 702, [HealthCheckEnded(reader, Outcome.DELIVERED, 2.0)])) == [
         "CancelAttempt"
     ]
-    assert not front._well(reader, 0)
+    assert not front.outliers.is_healthy(reader, 0)
 
 
 def test_read_is_left_in_its_line_where_all_readers_are_slow_alike():
     # Guards against hundreds of fronts that call off what waits in a line and send it to the end of another.
     front, (reader, _) = fleet(*PAIR)
-    front.lines.add(NOW, 400.0)
+    front.estimates.prefill_queue_waits.add(NOW, 400.0)
     one = request()
     front.decide(NOW, [RequestArrived(one)])
     reader.suspected = True  # only then is a probe's answer a judgement
@@ -371,7 +374,7 @@
     front, (reader, _) = fleet(*PAIR)
     one = request()
     front.decide(NOW, [RequestArrived(one)])
-    reader.suspected, front.asks = True, True
+    reader.suspected, front.probing.enabled = True, True
     assert kinds(front.decide(NOW + 980, [HealthCheckEnded(reader, Outcome.DELIVERED, 2.0)])) == []
     assert not one.attempts[0].called_off
 
@@ -379,42 +382,44 @@
 def test_long_prompt_is_not_held_to_the_pace_of_prompts_that_were_found_kept():
     # Guards against reads called off as hung that only had nothing to go by: kept tokens cost no time.
     front, (reader, _) = fleet(*PAIR, node_count=200)
-    front.asks = True
+    front.probing.enabled = True
     for number, (time, kept) in enumerate([(80.0, 200), (10.0, 950), (15.0, 900)], 1):
         attempt = Attempt(request(number), reader, 0, NOW, True, work=1000.0)
-        front._judge(AttemptEnded(attempt, Outcome.READ, time, False, kept))
+        front._learn(AttemptEnded(attempt, Outcome.READ, time, False, kept))
     front.decide(NOW, [])
-    assert front.shortest == 0.1  # 80 ms for 800 tokens; few tokens tell nothing of pace
-    assert front._reads(Attempt(request(4), reader, 0, NOW, True, work=1000.0)) == 4.0 * 100.0
+    assert front.estimates.best_prefill_per_token == 0.1  # 80 ms for 800 tokens
+    uncached = Attempt(request(4), reader, 0, NOW, True, work=1000.0)
+    assert front.estimates.allowed_prefill_ms(uncached) == 4.0 * 100.0
 
 
 def test_pace_that_was_never_seen_is_that_of_the_settings():
     front, _ = fleet(*PAIR)
-    assert front.shortest == 0.0
+    assert front.estimates.best_prefill_per_token == 0.0
     changed = tuple(
         replace(request_class, latency_target_per_1000_tokens_ms=85.0)
         for request_class in settings().request_classes
     )
     front, _ = fleet(*PAIR, request_classes=changed)
-    front.asks = True
+    front.probing.enabled = True
     front.decide(NOW, [])
-    assert front.shortest == 0.085
+    assert front.estimates.best_prefill_per_token == 0.085
 
 
 def test_one_slow_read_does_not_refuse_all_that_follows_where_readers_can_be_asked():
     # Guards against a front of hundreds that judges all readers by one or two reads of its own.
     for fronts, refused in ((200, False), (2, True)):
         front, _ = fleet(*THREE_READERS, node_count=fronts)
-        front.first.add(NOW, 50.0)
-        front.per_token.add(NOW, 3743.0, 5405.0)
-        front.anew.add(NOW, 400.0, 4700.0)
+        front.estimates.first_token_waits.add(NOW, 50.0)
+        front.estimates.prefill_per_token.add(NOW, 3743.0, 5405.0)
+        front.estimates.uncached_prefill_per_token.add(NOW, 400.0, 4700.0)
         one = request()
         one.prompt, one.luck = 4900.0, 0.9
         one.promised_at = NOW + 1600.0
-        front.now, front.shortest, front.asks = NOW, front.anew.least(NOW), fronts == 200
-        assert front._late(one) is refused
+        front.context.now, front.probing.enabled = NOW, fronts == 200
+        front.estimates.best_prefill_per_token = front.estimates.uncached_prefill_per_token.least(NOW)
+        assert front.admission.target_unreachable(one) is refused
         one.asked[front.index.readers[0]] = NOW - 400.0  # it was asked, and nobody answered: there are lines
-        assert front._late(one)
+        assert front.admission.target_unreachable(one)
 
 
 def test_reads_called_off_in_a_jam_count_as_waits():
@@ -423,7 +428,10 @@
     one = request()
     front.decide(NOW, [RequestArrived(one)])
     ended(front, one.attempts[0], Outcome.CANCELLED, after=900.0)
-    assert front._late(request(2, now=NOW + 900)) and front.lines.mean(NOW + 900) == 900.0
+    assert (
+        front.admission.target_unreachable(request(2, now=NOW + 900))
+        and front.estimates.prefill_queue_waits.mean(NOW + 900) == 900.0
+    )
 
 
 def test_request_whose_client_leaves_before_the_next_beat_is_answered_at_once():
@@ -447,7 +455,7 @@
         front.slow_start.read_credit = 1.0
         for engine in engines:
             engine.credit = 1.0
-        front._send(request(1), engines[0], reading=True)
+        front._send(request(1), engines[0], prefill=True)
         late = request(2, now=NOW + 900.0)
         late.prompt, late.session = 900.0, 2
         front.decide(NOW + 900.0, [])
@@ -466,7 +474,7 @@
     front, _ = fleet((0, 0, 0))
     front.decide(NOW, [RequestArrived(request())])
     assert any(
-        isinstance(action, SetTimer) for action in front.decide(front.alarm_at - 0.001, [TimerFired(0)])
+        isinstance(action, SetTimer) for action in front.decide(front.timer_due_at - 0.001, [TimerFired(0)])
     )
 
 
@@ -514,16 +522,16 @@
     asides = []
     for at in range(3):
         for _ in range(50):
-            front.fates[0].add(NOW, 0.0)
-        front.now = NOW + at
-        front._strike(writer)
-        asides.append(writer.unwell[-1] - front.now)
+            front.estimates.failures[0].add(NOW, 0.0)
+        front.context.now = NOW + at
+        front.outliers.eject(writer)
+        asides.append(writer.unwell[-1] - front.context.now)
     assert asides[0] < 1300 < 1400 < asides[1] and asides[2] > 2900
 
 
 def test_last_reader_is_kept_after_an_error_but_not_when_unreachable():
     front, (reader, _) = fleet(*PAIR)
-    front._strike(reader)
+    front.outliers.eject(reader)
     one, two = request(1), request(2)
     front.decide(NOW, [RequestArrived(one)])
     assert not one.attempts
@@ -567,9 +575,9 @@
     front, (reader, _) = fleet(*PAIR)
     one = request()
     front.decide(NOW, [RequestArrived(one)])
-    front.reading -= 1e-9  # what sums of fractions come to
+    front.in_flight.prefill_tokens -= 1e-9  # what sums of fractions come to
     ended(front, one.attempts[0], Outcome.READ)
-    assert front._has_room(reader, request(2))
+    assert front.placer.has_capacity(reader, request(2))
 
 
 def test_state_of_a_cell_whose_readers_have_all_gone_is_still_answered():
@@ -624,7 +632,11 @@
     while not one.attempts and now < NOW + 1000:
         now += 10
         asked += asked_at(front, now, TimerFired(0))
-    assert now < NOW + 250 and len(asked) == 3 and one.attempts[0].engine is next(front._order(one))[0]
+    assert (
+        now < NOW + 250
+        and len(asked) == 3
+        and one.attempts[0].engine is next(front.prefill_order.candidates(one))[0]
+    )
 
 
 def test_probe_that_fails_before_a_read_marks_nobody():
@@ -654,10 +666,10 @@
     # Guards against a busy front of hundreds that holds each writer to one answer, with memory idle.
     front, (_, writer) = fleet(*PAIR, node_count=200, kind_memory_tokens=(400_000, 570_000))
     writer.attempts = {Attempt(request(number), writer, 0, NOW, began=NOW): None for number in range(4)}
-    front.out, front.now, front.asks = 4, NOW, True
+    front.in_flight.decode_requests, front.context.now, front.probing.enabled = 4, NOW, True
     one = request(9)
     one.luck = 0.9
-    front.first.add(NOW, 40.0)
-    assert front._has_window(writer, one)
-    front.first.add(NOW, 4000.0)  # states wait for memory somewhere
-    assert not front._has_window(writer, one)
+    front.estimates.first_token_waits.add(NOW, 40.0)
+    assert front.window.has_capacity(writer, one)
+    front.estimates.first_token_waits.add(NOW, 4000.0)  # states wait for memory somewhere
+    assert not front.window.has_capacity(writer, one)
--- a/worksmux/baselines/__init__.py
+++ b/worksmux/baselines/__init__.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from ..policy.id_map import Maker
-from ..policy.router import Front
+from ..policy.router import Router
 from .plain import LeastOfOurOwn, Random, RoundRobin
 
 POLICIES: dict[str, Maker] = {
-    "worksmux": Front,
+    "worksmux": Router,
     "random": Random,
     "round-robin": RoundRobin,
     "least-of-our-own": LeastOfOurOwn,
--- a/worksmux/endpoints/learned_state.py
+++ b/worksmux/endpoints/learned_state.py
@@ -18,9 +18,9 @@
 import msgspec
 
 from ..policy.events import AttemptEnded, Event, FirstToken, StateRestored
+from ..policy.load_estimates import BUCKETS, HISTORY_MS, SLOW_FACTOR
 from ..policy.measure import Ring
-from ..policy.router import ALL, BUCKETS, MEMORY, SLOWNESS
-from ..policy.state import Engine, Outcome
+from ..policy.state import ALL_REQUEST_CLASSES, Engine, Outcome
 from .staleness import USEFUL, Turnover
 
 MOST = 0.5  # of a trip: what a remembered figure counts at most
@@ -70,15 +70,15 @@
 
     def __init__(self, request_classes: list[str]) -> None:
         self.request_classes = request_classes
-        self.first, self.per_token = Ring(MEMORY, BUCKETS), Ring(MEMORY, BUCKETS)
-        self.faults = [Ring(MEMORY, BUCKETS) for _ in request_classes]
+        self.first, self.per_token = Ring(HISTORY_MS, BUCKETS), Ring(HISTORY_MS, BUCKETS)
+        self.faults = [Ring(HISTORY_MS, BUCKETS) for _ in request_classes]
         self.shortest = self.shortest_at = 0.0
         self.saved: dict[str, Pace | Marks] = {}
 
     def saw(self, now: float, event: Event) -> None:
         """An event that the module is told."""
         if isinstance(event, FirstToken):
-            waited = event.elapsed - SLOWNESS * self.per_token.least(now) * event.attempt.work
+            waited = event.elapsed - SLOW_FACTOR * self.per_token.least(now) * event.attempt.work
             self.first.add(now, max(0.0, waited))
         elif isinstance(event, AttemptEnded):
             if event.outcome is Outcome.READ:
@@ -117,14 +117,14 @@
         good = {
             self.request_classes[request_class]: wall + time - now
             for request_class, time in engine.good.items()
-            if now - time < MEMORY and self.faults[request_class].mean(now) > 0
+            if now - time < HISTORY_MS and self.faults[request_class].mean(now) > 0
         }
         if not (unwell or good or engine.narrowed):
             return None
         return Marks(wall, started, unwell, good, engine.narrowed)
 
     def _name(self, request_class: int) -> str:
-        return "" if request_class == ALL else self.request_classes[request_class]
+        return "" if request_class == ALL_REQUEST_CLASSES else self.request_classes[request_class]
 
     def changes(
         self, engines: Iterable[tuple[Engine, float]], now: float, wall: float
@@ -159,7 +159,7 @@
     seen = [(0.0, 0.0)] * (2 + len(request_classes))
     if kept.pace is not None:
         pace, rate = kept.pace, turnover.rate(believed_for)
-        weight = MOST * max(0.0, 1 - abs(wall - pace.at) / MEMORY)
+        weight = MOST * max(0.0, 1 - abs(wall - pace.at) / HISTORY_MS)
         seen[0] = _weighed(pace.first, weight)
         seen[1] = _weighed(pace.per_token, weight)
         lasting = MOST * exp(-rate * abs(wall - pace.shortest_at))
@@ -169,21 +169,21 @@
             if name in pace.fates:
                 seen[2 + at] = _weighed(pace.fates[name], weight)
     told = StateRestored(seen, [], [], [])
-    at_of = {name: at for at, name in enumerate(request_classes)} | {"": ALL}
+    at_of = {name: at for at, name in enumerate(request_classes)} | {"": ALL_REQUEST_CLASSES}
     for engine, started in engines:
         marks = kept.marks.get(engine.id.decode())
-        age = abs(wall - marks.at) if marks else MEMORY
-        if marks is None or marks.started != started or age >= MEMORY:
+        age = abs(wall - marks.at) if marks else HISTORY_MS
+        if marks is None or marks.started != started or age >= HISTORY_MS:
             continue
         for name, until in marks.unwell.items():
-            left = min(until - wall, MEMORY - age)
+            left = min(until - wall, HISTORY_MS - age)
             if left > 0 and name in at_of:
                 told.unwell.append((engine, at_of[name], left))
         for name, time in marks.good.items():
-            if 0 <= wall - time < MEMORY and at_of.get(name, ALL) != ALL:
+            if 0 <= wall - time < HISTORY_MS and at_of.get(name, ALL_REQUEST_CLASSES) != ALL_REQUEST_CLASSES:
                 told.good.append((engine, at_of[name], wall - time))
         if marks.narrowed > 0:
-            told.narrowed.append((engine, marks.narrowed * (1 - age / MEMORY)))
+            told.narrowed.append((engine, marks.narrowed * (1 - age / HISTORY_MS)))
     return told
 
 
--- a/worksmux/gateway/endpoint_cache.py
+++ b/worksmux/gateway/endpoint_cache.py
@@ -15,7 +15,7 @@
 from ..net import client, clock
 from ..net.loop import Reactor
 from ..policy.events import EndpointEntry, EndpointListUpdate
-from ..policy.router import MEMORY
+from ..policy.load_estimates import HISTORY_MS
 from ..policy.state import Engine, Outcome
 from ..settings.front import MemorySettings
 from ..storage.database import Store, Unusable, open_store
@@ -121,7 +121,7 @@
         return [(known.engine, known.line.started) for known in self.engine_list.keeper.known.values()]
 
     def _keep_later(self) -> None:
-        self.keep_timer = self.reactor.callLater(MEMORY * EVERY / 1000, self._keep)
+        self.keep_timer = self.reactor.callLater(HISTORY_MS * EVERY / 1000, self._keep)
 
     def _keep(self) -> None:
         self._keep_learned()
--- /dev/null
+++ b/worksmux/policy/context.py
@@ -0,0 +1,47 @@
+"""What every part of the policy reads: the time, settings, endpoints and the actions of this round."""
+
+from __future__ import annotations
+
+from .actions import Action
+from .endpoint_index import EngineIndex
+from .events import FailoverPlan
+from .measure import Chance
+from .settings import PolicySettings
+from .state import Engine
+
+DEFAULT_RELEASE_WITHIN_MS = 1_000.0  # where the settings name no limit for held KV cache
+ROUNDS_PER_RELEASE = 6  # decision rounds, while a request waits, within that limit
+
+
+class PolicyContext:
+    """Shared by the parts of one router, which alone writes it."""
+
+    __slots__ = (
+        "settings",
+        "request_classes",
+        "random_source",
+        "shortest_target_ms",
+        "round_interval_ms",
+        "now",
+        "engines",
+        "index",
+        "plan",
+        "actions",
+    )
+
+    def __init__(self, settings: PolicySettings, seed: int) -> None:
+        self.settings = settings
+        self.request_classes = settings.request_classes
+        self.random_source = Chance(seed)
+        self.shortest_target_ms: float = min(
+            request_class.latency_target_ms for request_class in self.request_classes
+        )
+        self.round_interval_ms: float = max(
+            settings.tick_ms,
+            (settings.release_within_ms or DEFAULT_RELEASE_WITHIN_MS) / ROUNDS_PER_RELEASE,
+        )
+        self.now = 0.0  # milliseconds, set at each decision round
+        self.engines: dict[Engine, None] = {}
+        self.index = EngineIndex([], None, settings, 0.0)
+        self.plan: FailoverPlan | None = None  # agreed by all nodes; None: nobody fails over
+        self.actions: list[Action] = []  # of the present round, in order
--- /dev/null
+++ b/worksmux/policy/decode_window.py
@@ -0,0 +1,99 @@
+"""How many requests of this node may be in flight at one decode engine.
+
+The window starts from the engine's even share of this node's requests.  It shrinks when the engine answers
+"full" and when first tokens come late, so that an engine where KV transfers queue gets no more before it has
+to reject.  Counts are requests; times are milliseconds.
+"""
+
+from __future__ import annotations
+
+from math import inf
+
+from .context import PolicyContext
+from .events import StateRestored
+from .in_flight import InFlight
+from .load_estimates import BUCKETS, RECENT_BUCKETS, LoadEstimates
+from .measure import Ring
+from .outlier_detection import OutlierDetection
+from .prefill_probing import PrefillProbing
+from .state import Engine, Request
+
+WINDOW_MARGIN = 0.25  # of the even share, also of the memory share, that may be exceeded
+IN_FLIGHT_HISTORY_MS = 4_000.0  # over which this node's requests in flight are averaged
+SKIP_AFTER_FULL_MS = 1_000.0  # a decode engine that answered "full" gets no request
+
+
+class DecodeWindow:
+    """Capacity of decode engines for this node's requests."""
+
+    def __init__(
+        self,
+        context: PolicyContext,
+        estimates: LoadEstimates,
+        in_flight: InFlight,
+        outliers: OutlierDetection,
+        probing: PrefillProbing,
+    ) -> None:
+        self._context, self._estimates, self._in_flight = context, estimates, in_flight
+        self._outliers, self._probing = outliers, probing
+        self._in_flight_history = Ring(IN_FLIGHT_HISTORY_MS, BUCKETS)
+
+    def begin_placement(self) -> None:
+        self._in_flight_history.add(self._context.now, self._in_flight.decode_requests)
+
+    def is_open(self, engine: Engine, request: Request) -> bool:
+        """Whether the engine has capacity for one more request and is usable."""
+        return self.has_capacity(engine, request) and self._outliers.is_usable(engine, request.request_class)
+
+    def has_capacity(self, engine: Engine, request: Request) -> bool:
+        """Whether one more request fits; the random draw decides on the fraction of a request in a window."""
+        outstanding = len(engine.attempts) + len(engine.paired)
+        if not outstanding or self._exceeds_memory_share(engine, request):
+            return not outstanding
+        wait_ms = max(engine.pace.mean(self._context.now), self._estimates.oldest_wait_ms(engine))
+        slowdown = min(1.0, self._estimates.harmless_first_token_wait / max(wait_ms, 1.0))
+        return outstanding < self.size(engine, request.luck) * slowdown
+
+    def size(self, engine: Engine, random_draw: float = 0.0) -> float:
+        """Requests that may be in flight at the engine, at least 1."""
+        total = max(self._in_flight.decode_requests, self._in_flight_history.mean(self._context.now))
+        share = total / max(1, len(self._context.index.answering))
+        burst = float(share**0.5)
+        return max(1.0, share * (1 + WINDOW_MARGIN) + burst - engine.narrowed + random_draw)
+
+    def _exceeds_memory_share(self, engine: Engine, request: Request) -> bool:
+        """Whether the request would take more than this node's share of the engine's KV cache.
+
+        Failure: a decode engine that runs out of memory computes answers again.  Where first tokens have come
+        at once of late no KV cache waits for memory, and a node with more than its share of the traffic need
+        not hold back.
+        """
+        first_tokens = self._estimates.first_token_waits
+        if (
+            self._probing.enabled
+            and first_tokens.mean(self._context.now, inf, RECENT_BUCKETS)
+            <= self._estimates.harmless_first_token_wait
+        ):
+            return False
+        settings = self._context.settings
+        memory_tokens = settings.kind_memory_tokens
+        held = sum(attempt.request.prompt for attempt in engine.attempts) + sum(
+            paired.prompt for paired in engine.paired
+        )
+        share = memory_tokens[engine.kind] / settings.node_count if engine.kind < len(memory_tokens) else inf
+        return bool(held + request.luck * request.prompt > (1 + WINDOW_MARGIN) * share)
+
+    def shrink(self, engine: Engine) -> None:
+        """The engine answered "full"."""
+        engine.narrowed += self.size(engine) / 2
+        engine.skip_until = self._context.now + SKIP_AFTER_FULL_MS
+
+    @staticmethod
+    def grow(engine: Engine) -> None:
+        """The engine served a request."""
+        engine.narrowed = max(0.0, engine.narrowed - 1.0)
+
+    @staticmethod
+    def restore(event: StateRestored) -> None:
+        for engine, requests in event.narrowed:
+            engine.narrowed = requests
--- a/worksmux/policy/endpoint_index.py
+++ b/worksmux/policy/endpoint_index.py
@@ -15,9 +15,10 @@
 from typing import NamedTuple
 
 from .events import FailoverPlan
+from .measure import mix
 from .rendezvous import RankedEngines, Ranking
 from .settings import PolicySettings
-from .state import Engine
+from .state import Engine, Request
 
 LEAN = 6.0  # times the price of moving state: what prefill engines take beyond their even share
 MOST_LOOKS = 128  # at decode engines of one circle in one search
@@ -222,6 +223,12 @@
             self._rankings.move_to_end(key)
         return found
 
+    def ranked_for(self, request: Request) -> tuple[int, int, Ranking]:
+        """The hash of the request's prefix, that of its session, and the ranking by the first of them."""
+        session = mix(request.session or request.id, 1)
+        key = mix(request.prefix, 0) if request.prefix else session
+        return key, session, self.ranked(key)
+
     def hosts_in(self, scope: Scope) -> list[Engine]:
         """Those that may run a prefill in the scope."""
         return [engine for engine in self.hosts if scope.has(engine)]
--- /dev/null
+++ b/worksmux/policy/endpoint_table.py
@@ -0,0 +1,98 @@
+"""Applies endpoint lists: which engines there are, and the index that decisions read."""
+
+from __future__ import annotations
+
+from .actions import SetTimer
+from .context import PolicyContext
+from .endpoint_index import EngineIndex
+from .events import EndpointEntry, EndpointListUpdate
+from .in_flight import InFlight
+from .load_estimates import BUCKETS, HISTORY_MS
+from .measure import Ring, mix
+from .outlier_detection import OutlierDetection
+from .settings import ROLE_PREFILL
+from .slow_start import SlowStart
+from .state import Engine
+
+LIST_RETRY_MS = 1_000.0  # on average, after an endpoint list that could not be fetched
+FIRST_TOKEN_HISTORY_MS = 1_000.0  # over which one engine's first tokens are averaged
+LIST_TIMER = 1  # token of the timer that asks for the endpoint list
+
+
+class EndpointTable:
+    """The engines of the policy's context."""
+
+    def __init__(
+        self,
+        context: PolicyContext,
+        slow_start: SlowStart,
+        outliers: OutlierDetection,
+        in_flight: InFlight,
+    ) -> None:
+        self._context, self._slow_start = context, slow_start
+        self._outliers, self._in_flight = outliers, in_flight
+
+    def update(self, event: EndpointListUpdate) -> bool:
+        """Whether the list was applied; a list that failed is fetched again later."""
+        if event.scope == "failed":
+            if self._context.settings.polls_endpoint_list:
+                delay_ms = LIST_RETRY_MS * (0.5 + self._context.random_source.share())
+                self._context.actions.append(SetTimer(delay_ms, LIST_TIMER))
+            return False
+        if event.scope != "delta":
+            for engine in self._context.engines.keys() - {entry.engine for entry in event.entries}:
+                engine.left = engine.left if engine.state == "gone" else self._context.now
+                engine.state = "gone"
+        for entry in event.entries:
+            self._enter(entry)
+        self._forget_gone()
+        return True
+
+    def _enter(self, entry: EndpointEntry) -> None:
+        engine = entry.engine
+        if engine not in self._context.engines:
+            self._context.engines[engine] = None
+            engine.salt = mix(engine.key, 0)
+            engine.faults, engine.pace = Ring(HISTORY_MS, BUCKETS), Ring(FIRST_TOKEN_HISTORY_MS, BUCKETS)
+            engine.turn = self._context.random_source.share() - 1.0  # nodes' rounds start differently
+        self._slow_start.leave(engine)
+        if entry.state == "ready" and (entry.started != engine.started or engine.state == "gone"):
+            self._restarted(engine)
+        if entry.state == "gone" and engine.state != "gone":
+            engine.left = self._context.now
+        engine.state, engine.started, engine.size = entry.state, entry.started, entry.size
+        engine.zone, engine.cell, engine.kind = entry.zone, entry.cell, entry.kind
+        engine.role = self._context.settings.engine_roles[entry.kind]
+
+    def _restarted(self, engine: Engine) -> None:
+        """Another process runs there now: what was learned and reserved is void."""
+        engine.narrowed, engine.skip_until, engine.unwell = 0.0, 0.0, {}
+        self._slow_start.begin(engine, self._context.random_source.share())
+        self._outliers.record_sign_of_life(engine)
+        for request in list(engine.paired):
+            self._in_flight.release(request)
+
+    def _forget_gone(self) -> None:
+        """Guards against memory growing without end where the fleet is replaced all day."""
+        now, missed = self._context.now, self._context.index.missed
+        for engine in [
+            engine
+            for engine in self._context.engines
+            if engine.state == "gone"
+            and not engine.attempts
+            and not engine.paired
+            and engine not in missed
+            and now - engine.left > HISTORY_MS
+        ]:
+            del self._context.engines[engine]
+            self._outliers.forget(engine)
+
+    def rebuild_index(self) -> None:
+        """Due after each list and plan."""
+        context = self._context
+        self._slow_start.settle_all()
+        before = context.index.cold
+        context.index = EngineIndex(context.engines, context.plan, context.settings, context.now)
+        if not any(engine.role == ROLE_PREFILL for engine in before):
+            self._slow_start.read_credit = context.random_source.share()
+        self._slow_start.cold_are(context.index.cold)
--- a/worksmux/policy/events.py
+++ b/worksmux/policy/events.py
@@ -6,6 +6,8 @@
 
 from .state import Attempt, Engine, Outcome, Request
 
+KV_CACHE_LOST = 1  # note of an attempt that ended "full"
+
 
 @dataclass(slots=True)
 class EndpointEntry:
@@ -46,6 +48,11 @@
     note: int = 0
     report: dict[str, float] | None = None
 
+    @property
+    def kv_cache_lost(self) -> bool:
+        """The decode engine found no KV cache to take; it had capacity."""
+        return self.outcome is Outcome.FULL and self.note == KV_CACHE_LOST
+
 
 @dataclass(slots=True)
 class ClientDisconnected:
--- a/worksmux/policy/id_map.py
+++ b/worksmux/policy/id_map.py
@@ -11,7 +11,7 @@
 
 from .actions import AbortRequest, Action, MigrateRequest, RejectRequest, ReleaseKvCache, ReserveSlot
 from .events import AttemptEnded, ClientDisconnected, Event, RequestArrived
-from .router import Front
+from .router import Router
 from .settings import PolicySettings
 from .state import Attempt, Engine, Request
 
@@ -26,7 +26,7 @@
 
 
 class Door:
-    def __init__(self, settings: PolicySettings, seed: int, make: Maker = Front) -> None:
+    def __init__(self, settings: PolicySettings, seed: int, make: Maker = Router) -> None:
         self.settings = settings
         self.module = make(settings, seed)
         self.engines: dict[bytes, Engine] = {}
--- /dev/null
+++ b/worksmux/policy/outlier_detection.py
@@ -0,0 +1,233 @@
+"""Which engines are healthy, judged from this node's own attempts.
+
+An engine that fails is ejected for a time that doubles with each failure remembered.  An engine that is
+silent for too long is suspected and its health is checked.  Times are milliseconds.
+"""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from collections.abc import Iterator
+from math import inf
+
+from .context import PolicyContext
+from .events import AttemptEnded, StateRestored
+from .load_estimates import HISTORY_MS, SLOW_FACTOR, SUSPECT_AFTER, LoadEstimates
+from .settings import ROLE_PREFILL
+from .slow_start import SlowStart
+from .state import ALL_REQUEST_CLASSES, Attempt, Engine, Outcome
+
+EJECTION_MS = 1_000.0  # after a first failure
+MAX_EJECTION_DOUBLINGS = 2
+OUTLIER_FACTOR = 1.5  # times the failures of its peers: an engine with fewer is no outlier
+
+
+class OutlierDetection:
+    """Failures, ejections, suspicion and known-good engines."""
+
+    def __init__(self, context: PolicyContext, estimates: LoadEstimates, slow_start: SlowStart) -> None:
+        self._context, self._estimates, self._slow_start = context, estimates, slow_start
+        self.awaited: dict[Engine, None] = {}  # no sign of life since an attempt was sent
+        self.failed: dict[Engine, None] = {}  # with failures remembered
+        self.known_good: list[dict[Engine, None]] = [
+            {} for _ in context.request_classes
+        ]  # by request class: engines that served it, latest last
+        self._role_failures: dict[str, float] = defaultdict(float)  # of ready engines
+        self._role_failures_at = -inf
+
+    # Health as placement sees it.
+
+    def is_healthy(self, engine: Engine, request_class: int) -> bool:
+        """Ready, not suspected, not ejected; after an ejection one attempt at a time until it answers."""
+        if engine.state != "ready" or engine.suspected:
+            return False
+        now, unwell = self._context.now, engine.unwell
+        if not unwell:
+            return True
+        if max(unwell.get(ALL_REQUEST_CLASSES, 0.0), unwell.get(request_class, 0.0)) > now:
+            return False
+        return not (engine.attempts and engine.quiet_since and engine.faults.count(now))
+
+    def is_usable(self, engine: Engine, request_class: int) -> bool:
+        """Healthy, not skipped after a rejection, and within its slow-start credit."""
+        context = self._context
+        return (
+            engine.skip_until <= context.now
+            and self.is_healthy(engine, request_class)
+            and (
+                engine not in context.index.cold
+                or self._slow_start.credit(engine) >= 1.0
+                or not self._slow_start.is_cold(engine, context.now)
+            )
+        )
+
+    def all_known_good(self, request_class: int) -> dict[Engine, None]:
+        """Engines that served the request class within the history."""
+        known = self.known_good[request_class]
+        while known and not self._is_known_good(oldest := next(iter(known)), request_class):
+            del known[oldest]
+        return known
+
+    def _is_known_good(self, engine: Engine, request_class: int) -> bool:
+        return self._context.now - engine.good.get(request_class, -inf) < HISTORY_MS
+
+    # What attempts showed.
+
+    def expect_answer(self, engine: Engine) -> None:
+        engine.quiet_since = engine.quiet_since or self._context.now
+        self.awaited[engine] = None
+
+    def record_sign_of_life(self, engine: Engine) -> None:
+        engine.quiet_since = self._context.now if engine.unanswered else 0.0
+        if not engine.quiet_since:
+            self.awaited.pop(engine, None)
+
+    def record_success(self, attempt: Attempt) -> None:
+        engine, request_class = attempt.engine, attempt.request.request_class
+        engine.good[request_class] = self._context.now
+        known = self.known_good[request_class]
+        known.pop(engine, None)
+        known[engine] = None
+        self._estimates.failures[request_class].add(self._context.now, 0.0)
+        self._slow_start.earn(engine.role, 1.0)
+        self.record_sign_of_life(engine)
+
+    def record_failure(self, event: AttemptEnded) -> None:
+        """Ejects the engine if the outcome is its fault: an error for that request class alone, as the
+        engine may serve the others."""
+        engine, outcome = event.attempt.engine, event.outcome
+        request_class = event.attempt.request.request_class
+        if outcome in (Outcome.ERROR, Outcome.UNREACHABLE, Outcome.RESET):
+            self._estimates.failures[request_class].add(self._context.now)
+            only_for = request_class if outcome is Outcome.ERROR else ALL_REQUEST_CLASSES
+            self.eject(engine, only_for, only_outliers=True)
+        elif outcome is Outcome.TIMED_OUT and event.elapsed > self.patience_ms(engine):
+            # A timeout that was cut short by the client's deadline tells nothing.
+            self._estimates.failures[request_class].add(self._context.now)
+            self.eject(engine)
+
+    def record_ended(self, event: AttemptEnded) -> None:
+        """Judges what is left in flight anew where an answer ended the silence."""
+        engine = event.attempt.engine
+        if not engine.attempts or event.outcome not in (
+            Outcome.TIMED_OUT,
+            Outcome.CANCELLED,
+            Outcome.MOOT,
+        ):
+            self.record_sign_of_life(engine)
+
+    def eject(
+        self, engine: Engine, request_class: int = ALL_REQUEST_CLASSES, only_outliers: bool = False
+    ) -> None:
+        """Ejects an engine, for longer with each failure remembered.
+
+        A node that meets its engines seldom keeps the ejection until about the next time it would meet it.
+        """
+        now = self._context.now
+        engine.faults.add(now)
+        self.failed[engine] = None
+        if only_outliers and not self._is_outlier(engine):
+            return
+        ejection_ms = max(
+            EJECTION_MS * 2 ** min(engine.faults.count(now) - 1, MAX_EJECTION_DOUBLINGS),
+            HISTORY_MS * min(1.0, len(self._context.engines) / max(1, 2 * self._estimates.attempts_seen())),
+        )
+        jitter = 0.75 + 0.5 * self._context.random_source.share()
+        engine.unwell[request_class] = now + ejection_ms * jitter
+
+    def _is_outlier(self, engine: Engine) -> bool:
+        """Whether an engine fails more than its peers.
+
+        Failure: a network fault hits all engines alike, and ejecting each would leave none.  Many engines
+        that die at once still stand out.
+        """
+        self._update_role_failures()
+        now, role = self._context.now, engine.role
+        failures, peers = self._role_failures[role], self._context.index.ready_by_role[role]
+        own = engine.faults.count(now)
+        return own > OUTLIER_FACTOR * max(0.0, failures - own) / max(1, peers - 1)
+
+    def _update_role_failures(self) -> None:
+        now = self._context.now
+        if now < self._role_failures_at + self._context.round_interval_ms:
+            return
+        self._role_failures_at = now
+        self._role_failures.clear()
+        for engine in list(self.failed):
+            if not (count := engine.faults.count(now)):
+                del self.failed[engine]
+            elif engine.state == "ready":
+                self._role_failures[engine.role] += count
+
+    # Silence and health checks.
+
+    def patience_ms(self, engine: Engine) -> float:
+        """How long an engine may be silent before it is suspected.
+
+        Failure: where all engines are slow alike, nodes that cancel queued attempts and send them to the end
+        of another queue lengthen every queue.  So the usual wait at engines of its role counts.
+        """
+        estimates = self._estimates
+        prefill = engine.role == ROLE_PREFILL
+        waits = estimates.prefill_queue_waits if prefill else estimates.first_token_waits
+        return (
+            SUSPECT_AFTER * self._context.shortest_target_ms
+            + SLOW_FACTOR * waits.mean(self._context.now)
+            + sum(estimates.allowed_prefill_ms(attempt) for attempt in engine.unanswered)
+        )
+
+    def newly_suspected(self) -> Iterator[Engine]:
+        """Engines that have been silent for too long; each is marked before it is given."""
+        for engine in list(self.awaited):
+            if (
+                engine.quiet_since
+                and not engine.suspected
+                and engine.unwell.get(ALL_REQUEST_CLASSES, 0.0) <= self._context.now
+                and self._context.now - engine.quiet_since > self.patience_ms(engine)
+            ):
+                engine.suspected = True
+                yield engine
+
+    def record_health_check(self, engine: Engine, outcome: Outcome) -> list[Attempt]:
+        """The attempts at a suspected engine that had better run elsewhere."""
+        if outcome is Outcome.DELIVERED:
+            engine.reported = self._context.now
+        if not engine.suspected:  # it was only checked before a prefill
+            return []
+        engine.suspected = False
+        if outcome not in (Outcome.DELIVERED, Outcome.FULL):
+            self.eject(engine)
+            return list(engine.attempts)
+        late = self._overdue(engine)
+        for request_class in sorted({attempt.request.request_class for attempt in late}):
+            self._estimates.failures[request_class].add(self._context.now)
+            self.eject(engine, request_class)
+        self.record_sign_of_life(engine)
+        return late
+
+    def _overdue(self, engine: Engine) -> list[Attempt]:
+        """Attempts that an engine which is alive leaves unanswered.
+
+        A KV transfer over a slow link looks alike, so only attempts whose KV cache lies near count.
+        """
+        patience = self.patience_ms(engine)
+        return [
+            attempt
+            for attempt in engine.unanswered
+            if self._context.now - attempt.sent > patience
+            and (attempt.request.holder is None or attempt.request.holder.cell == engine.cell)
+        ]
+
+    # Endpoint list and restart.
+
+    def forget(self, engine: Engine) -> None:
+        for known in (self.failed, *self.known_good):
+            known.pop(engine, None)
+
+    def restore(self, event: StateRestored) -> None:
+        now = self._context.now
+        for engine, request_class, left in event.unwell:
+            engine.unwell[request_class] = now + left
+        for engine, request_class, ago in sorted(event.good, key=lambda entry: -entry[2]):
+            engine.good[request_class] = now - ago
+            self.known_good[request_class][engine] = None
--- /dev/null
+++ b/worksmux/policy/placement.py
@@ -0,0 +1,126 @@
+"""Where a waiting request runs: a prefill engine with capacity, and a decode engine for its KV cache.
+
+Work is prompt tokens, times are milliseconds.
+"""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from .context import PolicyContext
+from .decode_selection import DecodeSelection, Searched
+from .decode_window import DecodeWindow
+from .endpoint_index import ANYWHERE
+from .in_flight import InFlight
+from .load_estimates import SLOW_FACTOR, TOLERATED_WAIT, LoadEstimates
+from .outlier_detection import OutlierDetection
+from .prefill_order import PrefillOrder
+from .prefill_probing import PrefillProbing
+from .retry import RetryPolicy
+from .settings import ROLE_COMBINED, ROLE_PREFILL
+from .state import ALL_REQUEST_CLASSES, Engine, Request
+
+PREFILL_MARGIN = 0.25  # of the even share of this node's prompt tokens that may be exceeded
+
+
+class Placement(NamedTuple):
+    """Both are the same engine where it prefills and decodes in one attempt."""
+
+    prefill_engine: Engine
+    decode_engine: Engine
+
+
+class Placer:
+    """Finds placements; changes nothing but the probes it sends."""
+
+    def __init__(
+        self,
+        context: PolicyContext,
+        estimates: LoadEstimates,
+        in_flight: InFlight,
+        outliers: OutlierDetection,
+        retry: RetryPolicy,
+        probing: PrefillProbing,
+        order: PrefillOrder,
+        window: DecodeWindow,
+        decode_selection: DecodeSelection,
+    ) -> None:
+        self._context, self._estimates, self._in_flight = context, estimates, in_flight
+        self._outliers, self._retry, self._probing = outliers, retry, probing
+        self._order, self._window, self._decode_selection = order, window, decode_selection
+
+    def find(self, request: Request) -> Placement | None:
+        """The first candidate with capacity whose KV cache has a decode engine; one whose own cell has it
+        comes first.  None: the request waits."""
+        scope = self._retry.scope(request) if request.may_have_run else ANYWHERE
+        if scope is None:
+            return None
+        index = self._context.index
+        found: Placement | None = None
+        no_decode_engine = self._retry.attempts_left(request) < 2  # prefill and decode take one each
+        searched: Searched = {}
+        idle_only, exempt = self._probing.needs_known_idle(request), self._probing.exempt(request)
+        answered_since = self._context.now - self._probing.answer_within_ms
+        for engine, overflow_tokens in self._order.candidates(request, scope):
+            if (
+                idle_only
+                and engine.reported < answered_since
+                and engine.role == ROLE_PREFILL
+                and engine not in exempt
+            ):
+                continue
+            if engine.state != "ready" and request.may_have_run:
+                continue
+            if engine.role == ROLE_COMBINED:
+                if not found and self._combined_is_open(engine, request):
+                    found = Placement(engine, engine)
+                    break
+            elif not no_decode_engine and self._takes_prefill(engine, request, overflow_tokens):
+                decode_engine = self._decode_selection.select(request, engine, searched)
+                no_decode_engine = decode_engine is None
+                if decode_engine and not self._probing.may_send(engine, request):
+                    idle_only = self._probing.needs_known_idle(request)
+                    continue
+                if decode_engine and (
+                    decode_engine.cell == engine.cell or request.luck >= index.keeps[engine.cell]
+                ):
+                    found = Placement(engine, decode_engine)
+                    break
+                found = found or (Placement(engine, decode_engine) if decode_engine else None)
+        if found is None and self._context.settings.decode_engines_may_prefill and not no_decode_engine:
+            decode_engine = self._decode_selection.select(request, None)
+            found = Placement(decode_engine, decode_engine) if decode_engine else None
+        return found
+
+    def _combined_is_open(self, engine: Engine, request: Request) -> bool:
+        return self._window.is_open(engine, request) and (
+            not request.attempts or self._retry.may_send(request, engine)
+        )
+
+    def _takes_prefill(self, engine: Engine, request: Request, overflow_tokens: float) -> bool:
+        """Whether the engine has capacity, or stands idle while no engine is healthy.
+
+        Failure: ejections by this node alone could leave it no prefill engine at all.
+        """
+        return (
+            self.has_capacity(engine, request, overflow_tokens)
+            or not engine.attempts
+            and engine.unwell.get(ALL_REQUEST_CLASSES, 0.0) <= self._context.now
+            and self._probing.no_engine_healthy(request.request_class)
+        )
+
+    def has_capacity(self, engine: Engine, request: Request, overflow_tokens: float = 0.0) -> bool:
+        """Whether the engine has no more than its even share of this node's prefill tokens.
+
+        `overflow_tokens` more may wait there before a cached prefix is computed again elsewhere.
+        """
+        outstanding = sum(attempt.work for attempt in engine.attempts)
+        even_share = self._in_flight.prefill_tokens / len(self._context.index.readers)
+        estimates = self._estimates
+        return (
+            outstanding <= (1 + PREFILL_MARGIN) * even_share + overflow_tokens
+            and self._outliers.is_usable(engine, request.request_class)
+            and estimates.oldest_wait_ms(engine)
+            <= TOLERATED_WAIT * self._context.shortest_target_ms
+            + SLOW_FACTOR * estimates.best_prefill_per_token * overflow_tokens
+        )
--- /dev/null
+++ b/worksmux/policy/retry.py
@@ -0,0 +1,79 @@
+"""Whether and where a request may have one more attempt, and whether it may be rejected instead.
+
+A request with side effects that may have been executed already is not sent again, or only where engines
+deduplicate it.  Times are milliseconds.
+"""
+
+from __future__ import annotations
+
+from .context import PolicyContext
+from .endpoint_index import ANYWHERE, Scope
+from .settings import DEDUPLICATED, IDEMPOTENT, NON_IDEMPOTENT, SCOPE_ALL, SCOPE_ZONE
+from .state import Engine, Request
+
+
+class RetryPolicy:
+    """Reads the request and the settings; keeps no state."""
+
+    def __init__(self, context: PolicyContext) -> None:
+        self._context = context
+
+    def attempts_left(self, request: Request) -> int:
+        return int(self._context.settings.max_attempts) - len(request.attempts)
+
+    def is_exhausted(self, request: Request) -> bool:
+        """No attempt is left, or the deadline comes before the next decision round."""
+        context = self._context
+        return self.attempts_left(request) < 1 or context.now > request.give_up_at - context.round_interval_ms
+
+    def scope(self, request: Request) -> Scope | None:
+        """Where one more attempt may go; None: nowhere."""
+        if self.attempts_left(request) < 1 or request.out:
+            return None
+        executed = request.may_have_run
+        request_class = self._context.request_classes[request.request_class]
+        if not executed or request_class.effect == IDEMPOTENT:
+            return ANYWHERE
+        elapsed_ms = self._context.now - executed[0].sent
+        window_ms = request_class.deduplication_window_ms - self._context.shortest_target_ms
+        if request_class.effect == NON_IDEMPOTENT or elapsed_ms >= window_ms:
+            return None
+        if request_class.deduplication_scope == SCOPE_ALL:
+            return ANYWHERE
+        first = executed[0].engine
+        scope = Scope(first.zone, None if request_class.deduplication_scope == SCOPE_ZONE else first.cell)
+        return scope if all(scope.has(attempt.engine) for attempt in executed) else None
+
+    def may_send(self, request: Request, engine: Engine) -> bool:
+        scope = self.scope(request)
+        return scope is not None and engine.state == "ready" and scope.has(engine)
+
+    def may_retry(self, request: Request) -> bool:
+        """Whether an engine that may answer lies in the request's scope."""
+        scope = self.scope(request)
+        return scope is not None and self._context.index.any_in(self._context.index.answering, scope)
+
+    def may_prefill_again(self, request: Request) -> bool:
+        """A prefill counts as an attempt: after a possible execution it too stays within the scope."""
+        if not request.may_have_run or self._context.settings.decode_engines_may_prefill:
+            return True
+        scope = self.scope(request)
+        return scope is not None and self._context.index.any_in(self._context.index.hosts, scope)
+
+    def may_reject(self, request: Request) -> bool:
+        """Whether the client may safely send the request again."""
+        request_class = self._context.request_classes[request.request_class]
+        return (
+            request_class.effect == IDEMPOTENT
+            or not request.may_have_run
+            or (request_class.effect, request_class.deduplication_scope) == (DEDUPLICATED, SCOPE_ALL)
+        )
+
+    def may_cancel_for_retry(self, request: Request, prefill: bool) -> bool:
+        """Whether an attempt in flight may be cancelled so that the request runs elsewhere."""
+        request_class = self._context.request_classes[request.request_class]
+        return bool(
+            (prefill or request_class.effect == IDEMPOTENT)
+            and not request.ended
+            and self.attempts_left(request)
+        )
--- a/worksmux/policy/slow_start.py
+++ b/worksmux/policy/slow_start.py
@@ -26,6 +26,7 @@
     """Credit of the cold engines of one front."""
 
     def __init__(self, settings: PolicySettings) -> None:
+        self._slow_start_ms = settings.slow_start_ms
         self._budget: float = settings.slow_start_share * settings.overload_multiple * PRUDENCE
         self.read_credit = 0.0  # requests that cold prefill engines may be sent, earned together
         self._read_part = 0.0  # what cold prefill engines are due of all prefills
@@ -69,6 +70,9 @@
         else:
             self._earned[role] += self._budget * part
 
+    def is_cold(self, engine: Engine, now: float) -> bool:
+        return engine.started > 0 and now < engine.started + self._slow_start_ms
+
     def credit(self, engine: Engine) -> float:
         if engine.role == "read":
             return self.read_credit
--- a/worksmux/policy/state.py
+++ b/worksmux/policy/state.py
@@ -11,6 +11,7 @@
 
 from .measure import Ring
 
+ALL_REQUEST_CLASSES = -1  # as a key of `unwell`: the engine is ejected for every class
 EMPTY_WINDOW = Ring(1.0, 1)  # stands for a ring that the module has yet to make
 
 
