--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -121,9 +121,11 @@
     front.context.now, lucky, unlucky = NOW, request(1), request(2)
     lucky.promised_at = unlucky.promised_at = NOW + 1000
     lucky.luck, unlucky.luck = 0.1, 0.9
-    assert not front.admission.target_unreachable(lucky) and front.admission.target_unreachable(unlucky)
+    assert not front.admission.latency_target_unreachable(
+        lucky
+    ) and front.admission.latency_target_unreachable(unlucky)
     lucky.repeat = True
-    assert front.admission.target_unreachable(lucky)
+    assert front.admission.latency_target_unreachable(lucky)
 
 
 def test_trouble_that_is_over_is_forgotten():
@@ -131,9 +133,9 @@
     front.estimates.first_token_waits.add(NOW - 10_000, 2000.0)
     front.context.now, one = NOW, request()
     one.promised_at, one.luck = NOW + 1000, 0.5
-    assert front.admission.target_unreachable(one)
+    assert front.admission.latency_target_unreachable(one)
     front.estimates.first_token_waits.add(NOW, 20.0)
-    assert not front.admission.target_unreachable(one)
+    assert not front.admission.latency_target_unreachable(one)
 
 
 def test_full_reader_counts_as_a_long_wait_and_a_few_requests_go_ahead_all_the_same():
@@ -144,7 +146,7 @@
     assert one.ended and front.estimates.prefill_per_token.mean(front.context.now) * one.prompt == 1000.0
     trial = request(2, now=front.context.now)
     trial.promised_at, trial.luck = front.context.now + 1000, 0.01
-    assert not front.admission.target_unreachable(trial)
+    assert not front.admission.latency_target_unreachable(trial)
 
 
 def test_irreversible_request_that_may_have_run_is_broken_off():
@@ -417,9 +419,9 @@
         one.promised_at = NOW + 1600.0
         front.context.now, front.probing.enabled = NOW, fronts == 200
         front.estimates.best_prefill_per_token = front.estimates.uncached_prefill_per_token.least(NOW)
-        assert front.admission.target_unreachable(one) is refused
+        assert front.admission.latency_target_unreachable(one) is refused
         one.asked[front.index.readers[0]] = NOW - 400.0  # it was asked, and nobody answered: there are lines
-        assert front.admission.target_unreachable(one)
+        assert front.admission.latency_target_unreachable(one)
 
 
 def test_reads_called_off_in_a_jam_count_as_waits():
@@ -429,7 +431,7 @@
     front.decide(NOW, [RequestArrived(one)])
     ended(front, one.attempts[0], Outcome.CANCELLED, after=900.0)
     assert (
-        front.admission.target_unreachable(request(2, now=NOW + 900))
+        front.admission.latency_target_unreachable(request(2, now=NOW + 900))
         and front.estimates.prefill_queue_waits.mean(NOW + 900) == 900.0
     )
 
--- a/worksmux/bench_adapter/instance.py
+++ b/worksmux/bench_adapter/instance.py
@@ -12,11 +12,9 @@
     CheckHealth,
     CloseConnections,
     FetchEndpointList,
-    MigrateRequest,
     RejectRequest,
     ReleaseKvCache,
     ReserveSlot,
-    SendToPeer,
     SetTimer,
     StartAttempt,
     WatchEndpoints,
@@ -29,7 +27,6 @@
     Event,
     FirstToken,
     HealthCheckEnded,
-    PeerMessage,
     SlotReserved,
     TimerFired,
 )
@@ -52,7 +49,6 @@
 SCOPES = {0: "delta", 1: "full", 2: "cached", 3: "failed"}
 STATES = {2: "ready", 0: "draining", 1: "gone"}
 HINTED, REPEAT, RESUMED = 1, 2, 16
-TO_ALL = 0xFFFF
 
 
 class Instance:
@@ -125,7 +121,7 @@
                 engine = self._engine(address)
                 return HealthCheckEnded(engine, OUTCOMES[how], elapsed, self._report(load))
             case "note_from":
-                return PeerMessage(*values)
+                return None  # messages between nodes: the policy has none
             case "answer_ahead":
                 call, number, address, what, _ = values
                 attempt = self.door.attempt(call, number)
@@ -174,10 +170,6 @@
                 return "lookup", ()
             case CloseConnections(engine):
                 return "drop_conns", (engine.id,)
-            case SendToPeer(peer, data):
-                return "tell", (TO_ALL if peer is None else peer, data)
-            case MigrateRequest(request):
-                return "go_away", (request.id,)
             case WriteLog(text):
                 return "journal_line", (text.encode(),)
         raise TypeError(f"not an action: {action!r}")
--- a/worksmux/policy/actions.py
+++ b/worksmux/policy/actions.py
@@ -3,10 +3,22 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from enum import StrEnum
 
 from .state import Attempt, Engine, Request
 
 
+class EndReason(StrEnum):
+    """The rule that ended a request without an answer; the value is what the log shows."""
+
+    UNSPECIFIED = ""
+    FAILOVER_PLAN_SHED = "failover_plan_shed"
+    LATENCY_TARGET_UNREACHABLE = "latency_target_unreachable"
+    PREFILL_TOO_LATE = "prefill_too_late"
+    RETRY_EXHAUSTED = "retry_exhausted"
+    POSSIBLY_EXECUTED = "possibly_executed"
+
+
 @dataclass(slots=True)
 class StartAttempt:
     attempt: Attempt
@@ -17,13 +29,13 @@
 class RejectRequest:
     request: Request
     stay_away: float = 0.0
-    why: str = ""  # for the log
+    reason: EndReason = EndReason.UNSPECIFIED
 
 
 @dataclass(slots=True)
 class AbortRequest:
     request: Request
-    why: str = ""  # for the log
+    reason: EndReason = EndReason.UNSPECIFIED
 
 
 @dataclass(slots=True)
@@ -68,17 +80,6 @@
     engine: Engine
 
 
-@dataclass(slots=True)
-class SendToPeer:
-    peer: int | None  # None: all
-    data: bytes
-
-
-@dataclass(slots=True)
-class MigrateRequest:
-    request: Request
-
-
 @dataclass(slots=True)
 class WriteLog:
     text: str
@@ -96,7 +97,5 @@
     | WatchEndpoints
     | FetchEndpointList
     | CloseConnections
-    | SendToPeer
-    | MigrateRequest
     | WriteLog
 )
--- a/worksmux/policy/admission.py
+++ b/worksmux/policy/admission.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from .actions import RejectRequest
+from .actions import EndReason, RejectRequest
 from .context import PolicyContext
 from .load_estimates import LoadEstimates
 from .measure import mix, straw
@@ -49,10 +49,10 @@
         return RejectRequest(
             request,
             retry_after_ms * (1 + self._context.random_source.share()),
-            "the plan has no room for it",
+            EndReason.FAILOVER_PLAN_SHED,
         )
 
-    def target_unreachable(self, request: Request) -> bool:
+    def latency_target_unreachable(self, request: Request) -> bool:
         """Whether the first token is due before the usual need has passed.
 
         The random draw rejects some requests earlier, so that a growing queue is cut by degrees.
--- a/worksmux/policy/events.py
+++ b/worksmux/policy/events.py
@@ -79,12 +79,6 @@
     held: bool
 
 
-@dataclass(slots=True)
-class PeerMessage:
-    peer: int
-    data: bytes
-
-
 @dataclass(slots=True)
 class StateRestored:
     """What this front saw before it was restarted, weighed by age by who tells it."""
@@ -117,7 +111,6 @@
     | TimerFired
     | HealthCheckEnded
     | SlotReserved
-    | PeerMessage
     | StateRestored
     | FailoverPlan
 )
--- a/worksmux/policy/id_map.py
+++ b/worksmux/policy/id_map.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from .actions import AbortRequest, Action, MigrateRequest, RejectRequest, ReleaseKvCache, ReserveSlot
+from .actions import AbortRequest, Action, RejectRequest, ReleaseKvCache, ReserveSlot
 from .events import AttemptEnded, ClientDisconnected, Event, RequestArrived
 from .router import Router
 from .settings import PolicySettings
@@ -43,7 +43,7 @@
                 self._touched.append(event.request)
         actions = self.module.decide(now, events)
         for action in actions:
-            if isinstance(action, (RejectRequest, AbortRequest, ReleaseKvCache, ReserveSlot, MigrateRequest)):
+            if isinstance(action, (RejectRequest, AbortRequest, ReleaseKvCache, ReserveSlot)):
                 self._touched.append(action.request)
         for request in self._touched:  # nothing more can be told of these
             if request.ended and all(attempt.outcome for attempt in request.attempts):
--- a/worksmux/policy/kv_transfer.py
+++ b/worksmux/policy/kv_transfer.py
@@ -38,6 +38,10 @@
     def drop(self, request: Request) -> None:
         self.requests.pop(request, None)
 
+    def prefill_too_late(self, request: Request) -> bool:
+        """Whether the latency target has passed: while others wait, the request would make them late too."""
+        return self._context.now > request.promised_at
+
     def must_be_released(self, request: Request) -> bool:
         limit_ms = self._context.settings.release_within_ms * RELEASE_SHARE
         return bool(self._context.now > request.held_since + limit_ms)
--- a/worksmux/policy/router.py
+++ b/worksmux/policy/router.py
@@ -17,6 +17,7 @@
     Action,
     CancelAttempt,
     CheckHealth,
+    EndReason,
     RejectRequest,
     ReleaseKvCache,
     ReserveSlot,
@@ -255,8 +256,8 @@
         self.admission.begin_placement()
         new_ones_wait = False  # where one new request finds no place, none does
         for request in sorted(self.waiting, key=lambda request: request.promised_at):
-            if self.admission.target_unreachable(request):
-                self._end(request, "its usual need no longer fits")
+            if self.admission.latency_target_unreachable(request):
+                self._end(request, EndReason.LATENCY_TARGET_UNREACHABLE)
             elif request.attempts or not new_ones_wait:
                 if placement := self.placer.find(request):
                     self._place(request, placement)
@@ -302,9 +303,8 @@
     def _send_held(self) -> None:
         """The KV cache goes to the decode engine that is reserved for it, or else to the next."""
         for request in list(self.kv_caches.requests):
-            if self.waiting and self.context.now > request.promised_at:
-                # Guards against late answers that make others late too.
-                self._end(request, "its prefill came too late while others wait")
+            if self.waiting and self.kv_caches.prefill_too_late(request):
+                self._end(request, EndReason.PREFILL_TOO_LATE)
                 continue
             if self.kv_caches.must_be_released(request):
                 self._prefill_again(request)
@@ -345,7 +345,9 @@
         for attempt in attempts:
             request = attempt.request
             if self.retry.may_cancel_for_retry(request, attempt.reading) and not (
-                self.probing.enabled and attempt.reading and self.admission.target_unreachable(request)
+                self.probing.enabled
+                and attempt.reading
+                and self.admission.latency_target_unreachable(request)
             ):
                 self._cancel(attempt)
 
@@ -363,19 +365,19 @@
         self._do(ReleaseKvCache(request))  # also of a slot that was reserved ahead of a failed prefill
         may_run_again = self.retry.may_retry(request) and self.retry.may_prefill_again(request)
         if self.retry.is_exhausted(request):
-            self._end(request, "no attempt or no time is left")
+            self._end(request, EndReason.RETRY_EXHAUSTED)
         elif not (self.retry.may_reject(request) or may_run_again):
-            self._end(request, "it may have run")
+            self._end(request, EndReason.POSSIBLY_EXECUTED)
         else:
             self.waiting[request] = None
 
-    def _end(self, request: Request, why: str) -> None:
+    def _end(self, request: Request, reason: EndReason) -> None:
         if request.ended:
             return
         if self.retry.may_reject(request):
-            self._do(RejectRequest(request, why=why))
+            self._do(RejectRequest(request, reason=reason))
         else:
-            self._do(AbortRequest(request, why))
+            self._do(AbortRequest(request, reason))
         self._drop(request)
 
     def _drop(self, request: Request) -> None:
