--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -74,7 +74,7 @@
 
     def _no_room(self, on: bool) -> None:
         for engine in self.rig.node.core.pools:
-            engine.skip_until = 1e12 if on and engine.id.decode() == self.reader.name else 0.0
+            engine.skipped_until = 1e12 if on and engine.id.decode() == self.reader.name else 0.0
 
     def finish(self, point: str) -> None:
         """Everything goes its way from the point."""
--- a/tests/test_engine_index.py
+++ b/tests/test_engine_index.py
@@ -21,7 +21,7 @@
     """The first `heavy` of them weigh three times as much."""
     found = [Engine(b"%d" % at, at + 1, role="write", state="ready") for at in range(count)]
     for at, engine in enumerate(found):
-        engine.salt, engine.weight = mix(engine.key, 0), 3.0 if at < heavy else 1.0
+        engine.key_hash, engine.weight = mix(engine.key, 0), 3.0 if at < heavy else 1.0
     return found
 
 
@@ -64,7 +64,7 @@
 def test_search_in_turn_goes_on_where_a_vain_one_stopped() -> None:
     many = engines(4 * MOST_LOOKS)
     for at, engine in enumerate(many):
-        engine.turn = float(at)
+        engine.last_turn = float(at)
     circle, last, looks = RoundRobin(many), many[-1], 0
 
     def fits(engine: Engine) -> bool:
@@ -80,7 +80,7 @@
 def test_search_in_turn_begins_anew_a_while_after_a_vain_one() -> None:
     many = engines(2 * MOST_LOOKS)
     for at, engine in enumerate(many):
-        engine.turn = float(at)
+        engine.last_turn = float(at)
     circle = RoundRobin(many)
     assert circle.first(NOW, lambda engine: False) is None
     assert circle.first(NOW + 5000, lambda engine: True) is many[0]
@@ -89,7 +89,7 @@
 def test_engine_that_had_its_turn_comes_last() -> None:
     many = engines(3)
     for at, engine in enumerate(many):
-        engine.turn = float(at)
+        engine.last_turn = float(at)
     circle = RoundRobin(many)
     circle.had_turn(many[0])
     assert [circle.first(NOW, lambda engine, tried=one: engine is not tried) for one in many] == [
@@ -105,7 +105,7 @@
     slow, cold = SlowStart(rules), engines(40)
     plain = {}
     for at, engine in enumerate(cold):
-        engine.part = (1 + at % 4) / 100
+        engine.role_share = (1 + at % 4) / 100
         slow.begin(engine, at / 40)
         plain[engine] = at / 40
     slow.cold_are(cold)
@@ -113,7 +113,9 @@
     for _ in range(600):
         part = random.choice([0.25, 0.5, 1.0])
         slow.earn("write", part)
-        plain = {engine: min(1.0, credit + budget * part * engine.part) for engine, credit in plain.items()}
+        plain = {
+            engine: min(1.0, credit + budget * part * engine.role_share) for engine, credit in plain.items()
+        }
         able = [engine for engine in cold if plain[engine] >= 1.0]
         if able and random.random() < 0.2:
             slow.spend(able[0])
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -432,7 +432,7 @@
         )
         door.module.context.now += 60_000.0
         for engine in door.module.engines:
-            engine.left -= 60_000.0  # a minute goes by
+            engine.gone_since -= 60_000.0  # a minute goes by
         rig.until(lambda at=at: f"x{at}".encode() in [engine.id for engine in door.module.engines])
     assert (
         max(
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -203,7 +203,7 @@
 
 def marked(now: float) -> Engine:
     engine = Engine(b"e", 1)
-    engine.unwell, engine.good, engine.narrowed = (
+    engine.ejected_until, engine.last_success, engine.window_reduction = (
         {ALL_REQUEST_CLASSES: now + 4000, 1: now + 2000},
         {0: now - 500},
         2.0,
@@ -238,12 +238,13 @@
 
 def test_marks_come_back_with_the_time_they_have_left_and_a_new_start_voids_them() -> None:
     front, engine = told_after(1000.0)
-    assert engine.unwell == {ALL_REQUEST_CLASSES: 50.0 + 3000.0, 1: 50.0 + 1000.0} and engine.good == {
-        0: 50.0 - 1500.0
-    }
-    assert 1.5 < engine.narrowed < 2.0
+    assert engine.ejected_until == {
+        ALL_REQUEST_CLASSES: 50.0 + 3000.0,
+        1: 50.0 + 1000.0,
+    } and engine.last_success == {0: 50.0 - 1500.0}
+    assert 1.5 < engine.window_reduction < 2.0
     _, other = told_after(1000.0, started=5.0)
-    assert not other.unwell and not other.good and not other.narrowed
+    assert not other.ejected_until and not other.last_success and not other.window_reduction
 
 
 def test_failing_request_class_is_known_after_a_restart_until_a_few_fresh_attempts_go_well() -> None:
@@ -258,7 +259,7 @@
     front, engine = told_after(HISTORY_MS + 1.0)
     assert (
         not front.estimates.is_failing(0)
-        and not engine.unwell
+        and not engine.ejected_until
         and not front.estimates.first_token_waits.count(50.0)
     )
     assert (
@@ -271,13 +272,13 @@
 
 def test_clock_that_ran_backwards_makes_no_mark_last() -> None:
     front, engine = told_after(-1e7)
-    assert not engine.unwell and not front.estimates.is_failing(0)
+    assert not engine.ejected_until and not front.estimates.is_failing(0)
 
 
 def test_only_what_is_out_of_the_ordinary_is_written() -> None:
     learner, engine = taught(1, 20), marked(2000.0)
     assert set(learner.changes([(engine, 0.0), (Engine(b"plain", 2), 0.0)], 2000.0, 1e9)) == {FLEET, "e"}
-    engine.unwell, engine.narrowed, engine.good = {}, 0.0, {}
+    engine.ejected_until, engine.window_reduction, engine.last_success = {}, 0.0, {}
     assert learner.changes([(engine, 0.0)], 2500.0, 1e9)["e"] is None
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -46,7 +46,7 @@
 
 def test_full_window_makes_the_request_wait_before_its_read():
     front, (_, writer) = fleet(*PAIR)
-    writer.narrowed = 100.0
+    writer.window_reduction = 100.0
     requests = [request(number) for number in (1, 2)]
     front.decide(NOW, [RequestArrived(one) for one in requests])
     assert [len(one.attempts) for one in requests] == [1, 0]
@@ -58,7 +58,7 @@
     read(front, one)
     first = one.attempts[1].engine
     ended(front, one.attempts[1], Outcome.FULL)
-    assert first.skip_until > NOW + 900 and first.narrowed > 0
+    assert first.skipped_until > NOW + 900 and first.window_reduction > 0
     assert one.attempts[2].engine not in (first, one.attempts[0].engine)
 
 
@@ -67,7 +67,7 @@
     one = request()
     read(front, one)
     actions = ended(front, one.attempts[1], Outcome.FULL, note=1)
-    assert writer.skip_until == 0.0 and one.attempts[2].engine is reader
+    assert writer.skipped_until == 0.0 and one.attempts[2].engine is reader
     assert kinds(actions) == ["ReleaseKvCache", "StartAttempt"]  # what a place held ahead took is let go too
 
 
@@ -94,7 +94,7 @@
 def test_reader_with_a_waiting_line_has_no_room():
     front, (slow, quick, _) = fleet((0, 0, 0), (0, 0, 0), (1, 0, 0))
     front.context.now = NOW + 600
-    slow.attempts, slow.quiet_since = {Attempt(request(9), slow, 0, NOW, True): None}, NOW
+    slow.attempts, slow.silent_since = {Attempt(request(9), slow, 0, NOW, True): None}, NOW
     assert front.placer.has_capacity(quick, request()) and not front.placer.has_capacity(slow, request())
 
 
@@ -184,7 +184,7 @@
     first = one.attempts[1].engine
     for engine in engines:
         if engine.role == "read" and engine.zone == first.zone:
-            engine.skip_until = NOW + 190.0  # readers elsewhere have room, these do not
+            engine.skipped_until = NOW + 190.0  # readers elsewhere have room, these do not
     ended(front, one.attempts[1], Outcome.RESET)
     assert (
         kinds(ended(front, one.attempts[2], Outcome.FULL, note=1)) == ["ReleaseKvCache"]
@@ -244,7 +244,7 @@
     one.repeat = repeat
     front.decide(NOW + 1, [RequestArrived(one)])
     rules = front.settings
-    earned = rules.slow_start_share * rules.overload_multiple * PRUDENCE * share * engines[2].part
+    earned = rules.slow_start_share * rules.overload_multiple * PRUDENCE * share * engines[2].role_share
     assert front.slow_start.credit(engines[2]) == pytest.approx(before + earned)
 
 
@@ -328,7 +328,7 @@
 def test_faults_that_all_engines_share_set_none_of_them_aside():
     front, (_, *writers) = fleet((0, 0, 0), *[(1, 0, 0)] * 4)
     for writer in writers:
-        writer.faults.add(NOW, 1.0, 2.0)
+        writer.failures.add(NOW, 1.0, 2.0)
         front.outliers.failed[writer] = None
     attempt = Attempt(request(), writers[0], 0, NOW)
     front._learn(AttemptEnded(attempt, Outcome.RESET, 5.0, False))
@@ -341,8 +341,8 @@
 def test_engines_known_to_serve_come_first_while_an_request_class_fails():
     front, (_, *writers) = fleet((0, 0, 0), (1, 0, 0), (1, 0, 0), (1, 0, 0))
     front.estimates.failures[0].add(NOW, 1.0)
-    writers[2].good[0], front.outliers.known_good[0][writers[2]] = NOW, None
-    writers[2].turn = 9.0
+    writers[2].last_success[0], front.outliers.known_good[0][writers[2]] = NOW, None
+    writers[2].last_turn = 9.0
     assert front.decode_selection.select(request(), None) is writers[2]
 
 
@@ -363,9 +363,9 @@
     front.estimates.prefill_queue_waits.add(NOW, 400.0)
     one = request()
     front.decide(NOW, [RequestArrived(one)])
-    reader.suspected = True  # only then is a probe's answer a judgement
+    reader.health_check_pending = True  # only then is a probe's answer a judgement
     assert kinds(front.decide(NOW + 700, [HealthCheckEnded(reader, Outcome.DELIVERED, 2.0)])) == []
-    reader.suspected = True
+    reader.health_check_pending = True
     assert kinds(front.decide(NOW + 2200, [HealthCheckEnded(reader, Outcome.DELIVERED, 2.0)])) == [
         "CancelAttempt"
     ]
@@ -376,7 +376,7 @@
     front, (reader, _) = fleet(*PAIR)
     one = request()
     front.decide(NOW, [RequestArrived(one)])
-    reader.suspected, front.probing.enabled = True, True
+    reader.health_check_pending, front.probing.enabled = True, True
     assert kinds(front.decide(NOW + 980, [HealthCheckEnded(reader, Outcome.DELIVERED, 2.0)])) == []
     assert not one.attempts[0].called_off
 
@@ -484,7 +484,7 @@
     front, (_, writer) = fleet(*PAIR)
     one = request()
     front.decide(NOW, [RequestArrived(one)])
-    writer.unwell = {-1: NOW + 9000}
+    writer.ejected_until = {-1: NOW + 9000}
     ended(front, one.attempts[0], Outcome.READ)
     assert "ReleaseKvCache" in kinds(front.decide(NOW + 250, [TimerFired(0)]))
 
@@ -527,7 +527,7 @@
             front.estimates.failures[0].add(NOW, 0.0)
         front.context.now = NOW + at
         front.outliers.eject(writer)
-        asides.append(writer.unwell[-1] - front.context.now)
+        asides.append(writer.ejected_until[-1] - front.context.now)
     assert asides[0] < 1300 < 1400 < asides[1] and asides[2] > 2900
 
 
@@ -537,7 +537,7 @@
     one, two = request(1), request(2)
     front.decide(NOW, [RequestArrived(one)])
     assert not one.attempts
-    reader.unwell = {0: NOW + 9000}
+    reader.ejected_until = {0: NOW + 9000}
     front.decide(NOW, [RequestArrived(two)])
     assert one.attempts and not two.attempts
 
@@ -554,7 +554,7 @@
     front, (_, writer) = fleet(*PAIR)
     late, other = request(1), request(2)
     front.decide(NOW, [RequestArrived(late)])
-    writer.narrowed = 100.0
+    writer.window_reduction = 100.0
     front.decide(NOW + 900, [RequestArrived(other)])
     actions = front.decide(NOW + 1001, [AttemptEnded(late.attempts[0], Outcome.READ, 50.0, False)])
     assert "RejectRequest" in kinds(actions) and not other.ended
@@ -589,7 +589,7 @@
     reader = one.attempts[0].engine
     gone = EndpointEntry(reader, "gone", 0.0, reader.zone, reader.cell, reader.kind, 1.0)
     front.decide(NOW + 10, [EndpointListUpdate("delta", [gone])])
-    one.writer.suspected = True  # another writer is sought, from the reader's cell on
+    one.writer.health_check_pending = True  # another writer is sought, from the reader's cell on
     ended(front, one.attempts[0], Outcome.READ)
     assert [attempt.engine.role for attempt in one.attempts] == ["read", "write"]
 
@@ -645,7 +645,7 @@
     """Guards against engines set aside for a probe that waited in their line."""
     front, one, (reader,) = asking()
     front.decide(NOW + 20, [HealthCheckEnded(reader, Outcome.TIMED_OUT, 20.0)])
-    assert not reader.unwell and not reader.faults.count(NOW + 20) and not one.attempts
+    assert not reader.ejected_until and not reader.failures.count(NOW + 20) and not one.attempts
 
 
 def test_who_sees_its_engines_or_may_not_ask_sends_at_once():
--- a/worksmux/baselines/plain.py
+++ b/worksmux/baselines/plain.py
@@ -161,8 +161,8 @@
 
     def pick(self, engines: list[Engine]) -> Engine:
         self.turns += 1
-        engine = min(engines, key=lambda engine: engine.turn)
-        engine.turn = self.turns
+        engine = min(engines, key=lambda engine: engine.last_turn)
+        engine.last_turn = self.turns
         return engine
 
 
--- a/worksmux/endpoints/learned_state.py
+++ b/worksmux/endpoints/learned_state.py
@@ -111,17 +111,17 @@
         faults: the module asks for it then alone."""
         unwell = {
             self._name(request_class): wall + until - now
-            for request_class, until in engine.unwell.items()
+            for request_class, until in engine.ejected_until.items()
             if until > now
         }
         good = {
             self.request_classes[request_class]: wall + time - now
-            for request_class, time in engine.good.items()
+            for request_class, time in engine.last_success.items()
             if now - time < HISTORY_MS and self.faults[request_class].mean(now) > 0
         }
-        if not (unwell or good or engine.narrowed):
+        if not (unwell or good or engine.window_reduction):
             return None
-        return Marks(wall, started, unwell, good, engine.narrowed)
+        return Marks(wall, started, unwell, good, engine.window_reduction)
 
     def _name(self, request_class: int) -> str:
         return "" if request_class == ALL_REQUEST_CLASSES else self.request_classes[request_class]
--- a/worksmux/policy/decode_selection.py
+++ b/worksmux/policy/decode_selection.py
@@ -61,11 +61,11 @@
             for engine in self._outliers.all_known_good(request.request_class)
             if engine in engines and fits(engine)
         ]
-        return min(able, default=None, key=lambda engine: engine.turn)
+        return min(able, default=None, key=lambda engine: engine.last_turn)
 
     def record_chosen(self, engine: Engine) -> None:
         """The engine comes last from now on, and its slow-start credit is spent."""
         self._turns += 1
-        engine.turn = self._turns
+        engine.last_turn = self._turns
         self._context.index.had_turn(engine)
         self._slow_start.spend(engine)
--- a/worksmux/policy/decode_window.py
+++ b/worksmux/policy/decode_window.py
@@ -47,10 +47,12 @@
 
     def has_capacity(self, engine: Engine, request: Request) -> bool:
         """Whether one more request fits; the random draw decides on the fraction of a request in a window."""
-        outstanding = len(engine.attempts) + len(engine.paired)
+        outstanding = len(engine.attempts) + len(engine.reserved)
         if not outstanding or self._exceeds_memory_share(engine, request):
             return not outstanding
-        wait_ms = max(engine.pace.mean(self._context.now), self._estimates.oldest_wait_ms(engine))
+        wait_ms = max(
+            engine.first_token_delays.mean(self._context.now), self._estimates.oldest_wait_ms(engine)
+        )
         slowdown = min(1.0, self._estimates.harmless_first_token_wait / max(wait_ms, 1.0))
         return outstanding < self.size(engine, request.luck) * slowdown
 
@@ -59,7 +61,7 @@
         total = max(self._in_flight.decode_requests, self._in_flight_history.mean(self._context.now))
         share = total / max(1, len(self._context.index.answering))
         burst = float(share**0.5)
-        return max(1.0, share * (1 + WINDOW_MARGIN) + burst - engine.narrowed + random_draw)
+        return max(1.0, share * (1 + WINDOW_MARGIN) + burst - engine.window_reduction + random_draw)
 
     def _exceeds_memory_share(self, engine: Engine, request: Request) -> bool:
         """Whether the request would take more than this node's share of the engine's KV cache.
@@ -78,22 +80,22 @@
         settings = self._context.settings
         memory_tokens = settings.kind_memory_tokens
         held = sum(attempt.request.prompt for attempt in engine.attempts) + sum(
-            paired.prompt for paired in engine.paired
+            paired.prompt for paired in engine.reserved
         )
         share = memory_tokens[engine.kind] / settings.node_count if engine.kind < len(memory_tokens) else inf
         return bool(held + request.luck * request.prompt > (1 + WINDOW_MARGIN) * share)
 
     def shrink(self, engine: Engine) -> None:
         """The engine answered "full"."""
-        engine.narrowed += self.size(engine) / 2
-        engine.skip_until = self._context.now + SKIP_AFTER_FULL_MS
+        engine.window_reduction += self.size(engine) / 2
+        engine.skipped_until = self._context.now + SKIP_AFTER_FULL_MS
 
     @staticmethod
     def grow(engine: Engine) -> None:
         """The engine served a request."""
-        engine.narrowed = max(0.0, engine.narrowed - 1.0)
+        engine.window_reduction = max(0.0, engine.window_reduction - 1.0)
 
     @staticmethod
     def restore(event: StateRestored) -> None:
         for engine, requests in event.narrowed:
-            engine.narrowed = requests
+            engine.window_reduction = requests
--- a/worksmux/policy/endpoint_index.py
+++ b/worksmux/policy/endpoint_index.py
@@ -47,7 +47,7 @@
     """Engines in the order of their turns."""
 
     def __init__(self, engines: Iterable[Engine]) -> None:
-        self._order = OrderedDict.fromkeys(sorted(engines, key=attrgetter("turn")))
+        self._order = OrderedDict.fromkeys(sorted(engines, key=attrgetter("last_turn")))
         self._start = 0  # where the next search begins, after vain ones
         self._vain_at = 0.0
 
@@ -140,8 +140,8 @@
         ):
             whole = sum(engine.size for engine in engines)
             for engine in engines:
-                engine.part = engine.size / whole
-                parts[engine.cell] += engine.part
+                engine.role_share = engine.size / whole
+                parts[engine.cell] += engine.role_share
         lean = 1 + LEAN * self.settings.migration_price
         flow = {cell: min(answers[cell], lean * part) for cell, part in reads.items()}
         room = sum(lean * part - flow[cell] for cell, part in reads.items())
@@ -155,9 +155,9 @@
             self.keeps[cell] = min(1.0, answers[cell] / flow[cell])
         writers = max(1, len(self.writers))
         for engine in self.readers:
-            engine.weight = engine.part * flow[engine.cell] / reads[engine.cell] * writers
+            engine.weight = engine.role_share * flow[engine.cell] / reads[engine.cell] * writers
         for engine in self.mixed:  # each takes as many jobs as a writer answers
-            engine.weight = engine.part * len(self.mixed)
+            engine.weight = engine.role_share * len(self.mixed)
 
     def _cell(self, cell: int) -> RoundRobin:
         if cell not in self._in_cell:
--- a/worksmux/policy/endpoint_table.py
+++ b/worksmux/policy/endpoint_table.py
@@ -41,7 +41,7 @@
             return False
         if event.scope != "delta":
             for engine in self._context.engines.keys() - {entry.engine for entry in event.entries}:
-                engine.left = engine.left if engine.state == "gone" else self._context.now
+                engine.gone_since = engine.gone_since if engine.state == "gone" else self._context.now
                 engine.state = "gone"
         for entry in event.entries:
             self._enter(entry)
@@ -52,24 +52,27 @@
         engine = entry.engine
         if engine not in self._context.engines:
             self._context.engines[engine] = None
-            engine.salt = mix(engine.key, 0)
-            engine.faults, engine.pace = Ring(HISTORY_MS, BUCKETS), Ring(FIRST_TOKEN_HISTORY_MS, BUCKETS)
-            engine.turn = self._context.random_source.share() - 1.0  # nodes' rounds start differently
+            engine.key_hash = mix(engine.key, 0)
+            engine.failures, engine.first_token_delays = (
+                Ring(HISTORY_MS, BUCKETS),
+                Ring(FIRST_TOKEN_HISTORY_MS, BUCKETS),
+            )
+            engine.last_turn = self._context.random_source.share() - 1.0  # nodes' rounds start differently
         self._slow_start.leave(engine)
         if entry.state == "ready" and (entry.started != engine.started or engine.state == "gone"):
             self._restarted(engine)
         if entry.state == "gone" and engine.state != "gone":
-            engine.left = self._context.now
+            engine.gone_since = self._context.now
         engine.state, engine.started, engine.size = entry.state, entry.started, entry.size
         engine.zone, engine.cell, engine.kind = entry.zone, entry.cell, entry.kind
         engine.role = self._context.settings.engine_roles[entry.kind]
 
     def _restarted(self, engine: Engine) -> None:
         """Another process runs there now: what was learned and reserved is void."""
-        engine.narrowed, engine.skip_until, engine.unwell = 0.0, 0.0, {}
+        engine.window_reduction, engine.skipped_until, engine.ejected_until = 0.0, 0.0, {}
         self._slow_start.begin(engine, self._context.random_source.share())
         self._outliers.record_sign_of_life(engine)
-        for request in list(engine.paired):
+        for request in list(engine.reserved):
             self._in_flight.release(request)
 
     def _forget_gone(self) -> None:
@@ -80,9 +83,9 @@
             for engine in self._context.engines
             if engine.state == "gone"
             and not engine.attempts
-            and not engine.paired
+            and not engine.reserved
             and engine not in missed
-            and now - engine.left > HISTORY_MS
+            and now - engine.gone_since > HISTORY_MS
         ]:
             del self._context.engines[engine]
             self._outliers.forget(engine)
--- a/worksmux/policy/in_flight.py
+++ b/worksmux/policy/in_flight.py
@@ -31,12 +31,12 @@
     def reserve(self, request: Request, engine: Engine) -> None:
         """Pairs a request in prefill with the decode engine that is to get its KV cache."""
         request.writer = engine
-        engine.paired[request] = None
+        engine.reserved[request] = None
         self.decode_requests += 1
 
     def release(self, request: Request) -> None:
         """Drops the request's reservation, if it has one."""
         if request.writer:
-            request.writer.paired.pop(request, None)
+            request.writer.reserved.pop(request, None)
             request.writer = None
             self.decode_requests -= 1
--- a/worksmux/policy/load_estimates.py
+++ b/worksmux/policy/load_estimates.py
@@ -101,7 +101,7 @@
     def record_first_token(self, attempt: Attempt, elapsed_ms: float) -> None:
         wait = max(0.0, elapsed_ms - self.allowed_prefill_ms(attempt))
         self.first_token_waits.add(self._context.now, wait)
-        attempt.engine.pace.add(self._context.now, wait)
+        attempt.engine.first_token_delays.add(self._context.now, wait)
 
     def record_ended(self, event: AttemptEnded) -> None:
         """Takes times from an attempt that ended, also from one that ended in vain.
--- a/worksmux/policy/outlier_detection.py
+++ b/worksmux/policy/outlier_detection.py
@@ -39,20 +39,20 @@
 
     def is_healthy(self, engine: Engine, request_class: int) -> bool:
         """Ready, not suspected, not ejected; after an ejection one attempt at a time until it answers."""
-        if engine.state != "ready" or engine.suspected:
+        if engine.state != "ready" or engine.health_check_pending:
             return False
-        now, unwell = self._context.now, engine.unwell
-        if not unwell:
+        now, ejected_until = self._context.now, engine.ejected_until
+        if not ejected_until:
             return True
-        if max(unwell.get(ALL_REQUEST_CLASSES, 0.0), unwell.get(request_class, 0.0)) > now:
+        if max(ejected_until.get(ALL_REQUEST_CLASSES, 0.0), ejected_until.get(request_class, 0.0)) > now:
             return False
-        return not (engine.attempts and engine.quiet_since and engine.faults.count(now))
+        return not (engine.attempts and engine.silent_since and engine.failures.count(now))
 
     def is_usable(self, engine: Engine, request_class: int) -> bool:
         """Healthy, not skipped after a rejection, and within its slow-start credit."""
         context = self._context
         return (
-            engine.skip_until <= context.now
+            engine.skipped_until <= context.now
             and self.is_healthy(engine, request_class)
             and (
                 engine not in context.index.cold
@@ -69,22 +69,22 @@
         return known
 
     def _is_known_good(self, engine: Engine, request_class: int) -> bool:
-        return self._context.now - engine.good.get(request_class, -inf) < HISTORY_MS
+        return self._context.now - engine.last_success.get(request_class, -inf) < HISTORY_MS
 
     # What attempts showed.
 
     def expect_answer(self, engine: Engine) -> None:
-        engine.quiet_since = engine.quiet_since or self._context.now
+        engine.silent_since = engine.silent_since or self._context.now
         self.awaited[engine] = None
 
     def record_sign_of_life(self, engine: Engine) -> None:
-        engine.quiet_since = self._context.now if engine.unanswered else 0.0
-        if not engine.quiet_since:
+        engine.silent_since = self._context.now if engine.unanswered else 0.0
+        if not engine.silent_since:
             self.awaited.pop(engine, None)
 
     def record_success(self, attempt: Attempt) -> None:
         engine, request_class = attempt.engine, attempt.request.request_class
-        engine.good[request_class] = self._context.now
+        engine.last_success[request_class] = self._context.now
         known = self.known_good[request_class]
         known.pop(engine, None)
         known[engine] = None
@@ -124,16 +124,16 @@
         A node that meets its engines seldom keeps the ejection until about the next time it would meet it.
         """
         now = self._context.now
-        engine.faults.add(now)
+        engine.failures.add(now)
         self.failed[engine] = None
         if only_outliers and not self._is_outlier(engine):
             return
         ejection_ms = max(
-            EJECTION_MS * 2 ** min(engine.faults.count(now) - 1, MAX_EJECTION_DOUBLINGS),
+            EJECTION_MS * 2 ** min(engine.failures.count(now) - 1, MAX_EJECTION_DOUBLINGS),
             HISTORY_MS * min(1.0, len(self._context.engines) / max(1, 2 * self._estimates.attempts_seen())),
         )
         jitter = 0.75 + 0.5 * self._context.random_source.share()
-        engine.unwell[request_class] = now + ejection_ms * jitter
+        engine.ejected_until[request_class] = now + ejection_ms * jitter
 
     def _is_outlier(self, engine: Engine) -> bool:
         """Whether an engine fails more than its peers.
@@ -144,7 +144,7 @@
         self._update_role_failures()
         now, role = self._context.now, engine.role
         failures, peers = self._role_failures[role], self._context.index.ready_by_role[role]
-        own = engine.faults.count(now)
+        own = engine.failures.count(now)
         return own > OUTLIER_FACTOR * max(0.0, failures - own) / max(1, peers - 1)
 
     def _update_role_failures(self) -> None:
@@ -154,7 +154,7 @@
         self._role_failures_at = now
         self._role_failures.clear()
         for engine in list(self.failed):
-            if not (count := engine.faults.count(now)):
+            if not (count := engine.failures.count(now)):
                 del self.failed[engine]
             elif engine.state == "ready":
                 self._role_failures[engine.role] += count
@@ -180,21 +180,21 @@
         """Engines that have been silent for too long; each is marked before it is given."""
         for engine in list(self.awaited):
             if (
-                engine.quiet_since
-                and not engine.suspected
-                and engine.unwell.get(ALL_REQUEST_CLASSES, 0.0) <= self._context.now
-                and self._context.now - engine.quiet_since > self.patience_ms(engine)
+                engine.silent_since
+                and not engine.health_check_pending
+                and engine.ejected_until.get(ALL_REQUEST_CLASSES, 0.0) <= self._context.now
+                and self._context.now - engine.silent_since > self.patience_ms(engine)
             ):
-                engine.suspected = True
+                engine.health_check_pending = True
                 yield engine
 
     def record_health_check(self, engine: Engine, outcome: Outcome) -> list[Attempt]:
         """The attempts at a suspected engine that had better run elsewhere."""
         if outcome is Outcome.DELIVERED:
             engine.reported = self._context.now
-        if not engine.suspected:  # it was only checked before a prefill
+        if not engine.health_check_pending:  # it was only checked before a prefill
             return []
-        engine.suspected = False
+        engine.health_check_pending = False
         if outcome not in (Outcome.DELIVERED, Outcome.FULL):
             self.eject(engine)
             return list(engine.attempts)
@@ -227,7 +227,7 @@
     def restore(self, event: StateRestored) -> None:
         now = self._context.now
         for engine, request_class, left in event.unwell:
-            engine.unwell[request_class] = now + left
+            engine.ejected_until[request_class] = now + left
         for engine, request_class, ago in sorted(event.good, key=lambda entry: -entry[2]):
-            engine.good[request_class] = now - ago
+            engine.last_success[request_class] = now - ago
             self.known_good[request_class][engine] = None
--- a/worksmux/policy/placement.py
+++ b/worksmux/policy/placement.py
@@ -105,7 +105,7 @@
         return (
             self.has_capacity(engine, request, overflow_tokens)
             or not engine.attempts
-            and engine.unwell.get(ALL_REQUEST_CLASSES, 0.0) <= self._context.now
+            and engine.ejected_until.get(ALL_REQUEST_CLASSES, 0.0) <= self._context.now
             and self._probing.no_engine_healthy(request.request_class)
         )
 
--- a/worksmux/policy/prefill_order.py
+++ b/worksmux/policy/prefill_order.py
@@ -63,7 +63,7 @@
             few = self._cached_at(request, ranking)
             behind = max(few, HEAD_LOOKS)
             if request not in self._head:
-                first = sorted(ranking.part(0, few), key=lambda engine: straw(session, engine.salt))
+                first = sorted(ranking.part(0, few), key=lambda engine: straw(session, engine.key_hash))
                 self._head[request] = self._with_overflow(request, first, ranking.part(few, behind))
             yield from self._head[request]
             further = (
@@ -99,7 +99,7 @@
             ranking = Ranking(len(planned), iter(planned))
             # Away from home one engine keeps a prefix: kept by several, it would evict those at home there.
             few = min(few, 1) if moved else self._cached_at(request, ranking)
-        first = sorted(ranking.part(0, few), key=lambda engine: straw(session, engine.salt))
+        first = sorted(ranking.part(0, few), key=lambda engine: straw(session, engine.key_hash))
         others = self._behind(first, key, ranking, scope)
         if self._estimates.is_failing(request.request_class):
             others = self._known_good_first(request, first, others, key, scope)
--- a/worksmux/policy/rendezvous.py
+++ b/worksmux/policy/rendezvous.py
@@ -28,11 +28,11 @@
 class _Node:
     """Engines whose hashed keys begin with the same bits."""
 
-    __slots__ = ("first", "after", "weight", "salt", "children")
+    __slots__ = ("first", "after", "weight", "key_hash", "children")
 
-    def __init__(self, first: int, after: int, weight: float, salt: int) -> None:
+    def __init__(self, first: int, after: int, weight: float, key_hash: int) -> None:
         self.first, self.after = first, after  # a part of the engines by hashed key
-        self.weight, self.salt = weight, salt
+        self.weight, self.key_hash = weight, key_hash
         self.children: tuple[_Node, ...] = ()
 
 
@@ -63,9 +63,9 @@
     """Engines with their weights, as they were when this was made."""
 
     def __init__(self, engines: Sequence[Engine]) -> None:
-        salt, weight = attrgetter("salt"), attrgetter("weight")
-        self._engines = sorted(engines, key=salt) if len(engines) > BUCKET else engines
-        self._salts: list[int] = list(map(salt, self._engines))
+        key_hash, weight = attrgetter("key_hash"), attrgetter("weight")
+        self._engines = sorted(engines, key=key_hash) if len(engines) > BUCKET else engines
+        self._key_hashes: list[int] = list(map(key_hash, self._engines))
         self._sums = [0.0, *accumulate(map(weight, self._engines))]
         self._root = self._node(0, len(self._engines), 0, 1)
 
@@ -75,7 +75,7 @@
         depth = path.bit_length() - 1
         if after - first > BUCKET and depth < BITS:
             half = prefix + (1 << BITS - 1 - depth)
-            middle = bisect_left(self._salts, half, first, after)
+            middle = bisect_left(self._key_hashes, half, first, after)
             node.children = tuple(
                 self._node(*part)
                 for part in ((first, middle, prefix, 2 * path), (middle, after, half, 2 * path + 1))
@@ -90,15 +90,15 @@
         if not node.children:
             yield from self._leaf(node, key)
             return
-        for child in sorted(node.children, key=lambda child: -log(straw(key, child.salt)) / child.weight):
+        for child in sorted(node.children, key=lambda child: -log(straw(key, child.key_hash)) / child.weight):
             yield from self._walk(child, key)
 
     def _leaf(self, node: _Node, key: int) -> list[Engine]:
-        return rank(key, self._engines[node.first : node.after], self._salts[node.first : node.after])
+        return rank(key, self._engines[node.first : node.after], self._key_hashes[node.first : node.after])
 
 
-def rank(key: int, engines: Sequence[Engine], salts: Sequence[int] | None = None) -> list[Engine]:
-    """All of these by weighted rendezvous hashing; `salts` are their hashed keys, if at hand."""
-    shares = straws(key, [engine.salt for engine in engines] if salts is None else salts)
+def rank(key: int, engines: Sequence[Engine], key_hashes: Sequence[int] | None = None) -> list[Engine]:
+    """All of these by weighted rendezvous hashing; `key_hashes` are their hashed keys, if at hand."""
+    shares = straws(key, [engine.key_hash for engine in engines] if key_hashes is None else key_hashes)
     ranks = [-log(share) / engine.weight for share, engine in zip(shares, engines, strict=True)]
     return [engines[at] for at in sorted(range(len(ranks)), key=ranks.__getitem__)]
--- a/worksmux/policy/slow_start.py
+++ b/worksmux/policy/slow_start.py
@@ -50,7 +50,7 @@
             return
         earned = self._earned[engine.role]
         if earned != counted:
-            engine.credit = min(FULL, engine.credit + (earned - counted) * engine.part)
+            engine.credit = min(FULL, engine.credit + (earned - counted) * engine.role_share)
             self._counted[engine] = earned
 
     def settle_all(self) -> None:
@@ -60,7 +60,7 @@
     def cold_are(self, engines: Iterable[Engine]) -> None:
         """A new list tells who is cold; what others earned was settled before."""
         cold = list(engines)
-        self._read_part = sum(engine.part for engine in cold if engine.role == "read")
+        self._read_part = sum(engine.role_share for engine in cold if engine.role == "read")
         self._counted = {engine: self._earned[engine.role] for engine in cold if engine.role != "read"}
 
     def earn(self, role: str, part: float) -> None:
--- a/worksmux/policy/state.py
+++ b/worksmux/policy/state.py
@@ -11,7 +11,7 @@
 
 from .measure import Ring
 
-ALL_REQUEST_CLASSES = -1  # as a key of `unwell`: the engine is ejected for every class
+ALL_REQUEST_CLASSES = -1  # as a key of `ejected_until`: the engine is ejected for every class
 EMPTY_WINDOW = Ring(1.0, 1)  # stands for a ring that the module has yet to make
 
 
@@ -44,23 +44,23 @@
     size: float = 1.0
     state: str = "gone"  # ready, draining or gone
     started: float = 0.0  # 0: long ago
-    left: float = 0.0  # when it was told gone
+    gone_since: float = 0.0  # when it was told gone
     role: str = ""  # read, write or both
     attempts: dict[Attempt, None] = field(default_factory=dict)  # out at this engine
-    paired: dict[Request, None] = field(default_factory=dict)  # being read for this writer
-    narrowed: float = 0.0  # by how many jobs its window is under the even share and margin
-    skip_until: float = 0.0  # answered full lately
-    turn: float = 0.0  # when it last had its turn
-    salt: int = 0  # the key, hashed
-    part: float = 0.0  # of its role's size
+    reserved: dict[Request, None] = field(default_factory=dict)  # being read for this writer
+    window_reduction: float = 0.0  # by how many jobs its window is under the even share and margin
+    skipped_until: float = 0.0  # answered full lately
+    last_turn: float = 0.0  # when it last had its turn
+    key_hash: int = 0  # the key, hashed
+    role_share: float = 0.0  # of its role's size
     weight: float = 1.0  # among those that read
     credit: float = 0.0  # while it is cold: jobs that it may be sent, as a writer or mixed
-    quiet_since: float = 0.0  # the first send since its last sign of life; 0: none is awaited
-    unwell: dict[int, float] = field(default_factory=dict)  # by offering: set aside until then
-    good: dict[int, float] = field(default_factory=dict)  # by offering: when it last served one
-    suspected: bool = False  # silent, and a probe is out
-    faults: Ring = EMPTY_WINDOW  # made by the module
-    pace: Ring = EMPTY_WINDOW
+    silent_since: float = 0.0  # the first send since its last sign of life; 0: none is awaited
+    ejected_until: dict[int, float] = field(default_factory=dict)  # by offering: set aside until then
+    last_success: dict[int, float] = field(default_factory=dict)  # by offering: when it last served one
+    health_check_pending: bool = False  # silent, and a probe is out
+    failures: Ring = EMPTY_WINDOW  # made by the module
+    first_token_delays: Ring = EMPTY_WINDOW
     report: dict[str, float] = field(default_factory=dict)
     reported: float = 0.0
 
