--- a/benchmarks/module_by_size.py
+++ b/benchmarks/module_by_size.py
@@ -59,9 +59,9 @@
             )
         while line and line[0][0] <= now:
             _, attempt = line.popleft()
-            if attempt.reading:
+            if attempt.is_prefill:
                 events.append(AttemptEnded(attempt, Outcome.READ, 50.0, False))
-            elif not attempt.began:
+            elif not attempt.first_token_at:
                 events.append(FirstToken(attempt, 30.0))
                 line.append((now + 200.0, attempt))
             else:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -55,7 +55,7 @@
 
 
 def ended(front, attempt, outcome, after=50.0, closed=False, note=0):
-    return front.decide(attempt.sent + after, [AttemptEnded(attempt, outcome, after, closed, note)])
+    return front.decide(attempt.sent_at + after, [AttemptEnded(attempt, outcome, after, closed, note)])
 
 
 def kinds(actions):
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -113,7 +113,7 @@
                     self._after(
                         2.0, self._tell, made, [AttemptEnded(attempt, Outcome.FULL, 2.0, False, 0, None)]
                     )
-                elif attempt.reading:
+                elif attempt.is_prefill:
                     self._after(
                         READ, self._tell, made, [AttemptEnded(attempt, Outcome.READ, READ, False, 0, None)]
                     )
--- a/tests/test_cost_by_fleet_size.py
+++ b/tests/test_cost_by_fleet_size.py
@@ -109,15 +109,15 @@
             if attempt.outcome is not None:
                 return None
             return AttemptEnded(
-                attempt, outcome, at - attempt.sent, attempt.request.ended or outcome is Outcome.DELIVERED
+                attempt, outcome, at - attempt.sent_at, attempt.request.ended or outcome is Outcome.DELIVERED
             )
 
         self.tell(at, ended)
 
     def send(self, attempt: Attempt, now: float) -> None:
         if attempt.engine.key % 100 < 100 * self.hung:
-            return self.outcome(attempt, Outcome.TIMED_OUT, attempt.request.give_up_at)
-        if attempt.reading:
+            return self.outcome(attempt, Outcome.TIMED_OUT, attempt.request.deadline)
+        if attempt.is_prefill:
             return self.outcome(attempt, Outcome.READ, now + 60)
         self.tell(now + 30, lambda: FirstToken(attempt, 30.0) if attempt.outcome is None else None)
         self.outcome(attempt, Outcome.DELIVERED, now + 400)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -395,7 +395,7 @@
     """Guards against an answer that says less than is known, where all timers come due in one turn."""
     client = scene.to(point, request_class, left="400")
     (case,) = scene.rig.node.core.cases.values()
-    while clock.now() < case.request.give_up_at + 30:  # the reactor does not turn
+    while clock.now() < case.request.deadline + 30:  # the reactor does not turn
         pass
     scene.rig.until(lambda: case.answered)
     may_have_run = request_class == "mark" and point == "writing"
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -184,7 +184,7 @@
         self.retry.may_reject = lambda request: True
 
     def _may_send(self, request: Request, engine: Engine) -> bool:
-        return engine.state == "ready" and not request.out and self.retry.attempts_left(request) > 0
+        return engine.state == "ready" and not request.in_flight and self.retry.attempts_left(request) > 0
 
 
 class Deaf(Router):
@@ -324,7 +324,7 @@
                 CheckHealth(self.engines[b"e1"]),
             ]
         if isinstance(event, AttemptEnded) and event.outcome is Outcome.READ:
-            event.attempt.request.holder = event.attempt.engine
+            event.attempt.request.kv_holder = event.attempt.engine
             return [self.send(event.attempt.request, b"e2", now, False)]
         return []
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -114,8 +114,8 @@
         door.decide(1000.0, [EndpointListUpdate("full", entries), door.arrived(request)])
         for at in range(1, 8):
             ends = [
-                AttemptEnded(attempt, Outcome.READ if attempt.reading else Outcome.RESET, 5.0, False)
-                for attempt in request.out
+                AttemptEnded(attempt, Outcome.READ if attempt.is_prefill else Outcome.RESET, 5.0, False)
+                for attempt in request.in_flight
             ]
             door.decide(1000.0 + 600 * at, [*ends, TimerFired(0)])
 
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -126,16 +126,16 @@
 
     def _carry_out(self, now: float, action: Action) -> None:
         match action:
-            case StartAttempt(attempt) if attempt.reading:
+            case StartAttempt(attempt) if attempt.is_prefill:
                 done = self.free[attempt.engine] = (
-                    max(now, self.free[attempt.engine]) + 5 + PER_TOKEN * attempt.work
+                    max(now, self.free[attempt.engine]) + 5 + PER_TOKEN * attempt.prefill_tokens
                 )
                 self.at(done, AttemptEnded(attempt, Outcome.READ, done - now, False))
             case StartAttempt(attempt):
                 self.at(now + FIRST, FirstToken(attempt, FIRST))
                 self.at(now + REST, AttemptEnded(attempt, Outcome.DELIVERED, REST, True))
             case CancelAttempt(attempt):
-                self.at(now, AttemptEnded(attempt, Outcome.CANCELLED, now - attempt.sent, False))
+                self.at(now, AttemptEnded(attempt, Outcome.CANCELLED, now - attempt.sent_at, False))
             case CheckHealth(engine):
                 self.at(now + 2, HealthCheckEnded(engine, Outcome.DELIVERED, 2.0))
             case SetTimer(after, token):
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -188,7 +188,9 @@
 
 
 def attempt_at(engine: Engine, request_class: int = 0, work: float = 100.0) -> Attempt:
-    return Attempt(Request(1, request_class, 1, 0, work, 0.0, 10.0, 0.0, 9e9), engine, 0, 0.0, work=work)
+    return Attempt(
+        Request(1, request_class, 1, 0, work, 0.0, 10.0, 0.0, 9e9), engine, 0, 0.0, prefill_tokens=work
+    )
 
 
 def taught(faults: int, good: int) -> Learner:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -41,7 +41,7 @@
     front, (_, first, second) = fleet(*TWO_WRITERS)
     requests = [request(number) for number in (1, 2)]
     front.decide(NOW, [RequestArrived(one) for one in requests])
-    assert {one.writer for one in requests} == {first, second}
+    assert {one.decode_engine for one in requests} == {first, second}
 
 
 def test_full_window_makes_the_request_wait_before_its_read():
@@ -75,7 +75,7 @@
     front, (mixed,) = fleet((2, 0, 0))
     one = request()
     front.decide(NOW, [RequestArrived(one)])
-    assert one.attempts[0].engine is mixed and not one.attempts[0].reading
+    assert one.attempts[0].engine is mixed and not one.attempts[0].is_prefill
 
 
 def test_restarted_front_is_not_stuck_at_one_request_a_writer():
@@ -86,7 +86,9 @@
 
 def test_writer_whose_memory_share_is_used_up_is_skipped():
     front, (_, writer) = fleet(*PAIR, kind_memory_tokens=(200_000, 10_000))
-    writer.attempts = {Attempt(request(number), writer, 0, NOW, began=NOW): None for number in range(7)}
+    writer.attempts = {
+        Attempt(request(number), writer, 0, NOW, first_token_at=NOW): None for number in range(7)
+    }
     front.in_flight.decode_requests = 7
     assert front.window.size(writer) > 8 and not front.window.has_capacity(writer, request())
 
@@ -119,8 +121,8 @@
     front, _ = fleet((0, 0, 0))
     front.estimates.first_token_waits.add(NOW, 600.0)
     front.context.now, lucky, unlucky = NOW, request(1), request(2)
-    lucky.promised_at = unlucky.promised_at = NOW + 1000
-    lucky.luck, unlucky.luck = 0.1, 0.9
+    lucky.latency_target_at = unlucky.latency_target_at = NOW + 1000
+    lucky.random_draw, unlucky.random_draw = 0.1, 0.9
     assert not front.admission.latency_target_unreachable(
         lucky
     ) and front.admission.latency_target_unreachable(unlucky)
@@ -132,7 +134,7 @@
     front, _ = fleet((0, 0, 0))
     front.estimates.first_token_waits.add(NOW - 10_000, 2000.0)
     front.context.now, one = NOW, request()
-    one.promised_at, one.luck = NOW + 1000, 0.5
+    one.latency_target_at, one.random_draw = NOW + 1000, 0.5
     assert front.admission.latency_target_unreachable(one)
     front.estimates.first_token_waits.add(NOW, 20.0)
     assert not front.admission.latency_target_unreachable(one)
@@ -145,7 +147,7 @@
     ended(front, one.attempts[0], Outcome.FULL)
     assert one.ended and front.estimates.prefill_per_token.mean(front.context.now) * one.prompt == 1000.0
     trial = request(2, now=front.context.now)
-    trial.promised_at, trial.luck = front.context.now + 1000, 0.01
+    trial.latency_target_at, trial.random_draw = front.context.now + 1000, 0.01
     assert not front.admission.latency_target_unreachable(trial)
 
 
@@ -191,7 +193,7 @@
         and one in front.waiting
     )
     assert kinds(front.decide(NOW + 200, [TimerFired(0)])) == ["StartAttempt"]
-    assert one.attempts[3].reading and one.attempts[3].engine.zone == first.zone
+    assert one.attempts[3].is_prefill and one.attempts[3].engine.zone == first.zone
 
 
 def test_deduplicated_request_without_a_reader_in_its_group_is_answered_at_once():
@@ -224,10 +226,10 @@
     cold.credit = 0.6
     requests = [request(number) for number in range(1, 4)]
     front.decide(NOW, [RequestArrived(requests[0]), RequestArrived(requests[1])])
-    assert {one.writer for one in requests[:2]} == {warm}
+    assert {one.decode_engine for one in requests[:2]} == {warm}
     ended(front, requests[0].attempts[0], Outcome.READ)
     front.decide(NOW + 60, [FirstToken(requests[0].attempts[1], 10.0), RequestArrived(requests[2])])
-    assert requests[2].writer is cold and cold.credit < 0.1
+    assert requests[2].decode_engine is cold and cold.credit < 0.1
 
 
 @pytest.mark.parametrize(
@@ -300,7 +302,7 @@
     front, (lean, _, rich, other, _) = fleet((0, 0, 0), (0, 0, 0), (1, 0, 0), (1, 0, 1), (1, 0, 1))
     assert front.index.keeps[0] < 0.5
     far, near = request(1), request(2)
-    far.luck, near.luck = 0.9, 0.1
+    far.random_draw, near.random_draw = 0.9, 0.1
     assert (
         front.decode_selection.select(far, lean) is not rich
         and front.decode_selection.select(near, lean) is rich
@@ -378,7 +380,7 @@
     front.decide(NOW, [RequestArrived(one)])
     reader.health_check_pending, front.probing.enabled = True, True
     assert kinds(front.decide(NOW + 980, [HealthCheckEnded(reader, Outcome.DELIVERED, 2.0)])) == []
-    assert not one.attempts[0].called_off
+    assert not one.attempts[0].cancel_requested
 
 
 def test_long_prompt_is_not_held_to_the_pace_of_prompts_that_were_found_kept():
@@ -386,11 +388,11 @@
     front, (reader, _) = fleet(*PAIR, node_count=200)
     front.probing.enabled = True
     for number, (time, kept) in enumerate([(80.0, 200), (10.0, 950), (15.0, 900)], 1):
-        attempt = Attempt(request(number), reader, 0, NOW, True, work=1000.0)
+        attempt = Attempt(request(number), reader, 0, NOW, True, prefill_tokens=1000.0)
         front._learn(AttemptEnded(attempt, Outcome.READ, time, False, kept))
     front.decide(NOW, [])
     assert front.estimates.best_prefill_per_token == 0.1  # 80 ms for 800 tokens
-    uncached = Attempt(request(4), reader, 0, NOW, True, work=1000.0)
+    uncached = Attempt(request(4), reader, 0, NOW, True, prefill_tokens=1000.0)
     assert front.estimates.allowed_prefill_ms(uncached) == 4.0 * 100.0
 
 
@@ -415,12 +417,14 @@
         front.estimates.prefill_per_token.add(NOW, 3743.0, 5405.0)
         front.estimates.uncached_prefill_per_token.add(NOW, 400.0, 4700.0)
         one = request()
-        one.prompt, one.luck = 4900.0, 0.9
-        one.promised_at = NOW + 1600.0
+        one.prompt, one.random_draw = 4900.0, 0.9
+        one.latency_target_at = NOW + 1600.0
         front.context.now, front.probing.enabled = NOW, fronts == 200
         front.estimates.best_prefill_per_token = front.estimates.uncached_prefill_per_token.least(NOW)
         assert front.admission.latency_target_unreachable(one) is refused
-        one.asked[front.index.readers[0]] = NOW - 400.0  # it was asked, and nobody answered: there are lines
+        one.checked_engines[front.index.readers[0]] = (
+            NOW - 400.0
+        )  # it was asked, and nobody answered: there are lines
         assert front.admission.latency_target_unreachable(one)
 
 
@@ -463,7 +467,7 @@
         front.decide(NOW + 900.0, [])
         front.slow_start.read_credit = 1.0
         actions = front.decide(NOW + 900.0, [RequestArrived(late)])
-        late.luck = 0.5
+        late.random_draw = 0.5
         assert kinds(actions) == answer
 
 
@@ -495,10 +499,10 @@
     one = request()
     read(front, one)
     ended(front, one.attempts[1], Outcome.CANCELLED, after=1000.0)
-    held = one.held_since
+    held = one.kv_held_since
     actions = ended(front, one.attempts[2], Outcome.UNREACHABLE, after=250.0)
-    assert one.held_since == held and "ReleaseKvCache" in kinds(actions)
-    assert one.holder is None and not any(not attempt.reading for attempt in one.out)
+    assert one.kv_held_since == held and "ReleaseKvCache" in kinds(actions)
+    assert one.kv_holder is None and not any(not attempt.is_prefill for attempt in one.in_flight)
 
 
 def test_state_stays_for_the_next_writer_after_a_connection_refused_at_once():
@@ -507,7 +511,9 @@
     read(front, one)
     actions = ended(front, one.attempts[1], Outcome.UNREACHABLE, after=1.0)
     assert (
-        kinds(actions) == ["StartAttempt"] and one.holder is reader and one.attempts[2].engine.role == "write"
+        kinds(actions) == ["StartAttempt"]
+        and one.kv_holder is reader
+        and one.attempts[2].engine.role == "write"
     )
 
 
@@ -589,7 +595,7 @@
     reader = one.attempts[0].engine
     gone = EndpointEntry(reader, "gone", 0.0, reader.zone, reader.cell, reader.kind, 1.0)
     front.decide(NOW + 10, [EndpointListUpdate("delta", [gone])])
-    one.writer.health_check_pending = True  # another writer is sought, from the reader's cell on
+    one.decode_engine.health_check_pending = True  # another writer is sought, from the reader's cell on
     ended(front, one.attempts[0], Outcome.READ)
     assert [attempt.engine.role for attempt in one.attempts] == ["read", "write"]
 
@@ -617,7 +623,7 @@
     front, one, (reader,) = asking()
     assert not one.attempts
     front.decide(NOW + 4, [HealthCheckEnded(reader, Outcome.DELIVERED, 4.0)])
-    assert [attempt.engine for attempt in one.attempts] == [reader] and not one.asked
+    assert [attempt.engine for attempt in one.attempts] == [reader] and not one.checked_engines
 
 
 def test_reader_that_does_not_answer_at_once_is_passed_by_and_the_first_to_answer_reads():
@@ -661,16 +667,18 @@
         if known is not reader:
             known.reported = NOW + 1
     front.decide(NOW + 1, [RequestArrived(other)])
-    assert other.attempts or other.asked
+    assert other.attempts or other.checked_engines
 
 
 def test_front_with_more_than_its_part_of_the_traffic_need_not_stand_back_while_answers_begin_at_once():
     # Guards against a busy front of hundreds that holds each writer to one answer, with memory idle.
     front, (_, writer) = fleet(*PAIR, node_count=200, kind_memory_tokens=(400_000, 570_000))
-    writer.attempts = {Attempt(request(number), writer, 0, NOW, began=NOW): None for number in range(4)}
+    writer.attempts = {
+        Attempt(request(number), writer, 0, NOW, first_token_at=NOW): None for number in range(4)
+    }
     front.in_flight.decode_requests, front.context.now, front.probing.enabled = 4, NOW, True
     one = request(9)
-    one.luck = 0.9
+    one.random_draw = 0.9
     front.estimates.first_token_waits.add(NOW, 40.0)
     assert front.window.has_capacity(writer, one)
     front.estimates.first_token_waits.add(NOW, 4000.0)  # states wait for memory somewhere
--- a/tests/test_wire_forms.py
+++ b/tests/test_wire_forms.py
@@ -257,7 +257,7 @@
         return timer
 
     def began(self, attempt: Attempt) -> None:
-        attempt.began = 1.0
+        attempt.first_token_at = 1.0
         self.heard.append("began")
 
     def text(self, attempt: Attempt, content: str) -> None:
--- a/worksmux/baselines/plain.py
+++ b/worksmux/baselines/plain.py
@@ -62,7 +62,11 @@
             case RequestArrived(request):
                 self.requests[request] = None
             case FirstToken(attempt, _):
-                attempt.began, attempt.request.began, attempt.request.holder = self.now, True, None
+                attempt.first_token_at, attempt.request.streaming, attempt.request.kv_holder = (
+                    self.now,
+                    True,
+                    None,
+                )
             case AttemptEnded():
                 self._ended(event)
             case ClientDisconnected(request):
@@ -95,39 +99,39 @@
             if event.outcome is not Outcome.DELIVERED:
                 self.actions.append(ReleaseKvCache(request))
         elif event.outcome is Outcome.READ:
-            request.holder, request.held_since = attempt.engine, self.now
+            request.kv_holder, request.kv_held_since = attempt.engine, self.now
             self.requests[request] = None
         else:
-            if request.holder and event.outcome is Outcome.FULL and event.note != 1:
-                request.held_since = self.now
+            if request.kv_holder and event.outcome is Outcome.FULL and event.note != 1:
+                request.kv_held_since = self.now
             else:
-                request.holder = None
+                request.kv_holder = None
                 self.actions.append(ReleaseKvCache(request))
             self.requests[request] = None
 
     def _drop(self, request: Request) -> None:
         request.ended = True
         self.requests.pop(request, None)
-        for attempt in request.out:
-            if self.settings.may_cancel and not attempt.began and not attempt.called_off:
-                attempt.called_off = True
+        for attempt in request.in_flight:
+            if self.settings.may_cancel and not attempt.first_token_at and not attempt.cancel_requested:
+                attempt.cancel_requested = True
                 self.actions.append(CancelAttempt(attempt))
-        if request.attempts and not request.out:
+        if request.attempts and not request.in_flight:
             self.actions.append(ReleaseKvCache(request))
 
     def _may_repeat(self, request: Request) -> bool:
         effect = self.settings.request_classes[request.request_class].effect
-        return not request.may_have_run or effect == "redoable"
+        return not request.possibly_executed or effect == "redoable"
 
     def _forward(self, request: Request) -> None:
-        last = self.now > request.give_up_at - self.settings.release_within_ms / 2
+        last = self.now > request.deadline - self.settings.release_within_ms / 2
         spent = len(request.attempts) >= self.settings.max_attempts or not self._may_repeat(request)
         if last or spent:
             self.actions.append(
                 RejectRequest(request) if self._may_repeat(request) else AbortRequest(request)
             )
             return self._drop(request)
-        roles = ("write", "both") if request.holder else ("read", "both")
+        roles = ("write", "both") if request.kv_holder else ("read", "both")
         able = [engine for engine in self.engines if engine.state == "ready" and engine.role in roles]
         warm = [
             engine
@@ -135,8 +139,8 @@
             if not engine.started or self.now >= engine.started + self.settings.slow_start_ms
         ]
         if not warm:
-            if request.holder and self.now > request.held_since + self.settings.release_within_ms / 2:
-                request.holder = None
+            if request.kv_holder and self.now > request.kv_held_since + self.settings.release_within_ms / 2:
+                request.kv_holder = None
                 self.actions.append(ReleaseKvCache(request))
             return
         engine = self.pick(warm)
--- a/worksmux/endpoints/learned_state.py
+++ b/worksmux/endpoints/learned_state.py
@@ -78,11 +78,11 @@
     def saw(self, now: float, event: Event) -> None:
         """An event that the module is told."""
         if isinstance(event, FirstToken):
-            waited = event.elapsed - SLOW_FACTOR * self.per_token.least(now) * event.attempt.work
+            waited = event.elapsed - SLOW_FACTOR * self.per_token.least(now) * event.attempt.prefill_tokens
             self.first.add(now, max(0.0, waited))
         elif isinstance(event, AttemptEnded):
             if event.outcome is Outcome.READ:
-                self.per_token.add(now, event.elapsed, max(1.0, event.attempt.work))
+                self.per_token.add(now, event.elapsed, max(1.0, event.attempt.prefill_tokens))
             if event.outcome in FAULTS or event.outcome in (Outcome.READ, Outcome.DELIVERED):
                 self.faults[event.attempt.request.request_class].add(now, float(event.outcome in FAULTS))
 
--- a/worksmux/failover/watcher.py
+++ b/worksmux/failover/watcher.py
@@ -226,7 +226,7 @@
         late."""
         found: dict[int, Waiting] = defaultdict(Waiting)
         for request, target in list(self.open.items()):
-            if request.ended or request.began or now > request.give_up_at:
+            if request.ended or request.streaming or now > request.deadline:
                 del self.open[request]
                 continue
             zone = request.attempts[-1].engine.zone if request.attempts else ANY_ZONE
--- a/worksmux/forwarding/request_lifecycle.py
+++ b/worksmux/forwarding/request_lifecycle.py
@@ -136,7 +136,7 @@
         """A job is told to the module; from here on it is owed one answer."""
         request = case.request
         slack = float(self.module_settings.answer_slack_ms)
-        left = max(0.0, request.give_up_at + slack - clock.now())
+        left = max(0.0, request.deadline + slack - clock.now())
         # Where the reactor itself was late, the module first hears what has come up to now.
         case.guard = TimeOut(self.reactor, left / 1000, lambda: self._overdue(case), LATE_LOOKS)
         self.cases[request] = case
@@ -151,7 +151,7 @@
             self._answer(case, "left")
             self.tell(ClientDisconnected(case.request))
         for attempt, carrier in list(case.out.items()):
-            if attempt.began or attempt.request.began:
+            if attempt.first_token_at or attempt.request.streaming:
                 carrier.cancel()
             else:
                 carrier.withdraw()  # guards against trips that begin for nobody
@@ -208,8 +208,8 @@
             attempts=[
                 {
                     "engine": attempt.engine.id.decode(),
-                    "reading": attempt.reading,
-                    "at": round(attempt.sent - case.request.arrived, 1),
+                    "reading": attempt.is_prefill,
+                    "at": round(attempt.sent_at - case.request.arrived, 1),
                     "outcome": attempt.outcome.value if attempt.outcome else None,
                     "why": case.reasons.get(attempt, ""),
                 }
@@ -223,15 +223,15 @@
 
     def began(self, attempt: Attempt) -> None:
         case = self.cases[attempt.request]
-        if attempt.request.began or case.answered:  # another copy's stream has the client already
+        if attempt.request.streaming or case.answered:  # another copy's stream has the client already
             case.out[attempt].cancel()
             return
         now = clock.now()
-        attempt.began, attempt.request.began, case.first_at = now, True, now
+        attempt.first_token_at, attempt.request.streaming, case.first_at = now, True, now
         self._taken(case)
         if case.guard.active():
             case.guard.cancel()
-        self.tell(FirstToken(attempt, now - attempt.sent))
+        self.tell(FirstToken(attempt, now - attempt.sent_at))
 
     def _taken(self, case: Case) -> None:
         """The answer has begun: what was held is taken."""
@@ -239,12 +239,12 @@
 
     def _may_hold(self, case: Case, attempt: Attempt, outcome: Outcome, carrier: Any) -> None:
         """A trip has ended: its engine may hold state from now on, also where the reply was lost."""
-        if attempt.reading and outcome not in (Outcome.FULL, Outcome.UNREACHABLE, Outcome.MOOT):
+        if attempt.is_prefill and outcome not in (Outcome.FULL, Outcome.UNREACHABLE, Outcome.MOOT):
             case.held[attempt.engine] = None
 
     def text(self, attempt: Attempt, content: Any) -> None:
         case = self.cases[attempt.request]
-        if not case.answered and attempt.began:
+        if not case.answered and attempt.first_token_at:
             case.client.text(content)
 
     def ended(
@@ -261,14 +261,14 @@
             case.called_off = clock.now()
         if self.on_attempt:
             self.on_attempt(attempt.engine, outcome)
-        if attempt.reading:
+        if attempt.is_prefill:
             if outcome is Outcome.READ:
                 case.state = result
                 case.kept += note
         elif outcome is Outcome.DELIVERED:
             case.result = result
             self._answer(case, "delivered", result=result)
-        elif attempt.began:
+        elif attempt.first_token_at:
             case.timed_out = outcome is Outcome.TIMED_OUT
             case.why = "its stream broke"
             self._answer(case, "broken off")  # the break of a begun stream ends its job
@@ -278,7 +278,7 @@
         if case.answered:
             self._closing.append(case)
         self.tell(
-            AttemptEnded(attempt, outcome, clock.now() - attempt.sent, bool(case.answered), note, report)
+            AttemptEnded(attempt, outcome, clock.now() - attempt.sent_at, bool(case.answered), note, report)
         )
 
     # Actions.
@@ -295,7 +295,7 @@
                 self._final(request, "broken off")
             case CancelAttempt(attempt):
                 case = self.cases.get(attempt.request)
-                if case and attempt in case.out and not attempt.began:
+                if case and attempt in case.out and not attempt.first_token_at:
                     case.out[attempt].cancel()
             case SetTimer(after, token):
                 self.reactor.callLater(max(0.0, after) / 1000, self.tell, TimerFired(token))
@@ -332,11 +332,11 @@
         if case is not None and not case.answered and case.client.gone():
             self.left(case)  # seen now, and not when the reactor comes to it
         now = clock.now()
-        left = request.give_up_at - now
+        left = request.deadline - now
         moot = (
             case is None
             or bool(case.answered)
-            or request.began
+            or request.streaming
             or left <= 0
             or len(request.attempts) > int(self.module_settings.max_attempts)
         )
@@ -350,7 +350,7 @@
             self.on_decision(case.key, attempt.number)
         time_out = min(action.time_out, left) if action.time_out else left
         case.out[attempt] = self._carry(case, attempt, self.pools[attempt.engine], time_out)
-        self.metrics.attempt("read" if attempt.reading else "write")
+        self.metrics.attempt("read" if attempt.is_prefill else "write")
 
     # Small calls.
 
--- a/worksmux/forwarding/stream_relay.py
+++ b/worksmux/forwarding/stream_relay.py
@@ -32,7 +32,7 @@
         """A client that reads slowly slows its engine down, instead of filling this process."""
         if self.case is not None and not self.exchange.over:
             for attempt, carrier in self.case.out.items():
-                if attempt.began:
+                if attempt.first_token_at:
                     self.exchange.registerProducer(carrier, True)
 
     def _unlink(self) -> None:
--- a/worksmux/gateway/attempts.py
+++ b/worksmux/gateway/attempts.py
@@ -71,7 +71,7 @@
 
     def _event(self, data: bytes) -> None:
         if data == b"[DONE]":
-            if not (self.finish and self.attempt.began):
+            if not (self.finish and self.attempt.first_token_at):
                 return self._end(Outcome.ERROR)  # an end without an answer
             return self._end(Outcome.DELIVERED, self.usage.cached, (self.finish, self.usage))
         chunk = READ_CHUNK.decode(data)
--- a/worksmux/gateway/chat_engine_client.py
+++ b/worksmux/gateway/chat_engine_client.py
@@ -72,10 +72,10 @@
     # Trips.
 
     def _carry(self, case: Case, attempt: Attempt, pool: client.Pool, time_out: float) -> carriers.Carrier:
-        if case.place is not None and case.place is not attempt.engine and not attempt.reading:
+        if case.place is not None and case.place is not attempt.engine and not attempt.is_prefill:
             self._let_go(case, case.place)  # a send to another writer gives the place up
         transport, asked = self.settings.transport, case.asked
-        make = carriers.Reading if attempt.reading else carriers.Writing
+        make = carriers.Reading if attempt.is_prefill else carriers.Writing
         carrier = make(self.reactor, pool, attempt, self, time_out, transport.stream_silence, transport.reply)
         headers = [
             ("Content-Type", "application/json"),
@@ -90,8 +90,8 @@
             headers.append((calls.PROMPT_TOKENS, str(int(asked.prompt))))
         if asked.request_id:
             headers.append((calls.TRY, asked.request_id))
-        state = case.state if attempt.request.holder is not None else None
-        carrier.send(headers, chat.to_reader(asked) if attempt.reading else chat.to_writer(asked, state))
+        state = case.state if attempt.request.kv_holder is not None else None
+        carrier.send(headers, chat.to_reader(asked) if attempt.is_prefill else chat.to_writer(asked, state))
         return carrier
 
     # Small calls.
@@ -118,7 +118,7 @@
         case = self.cases.get(request)
         if case is None or case.answered:
             return
-        reading = next((attempt for attempt in case.out if attempt.reading), None)
+        reading = next((attempt for attempt in case.out if attempt.is_prefill), None)
         reader = None
         if reading is not None and reading.engine in self.pools:
             pool = self.pools[reading.engine]
--- a/worksmux/gateway/stage.py
+++ b/worksmux/gateway/stage.py
@@ -157,9 +157,9 @@
         closed = work.over
         if outcome is Outcome.DELIVERED and not work.over:
             closed = work.over = True
-            attempt.began, attempt.request.began = now, True
-            self.tell(FirstToken(attempt, now - attempt.sent))  # so that the module sees the time it took
-        self.tell(AttemptEnded(attempt, outcome, now - attempt.sent, closed, note, report))
+            attempt.first_token_at, attempt.request.streaming = now, True
+            self.tell(FirstToken(attempt, now - attempt.sent_at))  # so that the module sees the time it took
+        self.tell(AttemptEnded(attempt, outcome, now - attempt.sent_at, closed, note, report))
         self._close(work)
         if outcome is Outcome.DELIVERED and closed:
             if result:
@@ -193,7 +193,7 @@
     def _send(self, action: StartAttempt) -> None:
         attempt, request = action.attempt, action.attempt.request
         work, now = self.works.get(request), clock.now()
-        left = request.give_up_at - now
+        left = request.deadline - now
         if work is None or work.over or left <= 0 or attempt.engine not in self.core.pools:
             self.metrics.attempt("moot")
             self.tell(AttemptEnded(attempt, Outcome.MOOT, 0.0, work is None or work.over))
--- a/worksmux/node/attempts.py
+++ b/worksmux/node/attempts.py
@@ -55,7 +55,7 @@
 
     @property
     def reading(self) -> bool:
-        return self.attempt.reading
+        return self.attempt.is_prefill
 
     @property
     def last_sign(self) -> float:
--- a/worksmux/node/core.py
+++ b/worksmux/node/core.py
@@ -147,13 +147,13 @@
             return  # it never arrived: the time to let go runs on
         now = clock.now()
         self.releases.stop_beside(held)
-        unseen = outcome in NOT_SEEN and not attempt.began
+        unseen = outcome in NOT_SEEN and not attempt.first_token_at
         held.outcome(now, not unseen or attempt_call.pool.answered >= attempt_call.written_at)
         if outcome is Outcome.READ:
             self.read_times.append((case.request.prompt, now - attempt_call.written_at))
         if unseen:
             held.ended_unseen(attempt.engine, now, self._work_left(case, attempt_call, now))
-        elif attempt.reading and outcome is not Outcome.FULL:
+        elif attempt.is_prefill and outcome is not Outcome.FULL:
             held.read(attempt.engine, now)
         for other in case.out.values():  # this one is no longer among them
             self._watch(case, other)
@@ -163,7 +163,7 @@
         the time that it was told.  One that was silent may begin only when it runs again: by the slowest of
         the latest reads, or for all of the time told, where none was as long.  What waits for state ends at
         once."""
-        if not attempt_call.attempt.reading:
+        if not attempt_call.attempt.is_prefill:
             return 0.0
         ends = attempt_call.expires + ENGINE_LATE
         longest = max((time for _, time in self.read_times), default=0.0)
@@ -179,13 +179,13 @@
 
     def _taken(self, case: Case) -> None:
         """The state went with the trip; what earlier reads may have left is let go at the end."""
-        if case.request.holder is not None:
-            self.held[case.request].taken(case.request.holder)
+        if case.request.kv_holder is not None:
+            self.held[case.request].taken(case.request.kv_holder)
 
     # Attempts.
 
     def _carry(self, case: Case, attempt: Attempt, pool: client.Pool, time_out: float) -> AttemptCall:
-        make = PrefillAttempt if attempt.reading else DecodeAttempt
+        make = PrefillAttempt if attempt.is_prefill else DecodeAttempt
         attempt_call = make(self.reactor, pool, attempt, self, time_out, SILENCE, BODY)
         attempt_call.fields = list(self.module_settings.load_report_fields)
         call = attempt_call.send(case.asked, time_out)
--- a/worksmux/policy/admission.py
+++ b/worksmux/policy/admission.py
@@ -65,15 +65,15 @@
         else:
             need_ms = self._need_ms(request, first_ms, prefill_per_token, best_per_token)
         earliest = self._context.now + max(need_ms, 2 * self._context.round_interval_ms)
-        return earliest > min(request.promised_at, request.give_up_at)
+        return earliest > min(request.latency_target_at, request.deadline)
 
     def _need_ms(
         self, request: Request, first_ms: float, prefill_per_token: float, best_per_token: float
     ) -> float:
         """Queueing counts once for an average prompt: it lasts as long for a short prompt as for a long."""
-        margin = 1 + EARLY_REJECTION_SPREAD * request.luck + REPEAT_SURCHARGE * request.repeat
+        margin = 1 + EARLY_REJECTION_SPREAD * request.random_draw + REPEAT_SURCHARGE * request.repeat
         per_token = max(prefill_per_token, self._estimates.in_flight_prefill_per_token)
         best = min(per_token, best_per_token)
         average_tokens = self._estimates.prefill_sizes.mean(self._context.now, request.prompt)
         queue_ms = (per_token - best) * average_tokens
-        return (first_ms + queue_ms + best * request.prompt) * margin * (request.luck > TRIAL_SHARE)
+        return (first_ms + queue_ms + best * request.prompt) * margin * (request.random_draw > TRIAL_SHARE)
--- a/worksmux/policy/decode_selection.py
+++ b/worksmux/policy/decode_selection.py
@@ -43,7 +43,7 @@
             return None
         searched = {} if searched is None else searched
         for known_good in (True, False) if self._estimates.is_failing(request.request_class) else (False,):
-            for engines in self._context.index.rounds(request.luck, near, scope):
+            for engines in self._context.index.rounds(request.random_draw, near, scope):
                 if (engines, known_good) not in searched:
                     searched[engines, known_good] = self._next(engines, request, scope, known_good)
                 if found := searched[engines, known_good]:
--- a/worksmux/policy/decode_window.py
+++ b/worksmux/policy/decode_window.py
@@ -54,7 +54,7 @@
             engine.first_token_delays.mean(self._context.now), self._estimates.oldest_wait_ms(engine)
         )
         slowdown = min(1.0, self._estimates.harmless_first_token_wait / max(wait_ms, 1.0))
-        return outstanding < self.size(engine, request.luck) * slowdown
+        return outstanding < self.size(engine, request.random_draw) * slowdown
 
     def size(self, engine: Engine, random_draw: float = 0.0) -> float:
         """Requests that may be in flight at the engine, at least 1."""
@@ -83,7 +83,7 @@
             paired.prompt for paired in engine.reserved
         )
         share = memory_tokens[engine.kind] / settings.node_count if engine.kind < len(memory_tokens) else inf
-        return bool(held + request.luck * request.prompt > (1 + WINDOW_MARGIN) * share)
+        return bool(held + request.random_draw * request.prompt > (1 + WINDOW_MARGIN) * share)
 
     def shrink(self, engine: Engine) -> None:
         """The engine answered "full"."""
--- a/worksmux/policy/kv_transfer.py
+++ b/worksmux/policy/kv_transfer.py
@@ -22,7 +22,7 @@
 
     def hold(self, request: Request, engine: Engine) -> None:
         """A prefill ended well at the engine."""
-        request.holder, request.held_since = engine, self._context.now
+        request.kv_holder, request.kv_held_since = engine, self._context.now
         self.requests[request] = None
 
     def hold_again(self, event: AttemptEnded) -> None:
@@ -32,7 +32,7 @@
         """
         request = event.attempt.request
         if event.outcome not in (Outcome.UNREACHABLE, Outcome.MOOT):
-            request.held_since = self._context.now
+            request.kv_held_since = self._context.now
         self.requests[request] = None
 
     def drop(self, request: Request) -> None:
@@ -40,8 +40,8 @@
 
     def prefill_too_late(self, request: Request) -> bool:
         """Whether the latency target has passed: while others wait, the request would make them late too."""
-        return self._context.now > request.promised_at
+        return self._context.now > request.latency_target_at
 
     def must_be_released(self, request: Request) -> bool:
         limit_ms = self._context.settings.release_within_ms * RELEASE_SHARE
-        return bool(self._context.now > request.held_since + limit_ms)
+        return bool(self._context.now > request.kv_held_since + limit_ms)
--- a/worksmux/policy/load_estimates.py
+++ b/worksmux/policy/load_estimates.py
@@ -55,12 +55,12 @@
 
     def allowed_prefill_ms(self, attempt: Attempt) -> float:
         """Time that the prefill of an attempt may take without being slow."""
-        return SLOW_FACTOR * self.best_prefill_per_token * attempt.work
+        return SLOW_FACTOR * self.best_prefill_per_token * attempt.prefill_tokens
 
     def oldest_wait_ms(self, engine: Engine) -> float:
         """Time that the oldest attempt without a first token has waited beyond its prefill."""
         for attempt in engine.unanswered[:1]:
-            return max(0.0, self._context.now - attempt.sent - self.allowed_prefill_ms(attempt))
+            return max(0.0, self._context.now - attempt.sent_at - self.allowed_prefill_ms(attempt))
         return 0.0
 
     def typical(self) -> tuple[float, float]:
@@ -87,8 +87,8 @@
             if engine in index.prefill_engines
             for attempt in engine.unanswered
         ]
-        self.in_flight_prefill_per_token = sum(now - attempt.sent for attempt in waiting) / max(
-            1.0, sum(attempt.work for attempt in waiting)
+        self.in_flight_prefill_per_token = sum(now - attempt.sent_at for attempt in waiting) / max(
+            1.0, sum(attempt.prefill_tokens for attempt in waiting)
         )
 
     def attempts_seen(self) -> float:
@@ -110,15 +110,17 @@
         cancelled or timed-out prefill counts with its time, and a rejection as a wait of a whole target.
         """
         attempt, outcome, now = event.attempt, event.outcome, self._context.now
-        tokens = max(1.0, attempt.work)
-        if attempt.reading and outcome in (Outcome.READ, Outcome.CANCELLED, Outcome.TIMED_OUT):
+        tokens = max(1.0, attempt.prefill_tokens)
+        if attempt.is_prefill and outcome in (Outcome.READ, Outcome.CANCELLED, Outcome.TIMED_OUT):
             self.prefill_queue_waits.add(now, max(0.0, event.elapsed - self.allowed_prefill_ms(attempt)))
             self.prefill_per_token.add(now, event.elapsed, tokens)
             self.prefill_sizes.add(now, tokens)
-        if outcome is Outcome.READ and 2 * event.note < attempt.work:
-            self.uncached_prefill_per_token.add(now, event.elapsed, max(1.0, attempt.work - event.note))
+        if outcome is Outcome.READ and 2 * event.note < attempt.prefill_tokens:
+            self.uncached_prefill_per_token.add(
+                now, event.elapsed, max(1.0, attempt.prefill_tokens - event.note)
+            )
         if outcome is Outcome.FULL and event.note != 1:
-            if attempt.reading:
+            if attempt.is_prefill:
                 self.prefill_sizes.add(now, tokens)
                 self.prefill_per_token.add(now, self._context.shortest_target_ms, tokens)
             else:
--- a/worksmux/policy/outlier_detection.py
+++ b/worksmux/policy/outlier_detection.py
@@ -214,8 +214,8 @@
         return [
             attempt
             for attempt in engine.unanswered
-            if self._context.now - attempt.sent > patience
-            and (attempt.request.holder is None or attempt.request.holder.cell == engine.cell)
+            if self._context.now - attempt.sent_at > patience
+            and (attempt.request.kv_holder is None or attempt.request.kv_holder.cell == engine.cell)
         ]
 
     # Endpoint list and restart.
--- a/worksmux/policy/placement.py
+++ b/worksmux/policy/placement.py
@@ -52,7 +52,7 @@
     def find(self, request: Request) -> Placement | None:
         """The first candidate with capacity whose KV cache has a decode engine; one whose own cell has it
         comes first.  None: the request waits."""
-        scope = self._retry.scope(request) if request.may_have_run else ANYWHERE
+        scope = self._retry.scope(request) if request.possibly_executed else ANYWHERE
         if scope is None:
             return None
         index = self._context.index
@@ -69,7 +69,7 @@
                 and engine not in exempt
             ):
                 continue
-            if engine.state != "ready" and request.may_have_run:
+            if engine.state != "ready" and request.possibly_executed:
                 continue
             if engine.role == ROLE_COMBINED:
                 if not found and self._combined_is_open(engine, request):
@@ -82,7 +82,7 @@
                     idle_only = self._probing.needs_known_idle(request)
                     continue
                 if decode_engine and (
-                    decode_engine.cell == engine.cell or request.luck >= index.keeps[engine.cell]
+                    decode_engine.cell == engine.cell or request.random_draw >= index.keeps[engine.cell]
                 ):
                     found = Placement(engine, decode_engine)
                     break
@@ -114,7 +114,7 @@
 
         `overflow_tokens` more may wait there before a cached prefix is computed again elsewhere.
         """
-        outstanding = sum(attempt.work for attempt in engine.attempts)
+        outstanding = sum(attempt.prefill_tokens for attempt in engine.attempts)
         even_share = self._in_flight.prefill_tokens / len(self._context.index.readers)
         estimates = self._estimates
         return (
--- a/worksmux/policy/prefill_order.py
+++ b/worksmux/policy/prefill_order.py
@@ -72,7 +72,9 @@
         if further or start:
             self._searched[request] = end if len(further) == FURTHER_LOOKS else 0
         if len(index.hosts) > HEAD_LOOKS:
-            probed = (engine for engine in request.asked if engine in index.host_set and scope.has(engine))
+            probed = (
+                engine for engine in request.checked_engines if engine in index.host_set and scope.has(engine)
+            )
             yield from ((engine, 0.0) for engine in chain(probed, further))
 
     @staticmethod
--- a/worksmux/policy/prefill_probing.py
+++ b/worksmux/policy/prefill_probing.py
@@ -62,8 +62,8 @@
         """Whether a prefill may be sent without another check; checks the engine where it may not."""
         if self._known_idle(engine) or self.unanswered(request):
             return True
-        if engine not in request.asked and self._may_probe(request):
-            request.asked[engine] = self._context.now
+        if engine not in request.checked_engines and self._may_probe(request):
+            request.checked_engines[engine] = self._context.now
             self._context.actions.append(CheckHealth(engine))
         return False
 
@@ -82,7 +82,7 @@
 
     def unanswered(self, request: Request) -> bool:
         """Whether engines were checked and none has answered for long: all of them have queues."""
-        oldest = min(request.asked.values(), default=inf)
+        oldest = min(request.checked_engines.values(), default=inf)
         return self._context.now - oldest > TOLERATED_WAIT * self._context.shortest_target_ms
 
     def _known_idle(self, engine: Engine) -> bool:
@@ -95,5 +95,5 @@
 
     def _may_probe(self, request: Request) -> bool:
         """One engine more each time that none has answered."""
-        last = max(request.asked.values(), default=-inf)
-        return len(request.asked) < MAX_PROBES and self._context.now - last >= self.answer_within_ms
+        last = max(request.checked_engines.values(), default=-inf)
+        return len(request.checked_engines) < MAX_PROBES and self._context.now - last >= self.answer_within_ms
--- a/worksmux/policy/retry.py
+++ b/worksmux/policy/retry.py
@@ -24,17 +24,17 @@
     def is_exhausted(self, request: Request) -> bool:
         """No attempt is left, or the deadline comes before the next decision round."""
         context = self._context
-        return self.attempts_left(request) < 1 or context.now > request.give_up_at - context.round_interval_ms
+        return self.attempts_left(request) < 1 or context.now > request.deadline - context.round_interval_ms
 
     def scope(self, request: Request) -> Scope | None:
         """Where one more attempt may go; None: nowhere."""
-        if self.attempts_left(request) < 1 or request.out:
+        if self.attempts_left(request) < 1 or request.in_flight:
             return None
-        executed = request.may_have_run
+        executed = request.possibly_executed
         request_class = self._context.request_classes[request.request_class]
         if not executed or request_class.effect == IDEMPOTENT:
             return ANYWHERE
-        elapsed_ms = self._context.now - executed[0].sent
+        elapsed_ms = self._context.now - executed[0].sent_at
         window_ms = request_class.deduplication_window_ms - self._context.shortest_target_ms
         if request_class.effect == NON_IDEMPOTENT or elapsed_ms >= window_ms:
             return None
@@ -55,7 +55,7 @@
 
     def may_prefill_again(self, request: Request) -> bool:
         """A prefill counts as an attempt: after a possible execution it too stays within the scope."""
-        if not request.may_have_run or self._context.settings.decode_engines_may_prefill:
+        if not request.possibly_executed or self._context.settings.decode_engines_may_prefill:
             return True
         scope = self.scope(request)
         return scope is not None and self._context.index.any_in(self._context.index.hosts, scope)
@@ -65,7 +65,7 @@
         request_class = self._context.request_classes[request.request_class]
         return (
             request_class.effect == IDEMPOTENT
-            or not request.may_have_run
+            or not request.possibly_executed
             or (request_class.effect, request_class.deduplication_scope) == (DEDUPLICATED, SCOPE_ALL)
         )
 
--- a/worksmux/policy/router.py
+++ b/worksmux/policy/router.py
@@ -125,7 +125,7 @@
         delay_ms = SUSPECT_AFTER * target_ms / 4 if self.outliers.awaited else inf
         if self.waiting or self.kv_caches.requests:
             delay_ms = self.context.round_interval_ms
-        if any(request.asked for request in self.waiting):
+        if any(request.checked_engines for request in self.waiting):
             delay_ms = min(delay_ms, self.probing.answer_within_ms)
         now = self.context.now
         if delay_ms < inf and not now < self.timer_due_at <= now + delay_ms:
@@ -162,12 +162,12 @@
     def _on_request_arrived(self, request: Request) -> None:
         context = self.context
         request_class = context.request_classes[request.request_class]
-        request.promised_at = (
+        request.latency_target_at = (
             context.now
             + request_class.latency_target_ms
             + request_class.latency_target_per_1000_tokens_ms * request.prompt / 1000
         )
-        request.luck = context.random_source.share()
+        request.random_draw = context.random_source.share()
         if rejection := self.admission.shed(request):
             request.ended = True
             self._do(rejection)
@@ -180,7 +180,11 @@
             self.slow_start.earn(ROLE_DECODE, ARRIVAL_CREDIT)
 
     def _on_first_token(self, attempt: Attempt, elapsed_ms: float) -> None:
-        attempt.began, attempt.request.began, attempt.request.holder = self.context.now, True, None
+        attempt.first_token_at, attempt.request.streaming, attempt.request.kv_holder = (
+            self.context.now,
+            True,
+            None,
+        )
         self.estimates.record_first_token(attempt, elapsed_ms)
         self.outliers.record_success(attempt)
 
@@ -222,7 +226,7 @@
         elif outcome is Outcome.READ and not self.retry.is_exhausted(request):
             self.kv_caches.hold(request, attempt.engine)
         elif (
-            request.holder
+            request.kv_holder
             and not event.kv_cache_lost
             and not self.retry.is_exhausted(request)
             and self.retry.may_retry(request)
@@ -255,7 +259,7 @@
         self.probing.update()
         self.admission.begin_placement()
         new_ones_wait = False  # where one new request finds no place, none does
-        for request in sorted(self.waiting, key=lambda request: request.promised_at):
+        for request in sorted(self.waiting, key=lambda request: request.latency_target_at):
             if self.admission.latency_target_unreachable(request):
                 self._end(request, EndReason.LATENCY_TARGET_UNREACHABLE)
             elif request.attempts or not new_ones_wait:
@@ -263,7 +267,7 @@
                     self._place(request, placement)
                     del self.waiting[request]
                 else:
-                    new_ones_wait = new_ones_wait or not (request.attempts or request.asked)
+                    new_ones_wait = new_ones_wait or not (request.attempts or request.checked_engines)
         self.admission.end_placement()
 
     def _place(self, request: Request, placement: Placement) -> None:
@@ -275,7 +279,7 @@
         if self.slow_start.is_cold(prefill_engine, self.context.now):
             self.slow_start.spend_read()
         self.in_flight.reserve(request, decode_engine)
-        timeout_ms = (request.give_up_at - self.context.now) * PREFILL_TIMEOUT_SHARE
+        timeout_ms = (request.deadline - self.context.now) * PREFILL_TIMEOUT_SHARE
         self._send(request, prefill_engine, prefill=True, timeout_ms=timeout_ms)
         if self.settings.may_reserve:
             self._do(ReserveSlot(request, decode_engine))
@@ -287,13 +291,13 @@
             len(request.attempts),
             self.context.now,
             prefill,
-            work=0.0 if request.holder else request.prompt,
+            prefill_tokens=0.0 if request.kv_holder else request.prompt,
         )
         request.attempts.append(attempt)
         self.in_flight.start(attempt)
         self.outliers.expect_answer(engine)
         self.kv_caches.drop(request)
-        request.asked.clear()
+        request.checked_engines.clear()
         self.prefill_order.forget(request)
         self.probing.forget_health()  # an engine that was ejected has its one attempt now
         self._do(StartAttempt(attempt, timeout_ms))
@@ -309,14 +313,14 @@
             if self.kv_caches.must_be_released(request):
                 self._prefill_again(request)
                 continue
-            decode_engine = request.writer
+            decode_engine = request.decode_engine
             self.in_flight.release(request)
             if not (
                 decode_engine
                 and self.retry.may_send(request, decode_engine)
                 and self.outliers.is_healthy(decode_engine, request.request_class)
             ):
-                decode_engine = self.decode_selection.select(request, request.holder)
+                decode_engine = self.decode_selection.select(request, request.kv_holder)
                 if decode_engine:
                     self.decode_selection.record_chosen(decode_engine)
             if decode_engine:
@@ -344,23 +348,23 @@
         """Cancels attempts that may run elsewhere, as long as that would still be in time."""
         for attempt in attempts:
             request = attempt.request
-            if self.retry.may_cancel_for_retry(request, attempt.reading) and not (
+            if self.retry.may_cancel_for_retry(request, attempt.is_prefill) and not (
                 self.probing.enabled
-                and attempt.reading
+                and attempt.is_prefill
                 and self.admission.latency_target_unreachable(request)
             ):
                 self._cancel(attempt)
 
     def _cancel(self, attempt: Attempt) -> None:
-        if self.settings.may_cancel and not (attempt.began or attempt.called_off):
-            attempt.called_off = True
+        if self.settings.may_cancel and not (attempt.first_token_at or attempt.cancel_requested):
+            attempt.cancel_requested = True
             self._do(CancelAttempt(attempt))
 
     # The end of a request.
 
     def _start_over(self, request: Request) -> None:
         """Back to the waiting requests, if it may have one more attempt or be rejected later."""
-        request.holder = None
+        request.kv_holder = None
         self.in_flight.release(request)
         self._do(ReleaseKvCache(request))  # also of a slot that was reserved ahead of a failed prefill
         may_run_again = self.retry.may_retry(request) and self.retry.may_prefill_again(request)
@@ -387,7 +391,7 @@
         self.kv_caches.drop(request)
         self.waiting.pop(request, None)
         self.prefill_order.forget(request)
-        for attempt in request.out:
+        for attempt in request.in_flight:
             self._cancel(attempt)
-        if request.attempts and not request.out:
+        if request.attempts and not request.in_flight:
             self._do(ReleaseKvCache(request))
--- a/worksmux/policy/state.py
+++ b/worksmux/policy/state.py
@@ -67,7 +67,7 @@
     @property
     def unanswered(self) -> list[Attempt]:
         """Trips out here that have brought no first token, the first sent first."""
-        return [attempt for attempt in self.attempts if not attempt.began]
+        return [attempt for attempt in self.attempts if not attempt.first_token_at]
 
 
 @dataclass(eq=False, slots=True)
@@ -82,32 +82,32 @@
     prefix_tokens: float
     max_answer: float
     arrived: float
-    give_up_at: float  # when this try's client leaves
+    deadline: float  # when this try's client leaves
     hint: float = 0.0  # a guess at the answer's tokens; 0: none
     party: int = 0
     repeat: bool = False
     resumed: bool = False
-    promised_at: float = 0.0  # set by the module
+    latency_target_at: float = 0.0  # set by the module
     attempts: list[Attempt] = field(default_factory=list)
-    writer: Engine | None = None  # the writer it is paired with
-    holder: Engine | None = None  # the reader that holds its state
-    held_since: float = 0.0
-    luck: float = 0.0  # its draw by chance
-    asked: dict[Engine, float] = field(default_factory=dict)  # probed before its read, and when
+    decode_engine: Engine | None = None  # the writer it is paired with
+    kv_holder: Engine | None = None  # the reader that holds its state
+    kv_held_since: float = 0.0
+    random_draw: float = 0.0  # its draw by chance
+    checked_engines: dict[Engine, float] = field(default_factory=dict)  # probed before its read, and when
     ended: bool = False
-    began: bool = False
+    streaming: bool = False
 
     @property
-    def out(self) -> list[Attempt]:
+    def in_flight(self) -> list[Attempt]:
         return [attempt for attempt in self.attempts if attempt.outcome is None]
 
     @property
-    def may_have_run(self) -> list[Attempt]:
+    def possibly_executed(self) -> list[Attempt]:
         """Trips whose outcome does not prove that they had no effect; reading has none."""
         return [
             attempt
             for attempt in self.attempts
-            if not attempt.reading and attempt.outcome not in KNOWN_NOT_EXECUTED
+            if not attempt.is_prefill and attempt.outcome not in KNOWN_NOT_EXECUTED
         ]
 
 
@@ -118,9 +118,9 @@
     request: Request
     engine: Engine
     number: int
-    sent: float
-    reading: bool = False  # a trip to a reader: it has no effect, however it ends
+    sent_at: float
+    is_prefill: bool = False  # a trip to a reader: it has no effect, however it ends
     outcome: Outcome | None = None
-    began: float = 0.0
-    called_off: bool = False
-    work: float = 0.0
+    first_token_at: float = 0.0
+    cancel_requested: bool = False
+    prefill_tokens: float = 0.0
--- a/worksmux/simulation/front.py
+++ b/worksmux/simulation/front.py
@@ -281,7 +281,7 @@
         self.tell(self.door.arrived(request))
 
     def _overdue(self, case: Case) -> None:
-        if not case.over and not case.request.began:
+        if not case.over and not case.request.streaming:
             self._answer(case, "overdue")
             self.tell(ClientDisconnected(case.request))
 
@@ -293,7 +293,7 @@
                     self._answer(case, "left")
                     self.tell(ClientDisconnected(case.request))
                 for attempt in list(case.out):
-                    if attempt.request.began:
+                    if attempt.request.streaming:
                         self._cancel(attempt)
                 return
 
@@ -318,12 +318,12 @@
         case = self.cases.get(attempt.request)
         if case is None or self.dead or attempt not in case.out:
             return
-        if attempt.request.began or case.over:
+        if attempt.request.streaming or case.over:
             return self._cancel(attempt)
-        attempt.began, attempt.request.began = self.sim.now, True
+        attempt.first_token_at, attempt.request.streaming = self.sim.now, True
         case.held.clear()
         case.asked.began()
-        self.tell(FirstToken(attempt, self.sim.now - attempt.sent))
+        self.tell(FirstToken(attempt, self.sim.now - attempt.sent_at))
 
     def _ended(self, attempt: Attempt, outcome: Outcome, note: int) -> None:
         case = self.cases.get(attempt.request)
@@ -333,19 +333,19 @@
         if outcome is Outcome.UNREACHABLE:
             self.counts.unreachable += 1
             self.counts.stale_last = self.sim.now
-        if attempt.reading:
+        if attempt.is_prefill:
             if outcome is Outcome.READ:
                 case.holder = self.engines.get(attempt.engine.id.decode())
             if outcome not in (Outcome.FULL, Outcome.UNREACHABLE, Outcome.MOOT):
                 case.held[attempt.engine] = None
         elif outcome is Outcome.DELIVERED:
             self._answer(case, "delivered")
-        elif attempt.began:
+        elif attempt.first_token_at:
             self._answer(case, "broken off")
         elif outcome is Outcome.FULL and note == 1:
             case.holder = None
         self._close(case)
-        self.tell(AttemptEnded(attempt, outcome, self.sim.now - attempt.sent, bool(case.over), note, None))
+        self.tell(AttemptEnded(attempt, outcome, self.sim.now - attempt.sent_at, bool(case.over), note, None))
 
     # Actions.
 
@@ -387,12 +387,12 @@
     def _send(self, action: StartAttempt) -> None:
         attempt, request = action.attempt, action.attempt.request
         case = self.cases.get(request)
-        left = request.give_up_at - self.sim.now
-        if case is None or case.over or request.began or left <= 0:
+        left = request.deadline - self.sim.now
+        if case is None or case.over or request.streaming or left <= 0:
             self.tell(AttemptEnded(attempt, Outcome.MOOT, 0.0, case is None or bool(case.over)))
             return
         self.counts.attempts += 1
-        if case.place not in (None, attempt.engine) and not attempt.reading:
+        if case.place not in (None, attempt.engine) and not attempt.is_prefill:
             self._let_go(case, case.place)
         asked = case.asked
         facts: dict[str, Any] = {
@@ -413,8 +413,8 @@
             asked.name,
             asked.prompt,
             asked.answer,
-            attempt.reading,
-            case.holder if request.holder is not None else None,
+            attempt.is_prefill,
+            case.holder if request.kv_holder is not None else None,
             beginnings,
             lambda: self._began(attempt),
             lambda outcome, note: self._ended(attempt, outcome, note),
@@ -431,7 +431,7 @@
         self.sim.after(time_out, self._late, attempt)
 
     def _late(self, attempt: Attempt) -> None:
-        if attempt.outcome is None and not attempt.began:
+        if attempt.outcome is None and not attempt.first_token_at:
             self._cancel(attempt, Outcome.TIMED_OUT)
 
     def _probe(self, engine: Engine) -> None:
@@ -458,7 +458,7 @@
         target = self.engines.get(engine.id.decode())
         if case is None or case.over or target is None:
             return
-        reading = next((attempt for attempt in case.out if attempt.reading), None)
+        reading = next((attempt for attempt in case.out if attempt.is_prefill), None)
         reader = case.out[reading][1] if reading is not None else None
         if reader is not None and reading is not None:
             case.out[reading][0].ahead = target
@@ -468,7 +468,7 @@
         case.held[engine] = None
 
         def reply(held: bool) -> None:
-            if held and (case.over or request.began or case.place is not engine):
+            if held and (case.over or request.streaming or case.place is not engine):
                 self.sim.after(self.hop, target.release, case.key)
             if reading is not None and reading.outcome is None:
                 self.tell(SlotReserved(reading, engine, held))
