--- a/worksmux/policy/slow_start.py
+++ b/worksmux/policy/slow_start.py
@@ -26,6 +26,7 @@
     """Credit of the cold engines of one front."""
 
     def __init__(self, settings: PolicySettings) -> None:
+        self._slow_start_ms = settings.slow_start_ms
         self._budget: float = settings.slow_start_share * settings.overload_multiple * PRUDENCE
         self.read_credit = 0.0  # requests that cold prefill engines may be sent, earned together
         self._read_part = 0.0  # what cold prefill engines are due of all prefills
@@ -49,7 +50,7 @@
             return
         earned = self._earned[engine.role]
         if earned != counted:
-            engine.credit = min(FULL, engine.credit + (earned - counted) * engine.part)
+            engine.credit = min(FULL, engine.credit + (earned - counted) * engine.role_share)
             self._counted[engine] = earned
 
     def settle_all(self) -> None:
@@ -59,7 +60,7 @@
     def cold_are(self, engines: Iterable[Engine]) -> None:
         """A new list tells who is cold; what others earned was settled before."""
         cold = list(engines)
-        self._read_part = sum(engine.part for engine in cold if engine.role == "read")
+        self._read_part = sum(engine.role_share for engine in cold if engine.role == "read")
         self._counted = {engine: self._earned[engine.role] for engine in cold if engine.role != "read"}
 
     def earn(self, role: str, part: float) -> None:
@@ -69,6 +70,9 @@
         else:
             self._earned[role] += self._budget * part
 
+    def is_cold(self, engine: Engine, now: float) -> bool:
+        return engine.started > 0 and now < engine.started + self._slow_start_ms
+
     def credit(self, engine: Engine) -> float:
         if engine.role == "read":
             return self.read_credit
--- a/worksmux/policy/state.py
+++ b/worksmux/policy/state.py
@@ -11,6 +11,7 @@
 
 from .measure import Ring
 
+ALL_REQUEST_CLASSES = -1  # as a key of `ejected_until`: the engine is ejected for every class
 EMPTY_WINDOW = Ring(1.0, 1)  # stands for a ring that the module has yet to make
 
 
@@ -43,30 +44,30 @@
     size: float = 1.0
     state: str = "gone"  # ready, draining or gone
     started: float = 0.0  # 0: long ago
-    left: float = 0.0  # when it was told gone
+    gone_since: float = 0.0  # when it was told gone
     role: str = ""  # read, write or both
     attempts: dict[Attempt, None] = field(default_factory=dict)  # out at this engine
-    paired: dict[Request, None] = field(default_factory=dict)  # being read for this writer
-    narrowed: float = 0.0  # by how many jobs its window is under the even share and margin
-    skip_until: float = 0.0  # answered full lately
-    turn: float = 0.0  # when it last had its turn
-    salt: int = 0  # the key, hashed
-    part: float = 0.0  # of its role's size
+    reserved: dict[Request, None] = field(default_factory=dict)  # being read for this writer
+    window_reduction: float = 0.0  # by how many jobs its window is under the even share and margin
+    skipped_until: float = 0.0  # answered full lately
+    last_turn: float = 0.0  # when it last had its turn
+    key_hash: int = 0  # the key, hashed
+    role_share: float = 0.0  # of its role's size
     weight: float = 1.0  # among those that read
     credit: float = 0.0  # while it is cold: jobs that it may be sent, as a writer or mixed
-    quiet_since: float = 0.0  # the first send since its last sign of life; 0: none is awaited
-    unwell: dict[int, float] = field(default_factory=dict)  # by offering: set aside until then
-    good: dict[int, float] = field(default_factory=dict)  # by offering: when it last served one
-    suspected: bool = False  # silent, and a probe is out
-    faults: Ring = EMPTY_WINDOW  # made by the module
-    pace: Ring = EMPTY_WINDOW
+    silent_since: float = 0.0  # the first send since its last sign of life; 0: none is awaited
+    ejected_until: dict[int, float] = field(default_factory=dict)  # by offering: set aside until then
+    last_success: dict[int, float] = field(default_factory=dict)  # by offering: when it last served one
+    health_check_pending: bool = False  # silent, and a probe is out
+    failures: Ring = EMPTY_WINDOW  # made by the module
+    first_token_delays: Ring = EMPTY_WINDOW
     report: dict[str, float] = field(default_factory=dict)
     reported: float = 0.0
 
     @property
     def unanswered(self) -> list[Attempt]:
         """Trips out here that have brought no first token, the first sent first."""
-        return [attempt for attempt in self.attempts if not attempt.began]
+        return [attempt for attempt in self.attempts if not attempt.first_token_at]
 
 
 @dataclass(eq=False, slots=True)
@@ -81,32 +82,32 @@
     prefix_tokens: float
     max_answer: float
     arrived: float
-    give_up_at: float  # when this try's client leaves
+    deadline: float  # when this try's client leaves
     hint: float = 0.0  # a guess at the answer's tokens; 0: none
     party: int = 0
     repeat: bool = False
     resumed: bool = False
-    promised_at: float = 0.0  # set by the module
+    latency_target_at: float = 0.0  # set by the module
     attempts: list[Attempt] = field(default_factory=list)
-    writer: Engine | None = None  # the writer it is paired with
-    holder: Engine | None = None  # the reader that holds its state
-    held_since: float = 0.0
-    luck: float = 0.0  # its draw by chance
-    asked: dict[Engine, float] = field(default_factory=dict)  # probed before its read, and when
+    decode_engine: Engine | None = None  # the writer it is paired with
+    kv_holder: Engine | None = None  # the reader that holds its state
+    kv_held_since: float = 0.0
+    random_draw: float = 0.0  # its draw by chance
+    checked_engines: dict[Engine, float] = field(default_factory=dict)  # probed before its read, and when
     ended: bool = False
-    began: bool = False
+    streaming: bool = False
 
     @property
-    def out(self) -> list[Attempt]:
+    def in_flight(self) -> list[Attempt]:
         return [attempt for attempt in self.attempts if attempt.outcome is None]
 
     @property
-    def may_have_run(self) -> list[Attempt]:
+    def possibly_executed(self) -> list[Attempt]:
         """Trips whose outcome does not prove that they had no effect; reading has none."""
         return [
             attempt
             for attempt in self.attempts
-            if not attempt.reading and attempt.outcome not in KNOWN_NOT_EXECUTED
+            if not attempt.is_prefill and attempt.outcome not in KNOWN_NOT_EXECUTED
         ]
 
 
@@ -117,9 +118,9 @@
     request: Request
     engine: Engine
     number: int
-    sent: float
-    reading: bool = False  # a trip to a reader: it has no effect, however it ends
+    sent_at: float
+    is_prefill: bool = False  # a trip to a reader: it has no effect, however it ends
     outcome: Outcome | None = None
-    began: float = 0.0
-    called_off: bool = False
-    work: float = 0.0
+    first_token_at: float = 0.0
+    cancel_requested: bool = False
+    prefill_tokens: float = 0.0
