--- a/benchmarks/fleet_growth.py
+++ b/benchmarks/fleet_growth.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from worksmux.consensus.replication import Fresh
+from worksmux.consensus.replica import ValuesChanged
 from worksmux.failover.tally import Tally, ZoneTally, added
-from worksmux.gossip.members import State
+from worksmux.gossip.members import MemberState
 from worksmux.simulation.followers import LEASE, Following
 from worksmux.simulation.peers import World
 from worksmux.simulation.wire import Weather
@@ -40,7 +40,7 @@
     world.wire.weigh = False
     world.peers["f1"].stop()
     found = world.agree(200 * PERIOD)
-    false = {fact.now.name for _, _, fact in world.told if fact.now.state == State.DEAD} - {"f1"}
+    false = {fact.after.name for _, _, fact in world.told if fact.after.state == MemberState.DEAD} - {"f1"}
     return (
         f"peers {count:5} fronts, loss {loss:4.0%}: {messages:5.1f} messages and {size:6.0f} bytes a "
         f"front a second; all joined {joined / 1000:.1f} s after the last; a death known by all after "
@@ -54,7 +54,7 @@
     seen = ZoneTally(1, 0, 0, 1, 3.0, 3.0, 0.0, 1.25, 1.5, 0.3, 0.0)
     own = Tally(1, {f"zone-{at}": seen for at in range(zones)}, {"hint": 1.0, "explain": 0.6, "mark": 0.4})
     for one in fleet.followers.values():
-        one.report = lambda below: msgspec.msgpack.encode(
+        one.build_report = lambda below: msgspec.msgpack.encode(
             added([own, *(msgspec.msgpack.decode(data, type=Tally) for data in below)])
         )
     fleet.run(2 * LEASE)
@@ -67,9 +67,11 @@
     start = fleet.sim.now
     fleet.put(b"x" * 2000)
     fleet.run(2000.0)
-    told = sorted(at - start for at, _, fact in fleet.facts if isinstance(fact, Fresh) and at >= start)
+    told = sorted(
+        at - start for at, _, fact in fleet.facts if isinstance(fact, ValuesChanged) and at >= start
+    )
     leader = fleet.followers["f0"]
-    heard = msgspec.msgpack.decode(leader.report(leader.reports()), type=Tally)
+    heard = msgspec.msgpack.decode(leader.build_report(leader.child_reports()), type=Tally)
     return (
         f"following {count:5} fronts, {zones} zones: {rate:.1f} messages and {size:.0f} bytes a front a "
         f"second, {most:.0f} at the busiest; a plan of 2 kB is with half after "
--- a/tests/test_cost_by_fleet_size.py
+++ b/tests/test_cost_by_fleet_size.py
@@ -32,7 +32,7 @@
     RequestArrived,
     TimerFired,
 )
-from worksmux.policy.router import Front
+from worksmux.policy.router import Router
 from worksmux.policy.state import Attempt, Engine, Outcome, Request
 
 FEW, MANY = 200, 3200
@@ -73,7 +73,7 @@
 
     def __init__(self, engines: int, hung: float, answered: float, cold: float, effect: int) -> None:
         self.chance = Random(7)
-        self.front = Front(settings(node_count=FRONTS, engine_roles=("read", "write")), 1)
+        self.front = Router(settings(node_count=FRONTS, engine_roles=("read", "write")), 1)
         self.hung, self.answered, self.effect = hung, answered, effect
         self.engines = [Engine(b"%d" % at, at + 1) for at in range(engines)]
         self.line: list[tuple[float, int, Callable[[], Event | None]]] = []
@@ -109,15 +109,15 @@
             if attempt.outcome is not None:
                 return None
             return AttemptEnded(
-                attempt, outcome, at - attempt.sent, attempt.request.ended or outcome is Outcome.DELIVERED
+                attempt, outcome, at - attempt.sent_at, attempt.request.ended or outcome is Outcome.DELIVERED
             )
 
         self.tell(at, ended)
 
     def send(self, attempt: Attempt, now: float) -> None:
         if attempt.engine.key % 100 < 100 * self.hung:
-            return self.outcome(attempt, Outcome.TIMED_OUT, attempt.request.give_up_at)
-        if attempt.reading:
+            return self.outcome(attempt, Outcome.TIMED_OUT, attempt.request.deadline)
+        if attempt.is_prefill:
             return self.outcome(attempt, Outcome.READ, now + 60)
         self.tell(now + 30, lambda: FirstToken(attempt, 30.0) if attempt.outcome is None else None)
         self.outcome(attempt, Outcome.DELIVERED, now + 400)
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -22,8 +22,8 @@
 from golden.registry import FORMS
 from test_golden_forms import form
 
-from worksmux.config_audit.audit_log import Record, faults
-from worksmux.consensus.entries import Base, Write
+from worksmux.config_audit.audit_log import AuditRecord, chain_faults
+from worksmux.consensus.entries import HardState, Snapshot, StorageWrite
 from worksmux.experiment.book import Book
 from worksmux.gateway.endpoint_cache import read_learned
 from worksmux.gateway.fleet.consensus_disk import CouncilDisk
@@ -142,16 +142,16 @@
     old = CouncilDisk(tmp_path / "old", lambda call, *args: call(*args))
     old.close()
     assert not old.notes and old.own.mark == "5ca1ab1e" and old.own.life == int(WRITTEN_AT_S) + 1
-    assert (old.saved.term, old.saved.vote) == (3, "front-1#5ca1ab1e")
+    assert (old.saved.term, old.saved.voted_for) == (3, "front-1#5ca1ab1e")
     pinned = {one["key"]: one["content"] for one in CONTENTS["council.db"]["records"]}
-    assert plain(old.saved.base) == pinned["base"]
+    assert plain(old.saved.snapshot) == pinned["base"]
     assert [plain(entry) for entry in old.saved.entries] == [
         pinned[f"e{index:015d}"] for index in (2, 3, 4, 5)
     ]
     new = CouncilDisk(tmp_path / "new", lambda call, *args: call(*args))
-    new.found(msgspec.convert(pinned["base"], Base))
+    new.found(msgspec.convert(pinned["base"], Snapshot))
     written: queue.SimpleQueue[int] = queue.SimpleQueue()
-    new.put(Write(1, (3, "front-1#5ca1ab1e"), None, tuple(old.saved.entries)), written.put)
+    new.put(StorageWrite(1, HardState(3, "front-1#5ca1ab1e"), entries=tuple(old.saved.entries)), written.put)
     assert written.get(timeout=10.0) == 1
     new.close()
     assert stored_rows(tmp_path / "new" / "council.db") == pinned_rows("council.db")
@@ -161,8 +161,8 @@
     store = open_store(copied("account.db", tmp_path))
     for table in ("account", "copy:front-2"):
         values = store.read(table).values
-        records = [msgspec.msgpack.decode(values[key], type=Record) for key in sorted(values)]
-        assert [record.index for record in records] == [1, 2, 3, 4, 5] and faults(records) == []
+        records = [msgspec.msgpack.decode(values[key], type=AuditRecord) for key in sorted(values)]
+        assert [record.index for record in records] == [1, 2, 3, 4, 5] and chain_faults(records) == []
     store.close()
 
 
--- a/tests/test_learned_state.py
+++ b/tests/test_learned_state.py
@@ -12,13 +12,16 @@
 )
 from worksmux.endpoints.staleness import Turnover
 from worksmux.policy.events import AttemptEnded, FirstToken
-from worksmux.policy.router import ALL, MEMORY, Front
+from worksmux.policy.load_estimates import HISTORY_MS
+from worksmux.policy.router import Router
 from worksmux.policy.settings import PolicySettings, RequestClassSettings
-from worksmux.policy.state import Attempt, Engine, Outcome, Request
+from worksmux.policy.state import ALL_REQUEST_CLASSES, Attempt, Engine, Outcome, Request
 
 
 def attempt_at(engine: Engine, request_class: int = 0, work: float = 100.0) -> Attempt:
-    return Attempt(Request(1, request_class, 1, 0, work, 0.0, 10.0, 0.0, 9e9), engine, 0, 0.0, work=work)
+    return Attempt(
+        Request(1, request_class, 1, 0, work, 0.0, 10.0, 0.0, 9e9), engine, 0, 0.0, prefill_tokens=work
+    )
 
 
 def recorder_with_outcomes(faults: int, good: int) -> LearnedStateRecorder:
@@ -33,11 +36,15 @@
 
 def marked_engine(now: float) -> Engine:
     engine = Engine(b"e", 1)
-    engine.unwell, engine.good, engine.narrowed = {ALL: now + 4000, 1: now + 2000}, {0: now - 500}, 2.0
+    engine.ejected_until, engine.last_success, engine.window_reduction = (
+        {ALL_REQUEST_CLASSES: now + 4000, 1: now + 2000},
+        {0: now - 500},
+        2.0,
+    )
     return engine
 
 
-def restored_after(age_ms: float, started: float = 0.0) -> tuple[Front, Engine]:
+def restored_after(age_ms: float, started: float = 0.0) -> tuple[Router, Engine]:
     """A policy and an engine after a restart that took `age_ms`, with the state learned before it."""
     recorder, engine = recorder_with_outcomes(8, 1), marked_engine(2000.0)
     changes = recorder.changes([(engine, 0.0)], 2000.0, 1e9)
@@ -48,7 +55,7 @@
         LearnedState(timings, {"e": marks}), ["a", "b"], [(again, started)], 1e9 + age_ms, Turnover(), 3.6e6
     )
     one = RequestClassSettings(latency_target_ms=1000.0)
-    front = Front(
+    router = Router(
         PolicySettings(
             request_classes=(one, one),
             tick_ms=1.0,
@@ -60,41 +67,51 @@
         ),
         1,
     )
-    front.decide(50.0, [event])
-    return front, again
+    router.decide(50.0, [event])
+    return router, again
 
 
 def test_marks_are_restored_with_the_time_left_unless_the_engine_restarted() -> None:
-    front, engine = restored_after(1000.0)
-    assert engine.unwell == {ALL: 50.0 + 3000.0, 1: 50.0 + 1000.0} and engine.good == {0: 50.0 - 1500.0}
-    assert 1.5 < engine.narrowed < 2.0
+    router, engine = restored_after(1000.0)
+    assert engine.ejected_until == {
+        ALL_REQUEST_CLASSES: 50.0 + 3000.0,
+        1: 50.0 + 1000.0,
+    } and engine.last_success == {0: 50.0 - 1500.0}
+    assert 1.5 < engine.window_reduction < 2.0
     _, other = restored_after(1000.0, started=5.0)
-    assert not other.unwell and not other.good and not other.narrowed
+    assert not other.ejected_until and not other.last_success and not other.window_reduction
 
 
 def test_failing_request_class_is_restored_until_fresh_attempts_succeed() -> None:
-    front, engine = restored_after(500.0)
-    assert front._failing(0) and not front._failing(1)
-    front.fates[0].add(60.0, 0.0)
-    front.fates[0].add(60.0, 0.0)
-    assert not front._failing(0)
+    router, engine = restored_after(500.0)
+    assert router.estimates.is_failing(0) and not router.estimates.is_failing(1)
+    router.estimates.failures[0].add(60.0, 0.0)
+    router.estimates.failures[0].add(60.0, 0.0)
+    assert not router.estimates.is_failing(0)
 
 
 def test_old_state_is_forgotten_except_the_prefill_speed() -> None:
-    front, engine = restored_after(MEMORY + 1.0)
-    assert not front._failing(0) and not engine.unwell and not front.first.count(50.0)
-    assert front.per_token.least(50.0) == 2.0 and front.per_token.count(50.0) <= 0.5
+    router, engine = restored_after(HISTORY_MS + 1.0)
+    assert (
+        not router.estimates.is_failing(0)
+        and not engine.ejected_until
+        and not router.estimates.first_token_waits.count(50.0)
+    )
+    assert (
+        router.estimates.prefill_per_token.least(50.0) == 2.0
+        and router.estimates.prefill_per_token.count(50.0) <= 0.5
+    )
     ancient, _ = restored_after(30 * 24 * 3.6e6)
-    assert ancient.per_token.least(50.0) == 0.0
+    assert ancient.estimates.prefill_per_token.least(50.0) == 0.0
 
 
 def test_clock_set_back_makes_no_mark_last() -> None:
-    front, engine = restored_after(-1e7)
-    assert not engine.unwell and not front._failing(0)
+    router, engine = restored_after(-1e7)
+    assert not engine.ejected_until and not router.estimates.is_failing(0)
 
 
 def test_only_engines_with_marks_are_stored() -> None:
     recorder, engine = recorder_with_outcomes(1, 20), marked_engine(2000.0)
     assert set(recorder.changes([(engine, 0.0), (Engine(b"plain", 2), 0.0)], 2000.0, 1e9)) == {FLEET_KEY, "e"}
-    engine.unwell, engine.narrowed, engine.good = {}, 0.0, {}
+    engine.ejected_until, engine.window_reduction, engine.last_success = {}, 0.0, {}
     assert recorder.changes([(engine, 0.0)], 2500.0, 1e9)["e"] is None
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -114,8 +114,8 @@
         door.decide(1000.0, [EndpointListUpdate("full", entries), door.arrived(request)])
         for at in range(1, 8):
             ends = [
-                AttemptEnded(attempt, Outcome.READ if attempt.reading else Outcome.RESET, 5.0, False)
-                for attempt in request.out
+                AttemptEnded(attempt, Outcome.READ if attempt.is_prefill else Outcome.RESET, 5.0, False)
+                for attempt in request.in_flight
             ]
             door.decide(1000.0 + 600 * at, [*ends, TimerFired(0)])
 
@@ -430,9 +430,9 @@
         discovery.watching.piece(
             json.dumps({"index": 2 + at, "snapshot": False, "endpoints": [entry, gone]}).encode() + b"\n"
         )
-        door.module.now += 60_000.0
+        door.module.context.now += 60_000.0
         for engine in door.module.engines:
-            engine.left -= 60_000.0  # a minute goes by
+            engine.gone_since -= 60_000.0  # a minute goes by
         rig.until(lambda at=at: f"x{at}".encode() in [engine.id for engine in door.module.engines])
     assert (
         max(
--- a/worksmux/endpoints/learned_state.py
+++ b/worksmux/endpoints/learned_state.py
@@ -19,9 +19,9 @@
 import msgspec
 
 from ..policy.events import AttemptEnded, Event, FirstToken, StateRestored
+from ..policy.load_estimates import BUCKETS, HISTORY_MS, SLOW_FACTOR
 from ..policy.measure import Ring
-from ..policy.router import ALL, BUCKETS, MEMORY, SLOWNESS
-from ..policy.state import Engine, Outcome
+from ..policy.state import ALL_REQUEST_CLASSES, Engine, Outcome
 from .staleness import MIN_USEFUL_CONFIDENCE, Turnover
 
 MAX_RESTORED_WEIGHT = 0.5  # attempts that a restored figure counts for, at most
@@ -73,20 +73,20 @@
 
     def __init__(self, request_classes: list[str]) -> None:
         self.request_classes = request_classes
-        self._first_token_wait = Ring(MEMORY, BUCKETS)
-        self._prefill_per_token = Ring(MEMORY, BUCKETS)
-        self._faults = [Ring(MEMORY, BUCKETS) for _ in request_classes]
+        self._first_token_wait = Ring(HISTORY_MS, BUCKETS)
+        self._prefill_per_token = Ring(HISTORY_MS, BUCKETS)
+        self._faults = [Ring(HISTORY_MS, BUCKETS) for _ in request_classes]
         self._fastest_per_token_ms = self._fastest_seen_at_ms = 0.0
         self._saved: dict[str, FleetTimings | EngineMarks] = {}
 
     def observe(self, now_ms: float, event: Event) -> None:
         """Takes note of an event that the policy is given."""
         if isinstance(event, FirstToken):
-            prefill_ms = SLOWNESS * self._prefill_per_token.least(now_ms) * event.attempt.work
+            prefill_ms = SLOW_FACTOR * self._prefill_per_token.least(now_ms) * event.attempt.prefill_tokens
             self._first_token_wait.add(now_ms, max(0.0, event.elapsed - prefill_ms))
         elif isinstance(event, AttemptEnded):
             if event.outcome is Outcome.READ:
-                self._prefill_per_token.add(now_ms, event.elapsed, max(1.0, event.attempt.work))
+                self._prefill_per_token.add(now_ms, event.elapsed, max(1.0, event.attempt.prefill_tokens))
             if event.outcome in FAULTS or event.outcome in SUCCESSES:
                 faults = self._faults[event.attempt.request.request_class]
                 faults.add(now_ms, float(event.outcome in FAULTS))
@@ -143,20 +143,20 @@
         """
         ejected_until_ms = {
             self._class_name(request_class): wall_ms + until - now_ms
-            for request_class, until in engine.unwell.items()
+            for request_class, until in engine.ejected_until.items()
             if until > now_ms
         }
         last_success_ms = {
             self.request_classes[request_class]: wall_ms + time - now_ms
-            for request_class, time in engine.good.items()
-            if now_ms - time < MEMORY and self._faults[request_class].mean(now_ms) > 0
+            for request_class, time in engine.last_success.items()
+            if now_ms - time < HISTORY_MS and self._faults[request_class].mean(now_ms) > 0
         }
-        if not (ejected_until_ms or last_success_ms or engine.narrowed):
+        if not (ejected_until_ms or last_success_ms or engine.window_reduction):
             return None
-        return EngineMarks(wall_ms, started, ejected_until_ms, last_success_ms, engine.narrowed)
+        return EngineMarks(wall_ms, started, ejected_until_ms, last_success_ms, engine.window_reduction)
 
     def _class_name(self, request_class: int) -> str:
-        return ALL_CLASSES if request_class == ALL else self.request_classes[request_class]
+        return ALL_CLASSES if request_class == ALL_REQUEST_CLASSES else self.request_classes[request_class]
 
 
 def restored_state(
@@ -176,7 +176,7 @@
     event = StateRestored(
         _restored_sums(learned.timings, request_classes, wall_ms, believed_rate), [], [], []
     )
-    class_index = {name: at for at, name in enumerate(request_classes)} | {ALL_CLASSES: ALL}
+    class_index = {name: at for at, name in enumerate(request_classes)} | {ALL_CLASSES: ALL_REQUEST_CLASSES}
     for engine, started in engines:
         marks = learned.marks.get(engine.id.decode())
         if marks is not None and marks.started == started:
@@ -191,7 +191,7 @@
     sums = [(0.0, 0.0)] * (2 + len(request_classes))
     if timings is None:
         return sums
-    weight = MAX_RESTORED_WEIGHT * max(0.0, 1 - abs(wall_ms - timings.saved_at_ms) / MEMORY)
+    weight = MAX_RESTORED_WEIGHT * max(0.0, 1 - abs(wall_ms - timings.saved_at_ms) / HISTORY_MS)
     sums[0] = _weighted(timings.first_token_wait, weight)
     sums[1] = _weighted(timings.prefill_per_token, weight)
     lasting = MAX_RESTORED_WEIGHT * exp(-believed_rate * abs(wall_ms - timings.fastest_seen_at_ms))
@@ -212,17 +212,20 @@
 ) -> None:
     """Adds the marks of one engine to the event, with the time that they have left."""
     age_ms = abs(wall_ms - marks.saved_at_ms)
-    if age_ms >= MEMORY:
+    if age_ms >= HISTORY_MS:
         return
     for name, until_ms in marks.ejected_until_ms.items():
-        left_ms = min(until_ms - wall_ms, MEMORY - age_ms)
+        left_ms = min(until_ms - wall_ms, HISTORY_MS - age_ms)
         if left_ms > 0 and name in class_index:
             event.unwell.append((engine, class_index[name], left_ms))
     for name, success_ms in marks.last_success_ms.items():
-        if 0 <= wall_ms - success_ms < MEMORY and class_index.get(name, ALL) != ALL:
+        if (
+            0 <= wall_ms - success_ms < HISTORY_MS
+            and class_index.get(name, ALL_REQUEST_CLASSES) != ALL_REQUEST_CLASSES
+        ):
             event.good.append((engine, class_index[name], wall_ms - success_ms))
     if marks.window_reduction > 0:
-        event.narrowed.append((engine, marks.window_reduction * (1 - age_ms / MEMORY)))
+        event.narrowed.append((engine, marks.window_reduction * (1 - age_ms / HISTORY_MS)))
 
 
 def _sample_sum(ring: Ring, now_ms: float) -> SampleSum:
--- a/worksmux/failover/watcher.py
+++ b/worksmux/failover/watcher.py
@@ -247,7 +247,7 @@
         """
         found: dict[int, Waiting] = defaultdict(Waiting)
         for request, target_ms in list(self._latency_targets_ms.items()):
-            if request.ended or request.began or now_ms > request.give_up_at:
+            if request.ended or request.streaming or now_ms > request.deadline:
                 del self._latency_targets_ms[request]
                 continue
             zone = request.attempts[-1].engine.zone if request.attempts else ANY_ZONE
--- a/worksmux/gateway/fleet/peering.py
+++ b/worksmux/gateway/fleet/peering.py
@@ -18,17 +18,19 @@
 import msgspec
 import structlog
 
-from ...consensus import replication as follow
-from ...consensus import steps
-from ...consensus.reconfiguration import Able, founds, next_seats
-from ...consensus.state_machine import PLAN, Chapter, Put
+from ...consensus import inputs
+from ...consensus import replica as follow
+from ...consensus.reconfiguration import Candidate, next_configuration, should_bootstrap
+from ...consensus.state_machine import PLAN_KEY, Put, VersionedValue
 from ...failover import acting
 from ...failover.plan import Plan, decode, encode
 from ...failover.planner import Planner, PlannerSettings
 from ...failover.tally import Tally, added
 from ...failover.watcher import Watcher
+from ...gossip import inputs as gossip_inputs
+from ...gossip import outputs as gossip_outputs
 from ...gossip import swim as peers
-from ...gossip.members import Rumour, State
+from ...gossip.members import MembershipUpdate, MemberState
 from ...net import clock
 from ...net.loop import Reactor
 from ...policy.events import Event, FailoverPlan
@@ -65,7 +67,7 @@
         self.council = CouncilSeat(settings.name, fleet, reactor, seed, disk, self.timers, self._send_to_seat)
         self.council.on_step, self.council.on_leader = self._tell_follower, self._forget_planner
         self.swim: peers.Swim | None = None
-        self.follower = follow.Follower(settings.name, fleet.lease, mix(seed, 2), clock.now(), self._report)
+        self.follower = follow.Replica(settings.name, fleet.lease, mix(seed, 2), clock.now(), self._report)
         self.watcher = Watcher(
             settings.zones, [one.name for one in settings.request_classes], settings.module
         )
@@ -95,11 +97,11 @@
         self.link.start()
         self.link.life = self.life
         zone = self.settings.zones[self.settings.module.zone]
-        me = Rumour(
+        me = MembershipUpdate(
             self.settings.name,
             self.life,
             0,
-            State.ALIVE,
+            MemberState.ALIVE,
             self.link.address,
             zone,
             self.settings.regions.get(zone, ""),
@@ -118,9 +120,9 @@
             seats=list(self.council.voters),
         )
         self.keeper.start(self.life)
-        self._swim(peers.Tick())
-        self.council.step(steps.Tick())
-        self._follow(follow.Tick())
+        self._swim(gossip_inputs.Tick())
+        self.council.step(inputs.Tick())
+        self._follow(inputs.Tick())
         self._look()
 
     def _both(self, other: Callable[[float, Event], None]) -> Callable[[float, Event], None]:
@@ -133,8 +135,8 @@
     def leave(self) -> None:
         """This front ends in order: another seat leads, and nobody calls it dead."""
         if not self.ended:
-            self.council.step(steps.HandOver())
-            self._swim(peers.Leave())
+            self.council.step(inputs.TransferLeadership())
+            self._swim(gossip_inputs.Leave())
 
     def close(self) -> None:
         self.ended = True
@@ -145,36 +147,36 @@
 
     # Peers.
 
-    def _swim(self, what: peers.What) -> None:
+    def _swim(self, what: gossip_inputs.Input) -> None:
         assert self.swim is not None
         out = self.swim.step(clock.now(), what)
-        for post in out.posts:
-            self.link.post(post.name, post.address, ToPeer(post.message))
-        for fact in out.facts:
+        for post in out.messages:
+            self.link.post(post.receiver, post.address, ToPeer(post.message))
+        for fact in out.events:
             self._peer_fact(fact)
-        if out.facts:
-            self._follow(follow.Fronts(frozenset(self.swim.members.there), self._seat_fronts()))
-        self.timers.ring_at("swim", self.swim.due, lambda: self._swim(peers.Tick()))
+        if out.events:
+            self._follow(follow.TopologyChanged(frozenset(self.swim.members.present), self._seat_fronts()))
+        self.timers.ring_at("swim", self.swim.due, lambda: self._swim(gossip_inputs.Tick()))
 
-    def _peer_fact(self, fact: peers.Fact) -> None:
+    def _peer_fact(self, fact: gossip_outputs.Event) -> None:
         match fact:
-            case peers.Changed(before, now):
-                state = State(now.state)
-                if before is None or before.state != now.state or before.life != now.life:
+            case gossip_outputs.MemberChanged(before, now):
+                state = MemberState(now.state)
+                if before is None or before.state != now.state or before.generation != now.generation:
                     LOG.info(
                         "front",
                         name=now.name,
                         state=state.name.lower(),
-                        life=now.life,
-                        by=now.by,
-                        before=State(before.state).name.lower() if before else None,
+                        life=now.generation,
+                        by=now.accuser,
+                        before=MemberState(before.state).name.lower() if before else None,
                     )
-                if state >= State.DEAD:
+                if state >= MemberState.DEAD:
                     self.link.forget(now.address)
-            case peers.Lives(life):
+            case gossip_outputs.GenerationRaised(life):
                 LOG.info("this front takes a higher life: an earlier start of it is known", life=life)
                 self.life = self.link.life = life
-            case peers.Outlived(life, address):
+            case gossip_outputs.Superseded(life, address):
                 LOG.error(
                     "another process with this name has started later; this one ends",
                     life=life,
@@ -182,24 +184,24 @@
                 )
                 self.on_outlived()
 
-    def able(self) -> dict[str, Able]:
+    def able(self) -> dict[str, Candidate]:
         """Fronts that could hold a seat, this one included."""
         assert self.swim is not None
-        rumours = [self.swim.me, *(member.rumour for member in self.swim.members.there.values())]
+        rumours = [self.swim.me, *(member.update for member in self.swim.members.present.values())]
         return {
-            one.name: Able(one.name, one.facts[SEAT], one.zone, one.facts.get(COUNCIL, ""))
+            one.name: Candidate(one.name, one.metadata[SEAT], one.zone, one.metadata.get(COUNCIL, ""))
             for one in rumours
-            if one.facts.get(SEAT)
+            if one.metadata.get(SEAT)
         }
 
     def _seat_fronts(self) -> frozenset[str]:
         """Those that vote, by what each carries along."""
         assert self.swim is not None
-        there = [self.swim.me, *(member.rumour for member in self.swim.members.there.values())]
-        return frozenset(one.name for one in there if one.facts.get(VOTES))
+        there = [self.swim.me, *(member.update for member in self.swim.members.present.values())]
+        return frozenset(one.name for one in there if one.metadata.get(VOTES))
 
     def _council(self) -> str:
-        told = self.council.book.chapters.get(COUNCIL) or self.follower.chapters.get(COUNCIL)
+        told = self.council.book.values.get(COUNCIL) or self.follower.values.get(COUNCIL)
         # A seat that has not applied anything yet knows that there is one.
         return told.value.decode() if told else "?" if self.council.voters else ""
 
@@ -208,9 +210,9 @@
         facts = {SEAT: self.council.name, COUNCIL: self._council()}
         if self.council.name in self.council.voters:
             facts[VOTES] = "yes"
-        if self.swim is not None and facts != self.swim.me.facts:
-            self._swim(peers.Carry(facts))
-            self._follow(follow.Fronts(frozenset(self.swim.members.there), self._seat_fronts()))
+        if self.swim is not None and facts != self.swim.me.metadata:
+            self._swim(gossip_inputs.MetadataChanged(facts))
+            self._follow(follow.TopologyChanged(frozenset(self.swim.members.present), self._seat_fronts()))
 
     # Messages.
 
@@ -218,15 +220,19 @@
         if self.ended or self.swim is None:
             return
         known = self.swim.members.known.get(envelope.name)
-        if known is not None and envelope.life < known.rumour.life and not isinstance(envelope.inner, ToPeer):
+        if (
+            known is not None
+            and envelope.life < known.update.generation
+            and not isinstance(envelope.inner, ToPeer)
+        ):
             return self.link.refuse(
-                "life", envelope.name, f"life {envelope.life} is over; {known.rumour.life} is known"
+                "life", envelope.name, f"life {envelope.life} is over; {known.update.generation} is known"
             )
         match envelope.inner:
             case ToPeer(message):
-                self._swim(peers.Heard(envelope.name, envelope.address, message))
+                self._swim(gossip_inputs.MessageReceived(envelope.name, envelope.address, message))
             case ToFollower(message):
-                self._follow(follow.Heard(envelope.name, message))
+                self._follow(follow.MessageReceived(envelope.name, message))
             case ToAccount(message):
                 self.keeper.heard(envelope.name, message)
             case ToSeat(seat, to, message):
@@ -234,12 +240,12 @@
                     return self.link.refuse(
                         "seat", envelope.name, f"it is for {to}; this is {self.council.name}"
                     )
-                self.council.step(steps.Heard(seat, message))
+                self.council.step(inputs.MessageReceived(seat, message))
 
     def _address(self, name: str) -> str:
         assert self.swim is not None
         known = self.swim.members.known.get(name)
-        return known.rumour.address if known else ""
+        return known.update.address if known else ""
 
     def _send_account(self, name: str, message: Any) -> None:
         self.link.post(name, self._address(name), ToAccount(message))
@@ -262,25 +268,25 @@
 
     # What all follow.
 
-    def _follow(self, what: follow.What) -> None:
+    def _follow(self, what: follow.Input) -> None:
         if self.ended:
             return
         out = self.follower.step(clock.now(), what)
-        for name, message in out.posts:
+        for name, message in out.messages:
             self.link.post(name, self._address(name), ToFollower(message))
-        for fact in out.facts:
+        for fact in out.events:
             match fact:
-                case follow.Fresh(chapters):
-                    if PLAN in chapters:
-                        self._take_plan(self.follower.chapters[PLAN])
-                case follow.Contradicts(name, index):
+                case follow.ValuesChanged(chapters):
+                    if PLAN_KEY in chapters:
+                        self._take_plan(self.follower.values[PLAN_KEY])
+                case follow.StateMismatch(name, index):
                     LOG.error(
                         "another front holds something else under the same number", name=name, index=index
                     )
                     self.contradictions += 1
-        self.timers.ring_at("follow", self.follower.due, lambda: self._follow(follow.Tick()))
+        self.timers.ring_at("follow", self.follower.due, lambda: self._follow(inputs.Tick()))
 
-    def _take_plan(self, chapter: Chapter) -> None:
+    def _take_plan(self, chapter: VersionedValue) -> None:
         try:
             plan = decode(chapter.value)
         except msgspec.DecodeError as error:
@@ -336,34 +342,42 @@
 
     def _found(self) -> None:
         founders = list(self.fleet.founders)
-        if not self.council.voters and founds(self.settings.name, founders, self.able(), self._council()):
+        if not self.council.voters and should_bootstrap(
+            self.settings.name, founders, self.able(), self._council()
+        ):
             self.council.found()
 
     def _seat(self, now: float) -> None:
         """Brings the council to its size; names it once."""
-        if COUNCIL not in self.council.book.chapters:
+        if COUNCIL not in self.council.book.values:
             return self.council.propose(Put(COUNCIL, secrets.token_hex(8).encode(), 0))
         swim = self.swim
         assert swim is not None
 
         def gone(name: str) -> bool:
             known = swim.members.known.get(name)
-            since = known.since if known is not None and not known.there else self.council.led_since
-            return (known is None or not known.there) and now - max(
+            since = (
+                known.state_since if known is not None and not known.is_present else self.council.led_since
+            )
+            return (known is None or not known.is_present) and now - max(
                 since, self.council.led_since
             ) > self.fleet.gone
 
-        if self.council.raft.seats_at <= self.council.raft.commit:
-            seats = next_seats(
-                self.council.raft.seats, self.able(), self.fleet.seats, gone, self.council.raft.caught_up
+        if self.council.raft.configuration_index <= self.council.raft.commit_index:
+            seats = next_configuration(
+                self.council.raft.configuration,
+                self.able(),
+                self.fleet.seats,
+                gone,
+                self.council.raft.caught_up,
             )
             if seats is not None:
                 LOG.info("seats", voters=list(seats.voters), learners=list(seats.learners))
-                self.council.step(steps.Change(seats))
+                self.council.step(inputs.ChangeConfiguration(seats))
 
     def _plan(self) -> None:
         """One look of the planner; no other while what it proposed is not agreed."""
-        now, held = clock.now(), self.council.book.chapters.get(PLAN)
+        now, held = clock.now(), self.council.book.values.get(PLAN_KEY)
         in_force = decode(held.value) if held else Plan()
         if (
             self.planner is not None
@@ -373,16 +387,16 @@
             return
         if self.planner is None or self.planner.plan.number != in_force.number:
             self.planner = Planner(self.map, in_force)
-        plan = self.planner.update(self._tally(self.follower.reports()))
+        plan = self.planner.update(self._tally(self.follower.child_reports()))
         if plan is not None:
             self.proposed_at = now
-            self.council.propose(Put(PLAN, encode(plan), held.index if held else 0))
+            self.council.propose(Put(PLAN_KEY, encode(plan), held.index if held else 0))
 
     # What the module acts on.
 
     def check(self, now: float) -> None:
         """Before each turn of the module: the lease is looked at before anything is decided."""
-        alone = not self.follower.holds(now)
+        alone = not self.follower.holds_lease(now)
         if alone != self.alone:
             self.alone = alone
             LOG.warning(
@@ -405,7 +419,7 @@
         self.keeper.acts_on(self.holding.versions(self.plan, alone, self.core.engine_list.keeper))
 
     def _decided(self, request: str, attempt: int) -> None:
-        self.keeper.account.decides(request, attempt, clock.wall())
+        self.keeper.account.record_decision(request, attempt, clock.wall())
 
     def acts_on(self) -> str:
         return f"{self.plan.number} alone" if self.alone else str(self.plan.number)
@@ -420,33 +434,33 @@
         """All that an operator may want to see, from this front's own view."""
         now, swim = clock.now(), self.swim
         assert swim is not None
-        members = [swim.me, *(member.rumour for member in swim.members.known.values())]
+        members = [swim.me, *(member.update for member in swim.members.known.values())]
         return {
             "front": self.settings.name,
             "fleet": self.fleet.name,
             "life": self.life,
             "seat": self.council.name,
             "alone": self.alone,
-            "lease_ms": round(max(0.0, self.follower.until() - now)),
+            "lease_ms": round(max(0.0, self.follower.lease_expires_at() - now)),
             "doubts_itself": swim.health.level,
             "council": {
                 "term": self.council.raft.term,
                 "role": self.council.raft.role.value,
                 "leader": self.follower.leader,
                 "voters": list(self.council.voters),
-                "learners": list(self.council.raft.seats.learners),
+                "learners": list(self.council.raft.configuration.learners),
                 "agreed": self.council.book.index,
                 "known": self.follower.index,
             },
             "fronts": [
                 {
                     "name": one.name,
-                    "state": State(one.state).name.lower(),
-                    "life": one.life,
+                    "state": MemberState(one.state).name.lower(),
+                    "life": one.generation,
                     "zone": one.zone,
                     "region": one.region,
                     "address": one.address,
-                    "seat": bool(one.facts.get(VOTES)),
+                    "seat": bool(one.metadata.get(VOTES)),
                 }
                 for one in sorted(members, key=lambda x: x.name)
             ],
--- a/worksmux/policy/endpoint_index.py
+++ b/worksmux/policy/endpoint_index.py
@@ -15,9 +15,10 @@
 from typing import NamedTuple
 
 from .events import FailoverPlan
+from .measure import mix
 from .rendezvous import RankedEngines, Ranking
 from .settings import PolicySettings
-from .state import Engine
+from .state import Engine, Request
 
 LEAN = 6.0  # times the price of moving state: what prefill engines take beyond their even share
 MOST_LOOKS = 128  # at decode engines of one circle in one search
@@ -46,7 +47,7 @@
     """Engines in the order of their turns."""
 
     def __init__(self, engines: Iterable[Engine]) -> None:
-        self._order = OrderedDict.fromkeys(sorted(engines, key=attrgetter("turn")))
+        self._order = OrderedDict.fromkeys(sorted(engines, key=attrgetter("last_turn")))
         self._start = 0  # where the next search begins, after vain ones
         self._vain_at = 0.0
 
@@ -139,8 +140,8 @@
         ):
             whole = sum(engine.size for engine in engines)
             for engine in engines:
-                engine.part = engine.size / whole
-                parts[engine.cell] += engine.part
+                engine.role_share = engine.size / whole
+                parts[engine.cell] += engine.role_share
         lean = 1 + LEAN * self.settings.migration_price
         flow = {cell: min(answers[cell], lean * part) for cell, part in reads.items()}
         room = sum(lean * part - flow[cell] for cell, part in reads.items())
@@ -154,9 +155,9 @@
             self.keeps[cell] = min(1.0, answers[cell] / flow[cell])
         writers = max(1, len(self.writers))
         for engine in self.readers:
-            engine.weight = engine.part * flow[engine.cell] / reads[engine.cell] * writers
+            engine.weight = engine.role_share * flow[engine.cell] / reads[engine.cell] * writers
         for engine in self.mixed:  # each takes as many jobs as a writer answers
-            engine.weight = engine.part * len(self.mixed)
+            engine.weight = engine.role_share * len(self.mixed)
 
     def _cell(self, cell: int) -> RoundRobin:
         if cell not in self._in_cell:
@@ -222,6 +223,12 @@
             self._rankings.move_to_end(key)
         return found
 
+    def ranked_for(self, request: Request) -> tuple[int, int, Ranking]:
+        """The hash of the request's prefix, that of its session, and the ranking by the first of them."""
+        session = mix(request.session or request.id, 1)
+        key = mix(request.prefix, 0) if request.prefix else session
+        return key, session, self.ranked(key)
+
     def hosts_in(self, scope: Scope) -> list[Engine]:
         """Those that may run a prefill in the scope."""
         return [engine for engine in self.hosts if scope.has(engine)]
