--- a/worksmux/failover/tally.py
+++ b/worksmux/failover/tally.py
@@ -32,7 +32,7 @@
     fault_rate: float = msgspec.field(name="vain", default=0.0)  # attempts that failed
 
     def is_valid(self, nodes: int) -> bool:
-        """Whether these can be the figures of so many nodes."""
+        """Whether these figures are possible for that number of nodes."""
         votes = (self.voters, self.failed_votes, self.degraded_votes, self.listed_by)
         figures = (
             self.ready_size,
@@ -56,7 +56,7 @@
     demand: dict[str, float] = msgspec.field(name="asked", default_factory=dict)  # requests/s by class
 
     def is_valid(self) -> bool:
-        """Whether these can be the figures of so many nodes."""
+        """Whether these figures are possible for that number of nodes."""
         return (
             self.nodes >= 0
             and len(self.zones) <= MAX_ZONES
--- a/worksmux/failover/zones.py
+++ b/worksmux/failover/zones.py
@@ -14,7 +14,7 @@
 from .tally import Tally, ZoneTally
 
 MAJORITY = 0.5  # of the votes
-MIN_VOTERS_FRACTION = 0.25  # of the nodes: fewer voters are counted as so many
+MIN_VOTERS_FRACTION = 0.25  # of the nodes; a smaller number of voters counts as this
 DEGRADED_AFTER_UPDATES = 2  # in a row
 FAILED_BELOW_SIZE = 0.3  # of its full size: with less that is ready a zone has failed
 DEGRADED_FACTOR = 0.5  # times the kept share, at each update of a degraded zone
