--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -55,7 +55,7 @@
         client = socket.create_connection(("127.0.0.1", rig.node.port))
         client.sendall(ask(request_class=request_class, left=left))
         client.setblocking(False)
-        rig.until(lambda: rig.node.core.cases)
+        rig.until(lambda: rig.node.core.open_requests)
         if at >= 1:
             rig.until(lambda: self.waiting[self.reader.name])
         if at >= 2:
@@ -69,7 +69,7 @@
             rig.until(lambda: self.writer.asked)
         if at >= 5:
             self.writer.peers[-1].transport.write(STREAM + chunk(EVENTS[0]))  # type: ignore[union-attr]
-            rig.until(lambda: [case for case in rig.node.core.cases.values() if case.first_at])
+            rig.until(lambda: [case for case in rig.node.core.open_requests.values() if case.first_token_at])
         return client
 
     def _no_room(self, on: bool) -> None:
@@ -202,7 +202,7 @@
     scene.turns()
     client.close()
     rig.until(lambda: scene.ended)
-    assert not scene.reader.asked and rig.node.core.number == 0
+    assert not scene.reader.asked and rig.node.core.last_request_id == 0
 
 
 # A client that leaves.
@@ -216,8 +216,8 @@
     client.close()
     scene.rig.until(
         lambda: (
-            [case for case in scene.rig.node.core.cases.values() if case.answered]
-            or not scene.rig.node.core.cases
+            [case for case in scene.rig.node.core.open_requests.values() if case.final_answer]
+            or not scene.rig.node.core.open_requests
         )
     )
     scene.finish("connecting to read")  # whatever is asked from now on is answered
@@ -225,7 +225,7 @@
 
     def over() -> bool:
         scene.all_up()
-        return not scene.rig.node.core.cases and not scene.rig.node.core.releases.running
+        return not scene.rig.node.core.open_requests and not scene.rig.node.core.releases.running
 
     scene.rig.until(over)
     later = [request for engine in scene.rig.engines for request in engine.asked if request not in sent]
@@ -243,7 +243,7 @@
     scene.up(engine)
     scene.turns()
     assert not any(request.startswith(b"POST") for request in engine.asked)
-    assert not scene.rig.node.core.cases
+    assert not scene.rig.node.core.open_requests
 
 
 # What cannot be repeated.
@@ -325,7 +325,7 @@
         scene.rig.reactor.iterate(0)
     client.setblocking(False)
     got = scene.read_all(client)
-    assert got[9:12] == b"200" and scene.effects() == 1 and scene.rig.node.core.number == 1
+    assert got[9:12] == b"200" and scene.effects() == 1 and scene.rig.node.core.last_request_id == 1
     client.close()
 
 
@@ -345,7 +345,7 @@
         return b"serving" in b"".join(got)
 
     scene.rig.until(over)
-    assert b"".join(got).count(b"[DONE]") == 2 and scene.rig.node.core.number == 2
+    assert b"".join(got).count(b"[DONE]") == 2 and scene.rig.node.core.last_request_id == 2
     client.close()
 
 
@@ -394,12 +394,12 @@
 ) -> None:
     """Guards against an answer that says less than is known, where all timers come due in one turn."""
     client = scene.to(point, request_class, left="400")
-    (case,) = scene.rig.node.core.cases.values()
+    (case,) = scene.rig.node.core.open_requests.values()
     while clock.now() < case.request.give_up_at + 30:  # the reactor does not turn
         pass
-    scene.rig.until(lambda: case.answered)
+    scene.rig.until(lambda: case.final_answer)
     may_have_run = request_class == "mark" and point == "writing"
-    assert case.answered == ("broken off" if may_have_run else "deferred")
+    assert case.final_answer == ("broken off" if may_have_run else "deferred")
     assert "overdue" not in scene.rig.node.counts.sums
     client.close()
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -55,8 +55,8 @@
         self.lists: list[Any] = []
         core: Any = SimpleNamespace(
             forget_gone=list,
-            moved=lambda *_: None,
-            listed=self.lists.append,
+            address_changed=lambda *_: None,
+            endpoints_updated=self.lists.append,
             door=SimpleNamespace(engine=Engine),
         )
         self.discovery = Discovery(("127.0.0.1", 1), core, self.reactor, ["prefill"], ["a"])
@@ -291,7 +291,7 @@
     """Guards against releases sent nowhere: an engine told gone may run on and hold state."""
     agent = Agent(monkeypatch)
     moved: list[Any] = []
-    agent.calls.discovery.core.moved = lambda *told: moved.append(told)
+    agent.calls.discovery.core.address_changed = lambda *told: moved.append(told)
     gone = {"name": "e2", "status": "DELETED"}
     agent.accept().dataReceived(chunk(b"\n") + chunk(line(2, {**gone, "zone": "a", "type": "prefill"})))
     assert agent.states()["e2"] == "gone" and not moved
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -19,8 +19,8 @@
 from worksmux.checker.records import load
 from worksmux.checker.rules import check
 from worksmux.fault_trial.small import FIGURES, Rig
-from worksmux.forwarding.request_lifecycle import Core
-from worksmux.forwarding.stream_relay import StreamSide
+from worksmux.forwarding.request_lifecycle import RequestLifecycle
+from worksmux.forwarding.stream_relay import StreamRelay
 from worksmux.net import clock
 from worksmux.net.loop import steady
 from worksmux.policy.actions import (
@@ -124,7 +124,7 @@
         engine.state = state if len(tries) == 4 else engine.state
         on_end(200 if len(tries) == asked else 0, {}, b"", None)
 
-    core._small = call
+    core.control_call = call
     core._release_until(engine, b"", 1)
     core.reactor.pump([0.01] * 3000)
     assert len(tries) == asked and tries[2] - tries[0] < 0.2 and tries[-1] < asked * 0.3
@@ -148,7 +148,7 @@
     rig.at(0, leave)
     rig.run()
     records = load(tmp_path)
-    assert records.attempts and broken(records) == [] and not front.core.cases and not heard
+    assert records.attempts and broken(records) == [] and not front.core.open_requests and not heard
     assert not rig.engines[0].model.states and rig.engines[0].model.used == 0
 
 
@@ -253,29 +253,31 @@
 def test_audit_names_a_request_without_its_one_answer(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    send = Core._send
+    send = RequestLifecycle._start_attempt
 
-    def wrong(self: Core, action: StartAttempt) -> None:
+    def wrong(self: RequestLifecycle, action: StartAttempt) -> None:
         """A front that sends for jobs which are over."""
-        case = self.cases.get(action.attempt.request)
-        if case and case.answered:
-            case.answered, kept = "", case.answered
+        case = self.open_requests.get(action.attempt.request)
+        if case and case.final_answer:
+            case.final_answer, kept = None, case.final_answer
             self.reactor.callLater(0.2, send, self, action)
-            case.answered = kept
-            case.out[action.attempt] = Mock()  # the module may call it off
-            case.answered = ""
+            case.final_answer = kept
+            case.in_flight[action.attempt] = Mock()  # the module may call it off
+            case.final_answer = None
         else:
             send(self, action)
 
-    monkeypatch.setattr(Core, "_send", wrong)
-    monkeypatch.setattr(StreamSide, "gone", lambda self: False)  # it would notice that the job is over
+    monkeypatch.setattr(RequestLifecycle, "_start_attempt", wrong)
+    monkeypatch.setattr(
+        StreamRelay, "is_disconnected", lambda self: False
+    )  # it would notice that the job is over
     rig = Rig(tmp_path, [("prefill", 0)], Late)  # no writer: every job is deferred
     assert 1 in found(rig.day(length=600.0, patience=0.4))
 
 
 def test_audit_names_a_client_that_saw_no_answer(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Core, "_final", lambda *_: None)
-    monkeypatch.setattr(Core, "_overdue", lambda *_: None)
+    monkeypatch.setattr(RequestLifecycle, "_answer_for_policy", lambda *_: None)
+    monkeypatch.setattr(RequestLifecycle, "_deadline_missed", lambda *_: None)
     rig = Rig(tmp_path, [("prefill", 0)])
     assert broken(rig.day(length=400.0, patience=0.3)) == [1]
 
@@ -400,7 +402,10 @@
     rig.at(0, leave)
     rig.run()
     module: Any = front.core.door.module
-    assert sum(isinstance(event, ClientDisconnected) for event in module.told) == 1 and not front.core.cases
+    assert (
+        sum(isinstance(event, ClientDisconnected) for event in module.told) == 1
+        and not front.core.open_requests
+    )
 
 
 class OneAction(Scripted):
@@ -501,7 +506,7 @@
     rig = Rig(tmp_path, PAIR)
     got, _, reply = answer_of(rig, body)
     assert got == status and json.loads(reply)["error"]["code"] == code
-    assert not rig.fronts[0].core.cases and not rig.fronts[0].core.failed
+    assert not rig.fronts[0].core.open_requests and not rig.fronts[0].core.failed
 
 
 def test_answer_whole_holds_text_and_usage(tmp_path: Path) -> None:
--- a/tests/test_held_sockets.py
+++ b/tests/test_held_sockets.py
@@ -142,7 +142,7 @@
     releases = rig.node.core.releases
     if seed % 2:
         rig.node.stop()
-    rig.until(lambda: not rig.node.core.cases and not releases.owed)
+    rig.until(lambda: not rig.node.core.open_requests and not releases.owed)
     # What may still appear is ruled out by answers of engines that lose three in ten of them, with pauses
     # that grow: the program's own bound holds for that.
     settled = (lambda: ended) if seed % 2 else (lambda: not releases.running)
--- a/tests/test_many_engines.py
+++ b/tests/test_many_engines.py
@@ -117,7 +117,7 @@
 
     def long_turns(self) -> list[dict[str, Any]]:
         lines = (json.loads(line) for line in self.log.read_text().splitlines() if line.startswith("{"))
-        return [line for line in lines if line["event"] == "a turn took long"]
+        return [line for line in lines if line["event"] == "slow decision round"]
 
     def end(self) -> None:
         self.process.kill()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -27,7 +27,7 @@
 )
 
 from worksmux.endpoints.list_reader import ListKeeper
-from worksmux.forwarding.decision_loop import SLOW_TURN
+from worksmux.forwarding.decision_loop import SLOW_ROUND_MS
 from worksmux.net import clock
 from worksmux.node import config, discovery, protocol, serve
 from worksmux.node.attempts import PrefillAttempt
@@ -311,8 +311,8 @@
     for _ in range(400):
         wire.write(chunk(EVENTS[0] * 800))  # 25 MB in all: more than the sockets of both sides hold
         rig.reactor.iterate(0)
-    (case,) = rig.node.core.cases.values()
-    rig.until(lambda: [carrier for carrier in case.out.values() if carrier.paused])
+    (case,) = rig.node.core.open_requests.values()
+    rig.until(lambda: [carrier for carrier in case.in_flight.values() if carrier.paused])
     (channel,) = [one for one in rig.node.server.channels if one.busy]
     held = len(channel.transport.dataBuffer) + channel.transport._tempDataLen
     assert held < 2**20 and len(wire.dataBuffer) + wire._tempDataLen > 2**20
@@ -327,7 +327,9 @@
             return type("Timer", (), {"active": lambda self: True, "cancel": lambda self: None})()
 
     ends: list[Outcome] = []
-    told: Any = type("Listener", (), {"ended": lambda self, attempt, outcome, *_: ends.append(outcome)})()
+    told: Any = type(
+        "Listener", (), {"on_attempt_end": lambda self, attempt, outcome, *_: ends.append(outcome)}
+    )()
     attempt = Attempt(Request(1, 0, 0, 0, 1.0, 0.0, 1.0, 0.0, 1.0), Engine(b"e", 1), 0, 0.0, True)
     one = PrefillAttempt(Slow(), None, attempt, told, 100.0, 50.0, 300)  # type: ignore[arg-type]
     later.pop()()  # its time is up, and a reply waits at the socket
@@ -383,7 +385,7 @@
     for engine in list(core.pools):
         core.contacts.forget(engine)
     for engine in (first, rest[2], rest[1], rest[0]):  # the one in its own zone longest ago
-        core.moved(engine, "127.0.0.1", 1)
+        core.address_changed(engine, "127.0.0.1", 1)
         core.pools[engine].on_heard()
     asked = {first}
     for expected in (rest[2], rest[1], rest[0]):
@@ -405,8 +407,8 @@
             pool.port = silent.port
     broken.script = lambda _: b""
     rig.until(lambda: b"DELETE" in broken.verbs())
-    (case,) = rig.node.core.cases.values()
-    assert [carrier.call.up for carrier in case.out.values()] == [False] and not peer.got
+    (case,) = rig.node.core.open_requests.values()
+    assert [carrier.call.up for carrier in case.in_flight.values()] == [False] and not peer.got
     silent.close()
 
 
@@ -499,7 +501,7 @@
     rig.node.server.patience, rig.node.server.keep_alive = 200.0, 150.0
     half, silent = rig.client(ask()[:200]), rig.client()
     rig.until(lambda: half.ended and silent.ended, 2.0)
-    assert half.got[9:12] == b"408" and not silent.got and not rig.node.core.cases
+    assert half.got[9:12] == b"408" and not silent.got and not rig.node.core.open_requests
 
 
 def test_silent_connections_make_room_for_those_that_ask() -> None:
@@ -508,7 +510,7 @@
     rig.until(lambda: rig.engines[1].asked)
     silent = [rig.client() for _ in range(rig.node.server.most + 10)]
     late = [rig.client(ask(f"b{at}")) for at in range(3)]
-    rig.until(lambda: rig.node.core.number == 4)
+    rig.until(lambda: rig.node.core.last_request_id == 4)
     assert not asking.ended and not any(peer.ended for peer in late) and any(peer.ended for peer in silent)
     for at in range(rig.node.server.most):  # nobody is silent any more: the idle go, not the new
         assert rig.answered(rig.client(b"GET /up HTTP/1.1\r\n\r\n")) == b"200", at
@@ -677,7 +679,7 @@
     decide = rig.node.core.door.module.decide
 
     def slowly(now: float, events: list[Any]) -> list[Any]:
-        end = clock.now() + 2 * SLOW_TURN
+        end = clock.now() + 2 * SLOW_ROUND_MS
         while events and isinstance(events[0], RequestArrived) and clock.now() < end:
             pass
         return list(decide(now, events))
@@ -686,14 +688,14 @@
     client = rig.client(ask())
     assert rig.answered(client) == b"503"
     rig.idle()
-    (request,) = [line for line in logged if line["event"] == "job"]
-    assert request["why"]
+    (request,) = [line for line in logged if line["event"] == "request ended"]
+    assert request["reason"]
     assert prefill.verbs().count(b"POST") == len(request["attempts"])
-    assert all("ended" in attempt["why"] for attempt in request["attempts"])
-    (slow,) = [line for line in logged if line["event"] == "a turn took long"]
+    assert all("ended" in attempt["reason"] for attempt in request["attempts"])
+    (slow,) = [line for line in logged if line["event"] == "slow decision round"]
     assert slow["events"] == {"RequestArrived": 1}
-    assert slow["engines"] == 2
-    assert slow["processor_ms"] > SLOW_TURN / 2
+    assert slow["endpoints"] == 2
+    assert slow["cpu_ms"] > SLOW_ROUND_MS / 2
 
 
 def test_log_has_few_lines_for_thousands_of_engines_that_the_settings_do_not_know(logged: list[Any]) -> None:
--- a/tests/test_node_ends.py
+++ b/tests/test_node_ends.py
@@ -49,9 +49,9 @@
     rig.node.core.module_settings["may_cancel"] = False  # nothing that the module may call off
     client = raw(rig, ask())
     rig.until(lambda: waiting)
-    (case,) = rig.node.core.cases.values()
+    (case,) = rig.node.core.open_requests.values()
     client.close()
-    rig.until(lambda: case.answered)
+    rig.until(lambda: case.final_answer)
     waiting[0]()
     some_time(rig)
     assert not rig.engines[0].asked
@@ -63,25 +63,25 @@
     waiting = hold_connections(rig, rig.engines[0])
     client = raw(rig, ask())
     rig.until(lambda: waiting)
-    (case,) = rig.node.core.cases.values()
-    (carrier,) = case.out.values()
+    (case,) = rig.node.core.open_requests.values()
+    (carrier,) = case.in_flight.values()
     client.close()
     rig.node.core._came_up(case, carrier)
-    assert case.answered == "left" and carrier.over and carrier.attempt not in case.out
+    assert case.final_answer == "left" and carrier.over and carrier.attempt not in case.in_flight
 
 
 def test_client_that_left_unseen_gets_no_further_attempt() -> None:
     rig = rig_of_two()
     client = raw(rig, ask())
-    rig.until(lambda: rig.node.core.cases)
+    rig.until(lambda: rig.node.core.open_requests)
     core = rig.node.core
-    (case,) = core.cases.values()
+    (case,) = core.open_requests.values()
     client.close()
-    sent = len(case.out)
+    sent = len(case.in_flight)
     attempt = Attempt(case.request, next(iter(core.pools)), 5, 0.0, True)
     case.request.attempts.append(attempt)
-    core._send(StartAttempt(attempt, 0.0))
-    assert case.answered == "left" and len(case.out) <= sent
+    core._start_attempt(StartAttempt(attempt, 0.0))
+    assert case.final_answer == "left" and len(case.in_flight) <= sent
 
 
 def test_time_told_is_what_is_left_once_the_connection_is_up() -> None:
@@ -115,7 +115,9 @@
     a request taken for one that may have run."""
     for end, outcome in (("cancel", Outcome.CANCELLED), ("_time_is_up", Outcome.TIMED_OUT)):
         ends: list[Outcome] = []
-        told: Any = SimpleNamespace(ended=lambda attempt, outcome, *_, ends=ends: ends.append(outcome))
+        told: Any = SimpleNamespace(
+            on_attempt_end=lambda attempt, outcome, *_, ends=ends: ends.append(outcome)
+        )
         attempt = Attempt(Request(1, 0, 0, 0, 1.0, 0.0, 1.0, 0.0, 1.0), Engine(b"e", 1), 0, 0.0, False)
         one = PrefillAttempt(Clock(), None, attempt, told, 100.0, 50.0, 300)  # type: ignore[arg-type]
         one.call = Call(written)  # type: ignore[assignment]
@@ -277,7 +279,7 @@
     rig.node.on_end = lambda: ended.append(True)
     rig.node.stop()
     rig.until(lambda: ended)
-    assert not rig.node.core.cases
+    assert not rig.node.core.open_requests
 
 
 def test_close_is_seen_behind_bytes_that_wait_for_the_answer() -> None:
@@ -293,9 +295,9 @@
         except BlockingIOError:
             some_time(rig, 3)
     client.close()
-    rig.until(lambda: not rig.node.core.cases)
+    rig.until(lambda: not rig.node.core.open_requests)
     rig.idle()
-    assert rig.node.core.number == 1
+    assert rig.node.core.last_request_id == 1
 
 
 def test_engine_that_is_told_draining_while_its_connection_comes_up_is_sent_nothing() -> None:
@@ -338,7 +340,7 @@
             got += piece
         except BlockingIOError:
             continue
-    assert got.endswith(b"serving\n") and rig.node.core.number == 0
+    assert got.endswith(b"serving\n") and rig.node.core.last_request_id == 0
     assert rig.node.server.channels  # it is not closed over what may still come
     client.close()
     rig.until(lambda: not rig.node.server.channels)
@@ -354,7 +356,7 @@
     some_time(rig)
     rig.engines[1].peers[0].transport.write(ANSWER)  # type: ignore[union-attr]
     rig.until(lambda: peer.ended)
-    assert peer.clean and peer.got.endswith(LAST) and rig.node.core.number == 1
+    assert peer.clean and peer.got.endswith(LAST) and rig.node.core.last_request_id == 1
 
 
 def test_client_that_never_ends_its_side_is_closed_all_the_same() -> None:
--- a/worksmux/forwarding/__init__.py
+++ b/worksmux/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""What both daemons share: requests, attempts and the loop around the decision module."""
+"""What both daemons share: the life of requests, their attempts, and the loop around the decision module."""
--- a/worksmux/forwarding/control_call.py
+++ b/worksmux/forwarding/control_call.py
@@ -1,4 +1,4 @@
-"""One call beside the requests, such as a probe or a release, with its own time-out."""
+"""One call beside the requests, such as a health check or a release, with its own time-out."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 class OutgoingCall(Protocol):
-    """A call that is out, as its sender sees it."""
+    """A control call in flight, as its sender sees it."""
 
     @property
     def connected(self) -> bool:
         """Whether its connection has come up."""
 
     def end(self) -> None:
-        """Gives it up without a word."""
+        """Gives it up; `on_end` is not called any more."""
 
 
-class NeverSent:
-    """A call to an engine whose address is not known; its sender hears of it in the reactor's next turn."""
+class UnreachableCall:
+    """A call to an engine whose address is not known; it fails in the reactor's next iteration."""
 
     connected = False
 
@@ -30,17 +30,18 @@
         self._timer: Timer = reactor.callLater(0, on_end, 0, {}, b"", trouble)
 
     def end(self) -> None:
+        """Gives it up; `on_end` is not called any more."""
         if self._timer.active():
             self._timer.cancel()
 
 
-class SmallCall:
-    """A call whose connection has `time_out` milliseconds to come up, and as long again to be answered.
+class ControlCall:
+    """A call whose connection has `timeout_ms` to come up, and as long again to be answered.
 
-    `on_end` is called once, with status 0 and no trouble where time was called; never after `end`.
+    `on_end` is called once, with status 0 and no trouble where the time ran out; never after `end`.
 
-    Guards against a reactor that is late: a call that could not be written in time is not given up before
-    its answer could have come.
+    Failure: the reactor is late, and a single time-out over both would end a call that was written late
+    before its answer could have come. The time starts anew with the connection, so each part has all of it.
     """
 
     def __init__(
@@ -51,28 +52,27 @@
         path: str,
         headers: client.Headers,
         body: bytes,
-        bound: int,
-        time_out: float,
+        max_reply_bytes: int,
+        timeout_ms: float,
         on_end: client.OnEnd,
     ) -> None:
-        """`bound`: bytes of the answer's body."""
-        self._reactor, self._time_out, self._on_end = reactor, time_out, on_end
-        self._timer = TimeOut(reactor, time_out / 1000, self._time_is_up)
-        self._call = pool.call(method, path, client.Whole(bound, self._ended), headers, body)
-        self._call.on_up = self._came_up
+        self._reactor, self._timeout_ms, self._on_end = reactor, timeout_ms, on_end
+        self._timer = self._start_timer()
+        self._call = pool.call(method, path, client.Whole(max_reply_bytes, self._ended), headers, body)
+        self._call.on_up = self._on_connected
         self.connected = self._call.up
 
     def end(self) -> None:
-        """Gives it up without a word."""
+        """Gives it up; `on_end` is not called any more."""
         self._stop_timer()
         self._call.abandon()
 
-    def _came_up(self) -> None:
+    def _on_connected(self) -> None:
         self.connected = True
         self._stop_timer()
-        self._timer = TimeOut(self._reactor, self._time_out / 1000, self._time_is_up)
+        self._timer = self._start_timer()
 
-    def _time_is_up(self) -> None:
+    def _timed_out(self) -> None:
         self.end()
         self._on_end(0, {}, b"", None)
 
@@ -82,6 +82,9 @@
         self._stop_timer()
         self._on_end(status, headers, reply, trouble)
 
+    def _start_timer(self) -> TimeOut:
+        return TimeOut(self._reactor, self._timeout_ms / 1000, self._timed_out)
+
     def _stop_timer(self) -> None:
         if self._timer.active():
             self._timer.cancel()
--- a/worksmux/forwarding/counters.py
+++ b/worksmux/forwarding/counters.py
@@ -1,23 +1,32 @@
-"""What the life of jobs counts; who runs it keeps the figures in a form of its own."""
+"""What the forwarding code counts; each daemon keeps the figures in a form of its own."""
 
 from __future__ import annotations
 
 from typing import Protocol
 
 
-class Counts(Protocol):
-    def arrived(self, request_class: str) -> None: ...
+class Counters(Protocol):
+    """Times are milliseconds."""
+
+    def arrived(self, request_class: str) -> None:
+        """A request was accepted."""
 
     def ended(
         self, request_class: str, answer: str, ms: float, first_ms: float | None, attempts: int
-    ) -> None: ...
+    ) -> None:
+        """A request has its final answer; `first_ms` is its time to first token."""
 
-    def attempt(self, stage: str) -> None: ...
+    def attempt(self, stage: str) -> None:
+        """An attempt was started: "read" (prefill), "write" (decode), or "moot" where it was not sent."""
 
-    def probe(self, outcome: str) -> None: ...
+    def probe(self, outcome: str) -> None:
+        """A health check ended."""
 
-    def release(self) -> None: ...
+    def release(self) -> None:
+        """A release of KV cache was started."""
 
-    def overdue(self) -> None: ...
+    def overdue(self) -> None:
+        """A request passed its deadline without an answer of the policy."""
 
-    def turn(self, ms: float, events: int) -> None: ...
+    def decision_round(self, ms: float, events: int) -> None:
+        """The policy decided on a batch of events."""
--- a/worksmux/forwarding/decision_loop.py
+++ b/worksmux/forwarding/decision_loop.py
@@ -1,11 +1,14 @@
-"""The turn of one decision module: what happened since the last one goes to it in order, and its actions are
-carried out in order."""
+"""The loop around one decision module (the policy).
+
+A decision round hands over all events since the last round, in order, and executes the actions that the
+module answers with, in order.
+"""
 
 from __future__ import annotations
 
 import time
 from collections import Counter
-from typing import Any
+from collections.abc import Callable
 
 import structlog
 
@@ -14,86 +17,86 @@
 from ..policy.actions import Action
 from ..policy.events import Event
 from ..policy.id_map import Door
-from .counters import Counts
+from .counters import Counters
 
 LOG = structlog.get_logger()
-SLOW_TURN = 50.0  # milliseconds: a longer one is logged, with what it was about
+SLOW_ROUND_MS = 50.0  # longer rounds are logged
 
 
-class Turns:
-    """What chat's core and the lanes share; who derives from it carries out actions and ends jobs."""
+class DecisionLoop:
+    """Collects events and runs decision rounds; a subclass executes the actions and keeps the requests."""
 
-    def __init__(self, door: Door, reactor: Reactor, metrics: Counts) -> None:
+    def __init__(self, door: Door, reactor: Reactor, metrics: Counters) -> None:
         self.door, self.reactor, self.metrics = door, reactor, metrics
-        self.failed = False  # the module has: nothing more is asked of it
-        self.on_event: Any = None  # called with the time and each event told to the module
-        self.before_turn: Any = None  # called with the time, before events are taken
+        self.failed = False  # the module raised an exception: it is not called again
+        self.on_event: Callable[[float, Event], None] | None = None  # with the time, before each round
+        self.before_round: Callable[[float], None] | None = None  # with the time; may add events
         self._events: list[Event] = []
-        self._due = False
+        self._scheduled = False
 
     def tell(self, event: Event) -> None:
+        """Adds an event to the next round."""
         self._events.append(event)
-        self._soon()
-
-    def _soon(self) -> None:
-        if not self._due:
-            self._due = True
-            self.reactor.callLater(0, self._turn)
+        self.wake()
 
     def wake(self) -> None:
-        """A turn is due, though nothing has happened that the module is told of yet."""
-        self._soon()
-
-    def _turn(self) -> None:
-        if self.before_turn:
-            self.before_turn(clock.now())
-        self._due = False
+        """Schedules a round, also where there is no event yet."""
+        if not self._scheduled:
+            self._scheduled = True
+            self.reactor.callLater(0, self._run_round)
+
+    def _run_round(self) -> None:
+        if self.before_round:
+            self.before_round(clock.now())
+        self._scheduled = False
         events, self._events = self._events, []
-        if self.failed:
-            return self._turned()  # what is still out ends, and is tidied up
-        start, used = clock.now(), time.thread_time()
+        if not self.failed:
+            self._decide(events)
+        self._after_round()  # also after a failure: attempts in flight still end
+
+    def _decide(self, events: list[Event]) -> None:
+        start, cpu_start_s = clock.now(), time.thread_time()
         if self.on_event:
             for event in events:
                 self.on_event(start, event)
         try:
             actions = self.door.decide(start, events)
-            self.metrics.turn(clock.now() - start, len(events))
             decided = clock.now()
+            self.metrics.decision_round(decided - start, len(events))
             for action in actions:
-                self._carry_out(action)
-            if clock.now() - start > SLOW_TURN:
-                self._log_slow_turn(start, decided, used, events, actions)
+                self._execute(action)
+            if clock.now() - start > SLOW_ROUND_MS:
+                self._log_slow_round(start, decided, cpu_start_s, events, actions)
         except Exception:
-            LOG.exception("a module has failed; its open jobs are broken off", module=self._called())
+            LOG.exception("policy failed; its open requests are aborted", policy=self._module_name())
             self.failed = True
-            self._break_off()
-        self._turned()
+            self._abort_all()
 
-    def _log_slow_turn(
-        self, start: float, decided: float, used: float, events: list[Event], actions: list[Action]
+    def _log_slow_round(
+        self, start: float, decided: float, cpu_start_s: float, events: list[Event], actions: list[Action]
     ) -> None:
-        """`start` and `decided` are times of the clock, `used` is the processor time of this thread at the
-        start, in seconds."""
+        """`start` and `decided` are milliseconds of the clock, `cpu_start_s` seconds of this thread's CPU
+        time."""
         LOG.warning(
-            "a turn took long",
-            ms=round(clock.now() - start),
-            deciding_ms=round(decided - start),
-            processor_ms=round(1000 * (time.thread_time() - used)),
-            engines=len(self.door.engines),
+            "slow decision round",
+            duration_ms=round(clock.now() - start),
+            decide_ms=round(decided - start),
+            cpu_ms=round(1000 * (time.thread_time() - cpu_start_s)),
+            endpoints=len(self.door.engines),
             events=Counter(type(event).__name__ for event in events),
             actions=Counter(type(action).__name__ for action in actions),
         )
 
-    def _called(self) -> str:
+    def _module_name(self) -> str:
         """The module's name in the log."""
         raise NotImplementedError
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         raise NotImplementedError
 
-    def _break_off(self) -> None:
-        """Ends every open job: the module has failed."""
+    def _abort_all(self) -> None:
+        """Ends every open request: the module has failed."""
         raise NotImplementedError
 
-    def _turned(self) -> None:
-        """After a turn: nothing, if not told otherwise."""
+    def _after_round(self) -> None:
+        """Called at the end of each round; does nothing by default."""
--- /dev/null
+++ b/worksmux/forwarding/engine_client.py
@@ -0,0 +1,94 @@
+"""Connections and control calls to engines, as both daemons use them around their decision loop."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from ..net import client, clock
+from ..net.loop import Reactor
+from ..policy.events import EndpointListUpdate, Event, HealthCheckEnded
+from ..policy.id_map import Door
+from ..policy.state import Engine, Outcome
+from .attempt import outcome_of
+from .control_call import ControlCall, OutgoingCall, UnreachableCall
+from .counters import Counters
+from .decision_loop import DecisionLoop
+
+
+class EngineClient(DecisionLoop):
+    """A decision loop with a connection pool for each engine; a protocol says what its calls look like."""
+
+    def __init__(self, door: Door, reactor: Reactor, metrics: Counters) -> None:
+        super().__init__(door, reactor, metrics)
+        self.pools: dict[Engine, client.Pool] = {}
+
+    # What a protocol brings.
+
+    def _new_pool(self, host: str, port: int) -> client.Pool:
+        """Connections to an engine's address."""
+        raise NotImplementedError
+
+    def _control_call_limits(self) -> tuple[float, int, client.Headers]:
+        """Of each control call: its time-out in milliseconds, the bytes of its reply, and its headers."""
+        raise NotImplementedError
+
+    def _health_check_path(self) -> str:
+        raise NotImplementedError
+
+    def _health_check_result(
+        self, status: int, headers: dict[str, str], reply: bytes
+    ) -> tuple[Outcome, dict[str, float] | None]:
+        """Outcome and load report of a whole reply to a health check."""
+        raise NotImplementedError
+
+    # Control calls.
+
+    def control_call(
+        self, engine: Engine, method: str, path: str, body: bytes, on_end: client.OnEnd
+    ) -> OutgoingCall:
+        """Sends a call beside the requests; an engine that was never listed is unreachable."""
+        if engine not in self.pools:
+            return UnreachableCall(self.reactor, on_end)
+        timeout_ms, max_reply_bytes, headers = self._control_call_limits()
+        return ControlCall(
+            self.reactor, self.pools[engine], method, path, headers, body, max_reply_bytes, timeout_ms, on_end
+        )
+
+    def check_health(self, engine: Engine, on_result: Callable[[Event], None]) -> None:
+        """Sends a health check; `on_result` gets the event that tells its end."""
+        sent_at = clock.now()
+
+        def ended(status: int, headers: dict[str, str], reply: bytes, trouble: client.Trouble | None) -> None:
+            report = None
+            if trouble is not None:
+                outcome = outcome_of(trouble)
+            elif not status:
+                outcome = Outcome.TIMED_OUT
+            else:
+                outcome, report = self._health_check_result(status, headers, reply)
+            self.metrics.probe(outcome.value)
+            on_result(HealthCheckEnded(engine, outcome, clock.now() - sent_at, report))
+
+        self.control_call(engine, "GET", self._health_check_path(), b"", ended)
+
+    # The endpoint list.
+
+    def endpoints_updated(self, event: EndpointListUpdate) -> None:
+        """The endpoint list has changed."""
+        for entry in event.entries:
+            if entry.state == "gone":
+                self._close_connections(entry.engine)
+        self._tell_endpoints(event)
+
+    def address_changed(self, engine: Engine, host: str, port: int) -> None:
+        """An engine has a new address, or its first; attempts in flight stay where they are."""
+        self._close_connections(engine)
+        self.pools[engine] = self._new_pool(host, port)
+
+    def _tell_endpoints(self, event: EndpointListUpdate) -> None:
+        self.tell(event)
+
+    def _close_connections(self, engine: Engine) -> None:
+        """Closes the idle connections to an engine."""
+        if engine in self.pools:
+            self.pools[engine].close()
--- a/worksmux/forwarding/log_setup.py
+++ b/worksmux/forwarding/log_setup.py
@@ -1,7 +1,7 @@
 """Structured logging by structlog: JSON lines or console text, written by a thread of its own.
 
-Guards against a reader of the log that stalls: lines wait in a bounded queue; past its bound they are dropped
-and counted, and the reactor goes on.
+Failure: whatever reads standard error stalls, and a blocking write would stop the reactor. Lines wait in a
+bounded queue instead; once it is full they are dropped and counted.
 """
 
 from __future__ import annotations
@@ -15,32 +15,34 @@
 import msgspec
 import structlog
 
-BOUND = 10_000  # lines that wait for their reader
+MAX_QUEUED_LINES = 10_000
+CLOSE_TIMEOUT_S = 2.0
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
 
 
-class Writer:
-    """Takes lines and writes them in order on a thread; `lost` counts those dropped."""
+class LogWriter:
+    """Writes lines in order on a thread; `lost` counts those dropped."""
 
-    def __init__(self, sink: IO[str], bound: int = BOUND) -> None:
+    def __init__(self, sink: IO[str], max_queued_lines: int = MAX_QUEUED_LINES) -> None:
         self.sink, self.lost = sink, 0
-        self.lines: queue.Queue[str | None] = queue.Queue(bound)
-        self.thread = threading.Thread(target=self._run, name="logbook", daemon=True)
+        self.lines: queue.Queue[str | None] = queue.Queue(max_queued_lines)  # None ends the thread
+        self.thread = threading.Thread(target=self._run, name="log writer", daemon=True)
         self.thread.start()
 
     def line(self, text: str) -> None:
+        """Queues a line; never blocks."""
         try:
             self.lines.put_nowait(text)
         except queue.Full:
             self.lost += 1
 
-    def close(self, patience: float = 2.0) -> None:
-        """Lets the lines that wait be written, for at most `patience` seconds."""
+    def close(self, timeout_s: float = CLOSE_TIMEOUT_S) -> None:
+        """Writes what is queued, and gives up after about `timeout_s` seconds."""
         try:
-            self.lines.put(None, timeout=patience)
+            self.lines.put(None, timeout=timeout_s)
         except queue.Full:
             return
-        self.thread.join(patience)
+        self.thread.join(timeout_s)
 
     def _run(self) -> None:
         try:
@@ -48,14 +50,14 @@
                 self.sink.write(text + "\n")
                 if self.lines.empty():
                     self.sink.flush()
-        except (OSError, ValueError):  # its reader is gone: let the rest be dropped and counted
+        except (OSError, ValueError):  # the sink is closed: the queue fills, and what follows is counted
             self.lost += 1
 
 
-class _Lines:
-    """What structlog writes to."""
+class _QueueLogger:
+    """The logger that structlog writes to."""
 
-    def __init__(self, writer: Writer) -> None:
+    def __init__(self, writer: LogWriter) -> None:
         self.writer = writer
 
     def msg(self, message: str) -> None:
@@ -64,29 +66,35 @@
     debug = info = warning = warn = error = critical = exception = fatal = log = msg
 
 
-def _json(value: Any, **_: Any) -> str:
+def _to_json(value: Any, **_: Any) -> str:
     return msgspec.json.encode(value, enc_hook=repr).decode()
 
 
-def set_up(form: str, level: str, sink: IO[str] | None = None, **bound: str) -> Writer:
-    """Sends all of structlog's events to `sink` (standard error); `bound` stands in each of them."""
-    writer = Writer(sink or sys.stderr)
-    lines = _Lines(writer)
-    last: list[Any] = [structlog.processors.format_exc_info, structlog.processors.JSONRenderer(_json)]
-    if form == "console":
-        last = [structlog.dev.ConsoleRenderer(colors=False)]
+def set_up(log_format: str, level: str, sink: IO[str] | None = None, **bound_fields: str) -> LogWriter:
+    """Sends all structlog events to `sink` (default: standard error).
+
+    `log_format` is "json" or "console", `level` a key of `LEVELS`; `bound_fields` stand in each event.
+    """
+    writer = LogWriter(sink or sys.stderr)
+    logger = _QueueLogger(writer)
+    renderers: list[Any] = [
+        structlog.processors.format_exc_info,
+        structlog.processors.JSONRenderer(_to_json),
+    ]
+    if log_format == "console":
+        renderers = [structlog.dev.ConsoleRenderer(colors=False)]
     structlog.reset_defaults()
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper("iso", utc=True),
-            *last,
+            *renderers,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(LEVELS[level]),
-        logger_factory=lambda *_: lines,
+        logger_factory=lambda *_: logger,
         cache_logger_on_first_use=False,
     )
     structlog.contextvars.clear_contextvars()
-    structlog.contextvars.bind_contextvars(**bound)
+    structlog.contextvars.bind_contextvars(**bound_fields)
     return writer
--- /dev/null
+++ b/worksmux/forwarding/open_requests.py
@@ -0,0 +1,145 @@
+"""The requests that are open and what their clients are owed: one final answer each, in time."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+import structlog
+
+from ..net import clock
+from ..net.loop import Reactor
+from ..net.time_out import TimeOut
+from ..policy.events import AttemptEnded, ClientDisconnected
+from ..policy.id_map import Door
+from ..policy.state import Request
+from .counters import Counters
+from .engine_client import EngineClient
+from .request_context import FinalAnswer, RequestContext
+from .request_log import request_fields
+
+LOG = structlog.get_logger()
+# Reactor iterations that a missed deadline waits: a time-out looks once more, tells the policy, which
+# answers.
+DEADLINE_GRACE_ITERATIONS = 3
+FINAL_ANSWER_DECISION = -1  # the number that `on_decision` gets where others are numbers of attempts
+
+
+class OpenRequests(EngineClient):
+    """Keeps the context of each request from its arrival until it is answered and nothing is in flight."""
+
+    def __init__(self, door: Door, reactor: Reactor, metrics: Counters) -> None:
+        super().__init__(door, reactor, metrics)
+        self.module_settings = door.settings
+        self.open_requests: dict[Request, RequestContext] = {}
+        self.last_request_id = 0
+        self.on_fault: Callable[[], None] | None = None  # the policy has failed
+        # With a request's key and the number of an attempt or `FINAL_ANSWER_DECISION`.
+        self.on_decision: Callable[[str, int], None] | None = None
+        self.on_empty: Callable[[], None] | None = None  # at the end of a request
+        self._answered: list[RequestContext] = []  # are closed after the round, once nothing is in flight
+
+    def _log_fields(self, context: RequestContext) -> dict[str, Any]:
+        """What the protocol adds to the log line of a request."""
+        return {}
+
+    def _accept(self, context: RequestContext) -> RequestContext:
+        """Hands a request to the policy; from here on its client is owed one final answer."""
+        request = context.request
+        slack_ms = float(self.module_settings["answer_slack"])
+        left_ms = max(0.0, request.give_up_at + slack_ms - clock.now())
+        context.deadline_timer = TimeOut(
+            self.reactor, left_ms / 1000, lambda: self._deadline_missed(context), DEADLINE_GRACE_ITERATIONS
+        )
+        self.open_requests[request] = context
+        self.metrics.arrived(context.class_name)
+        self.tell(self.door.arrived(request))
+        return context
+
+    def client_disconnected(self, context: RequestContext) -> None:
+        """Ends the request and its attempts; those that have not been sent are withdrawn."""
+        if not context.final_answer:
+            context.answer_reason = "client disconnected"
+            self._finish(context, FinalAnswer.CLIENT_DISCONNECTED)
+            self.tell(ClientDisconnected(context.request))
+        for attempt, call in list(context.in_flight.items()):
+            if attempt.began or attempt.request.began:
+                call.cancel()
+            else:
+                call.withdraw()
+
+    def _deadline_missed(self, context: RequestContext) -> None:
+        """Answers in place of a policy that let the deadline pass; its client would wait for ever."""
+        if context.final_answer or context.first_token_at:
+            return
+        LOG.error("request missed its deadline without an answer", request=context.key)
+        self.metrics.overdue()
+        context.timed_out, context.answer_reason = True, "deadline missed without an answer"
+        self._finish(context, FinalAnswer.ABORTED)
+        self.tell(ClientDisconnected(context.request))
+
+    def _finish(
+        self,
+        context: RequestContext,
+        answer: FinalAnswer,
+        retry_after_ms: float = 0.0,
+        result: Any = None,
+    ) -> None:
+        """Gives the final answer, unless there is one."""
+        if context.final_answer:
+            return
+        context.final_answer = answer
+        if self.on_decision:
+            self.on_decision(context.key, FINAL_ANSWER_DECISION)
+        context.stop_deadline_timer()
+        match answer:
+            case FinalAnswer.SERVED:
+                context.client.complete(*result)
+            case FinalAnswer.REJECTED:
+                context.client.reject(retry_after_ms)
+            case FinalAnswer.ABORTED:
+                context.client.abort(context.timed_out)
+        self._answered.append(context)
+        self.wake()  # the next round closes the request
+
+    def _close(self, context: RequestContext) -> None:
+        """Forgets a request that is answered and has no attempt in flight; logs its end."""
+        request = context.request
+        if context.in_flight or self.open_requests.pop(request, None) is None:
+            return
+        now = clock.now()
+        self.metrics.ended(
+            context.class_name,
+            context.final_answer.value if context.final_answer else "",
+            now - request.arrived,
+            context.first_token_at - request.arrived if context.first_token_at else None,
+            len(request.attempts),
+        )
+        LOG.info("request ended", **request_fields(context, now), **self._log_fields(context))
+        if self.on_empty:
+            self.on_empty()
+
+    # The decision loop.
+
+    def _after_round(self) -> None:
+        """Closes the requests that were answered.
+
+        Failure: a client disconnects during prefill, the attempt is cancelled in this round, and the policy
+        releases its KV cache in the next. That release needs the context, so a request stays open while an
+        end of one of its attempts has not been handed to the policy.
+        """
+        answered, self._answered = self._answered, []
+        undelivered = {event.attempt.request for event in self._events if isinstance(event, AttemptEnded)}
+        for context in answered:
+            if context.request in undelivered:
+                self._answered.append(context)
+            else:
+                self._close(context)
+
+    def _abort_all(self) -> None:
+        for context in list(self.open_requests.values()):
+            self._finish(context, FinalAnswer.ABORTED)
+            for call in list(context.in_flight.values()):
+                call.cancel()
+        if self.on_fault:
+            self.on_fault()
--- a/worksmux/forwarding/process.py
+++ b/worksmux/forwarding/process.py
@@ -1,4 +1,4 @@
-"""What starts and ends a front's process, whichever protocol it serves."""
+"""How a daemon's process starts, takes signals and ends, whichever protocol it serves."""
 
 from __future__ import annotations
 
@@ -10,31 +10,34 @@
 
 from ..net import clock
 from ..net.loop import Reactor
-from .log_setup import Writer
+from .log_setup import LogWriter
 
 LOG = structlog.get_logger()
-FLUSH, LOOK = 1000.0, 5.0  # milliseconds that the last answers have to get out, and between looks
+FLUSH_TIMEOUT_MS = 1000.0  # that the last answers have to leave
+FLUSH_POLL_MS = 5.0
 
 
 def run_reactor(
     reactor: Reactor,
-    writer: Writer,
+    writer: LogWriter,
     start: Callable[[], None],
     stop: Callable[[], None],
     reload: Callable[[], None],
 ) -> bool:
-    """Starts and runs until the reactor is stopped; SIGTERM and SIGINT stop, SIGHUP reloads.  False where it
-    could not start."""
+    """Calls `start` and runs until the reactor is stopped; returns False where `start` raised.
 
-    def signals() -> None:
+    SIGTERM and SIGINT call `stop`, SIGHUP calls `reload`.
+    """
+
+    def install_signal_handlers() -> None:
         for number, call in ((signal.SIGTERM, stop), (signal.SIGINT, stop), (signal.SIGHUP, reload)):
             signal.signal(number, lambda *_, call=call: reactor.callFromThread(call))
 
-    reactor.callLater(0, signals)  # after Twisted's own
+    reactor.callLater(0, install_signal_handlers)  # after Twisted has installed its own
     try:
         start()
     except Exception as error:
-        LOG.error("cannot listen", why=str(error), pid=os.getpid())
+        LOG.error("cannot listen", reason=str(error), pid=os.getpid())
         return False
     else:
         reactor.run()
@@ -43,17 +46,23 @@
         writer.close()
 
 
-def let_out(
-    reactor: Reactor, waiting: Callable[[], object], then: Callable[[], None], bound: float = FLUSH
+def wait_until_flushed(
+    reactor: Reactor,
+    is_waiting: Callable[[], object],
+    then: Callable[[], None],
+    timeout_ms: float = FLUSH_TIMEOUT_MS,
 ) -> None:
-    """Guards against an end that cuts off the last answers, which still wait to be written; `bound`
-    milliseconds at most."""
-    until = clock.now() + bound
+    """Calls `then` once `is_waiting` is false, or after `timeout_ms`.
+
+    Failure: the process ends while the last answers are still in its buffers, and their clients see a cut
+    connection.
+    """
+    deadline = clock.now() + timeout_ms
 
-    def look() -> None:
-        if waiting() and clock.now() < until:
-            reactor.callLater(LOOK / 1000, look)
+    def check() -> None:
+        if is_waiting() and clock.now() < deadline:
+            reactor.callLater(FLUSH_POLL_MS / 1000, check)
         else:
             then()
 
-    look()
+    check()
--- a/worksmux/forwarding/stream_relay.py
+++ b/worksmux/forwarding/stream_relay.py
@@ -1,40 +1,43 @@
-"""The client's side of a stream, whatever the protocol: its first piece begins it, and its reader sets the
-pace."""
+"""The client's side of a streamed answer: its first piece begins it, and the client's reading paces the
+engine."""
 
 from __future__ import annotations
 
 from ..net.server import Exchange
-from .request_context import Case
+from .request_context import RequestContext
 
 
-class StreamSide:
-    """One client's exchange; `case` is set once its job is taken."""
+class StreamRelay:
+    """One client's exchange; `context` is set once its request is accepted."""
 
     def __init__(self, exchange: Exchange) -> None:
         self.exchange = exchange
         self.begun = False
-        self.case: Case | None = None
+        self.context: RequestContext | None = None
 
-    def gone(self) -> bool:
-        """Whether the client has hung up."""
+    def is_disconnected(self) -> bool:
+        """Whether the client has closed its connection."""
         return self.exchange.gone()
 
     def _begin(self, headers: tuple[tuple[str, str], ...] = ()) -> bool:
-        """Begins the answer before its first piece; whether this was it."""
+        """Begins the answer if this is its first piece, and returns whether it is."""
         if self.begun:
             return False
         self.begun = True
         self.exchange.begin("text/event-stream", headers)
-        self._link()
+        self._connect_backpressure()
         return True
 
-    def _link(self) -> None:
-        """A client that reads slowly slows its engine down, instead of filling this process."""
-        if self.case is not None and not self.exchange.over:
-            for attempt, carrier in self.case.out.items():
+    def _connect_backpressure(self) -> None:
+        """Makes a client that reads slowly pause the engine's stream.
+
+        Failure: the rest of the stream would be buffered in this process, which shows as growing memory.
+        """
+        if self.context is not None and not self.exchange.over:
+            for attempt, call in self.context.in_flight.items():
                 if attempt.began:
-                    self.exchange.registerProducer(carrier, True)
+                    self.exchange.registerProducer(call, True)
 
-    def _unlink(self) -> None:
+    def _disconnect_backpressure(self) -> None:
         if self.begun and not self.exchange.over:
             self.exchange.unregisterProducer()
--- a/worksmux/gateway/attempts.py
+++ b/worksmux/gateway/attempts.py
@@ -14,7 +14,7 @@
 from ..api.chat import READ_CHUNK, READ_REPLY, Usage
 from ..api.errors import code_of
 from ..api.events import Events, TooLong
-from ..forwarding.attempt import Carriage, Streaming
+from ..forwarding.attempt import AttemptCall, StreamingAttempt
 from ..net import client
 from ..policy.state import Outcome
 
@@ -27,14 +27,14 @@
     return Outcome.FULL, int(code_of(body) == calls.STATE_LOST)
 
 
-class Carrier(Carriage):
+class Carrier(AttemptCall):
     def send(self, headers: client.Headers, body: bytes) -> None:
         self.call = self.pool.call("POST", calls.CHAT, self, headers, body)
 
-    def _refusal(self) -> tuple[Outcome, int]:
+    def _rejection(self) -> tuple[Outcome, int]:
         return refusal(self.status, bytes(self.body))
 
-    def _report(self) -> dict[str, float] | None:
+    def _load_report(self) -> dict[str, float] | None:
         return calls.load_report(self.headers.get(calls.LOAD))
 
 
@@ -51,16 +51,16 @@
         self._end(Outcome.READ, reply.usage.cached if reply.usage else 0, reply.kv_transfer_params)
 
 
-class Writing(Streaming, Carrier):
+class Writing(StreamingAttempt, Carrier):
     """A trip to what answers: a stream of events that ends with a finish reason and [DONE]."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self.events = Events(self.bound)
+        self.events = Events(self.max_body_bytes)
         self.finish = ""
         self.usage = Usage()
 
-    def _stream(self, data: bytes) -> None:
+    def _on_stream_data(self, data: bytes) -> None:
         try:
             for event in self.events.feed(data):
                 self._event(event)
@@ -80,8 +80,8 @@
         for choice in chunk.choices:
             content = choice.delta.content if choice.delta else None
             if content:
-                self._pass_on(content)
+                self._relay(content)
             self.finish = choice.finish_reason or self.finish
 
-    def _stream_over(self) -> None:
+    def _on_stream_end(self) -> None:
         self._end(Outcome.ERROR)  # the reply ended cleanly, yet without [DONE]
--- a/worksmux/gateway/chat_engine_client.py
+++ b/worksmux/gateway/chat_engine_client.py
@@ -7,8 +7,8 @@
 
 from ..api import chat
 from ..api import engine as calls
-from ..forwarding.request_context import Case, Client
-from ..forwarding.request_lifecycle import Core
+from ..forwarding.request_context import Client, RequestContext
+from ..forwarding.request_lifecycle import RequestLifecycle
 from ..net import client, clock
 from ..net.loop import Reactor
 from ..policy.events import EndpointListUpdate, SlotReserved
@@ -21,7 +21,7 @@
 PATIENT = 20  # times the tries that a release has: what lies cut off for longer ends by its lease
 
 
-class PublishedCore(Core):
+class PublishedCore(RequestLifecycle):
     metrics: Metrics
 
     def __init__(
@@ -32,7 +32,7 @@
         self.name = name  # of this front and this start of it
         self.lanes: list[Any] = []  # of one-stage calls, set by who builds both
 
-    def arrived(self, asked: chat.Asked, client_side: Client, arrived: float) -> Case:
+    def arrived(self, asked: chat.Asked, client_side: Client, arrived: float) -> RequestContext:
         """A job that came at `arrived` is told to the module; from here on it is owed one answer."""
         request_class = self.settings.request_classes[asked.request_class]
         limit = request_class.outer_limit + 2 * request_class.promised_per_k * asked.prompt / 1000
@@ -41,9 +41,9 @@
             min(limit, asked.time_left if asked.time_left is not None else limit)
             - self.settings.transport.answer_margin,
         )
-        self.number += 1
+        self.last_request_id += 1
         request = Request(
-            self.number,
+            self.last_request_id,
             asked.request_class,
             asked.session,
             asked.prefix,
@@ -54,27 +54,33 @@
             arrived + left,
             repeat=asked.repeat,
         )
-        case = Case(request, asked, client_side, f"{self.name}.{request.id}", asked.name)
+        case = RequestContext(request, asked, client_side, f"{self.name}.{request.id}", asked.name)
         asked.label = asked.label or case.key
-        return self._take(case)
+        return self._accept(case)
 
-    def corrected(self, case: Case) -> None:
+    def corrected(self, case: RequestContext) -> None:
         """The prompt of a job that went on by a bound is counted; its beginning counts until its first
         trip."""
-        request, asked = case.request, case.asked
+        request, asked = case.request, case.client_request
         request.prompt = asked.prompt
         if not request.attempts:
             request.prefix, request.prefix_tokens = asked.prefix, asked.prefix_tokens
 
-    def _ended_with(self, case: Case) -> dict[str, Any]:
+    def _log_fields(self, case: RequestContext) -> dict[str, Any]:
         return {"tokens": case.result[1].completion_tokens if case.result else 0}
 
     # Trips.
 
-    def _carry(self, case: Case, attempt: Attempt, pool: client.Pool, time_out: float) -> carriers.Carrier:
-        if case.place is not None and case.place is not attempt.engine and not attempt.reading:
-            self._let_go(case, case.place)  # a send to another writer gives the place up
-        transport, asked = self.settings.transport, case.asked
+    def _open_attempt(
+        self, case: RequestContext, attempt: Attempt, pool: client.Pool, time_out: float
+    ) -> carriers.Carrier:
+        if (
+            case.reserved_engine is not None
+            and case.reserved_engine is not attempt.engine
+            and not attempt.reading
+        ):
+            self._let_go(case, case.reserved_engine)  # a send to another writer gives the place up
+        transport, asked = self.settings.transport, case.client_request
         make = carriers.Reading if attempt.reading else carriers.Writing
         carrier = make(self.reactor, pool, attempt, self, time_out, transport.stream_silence, transport.reply)
         headers = [
@@ -90,13 +96,13 @@
             headers.append((calls.PROMPT_TOKENS, str(int(asked.prompt))))
         if asked.request_id:
             headers.append((calls.TRY, asked.request_id))
-        state = case.state if attempt.request.holder is not None else None
+        state = case.kv_handle if attempt.request.holder is not None else None
         carrier.send(headers, chat.to_reader(asked) if attempt.reading else chat.to_writer(asked, state))
         return carrier
 
     # Small calls.
 
-    def _small_bounds(self) -> tuple[float, int, client.Headers]:
+    def _control_call_limits(self) -> tuple[float, int, client.Headers]:
         transport = self.settings.transport
         return (
             transport.call_time_out,
@@ -104,34 +110,36 @@
             [("Content-Type", "application/json"), (calls.FRONT, self.settings.name)],
         )
 
-    def _probe_path(self) -> str:
+    def _health_check_path(self) -> str:
         return calls.PROBE
 
-    def _probed(
+    def _health_check_result(
         self, status: int, headers: dict[str, str], reply: bytes
     ) -> tuple[Outcome, dict[str, float] | None]:
         if status != 200:
             return carriers.refusal(status, reply)[0], None
         return Outcome.DELIVERED, calls.load_report(headers.get(calls.LOAD))
 
-    def _hold(self, request: Request, engine: Engine) -> None:
-        case = self.cases.get(request)
-        if case is None or case.answered:
+    def _reserve_slot(self, request: Request, engine: Engine) -> None:
+        case = self.open_requests.get(request)
+        if case is None or case.final_answer:
             return
-        reading = next((attempt for attempt in case.out if attempt.reading), None)
+        reading = next((attempt for attempt in case.in_flight if attempt.reading), None)
         reader = None
         if reading is not None and reading.engine in self.pools:
             pool = self.pools[reading.engine]
             reader = chat.KvParams(reading.engine.id.decode(), pool.host, pool.port, [], case.key)
-        if case.place is not None and case.place is not engine:
-            self._let_go(case, case.place)
-        case.place = engine
-        case.held[engine] = None
+        if case.reserved_engine is not None and case.reserved_engine is not engine:
+            self._let_go(case, case.reserved_engine)
+        case.reserved_engine = engine
+        case.holding_engines[engine] = None
 
         def ended(status: int, headers: dict[str, str], reply: bytes, trouble: client.Trouble | None) -> None:
             answered = trouble is None and status == 200
             held = answered and reply.replace(b" ", b"") == b'{"held":true}'
-            if (held or not answered) and (case.answered or case.first_at or case.place is not engine):
+            if (held or not answered) and (
+                case.final_answer or case.first_token_at or case.reserved_engine is not engine
+            ):
                 # Guards against a place that is held after its job has gone by: the call was slow, or its
                 # answer is lost and it may yet be carried out.
                 release = chat.ENCODE.encode(calls.Release(case.key))
@@ -139,24 +147,24 @@
                 if not answered:
                     pause = self.settings.module["release_within"] / 2
                     self.reactor.callLater(pause / 1000, self._release_until, engine, release, 1)
-            if answered and reading is not None and reading.outcome is None and reading in case.out:
+            if answered and reading is not None and reading.outcome is None and reading in case.in_flight:
                 self.tell(SlotReserved(reading, engine, held))
 
         body = chat.ENCODE.encode(calls.Place(case.key, request.prompt, reader))
-        self._small(engine, "POST", calls.PLACE, body, ended)
+        self.control_call(engine, "POST", calls.PLACE, body, ended)
 
-    def _release(self, request: Request) -> None:
-        case = self.cases.get(request)
+    def _release_kv_cache(self, request: Request) -> None:
+        case = self.open_requests.get(request)
         if case is None:
             return
-        case.state = None
-        for engine in list(case.held):
+        case.kv_handle = None
+        for engine in list(case.holding_engines):
             self._let_go(case, engine)
 
-    def _let_go(self, case: Case, engine: Engine) -> None:
-        case.held.pop(engine, None)
-        if case.place is engine:
-            case.place = None
+    def _let_go(self, case: RequestContext, engine: Engine) -> None:
+        case.holding_engines.pop(engine, None)
+        if case.reserved_engine is engine:
+            case.reserved_engine = None
         self._release_until(engine, chat.ENCODE.encode(calls.Release(case.key)), 1)
         self.metrics.release()
 
@@ -174,11 +182,11 @@
             pause = within / (2 * most) if tries < most else max(0.0, sent + within - clock.now())
             self.reactor.callLater(pause / 1000, self._release_until, engine, body, tries + 1)
 
-        self._small(engine, "POST", calls.RELEASE, body, ended)
+        self.control_call(engine, "POST", calls.RELEASE, body, ended)
 
     # The engines.
 
-    def _tell_list(self, event: EndpointListUpdate) -> None:
+    def _tell_endpoints(self, event: EndpointListUpdate) -> None:
         self.tell(self._of("chat", event))
         for lane in self.lanes:
             lane.tell(self._of(lane.settings.call, event))
@@ -190,7 +198,7 @@
             event.scope, [entry for entry in event.entries if kinds[entry.kind].call == call]
         )
 
-    def _pool(self, host: str, port: int) -> client.Pool:
+    def _new_pool(self, host: str, port: int) -> client.Pool:
         bounds = self.settings.transport
         return client.Pool(
             self.reactor,
--- a/worksmux/gateway/clients.py
+++ b/worksmux/gateway/clients.py
@@ -16,8 +16,8 @@
 from ..api.chat import Asked, Usage
 from ..api.engine import CHAT
 from ..api.events import DONE, event
-from ..forwarding.request_context import Case
-from ..forwarding.stream_relay import StreamSide
+from ..forwarding.request_context import RequestContext
+from ..forwarding.stream_relay import StreamRelay
 from ..net import clock
 from ..net.server import Exchange
 from ..tokenization.desk import Verdict
@@ -31,8 +31,8 @@
 BROKEN = "the job was broken off: it may have run, and trying again is not known to be harmless"
 
 
-class ChatClient(StreamSide):
-    """One client's job over HTTP; see `case.Client`."""
+class ChatClient(StreamRelay):
+    """One client's job over HTTP; see `forwarding.request_context.Client`."""
 
     def __init__(self, exchange: Exchange, asked: Asked) -> None:
         super().__init__(exchange)
@@ -43,20 +43,20 @@
     def _tags(self) -> tuple[tuple[str, str], ...]:
         return ((chat.REQUEST_ID, self.asked.request_id),) if self.asked.request_id else ()
 
-    def text(self, content: str) -> None:
+    def send_content(self, content: str) -> None:
         if not self.asked.stream:
             self.parts.append(content)
             return
         first = self._begin(self._tags)
         self.exchange.more(event(chat.chunk(self.asked.answer_id, self.asked.name, content, first=first)))
 
-    def delivered(self, finish: str, usage: Usage) -> None:
+    def complete(self, finish: str, usage: Usage) -> None:
         if not self.asked.stream:
             self.exchange.answer(
                 200, chat.whole(self.asked, "".join(self.parts), finish, usage), headers=self._tags
             )
             return
-        self._unlink()
+        self._disconnect_backpressure()
         name, number = self.asked.name, self.asked.answer_id
         last = event(chat.chunk(number, name, finish=finish))
         if self.asked.usage:
@@ -64,13 +64,13 @@
         self.exchange.more(last + DONE)
         self.exchange.end()
 
-    def deferred(self, stay_away: float) -> None:
+    def reject(self, stay_away: float) -> None:
         wait = (("Retry-After", str(ceil(stay_away / 1000))), ("retry-after-ms", str(round(stay_away))))
         self._refused(
             503, "deferred", "the job was deferred: it has had no effect, and trying again is harmless", wait
         )
 
-    def broken_off(self, timed_out: bool) -> None:
+    def abort(self, timed_out: bool) -> None:
         self._refused(504 if timed_out else 502, "broken_off", BROKEN)
 
     def _refused(
@@ -78,7 +78,7 @@
     ) -> None:
         body = errors.error(message, "server_error", code=code)
         if self.begun:
-            self._unlink()
+            self._disconnect_backpressure()
             self.exchange.cut(event(body))
         else:
             self.exchange.answer(
@@ -134,7 +134,7 @@
             return self._no(
                 exchange, 503, "the front is stopping; try another", "server_error", "deferred", away
             )
-        if len(self.core.cases) + len(self.counting) >= self.core.settings.transport.open_requests:
+        if len(self.core.open_requests) + len(self.counting) >= self.core.settings.transport.open_requests:
             self.core.metrics.turned_away("too many open")
             return self._no(
                 exchange, 503, "the front holds as many jobs as it may", "server_error", "deferred", away
@@ -156,13 +156,13 @@
         else:
             Counting(self, self.tokens, exchange, asked, arrived).start()
 
-    def _take(self, exchange: Exchange, asked: Asked, arrived: float) -> Case:
+    def _take(self, exchange: Exchange, asked: Asked, arrived: float) -> RequestContext:
         """From here on the job is the module's."""
         if self.on_request:
             self.on_request()
         side = ChatClient(exchange, asked)
-        case = side.case = self.core.arrived(asked, side, arrived)
-        exchange.on_gone = lambda: self.core.left(case)
+        case = side.context = self.core.arrived(asked, side, arrived)
+        exchange.on_gone = lambda: self.core.client_disconnected(case)
         return case
 
 
@@ -176,7 +176,7 @@
         self.side, self.tokens, self.exchange, self.asked = side, tokens, exchange, asked
         self.arrived = arrived
         self.prompt: Prompt | None = None
-        self.case: Case | None = None
+        self.case: RequestContext | None = None
 
     def start(self) -> None:
         asked = self.asked
@@ -209,7 +209,7 @@
         if told.exact and not asked.named:
             asked.prefix, asked.prefix_tokens = told.prefix, told.prefix_tokens
         if self.case is not None:  # it went on by its bound
-            if not self.case.answered:
+            if not self.case.final_answer:
                 core.corrected(self.case)
             return
         match told.verdict:
@@ -228,7 +228,7 @@
                 )
             case Verdict.DEFER:
                 core.metrics.turned_away("counting overloaded")
-                ChatClient(self.exchange, asked).deferred(1000.0)
+                ChatClient(self.exchange, asked).reject(1000.0)
             case _:
                 self.case = self.side._take(self.exchange, asked, self.arrived)
         self._over()
--- a/worksmux/gateway/endpoint_cache.py
+++ b/worksmux/gateway/endpoint_cache.py
@@ -157,21 +157,23 @@
             LOG.warning("remembered list", note=note)
         if step.changed or scope == "cached":
             entries = [entry for belief in step.changed if (entry := self._entry(belief)) is not None]
-            self.core.listed(EndpointListUpdate(scope, entries))
+            self.core.endpoints_updated(EndpointListUpdate(scope, entries))
         for line in step.ask:
             self._probe(line)
 
     def _entry(self, belief: Belief) -> EndpointEntry | None:
         state = belief.stand.listed
         if state == "gone" and belief.line.id not in self.engine_list.keeper.known:
-            self.core.moved(self.engine_list.engine(belief.line.id), belief.line.host, belief.line.port)
+            self.core.address_changed(
+                self.engine_list.engine(belief.line.id), belief.line.host, belief.line.port
+            )
             return None  # an address to ask; the module has never heard of it
         entry: EndpointEntry | None = self.engine_list.keeper.remember(
             clock.now(), clock.wall(), belief.line, state, careful=belief.stand is Stand.LIKELY
         )
         if entry is not None:
             self.engine_list.roster.remembered([entry])
-            self.core.moved(entry.engine, belief.line.host, belief.line.port)
+            self.core.address_changed(entry.engine, belief.line.host, belief.line.port)
         return entry
 
     def _watch(self) -> None:
@@ -207,7 +209,7 @@
             self._watch()
 
         self.core.metrics.probe("remembered")
-        self.core._small(engine, "GET", calls.PROBE, b"", ended)
+        self.core.control_call(engine, "GET", calls.PROBE, b"", ended)
 
     # While it serves.
 
--- a/worksmux/gateway/engine_list.py
+++ b/worksmux/gateway/engine_list.py
@@ -180,9 +180,9 @@
         for note in told.notes:
             LOG.warning("list of engines", note=note)
         for known in told.moved:
-            self.core.moved(known.engine, known.line.host, known.line.port)
+            self.core.address_changed(known.engine, known.line.host, known.line.port)
         if told.event is not None:
-            self.core.listed(told.event)
+            self.core.endpoints_updated(told.event)
         if told.fetch:
             self.fetch()
         self.core.metrics.list_late.set(self.roster.late / 1000)
@@ -208,7 +208,7 @@
                 "engines that flapped are let in again",
                 engines=[entry.engine.id.decode() for entry in event.entries],
             )
-            self.core.listed(event)
+            self.core.endpoints_updated(event)
         if ask and self.link is not None:
             self.keeper.fetching = True
             self.fetch()
--- a/worksmux/gateway/fleet/peering.py
+++ b/worksmux/gateway/fleet/peering.py
@@ -108,7 +108,7 @@
         self.swim = peers.Swim(me, self.fleet.seeds, self.fleet.period, mix(self.seed, 3), clock.now())
         before = self.core.on_event
         self.core.on_event = self._both(before) if before else self.watcher.saw
-        self.core.before_turn, self.core.acts_on = self.check, self.acts_on
+        self.core.before_round, self.core.acts_on = self.check, self.acts_on
         self.core.on_decision = self._decided
         LOG.info(
             "fleet",
--- a/worksmux/gateway/metrics.py
+++ b/worksmux/gateway/metrics.py
@@ -201,7 +201,7 @@
     def overdue(self) -> None:
         self._overdue.inc()
 
-    def turn(self, ms: float, events: int) -> None:
+    def decision_round(self, ms: float, events: int) -> None:
         self._turn.observe(ms / 1000)
         self._events.inc(events)
 
--- a/worksmux/gateway/serve.py
+++ b/worksmux/gateway/serve.py
@@ -12,8 +12,8 @@
 from ..admission.controller import Gate, GateSettings, Share
 from ..api import chat
 from ..baselines import POLICIES
-from ..forwarding.log_setup import Writer, set_up
-from ..forwarding.process import let_out, run_reactor
+from ..forwarding.log_setup import LogWriter, set_up
+from ..forwarding.process import run_reactor, wait_until_flushed
 from ..net.loop import Reactor, listen, the_reactor
 from ..net.server import Exchange, Server
 from ..policy.id_map import Door, Maker
@@ -124,7 +124,7 @@
         self.port = self.watch_port = 0
         self.ports: list[Any] = []
         self.on_end: Callable[[], None] = lambda: None
-        self.writer: Writer | None = None
+        self.writer: LogWriter | None = None
         self.stopping = False
         self.timer: Any = None
 
@@ -155,7 +155,7 @@
         self.ports.append(port)
         if self.tokens:
             self.tokens.start()
-        self.core.tell_start()
+        self.core.start()
         if self.memory:
             self.memory.start()
             self.clients.on_request = self.memory.request_came
@@ -183,7 +183,8 @@
             common = f"; {self.peering.stands()}" if self.peering else ""
             exchange.answer(
                 200 if ready and not self.stopping else 503,
-                f"{state}; engines ready: {ready}; open jobs: {len(self.core.cases)}{common}\n".encode(),
+                f"{state}; engines ready: {ready}; "
+                f"open jobs: {len(self.core.open_requests)}{common}\n".encode(),
                 "text/plain",
             )
         elif path == "/fleet/audit" and self.peering:
@@ -212,13 +213,13 @@
         self.ports[0].stopListening()
         if self.peering:
             self.peering.leave()
-        LOG.info("stopping", open=len(self.core.cases))
+        LOG.info("stopping", open=len(self.core.open_requests))
         self.timer = self.reactor.callLater(self.settings.transport.drain_time / 1000, self._end)
         self._emptied()
 
     def _emptied(self) -> None:
         calls = self.clients.vectors.open if self.clients.vectors else None
-        if self.stopping and not self.core.cases and not self.clients.counting and not calls:
+        if self.stopping and not self.core.open_requests and not self.clients.counting and not calls:
             self.reactor.callLater(0, self._end)
 
     def _end(self) -> None:
@@ -227,14 +228,14 @@
         if self.timer.active():
             self.timer.cancel()
         self.timer = None
-        if self.core.cases:
+        if self.core.open_requests:
             LOG.error(
                 "jobs are still out at the end of the drain time; their clients see the connection close",
-                open=len(self.core.cases),
+                open=len(self.core.open_requests),
             )
         for channel in list(self.client_server.channels):
             channel.transport.loseConnection()  # once what was written is out
-        let_out(self.reactor, lambda: self.client_server.channels, self._over)
+        wait_until_flushed(self.reactor, lambda: self.client_server.channels, self._over)
 
     def _over(self) -> None:
         self.close()
--- a/worksmux/gateway/stage.py
+++ b/worksmux/gateway/stage.py
@@ -13,7 +13,7 @@
 
 from ..api import chat, errors
 from ..api import engine as calls
-from ..forwarding.decision_loop import Turns
+from ..forwarding.decision_loop import DecisionLoop
 from ..net import client, clock
 from ..policy.actions import (
     AbortRequest,
@@ -87,17 +87,17 @@
         self.over = False
 
 
-class Lane(Turns):
+class Lane(DecisionLoop):
     def __init__(self, settings: LaneSettings, core: PublishedCore, seed: int, make: Maker) -> None:
         super().__init__(Door(settings.module, seed, make), core.reactor, core.metrics)
         self.settings, self.core = settings, core
         self.works: dict[Request, Work] = {}
         self.number = 0
 
-    def _called(self) -> str:
+    def _module_name(self) -> str:
         return self.settings.call
 
-    def _break_off(self) -> None:
+    def _abort_all(self) -> None:
         for work in list(self.works.values()):
             self._final(work, deferred=False)
         if self.core.on_fault:
@@ -138,13 +138,13 @@
 
     # What the carriers tell.
 
-    def began(self, attempt: Attempt) -> None:
+    def on_first_token(self, attempt: Attempt) -> None:
         """A whole reply has no beginning of its own."""
 
-    def text(self, attempt: Attempt, content: str) -> None:
+    def on_content(self, attempt: Attempt, content: str) -> None:
         """Nor any text before its end."""
 
-    def ended(
+    def on_attempt_end(
         self, attempt: Attempt, outcome: Outcome, note: int, report: dict[str, float] | None, result: Any
     ) -> None:
         work = self.works.get(attempt.request)
@@ -169,7 +169,7 @@
 
     # Actions.
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case StartAttempt():
                 self._send(action)
@@ -184,7 +184,7 @@
             case SetTimer(after, token):
                 self.reactor.callLater(max(0.0, after) / 1000, self.tell, TimerFired(token))
             case CheckHealth(engine):
-                self.core.probe(engine, self.tell)
+                self.core.check_health(engine, self.tell)
             case WriteLog(text):
                 LOG.info("module", text=text)
             case _:
--- a/worksmux/node/attempts.py
+++ b/worksmux/node/attempts.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from ..forwarding.attempt import Carriage, Streaming
+from ..forwarding.attempt import AttemptCall, StreamingAttempt
 from ..net import client, clock
 from ..policy.state import Engine, Outcome
 from . import protocol
@@ -12,7 +12,7 @@
 TOLD_EARLY = 20.0  # milliseconds that the time told may be older than the attempt
 
 
-class AttemptCall(Carriage):
+class NodeAttempt(AttemptCall):
     """An attempt whose reply may be a refusal; `fields` are the names of the load report's figures."""
 
     fields: list[str] = []
@@ -22,7 +22,7 @@
     written_at = 0.0  # when its connection was up and its bytes were handed over
     held_back = False  # it has waited for a release
     watched = False  # it is looked at for signs of life
-    last = 0.0  # when the latest piece of its stream came
+    last_piece_at = 0.0  # of its stream
 
     def send(self, asked: protocol.Asked, time_out: float) -> client.Call:
         self.asked, self.made_at = asked, clock.now()
@@ -61,30 +61,30 @@
     def last_sign(self) -> float:
         """When its engine was last known to run: as the newest call that it answered began, or as the latest
         piece of this one's stream came."""
-        return max(self.pool.answered, self.last)
+        return max(self.pool.answered, self.last_piece_at)
 
-    def _refusal(self) -> tuple[Outcome, int]:
+    def _rejection(self) -> tuple[Outcome, int]:
         return protocol.refusal(self.status, self.headers)
 
-    def _report(self) -> dict[str, float] | None:
+    def _load_report(self) -> dict[str, float] | None:
         return protocol.load_report(self.headers.get(protocol.LOAD), self.fields)
 
 
-class PrefillAttempt(AttemptCall):
+class PrefillAttempt(NodeAttempt):
     def done(self) -> None:
         if self.status != 202:
             return super().done()
         self._end(Outcome.READ, protocol.cached_tokens(bytes(self.body)))
 
 
-class DecodeAttempt(Streaming, AttemptCall):
+class DecodeAttempt(StreamingAttempt, NodeAttempt):
     """A stream of events goes to the client as it comes; it is whole with its last chunk."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self.stream = protocol.Stream(self.bound)
+        self.stream = protocol.Stream(self.max_body_bytes)
 
-    def _stream(self, data: bytes) -> None:
+    def _on_stream_data(self, data: bytes) -> None:
         try:
             self._whole(self.stream.feed(data))
         except protocol.Spoilt as fault:
@@ -93,13 +93,13 @@
 
     def _whole(self, events: bytes) -> None:
         if events and not self.over:
-            self._pass_on(events)
+            self._relay(events)
 
-    def _stream_over(self) -> None:
-        if self.last and not self.stream.cut and self.headers.get("transfer-encoding"):
+    def _on_stream_end(self) -> None:
+        if self.last_piece_at and not self.stream.cut and self.headers.get("transfer-encoding"):
             self._end(Outcome.DELIVERED, self.stream.cached, ())
         else:
             self._end(Outcome.ERROR)
 
-    def _report(self) -> dict[str, float] | None:
-        return protocol.load_report(self.stream.report, self.fields) or super()._report()
+    def _load_report(self) -> dict[str, float] | None:
+        return protocol.load_report(self.stream.report, self.fields) or super()._load_report()
--- a/worksmux/node/clients.py
+++ b/worksmux/node/clients.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..api import errors
-from ..forwarding.stream_relay import StreamSide
+from ..forwarding.stream_relay import StreamRelay
 from ..net.server import Exchange
 from . import protocol
 from .core import NodeCore
@@ -11,27 +11,27 @@
 DEFERRED, BROKEN_OFF, TIMED_OUT = 503, 502, 504
 
 
-class StreamClient(StreamSide):
-    """One client's job; see `case.Client`."""
+class StreamClient(StreamRelay):
+    """One client's job; see `forwarding.request_context.Client`."""
 
-    def text(self, content: bytes) -> None:
+    def send_content(self, content: bytes) -> None:
         self._begin()
         self.exchange.more(content)
 
-    def delivered(self, *result: object) -> None:
-        self._unlink()
+    def complete(self, *result: object) -> None:
+        self._disconnect_backpressure()
         self.exchange.end()
 
-    def deferred(self, stay_away: float) -> None:
-        wait = (("Retry-After", f"{stay_away / 1000:.3f}"),) if stay_away else ()
+    def reject(self, retry_after_ms: float) -> None:
+        wait = (("Retry-After", f"{retry_after_ms / 1000:.3f}"),) if retry_after_ms else ()
         self._refused(DEFERRED, "deferred: it has had no effect, and trying again is harmless", wait)
 
-    def broken_off(self, timed_out: bool) -> None:
+    def abort(self, timed_out: bool) -> None:
         self._refused(TIMED_OUT if timed_out else BROKEN_OFF, "broken off: it may have run")
 
     def _refused(self, status: int, message: str, headers: tuple[tuple[str, str], ...] = ()) -> None:
         if self.begun:
-            self._unlink()
+            self._disconnect_backpressure()
             self.exchange.cut()  # without the last chunk
         else:
             self.exchange.answer(status, errors.error(message, "server_error"), headers=headers)
@@ -77,9 +77,9 @@
         side = StreamClient(exchange)
         if self.core.failed:  # the module has: nothing would decide on it
             self.core.metrics.turned_away("module failed")
-            return side.deferred(0.0)
-        if len(self.core.cases) >= self.core.share.requests:
+            return side.reject(0.0)
+        if len(self.core.open_requests) >= self.core.share.requests:
             self.core.metrics.turned_away("too many open")
-            return side.deferred(0.0)
-        case = side.case = self.core.arrived(asked, side, exchange.came())
-        exchange.on_gone = lambda: self.core.left(case)
+            return side.reject(0.0)
+        context = side.context = self.core.arrived(asked, side, exchange.came())
+        exchange.on_gone = lambda: self.core.client_disconnected(context)
--- a/worksmux/node/core.py
+++ b/worksmux/node/core.py
@@ -4,15 +4,15 @@
 
 from collections import deque
 
-from ..forwarding.request_context import Case, Client
-from ..forwarding.request_lifecycle import Core
+from ..forwarding.request_context import Client, FinalAnswer, RequestContext
+from ..forwarding.request_lifecycle import RequestLifecycle
 from ..net import client, clock
 from ..net.loop import Reactor
 from ..net.time_out import TimeOut
 from ..policy.id_map import Door
 from ..policy.state import Attempt, Engine, Outcome, Request
 from . import protocol
-from .attempts import AttemptCall, DecodeAttempt, PrefillAttempt
+from .attempts import DecodeAttempt, NodeAttempt, PrefillAttempt
 from .counters import NodeCounts
 from .kv_claims import HeldState
 from .kv_release import Release, Releases
@@ -38,7 +38,7 @@
 NOT_SEEN = frozenset({Outcome.CANCELLED, Outcome.TIMED_OUT, Outcome.RESET})
 
 
-class NodeCore(Core):
+class NodeCore(RequestLifecycle):
     metrics: NodeCounts
 
     def __init__(
@@ -48,23 +48,23 @@
         self.request_classes = request_classes
         self.share = share
         self.connect_time_out = float(door.settings["connect_time_out"]) or CONNECTING
-        self.keys: dict[str, Case] = {}  # of the jobs that are open
+        self.keys: dict[str, RequestContext] = {}  # of the jobs that are open
         self.contacts = Contacts(int(door.settings["zone"]))
         self.releases = Releases(
-            reactor, self._small, self.contacts.other, float(door.settings["release_within"]) or SECOND
+            reactor, self.control_call, self.contacts.other, float(door.settings["release_within"]) or SECOND
         )
         self.doubts = DoubtWatch(
             reactor, self.releases, self._seek_sign if door.settings["may_probe"] else None
         )
         self.held: dict[Request, HeldState] = {}  # what engines may hold for the jobs that are open
         self.read_times: deque[tuple[float, float]] = deque(maxlen=READS)  # tokens, milliseconds
-        self._letting_go: list[Case] = []
+        self._letting_go: list[RequestContext] = []
 
-    def arrived(self, asked: protocol.Asked, client_side: Client, arrived: float) -> Case:
+    def arrived(self, asked: protocol.Asked, client_side: Client, arrived: float) -> RequestContext:
         """A job that came at `arrived` is told to the module; from here on it is owed one answer."""
-        self.number += 1
+        self.last_request_id += 1
         request = Request(
-            self.number,
+            self.last_request_id,
             asked.request_class,
             asked.session,
             asked.prefix,
@@ -76,73 +76,78 @@
             repeat=asked.repeat,
             resumed=asked.resumed,
         )
-        case = Case(request, asked, client_side, asked.key, self.request_classes[asked.request_class])
-        self.keys[case.key] = case
-        self.held[request] = self.releases.held(case.key)
-        return self._take(case)
+        context = RequestContext(
+            request, asked, client_side, asked.key, self.request_classes[asked.request_class]
+        )
+        self.keys[context.key] = context
+        self.held[request] = self.releases.held(context.key)
+        return self._accept(context)
 
-    def _close(self, case: Case) -> None:
+    def _close(self, context: RequestContext) -> None:
         """Guards against a node that ends with its last job before what is held for that is released: the
         release begins first."""
-        if not case.out and case.request in self.cases:
-            self._let_all_go(case)  # what a broken read may have left, and nobody took
-            del self.keys[case.key], self.held[case.request]
-        super()._close(case)
+        if not context.in_flight and context.request in self.open_requests:
+            self._let_all_go(context)  # what a broken read may have left, and nobody took
+            del self.keys[context.key], self.held[context.request]
+        super()._close(context)
 
-    def _final(self, request: Request, how: str, stay_away: float = 0.0) -> None:
+    def _answer_for_policy(self, request: Request, answer: FinalAnswer, retry_after_ms: float = 0.0) -> None:
         """Guards against a deferral that overtakes the end of a trip: until the engine has seen its
         connection close, the job is still out there, and to ask again is not known to be harmless."""
-        case = self.cases.get(request)
+        context = self.open_requests.get(request)
         if (
-            case is not None
-            and how == "deferred"
-            and not case.answered
+            context is not None
+            and answer is FinalAnswer.REJECTED
+            and not context.final_answer
             and (self.module_settings["offerings"][request.request_class]["effect"] != "redoable")
         ):
-            left = SETTLING if case.out else case.called_off + SETTLING - clock.now()
+            left = SETTLING if context.in_flight else context.last_cancelled_at + SETTLING - clock.now()
             if left > 0:
-                if case.guard.active():  # it is decided
-                    case.guard.cancel()
-                self.reactor.callLater(left / 1000, super()._final, request, how, stay_away)
+                context.stop_deadline_timer()  # it is decided
+                self.reactor.callLater(
+                    left / 1000, super()._answer_for_policy, request, answer, retry_after_ms
+                )
                 return
-        super()._final(request, how, stay_away)
+        super()._answer_for_policy(request, answer, retry_after_ms)
 
-    def _turned(self) -> None:
-        super()._turned()
+    def _after_round(self) -> None:
+        super()._after_round()
         due, self._letting_go = self._letting_go, []
-        for case in due:
-            self._let_all_go(case)
+        for context in due:
+            self._let_all_go(context)
 
-    def _let_all_go(self, case: Case) -> None:
+    def _let_all_go(self, context: RequestContext) -> None:
         """Nothing is to be kept for a next attempt; what is out now has it until its end."""
-        held = self.held.get(case.request)
-        if held is None or any(attempt_call.call.up for attempt_call in case.out.values()):
+        held = self.held.get(context.request)
+        if held is None or any(attempt_call.call.up for attempt_call in context.in_flight.values()):
             return
         if not held.claims:
             return self.releases.drop_if_over(held)
         self.releases.start(held)
         self.metrics.release()
 
-    def _arrives(self, case: Case, attempt_call: AttemptCall) -> None:
+    def _arrives(self, context: RequestContext, attempt_call: NodeAttempt) -> None:
         """An attempt is about to be written: nothing may be let go from under it."""
-        held = self.held[case.request]
+        held = self.held[context.request]
         self.releases.rest(held)
         attempt_call.written_at = clock.now()
-        self._watch(case, attempt_call)
+        self._watch(context, attempt_call)
 
-    def _watch(self, case: Case, attempt_call: AttemptCall) -> None:
+    def _watch(self, context: RequestContext, attempt_call: NodeAttempt) -> None:
         """Looks at an attempt where something may be held for its request beside it."""
-        held = self.held[case.request]
+        held = self.held[context.request]
         if held.claims and not attempt_call.watched:
             attempt_call.watched = True
-            self.doubts.watch(held, attempt_call, lambda: self._let_all_go(case))
+            self.doubts.watch(held, attempt_call, lambda: self._let_all_go(context))
 
     def _seek_sign(self, engine: Engine) -> None:
         """Probes an engine for a sign of life, of which the module is told nothing."""
-        self.probe(engine, lambda _: None)
+        self.check_health(engine, lambda _: None)
 
-    def _may_hold(self, case: Case, attempt: Attempt, outcome: Outcome, attempt_call: AttemptCall) -> None:
-        held = self.held[case.request]
+    def _record_kv_cache(
+        self, context: RequestContext, attempt: Attempt, outcome: Outcome, attempt_call: NodeAttempt
+    ) -> None:
+        held = self.held[context.request]
         if attempt_call is None or outcome in (Outcome.UNREACHABLE, Outcome.MOOT):
             return  # it never arrived: the time to let go runs on
         now = clock.now()
@@ -150,15 +155,15 @@
         unseen = outcome in NOT_SEEN and not attempt.began
         held.outcome(now, not unseen or attempt_call.pool.answered >= attempt_call.written_at)
         if outcome is Outcome.READ:
-            self.read_times.append((case.request.prompt, now - attempt_call.written_at))
+            self.read_times.append((context.request.prompt, now - attempt_call.written_at))
         if unseen:
-            held.ended_unseen(attempt.engine, now, self._work_left(case, attempt_call, now))
+            held.ended_unseen(attempt.engine, now, self._work_left(context, attempt_call, now))
         elif attempt.reading and outcome is not Outcome.FULL:
             held.read(attempt.engine, now)
-        for other in case.out.values():  # this one is no longer among them
-            self._watch(case, other)
+        for other in context.in_flight.values():  # this one is no longer among them
+            self._watch(context, other)
 
-    def _work_left(self, case: Case, attempt_call: AttemptCall, now: float) -> float:
+    def _work_left(self, context: RequestContext, attempt_call: NodeAttempt, now: float) -> float:
         """How long an engine that runs may go on with a read that was given up: at least for what is left of
         the time that it was told.  One that was silent may begin only when it runs again: by the slowest of
         the latest reads, or for all of the time told, where none was as long.  What waits for state ends at
@@ -168,48 +173,50 @@
         ends = attempt_call.expires + ENGINE_LATE
         longest = max((time for _, time in self.read_times), default=0.0)
         most = max((tokens for tokens, _ in self.read_times), default=0.0)
-        unknown = case.request.prompt > most or now - attempt_call.written_at > longest
+        unknown = context.request.prompt > most or now - attempt_call.written_at > longest
         takes = ends - attempt_call.written_at if unknown else SLOWER * longest
         return max(self.releases.within, ends - now, takes)
 
-    def _release(self, request: Request) -> None:
-        case = self.cases.get(request)
-        if case is not None:
-            self._letting_go.append(case)  # after the turn: a trip may be sent in the same one
+    def _release_kv_cache(self, request: Request) -> None:
+        context = self.open_requests.get(request)
+        if context is not None:
+            self._letting_go.append(context)  # after the turn: a trip may be sent in the same one
 
-    def _taken(self, case: Case) -> None:
+    def _on_answer_begun(self, context: RequestContext) -> None:
         """The state went with the trip; what earlier reads may have left is let go at the end."""
-        if case.request.holder is not None:
-            self.held[case.request].taken(case.request.holder)
+        if context.request.holder is not None:
+            self.held[context.request].taken(context.request.holder)
 
     # Attempts.
 
-    def _carry(self, case: Case, attempt: Attempt, pool: client.Pool, time_out: float) -> AttemptCall:
+    def _open_attempt(
+        self, context: RequestContext, attempt: Attempt, pool: client.Pool, time_out: float
+    ) -> NodeAttempt:
         make = PrefillAttempt if attempt.reading else DecodeAttempt
         attempt_call = make(self.reactor, pool, attempt, self, time_out, SILENCE, BODY)
         attempt_call.fields = self.module_settings["report_fields"]
-        call = attempt_call.send(case.asked, time_out)
+        call = attempt_call.send(context.client_request, time_out)
         if call.up:
-            self._arrives(case, attempt_call)
+            self._arrives(context, attempt_call)
         else:
-            call.on_up = lambda: self._came_up(case, attempt_call)
-            self._watch(case, attempt_call)
+            call.on_up = lambda: self._came_up(context, attempt_call)
+            self._watch(context, attempt_call)
         return attempt_call
 
-    def _came_up(self, case: Case, attempt_call: AttemptCall) -> None:
+    def _came_up(self, context: RequestContext, attempt_call: NodeAttempt) -> None:
         """Guards against a trip that is written late, as its connection took time: its client may have left,
         its job been answered, its engine begun to drain.  It was never sent then."""
-        if not case.answered and case.client.gone():
-            self.left(case)
-        if case.answered or attempt_call.attempt.engine.state != "ready":
+        if not context.final_answer and context.client.is_disconnected():
+            self.client_disconnected(context)
+        if context.final_answer or attempt_call.attempt.engine.state != "ready":
             return attempt_call.withdraw()
-        release = self.releases.seeking(self.held[case.request])
+        release = self.releases.seeking(self.held[context.request])
         if release is not None and not attempt_call.held_back:
-            return self._hold_back(case, attempt_call, release)
+            return self._hold_back(context, attempt_call, release)
         attempt_call.came_up()
-        self._arrives(case, attempt_call)
+        self._arrives(context, attempt_call)
 
-    def _hold_back(self, case: Case, attempt_call: AttemptCall, release: Release) -> None:
+    def _hold_back(self, context: RequestContext, attempt_call: NodeAttempt, release: Release) -> None:
         """Guards against an attempt that puts a release off, or is harmed by it: an engine hears the release
         first, or has had the time of some steps to do so."""
         assert attempt_call.call is not None
@@ -220,7 +227,7 @@
                 timer.cancel()
             release.on_heard = None
             if not attempt_call.over:
-                self._came_up(case, attempt_call)
+                self._came_up(context, attempt_call)
                 attempt_call.go()
 
         timer = TimeOut(self.reactor, HELD_BACK_STEPS * self.releases.step / 1000, go)
@@ -228,13 +235,13 @@
 
     # Small calls.
 
-    def _small_bounds(self) -> tuple[float, int, client.Headers]:
+    def _control_call_limits(self) -> tuple[float, int, client.Headers]:
         return self.connect_time_out, BODY, ()
 
-    def _probe_path(self) -> str:
+    def _health_check_path(self) -> str:
         return protocol.ALIVE if self.module_settings["reports"] == "off" else protocol.LOAD_PATH
 
-    def _probed(
+    def _health_check_result(
         self, status: int, headers: dict[str, str], reply: bytes
     ) -> tuple[Outcome, dict[str, float] | None]:
         if status != 200:
@@ -242,17 +249,17 @@
         text = headers.get(protocol.LOAD) or reply[:1000].decode("latin-1")
         return Outcome.DELIVERED, protocol.load_report(text, self.module_settings["report_fields"])
 
-    def _hold(self, request: Request, engine: Engine) -> None:
+    def _reserve_slot(self, request: Request, engine: Engine) -> None:
         raise LookupError("the platform's protocol has no places held ahead")
 
     # The engines.
 
-    def moved(self, engine: Engine, host: str, port: int) -> None:
-        super().moved(engine, host, port)
+    def address_changed(self, engine: Engine, host: str, port: int) -> None:
+        super().address_changed(engine, host, port)
         self.contacts.listed(engine)
         self.pools[engine].on_heard = lambda: self.contacts.heard(engine)
 
-    def _pool(self, host: str, port: int) -> client.Pool:
+    def _new_pool(self, host: str, port: int) -> client.Pool:
         return client.Pool(self.reactor, host, port, self.connect_time_out, 0.0, MOST_IDLE, HEAD, BODY, HOST)
 
     def forget_gone(self) -> list[Engine]:
--- a/worksmux/node/counters.py
+++ b/worksmux/node/counters.py
@@ -34,7 +34,7 @@
     def overdue(self) -> None:
         self.sums["overdue"] += 1
 
-    def turn(self, ms: float, events: int) -> None:
+    def decision_round(self, ms: float, events: int) -> None:
         self.sums["turns"] += 1
 
     def turned_away(self, why: str) -> None:
--- a/worksmux/node/discovery.py
+++ b/worksmux/node/discovery.py
@@ -269,8 +269,8 @@
             leaving=[line.id for line in lines.engines if line.state != "ready"],
         )
         for known in made.moved:
-            self.core.moved(known.engine, known.line.host, known.line.port)
+            self.core.address_changed(known.engine, known.line.host, known.line.port)
         if made.event is not None:
             if scope:
                 made.event.scope = scope
-            self.core.listed(made.event)
+            self.core.endpoints_updated(made.event)
--- a/worksmux/node/serve.py
+++ b/worksmux/node/serve.py
@@ -13,7 +13,7 @@
 import structlog
 
 from ..forwarding.log_setup import set_up
-from ..forwarding.process import FLUSH, let_out, run_reactor
+from ..forwarding.process import FLUSH_TIMEOUT_MS, run_reactor, wait_until_flushed
 from ..net import clock
 from ..net.lateness import Lateness
 from ..net.loop import Reactor, listen, the_reactor
@@ -142,7 +142,7 @@
         if self.stopping:
             return
         self.stopping, self.clients.ready = True, False
-        LOG.info("stopping", open=len(self.core.cases))
+        LOG.info("stopping", open=len(self.core.open_requests))
         self.server.close_idle(unused_too=False)
         TimeOut(self.reactor, ACCEPTING / 1000, self._accepted, LAST_TURNS)
 
@@ -155,14 +155,14 @@
         self._emptied()
 
     def _emptied(self) -> None:
-        if self.stopping and not self.accepting and not self.core.cases and not self.ended:
+        if self.stopping and not self.accepting and not self.core.open_requests and not self.ended:
             self.ended = True
-            flushed = clock.now() + FLUSH
+            flushed = clock.now() + FLUSH_TIMEOUT_MS
 
             def waiting() -> bool:
                 return self.core.releases.open or bool(self.server.channels) and clock.now() < flushed
 
-            let_out(self.reactor, waiting, self._over, LONGEST_SILENCE)
+            wait_until_flushed(self.reactor, waiting, self._over, LONGEST_SILENCE)
 
     def _over(self) -> None:
         self.close()
