--- a/tests/node_rig.py
+++ b/tests/node_rig.py
@@ -240,7 +240,7 @@
 
     def idle(self) -> None:
         """Until no job is open and nothing is left to be released."""
-        self.until(lambda: not self.node.core.open_requests and not self.node.core.releases.running)
+        self.until(lambda: not self.node.core.open_requests and not self.node.core.releaser.running)
 
 
 def hold_connections(rig: Rig, engine: Engine) -> list[Callable[[], Any]]:
--- a/tests/test_cost_by_fleet_size.py
+++ b/tests/test_cost_by_fleet_size.py
@@ -20,7 +20,7 @@
 
 from worksmux.node import discovery
 from worksmux.node.endpoint_list import HostList
-from worksmux.node.release_targets import Contacts
+from worksmux.node.release_targets import ReleaseTargets
 from worksmux.policy.actions import Action, CancelAttempt, CheckHealth, SetTimer, StartAttempt
 from worksmux.policy.events import (
     AttemptEnded,
@@ -173,14 +173,14 @@
 
 def search_cost(engines: int) -> int:
     """Of the search for an engine that may hear a release, where those heard last are known and in vain."""
-    contacts = Contacts(here=0)
+    targets = ReleaseTargets(own_zone=0)
     listed = [Engine(b"%d" % at, at, zone=1 + at % 2, state="ready") for at in range(engines)]
     for engine in listed:
-        contacts.listed(engine)
+        targets.add(engine)
     for engine in listed[:9]:
-        contacts.heard(engine)
+        targets.mark_responsive(engine)
     meter = Meter()
-    assert meter.run(lambda: contacts.other(set(listed[:9]))) is not None
+    assert meter.run(lambda: targets.choose(set(listed[:9]))) is not None
     return meter.count
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -143,7 +143,7 @@
     assert got[9:12] == b"200" and got.count(b"[DONE]") == 1 and got.endswith(LAST)
     client.close()
     scene.rig.until(lambda: scene.ended)
-    assert scene.effects() == 1 and not scene.rig.node.core.releases.owed
+    assert scene.effects() == 1 and not scene.rig.node.core.releaser.is_due
 
 
 @pytest.mark.parametrize("point", POINTS[1:5])
@@ -225,7 +225,7 @@
 
     def over() -> bool:
         scene.all_up()
-        return not scene.rig.node.core.open_requests and not scene.rig.node.core.releases.running
+        return not scene.rig.node.core.open_requests and not scene.rig.node.core.releaser.running
 
     scene.rig.until(over)
     later = [request for engine in scene.rig.engines for request in engine.asked if request not in sent]
@@ -379,7 +379,7 @@
 
 
 def test_stream_that_stalls_ends_its_client_without_the_last_chunk(scene: Scene, monkeypatch: Any) -> None:
-    monkeypatch.setattr(core, "SILENCE", 60.0)
+    monkeypatch.setattr(core, "MAX_STREAM_GAP_MS", 60.0)
     client = scene.to("streaming")
     got = scene.read_all(client)
     assert EVENTS[0] in got and not got.endswith(LAST)
@@ -461,4 +461,4 @@
         return b"DELETE" in scene.reader.verbs() + scene.writer.verbs()
 
     scene.rig.until(heard)
-    scene.rig.until(lambda: scene.all_up() or not scene.rig.node.core.releases.running)
+    scene.rig.until(lambda: scene.all_up() or not scene.rig.node.core.releaser.running)
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -18,8 +18,8 @@
 from test_floods import small_fleet
 
 from worksmux.net.lateness import Lateness
-from worksmux.node.kv_claims import Claim, HeldState
-from worksmux.node.kv_release import Releases
+from worksmux.node.kv_claims import KvClaim, KvClaims
+from worksmux.node.kv_releaser import KvReleaser
 
 SEEDS, CHUNKS = 320, 8
 LARGE_SEEDS, TIMES = range(401, 411), 100  # 500 to 2,000 engines each
@@ -107,10 +107,10 @@
 
 
 PLANTED: dict[str, tuple[Any, str, Any, int]] = {
-    "a claim is dropped": (HeldState, "ended_unseen", lambda *_: None, 4),
-    "a release ends one answer early": (Claim, "answered", lambda *_: True, 4),
-    "no release beside an attempt in doubt": (Releases, "start_beside", lambda *_: None, 8),
-    "an attempt does not wait for a release": (Releases, "seeking", lambda *_: None, 1774),
+    "a claim is dropped": (KvClaims, "add_possible", lambda *_: None, 4),
+    "a release ends one answer early": (KvClaim, "is_settled_by", lambda *_: True, 4),
+    "no release beside an attempt in doubt": (KvReleaser, "start_beside", lambda *_: None, 8),
+    "an attempt does not wait for a release": (KvReleaser, "unacknowledged", lambda *_: None, 1774),
 }
 
 
@@ -129,22 +129,22 @@
 
 
 def test_exit_too_soon_is_found(monkeypatch: Any) -> None:
-    monkeypatch.setattr(Releases, "open", property(lambda _: False))
+    monkeypatch.setattr(KvReleaser, "has_claims", property(lambda _: False))
     with pytest.raises(AssertionError):
         test_process_that_ends_stays_until_nothing_can_appear_any_more()
 
 
 def test_clock_that_starts_anew_is_found(monkeypatch: Any) -> None:
     """Where attempts one after the other do not arrive, and each starts the time again."""
-    begun: Any = HeldState.outcome
-    monkeypatch.setattr(HeldState, "outcome", lambda self, now, arrived: begun(self, now, True))
-    monkeypatch.setattr(Releases, "start_beside", lambda *_: None)
+    begun: Any = KvClaims.attempt_ended
+    monkeypatch.setattr(KvClaims, "attempt_ended", lambda self, now, arrived: begun(self, now, True))
+    monkeypatch.setattr(KvReleaser, "start_beside", lambda *_: None)
     with pytest.raises(AssertionError):
         test_state_that_waits_for_an_attempt_at_a_hung_engine_is_let_go()
 
 
 def test_schedule_is_shrunk_to_what_breaks_the_rule(monkeypatch: Any) -> None:
-    monkeypatch.setattr(HeldState, "ended_unseen", lambda *_: None)
+    monkeypatch.setattr(KvClaims, "add_possible", lambda *_: None)
     small = shrink(draw(4))
     assert len(small.requests) <= 2 and any(one.rule is Rule.PINNED for one in play(small).violations)
 
--- a/tests/test_held_sockets.py
+++ b/tests/test_held_sockets.py
@@ -13,7 +13,7 @@
 from node_rig import ANSWER, NO_CONTENT, READ, Engine, Peer, Rig, ask
 
 from worksmux.node import serve
-from worksmux.node.kv_claims import LONGEST_SILENCE
+from worksmux.node.kv_claims import MAX_SILENCE_MS
 
 WITHIN = 500.0  # milliseconds, as in the rig's settings
 GENEROUS = (
@@ -139,14 +139,14 @@
         rig.until(lambda until=until: monotonic() >= until)
     ended: list[bool] = []
     rig.node.on_end = lambda: ended.append(True)
-    releases = rig.node.core.releases
+    releaser = rig.node.core.releaser
     if seed % 2:
         rig.node.stop()
-    rig.until(lambda: not rig.node.core.open_requests and not releases.owed)
+    rig.until(lambda: not rig.node.core.open_requests and not releaser.is_due)
     # What may still appear is ruled out by answers of engines that lose three in ten of them, with pauses
     # that grow: the program's own bound holds for that.
-    settled = (lambda: ended) if seed % 2 else (lambda: not releases.running)
-    rig.until(settled, seconds=1.2 * LONGEST_SILENCE / 1000)
+    settled = (lambda: ended) if seed % 2 else (lambda: not releaser.running)
+    rig.until(settled, seconds=1.2 * MAX_SILENCE_MS / 1000)
     rig.until(lambda: not any(record.states for record in ledger.records.values()), seconds=GENEROUS)
     ledger.finish()
     assert not [one for one in ledger.violations if one.rule is Rule.PINNED]
--- a/tests/test_in_doubt.py
+++ b/tests/test_in_doubt.py
@@ -11,12 +11,12 @@
 from worksmux.net import clock
 from worksmux.node import kv_release as releases
 from worksmux.node import unresponsive_attempts as module
-from worksmux.node.kv_claims import HeldState
-from worksmux.node.unresponsive_attempts import DoubtWatch
+from worksmux.node.kv_claims import KvClaims
+from worksmux.node.unresponsive_attempts import UnresponsiveAttemptMonitor
 from worksmux.policy.state import Engine
 
 WITHIN = 400.0
-STEP = WITHIN / releases.STEPS
+STEP = WITHIN / releases.STEPS_PER_TIME_LIMIT
 START = 1000.0
 EARLIER, ENGINE = Engine(b"earlier", 1), Engine(b"engine", 2)
 
@@ -25,7 +25,7 @@
 class Attempt:
     reading: bool
     written_at: float
-    last_sign: float = 0.0
+    engine_responsive_at: float = 0.0
     over: bool = False
     engine: Engine = field(default_factory=lambda: ENGINE)
 
@@ -37,21 +37,21 @@
         self.clock = task.Clock()
         monkeypatch.setattr(clock, "now", lambda: self.clock.seconds() * 1000)
         self.clock.advance(START / 1000)
-        self.within, self.step = WITHIN, STEP
+        self.time_limit_ms, self.step_ms = WITHIN, STEP
         self.released: list[float] = []
         self.probed: list[float] = []
-        self.let_go_at: list[float] = []
-        self.held = HeldState("a1")
+        self.released_without_connection: list[float] = []
+        self.claims = KvClaims("a1")
         self.attempt = Attempt(reading, START)
         probe = (lambda engine: self.probed.append(clock.now())) if may_probe else None
-        self.watch = DoubtWatch(self.clock, self, probe)  # type: ignore[arg-type]
+        self.monitor = UnresponsiveAttemptMonitor(self.clock, self, probe)  # type: ignore[arg-type]
 
-    def start_beside(self, held: HeldState) -> None:
-        assert held is self.held
+    def start_beside(self, claims: KvClaims) -> None:
+        assert claims is self.claims
         self.released.append(clock.now())
 
-    def let_go(self) -> None:
-        self.let_go_at.append(clock.now())
+    def release(self) -> None:
+        self.released_without_connection.append(clock.now())
 
     def run(self, ms: float) -> None:
         for _ in range(round(ms)):
@@ -59,19 +59,19 @@
 
     def answered(self) -> None:
         """Its engine answers something that began just now."""
-        self.attempt.last_sign = clock.now()
+        self.attempt.engine_responsive_at = clock.now()
 
 
 def held_before(script: Script, ms: float) -> None:
     """KV cache is held since `ms` before the attempt was written."""
-    script.held.read(EARLIER, START - ms)
+    script.claims.add_held(EARLIER, START - ms)
 
 
 def may_appear(script: Script) -> None:
     """An earlier prefill may still leave KV cache; a release was heard as the attempt was written."""
-    script.held.ended_unseen(EARLIER, START - 10, 1000.0)
-    script.held.heard(ENGINE, START - 5, START)
-    assert not script.held.owed
+    script.claims.add_possible(EARLIER, START - 10, 1000.0)
+    script.claims.release_acknowledged(ENGINE, START - 5, START)
+    assert not script.claims.is_due
 
 
 def near(times: list[float], wanted: list[float]) -> bool:
@@ -81,8 +81,8 @@
 def test_decode_attempt_in_doubt_has_a_release_beside_it_by_the_first_clock(monkeypatch: Any) -> None:
     script = Script(monkeypatch, reading=False)
     held_before(script, 100.0)
-    script.watch.watch(script.held, script.attempt, script.let_go)
-    due = START - 100.0 + module.QUIET * WITHIN
+    script.monitor.watch(script.claims, script.attempt, script.release)
+    due = START - 100.0 + module.SILENT_FRACTION * WITHIN
     script.run(WITHIN)
     assert near(script.released, [due])
     script.run(2 * WITHIN)
@@ -92,22 +92,22 @@
 def test_decode_attempt_whose_engine_gives_signs_of_life_is_left_alone(monkeypatch: Any) -> None:
     script = Script(monkeypatch, reading=False)
     held_before(script, 0.0)
-    script.watch.watch(script.held, script.attempt, script.let_go)
+    script.monitor.watch(script.claims, script.attempt, script.release)
     for _ in range(10):
         script.run(0.4 * WITHIN)
         script.answered()
     assert not script.released
     script.run(WITHIN)  # its machine vanishes, after the attempt has arrived
-    assert near(script.released[:1], [script.attempt.last_sign + module.QUIET * WITHIN])
+    assert near(script.released[:1], [script.attempt.engine_responsive_at + module.SILENT_FRACTION * WITHIN])
 
 
 def test_stream_that_falls_silent_has_a_release_beside_it_for_what_may_still_appear(monkeypatch: Any) -> None:
     """Guards against state of an earlier prefill that appears while the stream's machine is gone."""
     script = Script(monkeypatch, reading=False)
     may_appear(script)
-    script.watch.watch(script.held, script.attempt, script.let_go)
+    script.monitor.watch(script.claims, script.attempt, script.release)
     script.answered()
-    script.run(module.QUIET * WITHIN + STEP)
+    script.run(module.SILENT_FRACTION * WITHIN + STEP)
     assert len(script.released) == 1
 
 
@@ -115,7 +115,7 @@
     monkeypatch: Any,
 ) -> None:
     script = Script(monkeypatch, reading=False)
-    script.watch.watch(script.held, script.attempt, script.let_go)
+    script.monitor.watch(script.claims, script.attempt, script.release)
     script.run(3 * WITHIN)
     assert not script.released  # no claims
     held_before(script, 0.0)
@@ -130,10 +130,10 @@
 ) -> None:
     script = Script(monkeypatch, reading=True)
     claims(script)
-    script.watch.watch(script.held, script.attempt, script.let_go)
-    script.run(module.QUIET * WITHIN + 2)
+    script.monitor.watch(script.claims, script.attempt, script.release)
+    script.run(module.SILENT_FRACTION * WITHIN + 2)
     assert len(script.probed) == 1 and not script.released
-    script.run(module.PROBE_STEPS * STEP + 2)
+    script.run(module.HEALTH_CHECK_STEPS * STEP + 2)
     assert len(script.released) == 1 and script.released[0] < START + WITHIN
 
 
@@ -141,8 +141,8 @@
     """Guards against long prefills that lose what they bring, again and again."""
     script = Script(monkeypatch, reading=True)
     may_appear(script)
-    script.watch.watch(script.held, script.attempt, script.let_go)
-    script.run(module.QUIET * WITHIN + 2)
+    script.monitor.watch(script.claims, script.attempt, script.release)
+    script.run(module.SILENT_FRACTION * WITHIN + 2)
     script.answered()  # the probe
     script.run(10 * WITHIN)
     assert len(script.probed) == 1 and not script.released
@@ -158,7 +158,7 @@
         held_before(script, 0.0)
     else:
         may_appear(script)
-    script.watch.watch(script.held, script.attempt, script.let_go)
+    script.monitor.watch(script.claims, script.attempt, script.release)
     script.run(4 * WITHIN)
     assert len(script.released) == (4 if owed else 1) and not script.probed
     assert script.released[0] < START + WITHIN
@@ -172,22 +172,25 @@
     script = Script(monkeypatch, reading)
     held_before(script, 100.0)
     script.attempt.written_at = 0.0
-    script.watch.watch(script.held, script.attempt, script.let_go)
-    script.run(module.QUIET * WITHIN)
-    assert near(script.let_go_at, [START - 100.0 + module.QUIET * WITHIN]) and not script.released
+    script.monitor.watch(script.claims, script.attempt, script.release)
+    script.run(module.SILENT_FRACTION * WITHIN)
+    assert (
+        near(script.released_without_connection, [START - 100.0 + module.SILENT_FRACTION * WITHIN])
+        and not script.released
+    )
     script.attempt.over = True
     script.run(2 * WITHIN)
-    assert len(script.let_go_at) == 1
+    assert len(script.released_without_connection) == 1
 
 
 def test_connection_that_comes_up_in_time_keeps_what_its_attempt_is_sent_for(monkeypatch: Any) -> None:
     script = Script(monkeypatch, reading=False)
     held_before(script, 0.0)
     script.attempt.written_at = 0.0
-    script.watch.watch(script.held, script.attempt, script.let_go)
+    script.monitor.watch(script.claims, script.attempt, script.release)
     script.run(0.5 * WITHIN)
     script.attempt.written_at = clock.now()
     for _ in range(5):
         script.answered()
         script.run(0.5 * WITHIN)
-    assert not script.let_go_at and not script.released
+    assert not script.released_without_connection and not script.released
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -383,13 +383,13 @@
         Engine(b"%d" % zone, at, zone=zone, state="ready") for at, zone in enumerate((1, 1, 2, 0))
     ]
     for engine in list(core.pools):
-        core.contacts.forget(engine)
+        core.release_targets.remove(engine)
     for engine in (first, rest[2], rest[1], rest[0]):  # the one in its own zone longest ago
         core.address_changed(engine, "127.0.0.1", 1)
         core.pools[engine].on_heard()
     asked = {first}
     for expected in (rest[2], rest[1], rest[0]):
-        assert core.contacts.other(asked) is expected
+        assert core.release_targets.choose(asked) is expected
         asked.add(expected)
 
 
--- a/tests/test_node_ends.py
+++ b/tests/test_node_ends.py
@@ -66,7 +66,7 @@
     (case,) = rig.node.core.open_requests.values()
     (carrier,) = case.in_flight.values()
     client.close()
-    rig.node.core._came_up(case, carrier)
+    rig.node.core._on_connected(case, carrier)
     assert case.final_answer == "left" and carrier.over and carrier.attempt not in case.in_flight
 
 
@@ -156,9 +156,9 @@
     rig.start()
     assert rig.answered(rig.client(ask(left="1500"))) == b"503"
     rig.until(lambda: other.verbs().count(b"DELETE") >= 2)
-    assert rig.node.core.releases.running and not rig.node.core.releases.owed
+    assert rig.node.core.releaser.running and not rig.node.core.releaser.is_due
     hung.release_answer = NO_CONTENT
-    rig.until(lambda: not rig.node.core.releases.running)
+    rig.until(lambda: not rig.node.core.releaser.running)
 
 
 def test_attempt_waits_for_a_release_some_steps_and_nothing_is_let_go_from_under_it() -> None:
@@ -253,9 +253,9 @@
             while queue:
                 queue.pop()()
 
-    end = monotonic() + 3 * rig.node.core.releases.step / 1000
+    end = monotonic() + 3 * rig.node.core.releaser.step_ms / 1000
     rig.until(lambda: all_come_up() or monotonic() > end)
-    assert releases_heard(rig) == released and rig.node.core.releases.owed
+    assert releases_heard(rig) == released and rig.node.core.releaser.is_due
     client.close()
     rig.until(lambda: all_come_up() or releases_heard(rig) > released)  # and goes on once that is over
 
--- a/worksmux/node/attempts.py
+++ b/worksmux/node/attempts.py
@@ -1,4 +1,4 @@
-"""Carries attempts by the platform's protocol; `docs/node.md` has the table of outcomes."""
+"""Attempts by the platform's protocol; `docs/node.md` has the table of outcomes."""
 
 from __future__ import annotations
 
@@ -9,76 +9,87 @@
 from ..policy.state import Engine, Outcome
 from . import protocol
 
-TOLD_EARLY = 20.0  # milliseconds that the time told may be older than the attempt
+MAX_HEAD_AGE_MS = 20.0  # an older head is written again, as the time left in it is too long
 
 
 class NodeAttempt(AttemptCall):
-    """An attempt whose reply may be a refusal; `fields` are the names of the load report's figures."""
+    """An attempt whose reply may be a rejection. Times are milliseconds of the clock."""
 
-    fields: list[str] = []
-    asked: protocol.Asked
-    made_at = 0.0  # when its head was written
-    expires = 0.0  # when the time told to its engine is over
+    report_fields: list[str] = []  # the names of the load report's figures
+    client_request: protocol.Asked
+    head_written_at = 0.0
+    expires_at = 0.0  # the end of the time left that the engine is sent
     written_at = 0.0  # when its connection was up and its bytes were handed over
-    held_back = False  # it has waited for a release
-    watched = False  # it is looked at for signs of life
+    has_waited_for_release = False
+    monitored = False  # by the monitor of unresponsive attempts
     last_piece_at = 0.0  # of its stream
 
-    def send(self, asked: protocol.Asked, time_out: float) -> client.Call:
-        self.asked, self.made_at = asked, clock.now()
-        self.expires = self.made_at + time_out
-        self.call = self.pool.call("POST", asked.path, self, self._headers(), asked.body)
+    def send(self, client_request: protocol.Asked, timeout_ms: float) -> client.Call:
+        """Starts the call."""
+        self.client_request, self.head_written_at = client_request, clock.now()
+        self.expires_at = self.head_written_at + timeout_ms
+        self.call = self.pool.call("POST", client_request.path, self, self._headers(), client_request.body)
         return self.call
 
     def _headers(self) -> list[tuple[str, str]]:
-        left = max(1, round(self.expires - clock.now()))
-        headers = [(protocol.ID, self.asked.key), (protocol.TIME_LEFT, str(left)), *self.asked.headers]
-        if not any(name.lower() == "content-type" for name, _ in self.asked.headers):
+        request = self.client_request
+        left_ms = max(1, round(self.expires_at - clock.now()))
+        headers = [(protocol.ID, request.key), (protocol.TIME_LEFT, str(left_ms)), *request.headers]
+        if not any(name.lower() == "content-type" for name, _ in request.headers):
             headers.append(("Content-Type", "application/json"))
         return headers
 
-    def came_up(self) -> None:
-        """Its connection has come up: the engine is told the time that is left now."""
-        if self.call is not None and clock.now() - self.made_at > TOLD_EARLY:
+    def refresh_head(self) -> None:
+        """Writes the head again with the time that is left now, as its connection has taken time to come
+        up."""
+        if self.call is not None and clock.now() - self.head_written_at > MAX_HEAD_AGE_MS:
+            request = self.client_request
             self.call.data = client.request(
-                "POST", self.asked.path, self.pool.name, self._headers(), self.asked.body
+                "POST", request.path, self.pool.name, self._headers(), request.body
             )
 
-    def go(self) -> None:
+    def resume(self) -> None:
         """Its wait for a release is over."""
         if self.call is not None:
             self.call.go()
 
     @property
     def engine(self) -> Engine:
+        """The engine that it is sent to."""
         return self.attempt.engine
 
     @property
     def reading(self) -> bool:
+        """Whether it is a prefill."""
         return self.attempt.reading
 
     @property
-    def last_sign(self) -> float:
-        """When its engine was last known to run: as the newest call that it answered began, or as the latest
-        piece of this one's stream came."""
+    def engine_responsive_at(self) -> float:
+        """When its engine was last known to run.
+
+        That is the start of the newest call that it answered, or the latest piece of this attempt's stream.
+        """
         return max(self.pool.answered, self.last_piece_at)
 
     def _rejection(self) -> tuple[Outcome, int]:
         return protocol.refusal(self.status, self.headers)
 
     def _load_report(self) -> dict[str, float] | None:
-        return protocol.load_report(self.headers.get(protocol.LOAD), self.fields)
+        return protocol.load_report(self.headers.get(protocol.LOAD), self.report_fields)
 
 
 class PrefillAttempt(NodeAttempt):
+    """Ends as READ with the number of cached tokens."""
+
     def done(self) -> None:
+        """The reply is whole."""
         if self.status != 202:
             return super().done()
         self._end(Outcome.READ, protocol.cached_tokens(bytes(self.body)))
 
 
 class DecodeAttempt(StreamingAttempt, NodeAttempt):
-    """A stream of events goes to the client as it comes; it is whole with its last chunk."""
+    """Relays a stream of events unchanged; it is whole with its last chunk."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -86,12 +97,12 @@
 
     def _on_stream_data(self, data: bytes) -> None:
         try:
-            self._whole(self.stream.feed(data))
-        except protocol.Spoilt as fault:
-            self._whole(fault.args[1])
+            self._relay_events(self.stream.feed(data))
+        except protocol.Spoilt as error:
+            self._relay_events(error.args[1])
             self._end(Outcome.ERROR)
 
-    def _whole(self, events: bytes) -> None:
+    def _relay_events(self, events: bytes) -> None:
         if events and not self.over:
             self._relay(events)
 
@@ -102,4 +113,4 @@
             self._end(Outcome.ERROR)
 
     def _load_report(self) -> dict[str, float] | None:
-        return protocol.load_report(self.stream.report, self.fields) or super()._load_report()
+        return protocol.load_report(self.stream.report, self.report_fields) or super()._load_report()
--- a/worksmux/node/clients.py
+++ b/worksmux/node/clients.py
@@ -72,7 +72,7 @@
         except protocol.Refused as fault:
             return self._no(exchange, fault.status, fault.why)
         asked.headers = protocol.forwarded(exchange.fields())
-        if asked.key in self.core.keys:
+        if asked.key in self.core.open_keys:
             return self._no(exchange, 409, "a job with this id is open")
         side = StreamClient(exchange)
         if self.core.failed:  # the module has: nothing would decide on it
--- a/worksmux/node/core.py
+++ b/worksmux/node/core.py
@@ -1,9 +1,7 @@
-"""The life of requests on the platform's protocol: attempts at engines, releases and probes."""
+"""The life of requests on the platform's protocol: attempts, KV cache and its release, health checks."""
 
 from __future__ import annotations
 
-from collections import deque
-
 from ..forwarding.request_context import Client, FinalAnswer, RequestContext
 from ..forwarding.request_lifecycle import RequestLifecycle
 from ..net import client, clock
@@ -14,31 +12,33 @@
 from . import protocol
 from .attempts import DecodeAttempt, NodeAttempt, PrefillAttempt
 from .counters import NodeCounts
-from .kv_claims import HeldState
-from .kv_release import Release, Releases
+from .kv_claims import KvClaims
+from .kv_release import KvRelease
+from .kv_releaser import KvReleaser
 from .limits import Shares
-from .release_targets import Contacts
-from .unresponsive_attempts import DoubtWatch
+from .prefill_work import PrefillWorkEstimate
+from .release_targets import ReleaseTargets
+from .unresponsive_attempts import UnresponsiveAttemptMonitor
 
 HOST = "app.svc"
-HEAD, BODY = 2**14, 2**18  # bytes: an engine's head; a body, by the platform's page
-SILENCE = 4000.0  # between two events of a stream: its client may wait 5 s at most
-# Each call opens a connection of its own.  On a day when engines closed or reset connections that they had
-# kept, 50 of 70 broken attempts were on reused ones, idle for as little as 11 ms; a broken one may have run,
-# while a connection that can't be opened proves that it has not.  Opening one costs an engine 2 ms at most.
-MOST_IDLE = 0
-MARGIN = 10.0  # off a client's time for both ways; 99 of 100 took under 6 on the bench
-SETTLING = 20.0  # for the close of an attempt's connection to be seen, before a refusal
-ENGINE_LATE = 150.0  # for an engine to end what it was told to end
-READS = 32  # the latest, of which the slowest tells how long an engine may go on
-SLOWER = 3.0  # times the slowest of them
-HELD_BACK_STEPS = 2  # of a release: so long an attempt waits for it to be heard
-SECOND = 1000.0  # to let go in, where the settings know no time for it
-CONNECTING = 250.0  # for a connection to come up, where the settings do not say
-NOT_SEEN = frozenset({Outcome.CANCELLED, Outcome.TIMED_OUT, Outcome.RESET})
+MAX_HEAD_BYTES = 2**14  # of an engine's reply
+MAX_BODY_BYTES = 2**18  # of a client's request and an engine's reply
+MAX_STREAM_GAP_MS = 4000.0  # between two events; a client waits for at most 5 s
+# Each call opens a connection of its own. An attempt that breaks on a reused connection has possibly been
+# executed, as engines close idle ones at any moment, while a connection that can't be opened proves that it
+# has not.
+MAX_IDLE_CONNECTIONS = 0
+CLIENT_RTT_ALLOWANCE_MS = 10.0  # subtracted from the client's time left, for the way there and back
+CLOSE_SETTLE_MS = 20.0  # for an engine to see the close of an attempt's connection
+HELD_BACK_STEPS = 2  # steps of a release: for so long an attempt waits for its acknowledgement
+DEFAULT_RELEASE_TIME_LIMIT_MS = 1000.0  # where the settings name none
+DEFAULT_CONNECT_TIMEOUT_MS = 250.0  # where the settings name none
+OUTCOMES_UNSEEN_BY_ENGINE = frozenset({Outcome.CANCELLED, Outcome.TIMED_OUT, Outcome.RESET})
 
 
 class NodeCore(RequestLifecycle):
+    """All open requests of a node."""
+
     metrics: NodeCounts
 
     def __init__(
@@ -47,21 +47,24 @@
         super().__init__(door, reactor, counts)
         self.request_classes = request_classes
         self.share = share
-        self.connect_time_out = float(door.settings["connect_time_out"]) or CONNECTING
-        self.keys: dict[str, RequestContext] = {}  # of the jobs that are open
-        self.contacts = Contacts(int(door.settings["zone"]))
-        self.releases = Releases(
-            reactor, self.control_call, self.contacts.other, float(door.settings["release_within"]) or SECOND
+        self.connect_timeout_ms = float(door.settings["connect_time_out"]) or DEFAULT_CONNECT_TIMEOUT_MS
+        self.open_keys: dict[str, RequestContext] = {}
+        self.release_targets = ReleaseTargets(int(door.settings["zone"]))
+        self.releaser = KvReleaser(
+            reactor,
+            self.control_call,
+            self.release_targets.choose,
+            float(door.settings["release_within"]) or DEFAULT_RELEASE_TIME_LIMIT_MS,
         )
-        self.doubts = DoubtWatch(
-            reactor, self.releases, self._seek_sign if door.settings["may_probe"] else None
+        self.unresponsive_attempts = UnresponsiveAttemptMonitor(
+            reactor, self.releaser, self._check_liveness if door.settings["may_probe"] else None
         )
-        self.held: dict[Request, HeldState] = {}  # what engines may hold for the jobs that are open
-        self.read_times: deque[tuple[float, float]] = deque(maxlen=READS)  # tokens, milliseconds
-        self._letting_go: list[RequestContext] = []
+        self.kv_claims: dict[Request, KvClaims] = {}  # of the open requests
+        self.prefill_work = PrefillWorkEstimate(self.releaser.time_limit_ms)
+        self._releases_due: list[RequestContext] = []  # after the round
 
     def arrived(self, asked: protocol.Asked, client_side: Client, arrived: float) -> RequestContext:
-        """A job that came at `arrived` is told to the module; from here on it is owed one answer."""
+        """Accepts a request that came at `arrived` (milliseconds of the clock)."""
         self.last_request_id += 1
         request = Request(
             self.last_request_id,
@@ -72,28 +75,34 @@
             asked.prefix_tokens,
             asked.most,
             arrived,
-            arrived + max(0.0, asked.time_left - MARGIN),
+            arrived + max(0.0, asked.time_left - CLIENT_RTT_ALLOWANCE_MS),
             repeat=asked.repeat,
             resumed=asked.resumed,
         )
-        context = RequestContext(
-            request, asked, client_side, asked.key, self.request_classes[asked.request_class]
-        )
-        self.keys[context.key] = context
-        self.held[request] = self.releases.held(context.key)
+        class_name = self.request_classes[asked.request_class]
+        context = RequestContext(request, asked, client_side, asked.key, class_name)
+        self.open_keys[context.key] = context
+        self.kv_claims[request] = self.releaser.claims_of(context.key)
         return self._accept(context)
 
     def _close(self, context: RequestContext) -> None:
-        """Guards against a node that ends with its last job before what is held for that is released: the
-        release begins first."""
+        """Closes a request; starts the release of what its attempts have left.
+
+        Failure: the node stops with its last request. The release starts first, so that the node waits for
+        it.
+        """
         if not context.in_flight and context.request in self.open_requests:
-            self._let_all_go(context)  # what a broken read may have left, and nobody took
-            del self.keys[context.key], self.held[context.request]
+            self._start_release(context)
+            del self.open_keys[context.key], self.kv_claims[context.request]
         super()._close(context)
 
     def _answer_for_policy(self, request: Request, answer: FinalAnswer, retry_after_ms: float = 0.0) -> None:
-        """Guards against a deferral that overtakes the end of a trip: until the engine has seen its
-        connection close, the job is still out there, and to ask again is not known to be harmless."""
+        """Gives the final answer; a rejection waits until engines have seen the end of cancelled attempts.
+
+        Failure: the rejection overtakes the close of an attempt's connection. The client retries while the
+        engine still executes the first attempt, which shows as a side effect that happens twice. Idempotent
+        requests need no wait.
+        """
         context = self.open_requests.get(request)
         if (
             context is not None
@@ -101,142 +110,145 @@
             and not context.final_answer
             and (self.module_settings["offerings"][request.request_class]["effect"] != "redoable")
         ):
-            left = SETTLING if context.in_flight else context.last_cancelled_at + SETTLING - clock.now()
-            if left > 0:
-                context.stop_deadline_timer()  # it is decided
+            settled_at = context.last_cancelled_at + CLOSE_SETTLE_MS
+            wait_ms = CLOSE_SETTLE_MS if context.in_flight else settled_at - clock.now()
+            if wait_ms > 0:
+                context.stop_deadline_timer()  # the policy has answered in time
                 self.reactor.callLater(
-                    left / 1000, super()._answer_for_policy, request, answer, retry_after_ms
+                    wait_ms / 1000, super()._answer_for_policy, request, answer, retry_after_ms
                 )
                 return
         super()._answer_for_policy(request, answer, retry_after_ms)
 
+    # KV cache.
+
+    def _release_kv_cache(self, request: Request) -> None:
+        context = self.open_requests.get(request)
+        if context is not None:
+            self._releases_due.append(context)  # the same round may start an attempt that pauses the release
+
     def _after_round(self) -> None:
         super()._after_round()
-        due, self._letting_go = self._letting_go, []
+        due, self._releases_due = self._releases_due, []
         for context in due:
-            self._let_all_go(context)
+            self._start_release(context)
 
-    def _let_all_go(self, context: RequestContext) -> None:
-        """Nothing is to be kept for a next attempt; what is out now has it until its end."""
-        held = self.held.get(context.request)
-        if held is None or any(attempt_call.call.up for attempt_call in context.in_flight.values()):
+    def _start_release(self, context: RequestContext) -> None:
+        """Releases what is held for a request, unless an attempt with a connection is in flight."""
+        claims = self.kv_claims.get(context.request)
+        if claims is None or any(call.call.up for call in context.in_flight.values()):
             return
-        if not held.claims:
-            return self.releases.drop_if_over(held)
-        self.releases.start(held)
+        if not claims.claims:
+            return self.releaser.forget_if_settled(claims)
+        self.releaser.start(claims)
         self.metrics.release()
 
-    def _arrives(self, context: RequestContext, attempt_call: NodeAttempt) -> None:
-        """An attempt is about to be written: nothing may be let go from under it."""
-        held = self.held[context.request]
-        self.releases.rest(held)
-        attempt_call.written_at = clock.now()
-        self._watch(context, attempt_call)
-
-    def _watch(self, context: RequestContext, attempt_call: NodeAttempt) -> None:
-        """Looks at an attempt where something may be held for its request beside it."""
-        held = self.held[context.request]
-        if held.claims and not attempt_call.watched:
-            attempt_call.watched = True
-            self.doubts.watch(held, attempt_call, lambda: self._let_all_go(context))
-
-    def _seek_sign(self, engine: Engine) -> None:
-        """Probes an engine for a sign of life, of which the module is told nothing."""
-        self.check_health(engine, lambda _: None)
-
     def _record_kv_cache(
-        self, context: RequestContext, attempt: Attempt, outcome: Outcome, attempt_call: NodeAttempt
+        self, context: RequestContext, attempt: Attempt, outcome: Outcome, call: NodeAttempt
     ) -> None:
-        held = self.held[context.request]
-        if attempt_call is None or outcome in (Outcome.UNREACHABLE, Outcome.MOOT):
-            return  # it never arrived: the time to let go runs on
+        if call is None or outcome in (Outcome.UNREACHABLE, Outcome.MOOT):
+            return  # it never arrived: the time limit of the release runs on
         now = clock.now()
-        self.releases.stop_beside(held)
-        unseen = outcome in NOT_SEEN and not attempt.began
-        held.outcome(now, not unseen or attempt_call.pool.answered >= attempt_call.written_at)
+        claims = self.kv_claims[context.request]
+        self.releaser.stop_beside(claims)
+        unseen = outcome in OUTCOMES_UNSEEN_BY_ENGINE and not attempt.began
+        claims.attempt_ended(now, not unseen or call.pool.answered >= call.written_at)
         if outcome is Outcome.READ:
-            self.read_times.append((context.request.prompt, now - attempt_call.written_at))
+            self.prefill_work.record(context.request.prompt, now - call.written_at)
         if unseen:
-            held.ended_unseen(attempt.engine, now, self._work_left(context, attempt_call, now))
+            claims.add_possible(attempt.engine, now, self._work_left_ms(context, call, now))
         elif attempt.reading and outcome is not Outcome.FULL:
-            held.read(attempt.engine, now)
-        for other in context.in_flight.values():  # this one is no longer among them
-            self._watch(context, other)
-
-    def _work_left(self, context: RequestContext, attempt_call: NodeAttempt, now: float) -> float:
-        """How long an engine that runs may go on with a read that was given up: at least for what is left of
-        the time that it was told.  One that was silent may begin only when it runs again: by the slowest of
-        the latest reads, or for all of the time told, where none was as long.  What waits for state ends at
-        once."""
-        if not attempt_call.attempt.reading:
-            return 0.0
-        ends = attempt_call.expires + ENGINE_LATE
-        longest = max((time for _, time in self.read_times), default=0.0)
-        most = max((tokens for tokens, _ in self.read_times), default=0.0)
-        unknown = context.request.prompt > most or now - attempt_call.written_at > longest
-        takes = ends - attempt_call.written_at if unknown else SLOWER * longest
-        return max(self.releases.within, ends - now, takes)
+            claims.add_held(attempt.engine, now)
+        for other in context.in_flight.values():
+            self._monitor(context, other)
 
-    def _release_kv_cache(self, request: Request) -> None:
-        context = self.open_requests.get(request)
-        if context is not None:
-            self._letting_go.append(context)  # after the turn: a trip may be sent in the same one
+    def _work_left_ms(self, context: RequestContext, call: NodeAttempt, now: float) -> float:
+        """How long an engine that runs may go on with an attempt that this side has given up."""
+        if not call.reading:
+            return 0.0  # a decode engine that waits for KV cache stops at once
+        return self.prefill_work.work_left_ms(context.request.prompt, call.written_at, call.expires_at, now)
 
     def _on_answer_begun(self, context: RequestContext) -> None:
-        """The state went with the trip; what earlier reads may have left is let go at the end."""
+        """The decode engine has taken one KV cache; what other prefills left is released at the end."""
         if context.request.holder is not None:
-            self.held[context.request].taken(context.request.holder)
+            self.kv_claims[context.request].remove_taken(context.request.holder)
+
+    def _monitor(self, context: RequestContext, call: NodeAttempt) -> None:
+        """Monitors an attempt where KV cache may be held for its request beside it."""
+        claims = self.kv_claims[context.request]
+        if claims.claims and not call.monitored:
+            call.monitored = True
+            self.unresponsive_attempts.watch(claims, call, lambda: self._start_release(context))
+
+    def _check_liveness(self, engine: Engine) -> None:
+        """Sends a health check whose result the policy does not get; any reply shows that the engine runs."""
+        self.check_health(engine, lambda _: None)
 
     # Attempts.
 
     def _open_attempt(
-        self, context: RequestContext, attempt: Attempt, pool: client.Pool, time_out: float
+        self, context: RequestContext, attempt: Attempt, pool: client.Pool, timeout_ms: float
     ) -> NodeAttempt:
         make = PrefillAttempt if attempt.reading else DecodeAttempt
-        attempt_call = make(self.reactor, pool, attempt, self, time_out, SILENCE, BODY)
-        attempt_call.fields = self.module_settings["report_fields"]
-        call = attempt_call.send(context.client_request, time_out)
+        node_attempt = make(self.reactor, pool, attempt, self, timeout_ms, MAX_STREAM_GAP_MS, MAX_BODY_BYTES)
+        node_attempt.report_fields = self.module_settings["report_fields"]
+        call = node_attempt.send(context.client_request, timeout_ms)
         if call.up:
-            self._arrives(context, attempt_call)
+            self._on_written(context, node_attempt)
         else:
-            call.on_up = lambda: self._came_up(context, attempt_call)
-            self._watch(context, attempt_call)
-        return attempt_call
+            call.on_up = lambda: self._on_connected(context, node_attempt)
+            self._monitor(context, node_attempt)
+        return node_attempt
+
+    def _on_connected(self, context: RequestContext, call: NodeAttempt) -> None:
+        """Sends the attempt now that its connection is up, or withdraws it.
 
-    def _came_up(self, context: RequestContext, attempt_call: NodeAttempt) -> None:
-        """Guards against a trip that is written late, as its connection took time: its client may have left,
-        its job been answered, its engine begun to drain.  It was never sent then."""
+        Failure: connecting can take longer than the request lives. The client disconnects, another attempt
+        answers, or the engine starts draining, and the request would run for nobody. Nothing has been written
+        yet, so withdrawing here is proof that the engine did not execute it.
+        """
         if not context.final_answer and context.client.is_disconnected():
             self.client_disconnected(context)
-        if context.final_answer or attempt_call.attempt.engine.state != "ready":
-            return attempt_call.withdraw()
-        release = self.releases.seeking(self.held[context.request])
-        if release is not None and not attempt_call.held_back:
-            return self._hold_back(context, attempt_call, release)
-        attempt_call.came_up()
-        self._arrives(context, attempt_call)
-
-    def _hold_back(self, context: RequestContext, attempt_call: NodeAttempt, release: Release) -> None:
-        """Guards against an attempt that puts a release off, or is harmed by it: an engine hears the release
-        first, or has had the time of some steps to do so."""
-        assert attempt_call.call is not None
-        attempt_call.held_back = attempt_call.call.held_back = True
-
-        def go() -> None:
+        if context.final_answer or call.engine.state != "ready":
+            return call.withdraw()
+        release = self.releaser.unacknowledged(self.kv_claims[context.request])
+        if release is not None and not call.has_waited_for_release:
+            return self._wait_for_release(context, call, release)
+        call.refresh_head()
+        self._on_written(context, call)
+
+    def _wait_for_release(
+        self, context: RequestContext, node_attempt: NodeAttempt, release: KvRelease
+    ) -> None:
+        """Holds an attempt back until the release is acknowledged, or for `HELD_BACK_STEPS`.
+
+        Failure: the attempt would pause a release that is due, or the release would free the KV cache that
+        the attempt brings.
+        """
+        assert node_attempt.call is not None
+        node_attempt.has_waited_for_release = node_attempt.call.held_back = True
+
+        def resume() -> None:
             if timer.active():
                 timer.cancel()
-            release.on_heard = None
-            if not attempt_call.over:
-                self._came_up(context, attempt_call)
-                attempt_call.go()
+            release.on_acknowledged = None
+            if not node_attempt.over:
+                self._on_connected(context, node_attempt)
+                node_attempt.resume()
 
-        timer = TimeOut(self.reactor, HELD_BACK_STEPS * self.releases.step / 1000, go)
-        release.on_heard = go
+        timer = TimeOut(self.reactor, HELD_BACK_STEPS * self.releaser.step_ms / 1000, resume)
+        release.on_acknowledged = resume
 
-    # Small calls.
+    def _on_written(self, context: RequestContext, call: NodeAttempt) -> None:
+        """The attempt is about to be written: no release may free its KV cache."""
+        self.releaser.pause(self.kv_claims[context.request])
+        call.written_at = clock.now()
+        self._monitor(context, call)
+
+    # Control calls.
 
     def _control_call_limits(self) -> tuple[float, int, client.Headers]:
-        return self.connect_time_out, BODY, ()
+        return self.connect_timeout_ms, MAX_BODY_BYTES, ()
 
     def _health_check_path(self) -> str:
         return protocol.ALIVE if self.module_settings["reports"] == "off" else protocol.LOAD_PATH
@@ -250,22 +262,36 @@
         return Outcome.DELIVERED, protocol.load_report(text, self.module_settings["report_fields"])
 
     def _reserve_slot(self, request: Request, engine: Engine) -> None:
-        raise LookupError("the platform's protocol has no places held ahead")
+        raise LookupError("the platform's protocol has no reservation of decode slots")
 
-    # The engines.
+    # The endpoint list.
 
     def address_changed(self, engine: Engine, host: str, port: int) -> None:
+        """An engine has a new address, or its first."""
         super().address_changed(engine, host, port)
-        self.contacts.listed(engine)
-        self.pools[engine].on_heard = lambda: self.contacts.heard(engine)
+        self.release_targets.add(engine)
+        self.pools[engine].on_heard = lambda: self.release_targets.mark_responsive(engine)
 
     def _new_pool(self, host: str, port: int) -> client.Pool:
-        return client.Pool(self.reactor, host, port, self.connect_time_out, 0.0, MOST_IDLE, HEAD, BODY, HOST)
+        return client.Pool(
+            self.reactor,
+            host,
+            port,
+            self.connect_timeout_ms,
+            0.0,
+            MAX_IDLE_CONNECTIONS,
+            MAX_HEAD_BYTES,
+            MAX_BODY_BYTES,
+            HOST,
+        )
 
     def forget_gone(self) -> list[Engine]:
-        """Guards against a fleet that is replaced all day; gives the engines forgotten."""
+        """Forgets and returns the engines that have left the list and that the policy no longer needs.
+
+        Failure: in a fleet whose engines are replaced all day, memory would grow with each that has left.
+        """
         gone = [engine for engine in self.pools if engine.state == "gone" and self.door.forget(engine)]
         for engine in gone:
             del self.pools[engine]
-            self.contacts.forget(engine)
+            self.release_targets.remove(engine)
         return gone
--- a/worksmux/node/discovery.py
+++ b/worksmux/node/discovery.py
@@ -15,7 +15,7 @@
 from ..net import client, clock
 from ..net.loop import Reactor
 from ..policy.state import Engine
-from .core import HEAD, NodeCore
+from .core import MAX_HEAD_BYTES, NodeCore
 from .endpoint_list import READ_HOSTS, HostList, listing
 
 LOG = structlog.get_logger()
@@ -198,7 +198,7 @@
     def _open(self, now: float) -> None:
         # By chance: hundreds of nodes that lost discovery in the same moment must not call it in step.
         self.not_before = now + ANSWER * random.uniform(0.75, 1.25)
-        pool = client.Pool(self.reactor, *self.address, GIVEN_UP, 0.0, 0, HEAD, LINE)
+        pool = client.Pool(self.reactor, *self.address, GIVEN_UP, 0.0, 0, MAX_HEAD_BYTES, LINE)
         coming = Watching(self, now)
         self.coming.append(coming)
         coming.call = pool.call("GET", f"{PATH}?stream=1&index={self.index}", coming)
--- a/worksmux/node/kv_release.py
+++ b/worksmux/node/kv_release.py
@@ -1,15 +1,19 @@
-"""Sends releases for what engines may hold (`held.HeldState`) until they are known to have been heard.
+"""Sends releases for one request until its claims (`kv_claims.KvClaims`) are settled.
 
-A release that any running engine hears lets go of all that is held for a request.  So it is sought by rounds:
-first the engines that may hold are asked, then at each step one more, for a connection that does not come up
-is known only after half of the time there is; the less of that time is left, the more are asked at once.
+A release acknowledged by any running engine frees everything that is held for a request. So it goes first to
+the engines with claims and then, at each step, to one engine more: a connection that does not come up is
+known as such only after half of the time limit. The less of that limit is left, the more engines are tried at
+once.
 
-Once a release was heard, state can still appear at an engine that works on its attempt yet (CLEARED claims):
-another release is sought when it has finished by rights, and each time that the time to let go has passed,
-until that is ruled out.
+KV cache can still appear after an acknowledged release, at an engine that goes on with its attempt (RELEASED
+claims). The release is sent again when that engine should have finished, and then once each time limit, until
+this is ruled out.
 
-No release is sent while an attempt is out, which would lose what it brings.  The exception is one whose
-engine is silent (`in_doubt`): to the engines it may not be out, and the time runs.
+No release is sent while an attempt is in flight, as it would free the KV cache that the attempt needs or
+brings. The exception is an attempt whose engine is unresponsive (`unresponsive_attempts`): it may not have
+arrived, and the time limit runs.
+
+Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -26,33 +30,51 @@
 from ..net.loop import Reactor, Timer
 from ..policy.state import Engine
 from . import protocol
-from .kv_claims import HeldState
+from .kv_claims import KvClaims
 
 LOG = structlog.get_logger()
-STEPS = 8  # a step, and the first pause before a repeat, is this part of the time there is
-SINGLE_STEPS = 4  # steps that ask one engine more; later ones ask two
-MOST_AT_ONCE = 8  # calls of one release that are out, beside those to engines that may hold
-MOST_TO_ONE = 3  # calls to one engine that are out while their connections do not come up
-MOST_IN_A_ROUND = 4  # other engines asked in one round, when hardly any time is left
-STRETCH = 1.25  # times the time: the next release is put off to when an engine has finished, so far at most
-LATE, VERY_LATE = 0.6, 0.75  # parts of the time: after them more engines are asked at once
-HOPELESS = 1.75  # times the time: by then nobody is likely to hear, and fewer are asked again
-OWED_STEPS = 2  # between two calls to an engine that may hold, while something is owed
-DEAD = 4.0  # times the time: an engine whose machine refuses every connection for that long has died
-LONGEST_PAUSE = 8.0  # times the time there is, between two calls to an engine that does not answer
-
-
-class Calls(Protocol):
-    """Sends one small call."""
+STEPS_PER_TIME_LIMIT = 8  # a step is also the first delay before a retry
+SINGLE_TARGET_STEPS = 4  # steps that try one engine more; later ones try two
+MAX_CALLS = 8  # in flight for one release, beside those to engines with claims
+MAX_CALLS_PER_ENGINE = 3  # in flight while their connections do not come up
+MAX_TARGETS_PER_ROUND = 4  # without claims, when hardly any time is left
+RETRY_STEPS_WHILE_DUE = 2  # between two calls to an engine with claims, while a release is due
+# Fractions and multiples of the time limit.
+LATE = 0.6  # after it two engines are tried at once
+VERY_LATE = 0.75  # after it `MAX_TARGETS_PER_ROUND` engines are tried at once
+HOPELESS = 1.75  # after it an acknowledgement is unlikely, and fewer engines are tried again
+MAX_WORK_DELAY = 1.25  # the next release waits for the end of an engine's work, if that is not later
+DEAD_AFTER = 4.0  # an engine whose machine refuses every connection for that long has died
+MAX_RETRY_DELAY = 8.0  # between two calls to an engine that does not answer
+
+
+class ReleaseCall(Protocol):
+    """Sends one control call."""
 
     def __call__(
         self, engine: Engine, method: str, path: str, body: bytes, on_end: client.OnEnd, /
     ) -> OutgoingCall: ...
 
 
+@dataclass(frozen=True, slots=True)
+class ReleaseEnvironment:
+    """What a release works with."""
+
+    reactor: Reactor
+    call: ReleaseCall
+    choose_target: Callable[[set[Engine]], Engine | None]  # an engine outside the set
+    time_limit_ms: float  # in which a release has to be acknowledged
+    on_settled: Callable[[KvRelease], None]  # no claim is left
+
+    @property
+    def step_ms(self) -> float:
+        """The time between two rounds while the release is urgent."""
+        return self.time_limit_ms / STEPS_PER_TIME_LIMIT
+
+
 @dataclass(eq=False, slots=True)
-class _Asked:
-    """One engine that is being asked."""
+class _Call:
+    """A call in flight."""
 
     engine: Engine
     call: OutgoingCall
@@ -61,270 +83,217 @@
 class Phase(Enum):
     """What a release is doing."""
 
-    RESTING = "an attempt is out"
-    SEEKING = "engines are asked until one has heard"
-    WATCHING = "one has heard; state may still appear, so that others are sought later"
-    BESIDE = "as SEEKING, beside an attempt whose engine is silent"
+    PAUSED = "an attempt is in flight"
+    SENDING = "engines are tried until one acknowledges"
+    WAITING = "one has acknowledged; KV cache may still appear, so the release is repeated later"
+    BESIDE = "as SENDING, beside an attempt whose engine is unresponsive"
 
 
-class Release:
+class KvRelease:
     """The release of one request."""
 
-    def __init__(self, releases: Releases, held: HeldState) -> None:
-        self.releases, self.held = releases, held
-        self.path = protocol.HOLDS + held.key
-        self.phase = Phase.RESTING
-        self.on_heard: Callable[[], None] | None = None  # called once, with the next answer or end
+    def __init__(self, environment: ReleaseEnvironment, claims: KvClaims) -> None:
+        self.claims = claims
+        self.phase = Phase.PAUSED
+        # Called once, with the next acknowledgement or the end of sending.
+        self.on_acknowledged: Callable[[], None] | None = None
+        self._environment = environment
+        self._path = protocol.HOLDS + claims.key
         self._rounds = 0
-        self._since: float | None = None  # the clock by which the engines were asked so far
-        self._asked: dict[Engine, None] = {}  # in this pass over all engines
-        self._all_asked = False  # the first pass is over
-        self._tries: dict[Engine, int] = {}  # calls that were not answered, since the last answer
-        self._not_before: dict[Engine, float] = {}  # when an engine may be asked again
-        self._out: list[_Asked] = []
+        self._due_since: float | None = None  # the start of the time limit in the current pass
+        self._tried: dict[Engine, None] = {}  # in this pass over all engines
+        self._first_pass_over = False
+        self._failures: dict[Engine, int] = {}  # calls since the engine's last answer
+        self._retry_at: dict[Engine, float] = {}
+        self._calls: list[_Call] = []
         self._timer: Timer | None = None
 
     @property
-    def seeking(self) -> bool:
-        return self.phase in (Phase.SEEKING, Phase.BESIDE)
+    def is_sending(self) -> bool:
+        """Whether engines are tried now."""
+        return self.phase in (Phase.SENDING, Phase.BESIDE)
 
     def start(self, beside: bool = False) -> None:
-        """Begins, or goes on after a rest."""
-        if self._since is None or self._since != self.held.since:
-            self._begin_pass()  # else those that were silent are not asked first again
-        self._since = self.held.since
-        self._not_before.clear()
-        self.phase = Phase.BESIDE if beside else Phase.SEEKING
-        self._round()
+        """Starts, or resumes after a pause.
 
-    def _begin_pass(self) -> None:
-        self._asked.clear()
-        self._all_asked, self._rounds = False, 0
+        A pass is resumed where the time limit has not restarted, so that engines which did not answer before
+        the pause are not tried first again.
+        """
+        if self._due_since is None or self._due_since != self.claims.due_since:
+            self._begin_pass()
+        self._due_since = self.claims.due_since
+        self._retry_at.clear()
+        self.phase = Phase.BESIDE if beside else Phase.SENDING
+        self._run_round()
+
+    def pause(self) -> None:
+        """Sends nothing more: an attempt arrives at an engine, or the release is over."""
+        self.phase = Phase.PAUSED
+        self._end_calls(kept=set())
+        self._stop_timer()
+        self._notify_acknowledged()
 
-    def rest(self) -> None:
-        """An attempt arrives, or the release is over: nothing is sent."""
-        self.phase = Phase.RESTING
-        self._end_calls(set())
-        self._no_round()
-        self._tell_heard()
+    def _begin_pass(self) -> None:
+        self._tried.clear()
+        self._first_pass_over, self._rounds = False, 0
 
-    def _round(self) -> None:
+    def _run_round(self) -> None:
         now = clock.now()
-        self.held.expire(now)
-        if not self.held.claims:
-            return self.releases.forget(self)
-        if self.phase is Phase.WATCHING:
+        self.claims.remove_expired(now)
+        if not self.claims.claims:
+            return self._environment.on_settled(self)
+        if self.phase is Phase.WAITING:
             self._begin_pass()
         if self.phase is not Phase.BESIDE:
-            self.phase = Phase.SEEKING
-        self._ask_claimed(now)
-        for _ in range(self._others(now)):
-            self._ask_another(again=True)
-        if not self._out:  # nobody else is left to ask
-            self._not_before.clear()
-            self._ask_claimed(now)
+            self.phase = Phase.SENDING
+        self._try_claimed(now)
+        for _ in range(self._other_targets(now)):
+            self._try_another(again=True)
+        if not self._calls:  # no other engine is left
+            self._retry_at.clear()
+            self._try_claimed(now)
         self._rounds += 1
-        self._round_in(
-            min(self.releases.within, self.releases.step * 2.0 ** max(0, self._rounds - 2 * STEPS))
-        )
+        self._schedule_round(self._next_round_ms())
 
-    def _end_calls(self, kept: set[Engine]) -> None:
-        """Gives up the calls that are out, but for those to the engines that are kept."""
-        ended = [asked for asked in self._out if asked.engine not in kept]
-        self._out = [asked for asked in self._out if asked.engine in kept]
-        for asked in ended:
-            asked.call.end()
+    def _next_round_ms(self) -> float:
+        environment = self._environment
+        backoff = 2.0 ** max(0, self._rounds - 2 * STEPS_PER_TIME_LIMIT)
+        return min(environment.time_limit_ms, environment.step_ms * backoff)
 
-    def _may_ask(self, engine: Engine, now: float) -> bool:
-        """Whether it is time to ask an engine, first or again.
+    # Which engines are tried.
 
-        Guards against a connection that never comes up, known as such only after most of the time there is:
-        meanwhile another one is opened.
+    def _may_try(self, engine: Engine, now: float) -> bool:
+        """Whether it is time to send a call to an engine, first or again.
+
+        Failure: a connection never comes up, which is known only after most of the time limit. Another one is
+        opened meanwhile.
         """
-        out = [asked.call for asked in self._out if asked.engine is engine]
-        if any(call.connected for call in out) or len(out) >= MOST_TO_ONE:
+        calls = [one.call for one in self._calls if one.engine is engine]
+        if any(call.connected for call in calls) or len(calls) >= MAX_CALLS_PER_ENGINE:
             return False
-        return self._not_before.get(engine, 0.0) <= now
-
-    def _ask_claimed(self, now: float) -> None:
-        """Asks the engines that may hold, if it is time for each."""
-        for engine in {claim.engine: None for claim in self.held.claims}:
-            if self._may_ask(engine, now):
-                self._call(engine)
-
-    def _others(self, now: float) -> int:
-        """How many engines are asked in this round beside those that may hold: the more, the less time is
-        left."""
-        since = self.held.possible_since
-        used = 0.0 if since is None else (now - since) / self.releases.within
+        return self._retry_at.get(engine, 0.0) <= now
+
+    def _try_claimed(self, now: float) -> None:
+        """Sends to the engines with claims, if it is time for each."""
+        for engine in {claim.engine: None for claim in self.claims.claims}:
+            if self._may_try(engine, now):
+                self._send(engine)
+
+    def _other_targets(self, now: float) -> int:
+        """How many engines without claims are tried in this round: the less time is left, the more."""
+        since = self.claims.possible_since
+        used = 0.0 if since is None else (now - since) / self._environment.time_limit_ms
         if self._rounds and VERY_LATE <= used < HOPELESS:
-            return MOST_IN_A_ROUND
-        if self._rounds > SINGLE_STEPS or self._rounds and used >= LATE:
+            return MAX_TARGETS_PER_ROUND
+        if self._rounds > SINGLE_TARGET_STEPS or self._rounds and used >= LATE:
             return 2
-        if self._rounds or not self._out:
+        if self._rounds or not self._calls:
             return 1
-        if self.held.since is None:
-            return 0 if any(claim.runs_since is not None for claim in self.held.claims) else 1
+        if self.claims.due_since is None:
+            any_responsive = any(claim.responsive_since is not None for claim in self.claims.claims)
+            return 0 if any_responsive else 1
         return (used >= LATE) + (used >= VERY_LATE)
 
-    def _ask_another(self, again: bool) -> None:
-        """Asks one engine beside those that may hold; with `again` also one that was asked before, once all
-        others were."""
-        claimed = {claim.engine for claim in self.held.claims}
-        out = {asked.engine for asked in self._out}
-        if sum(asked.engine not in claimed for asked in self._out) >= MOST_AT_ONCE:
+    def _try_another(self, again: bool) -> None:
+        """Sends to one engine without claims; with `again` also to one that was tried, once all others
+        were."""
+        claimed = {claim.engine for claim in self.claims.claims}
+        calling = {one.engine for one in self._calls}
+        if sum(one.engine not in claimed for one in self._calls) >= MAX_CALLS:
             return
-        other = self.releases.other({*claimed, *out, *self._asked})
-        if other is None and again:
-            self._all_asked = True
-            self._asked.clear()
+        target = self._environment.choose_target({*claimed, *calling, *self._tried})
+        if target is None and again:
+            self._first_pass_over = True
+            self._tried.clear()
             now = clock.now()
-            other = self.releases.other(
-                claimed | {engine for engine in out if not self._may_ask(engine, now)}
-            )
-        if other is not None:
-            self._call(other)
-
-    def _call(self, engine: Engine) -> None:
-        begun = clock.now()
-        first = engine not in self._asked
-        self._asked[engine] = None
-        tries = self._tries[engine] = self._tries.get(engine, 0) + 1
-        longest = OWED_STEPS * self.releases.step if self.held.owed else LONGEST_PAUSE * self.releases.within
-        pause = min(longest, self.releases.step * 2.0**tries)
-        self._not_before[engine] = begun + pause
+            waiting = {engine for engine in calling if not self._may_try(engine, now)}
+            target = self._environment.choose_target(claimed | waiting)
+        if target is not None:
+            self._send(target)
+
+    # Calls.
+
+    def _send(self, engine: Engine) -> None:
+        sent_at = clock.now()
+        first = engine not in self._tried
+        self._tried[engine] = None
+        self._delay_retry(engine, sent_at)
 
         def ended(status: int, headers: dict[str, str], reply: bytes, trouble: client.Trouble | None) -> None:
-            if asked not in self._out:
+            if call not in self._calls:
                 return
-            self._out.remove(asked)
-            if asked.call.connected:
-                self.held.connected(engine)
+            self._calls.remove(call)
+            if call.call.connected:
+                self.claims.connection_opened(engine)
             if 200 <= status < 300 and trouble is None:
-                self._tries.pop(engine, None)
-                self._heard(engine, begun)
-                return
-            if isinstance(trouble, client.Refused):
-                self.held.refused(engine, begun, DEAD * self.releases.within)
-                if not self.held.claims:
-                    return self.releases.forget(self)
-            if first and self.seeking and not self._all_asked:
-                self._ask_another(again=False)  # at once, for it may have been refused
-
-        asked = _Asked(engine, self.releases.call(engine, "DELETE", self.path, b"", ended))
-        self._out.append(asked)
+                self._failures.pop(engine, None)
+                self._on_acknowledged(engine, sent_at)
+            else:
+                self._on_failure(engine, sent_at, trouble, first)
+
+        call = _Call(engine, self._environment.call(engine, "DELETE", self._path, b"", ended))
+        self._calls.append(call)
+
+    def _delay_retry(self, engine: Engine, now: float) -> None:
+        """Exponential backoff, bounded more tightly while a release is due."""
+        environment = self._environment
+        failures = self._failures[engine] = self._failures.get(engine, 0) + 1
+        max_delay_ms = (
+            RETRY_STEPS_WHILE_DUE * environment.step_ms
+            if self.claims.is_due
+            else MAX_RETRY_DELAY * environment.time_limit_ms
+        )
+        self._retry_at[engine] = now + min(max_delay_ms, environment.step_ms * 2.0**failures)
 
-    def _heard(self, engine: Engine, begun: float) -> None:
+    def _on_failure(
+        self, engine: Engine, sent_at: float, trouble: client.Trouble | None, first: bool
+    ) -> None:
+        if isinstance(trouble, client.Refused):
+            min_refusing_ms = DEAD_AFTER * self._environment.time_limit_ms
+            self.claims.connection_refused(engine, sent_at, min_refusing_ms)
+            if not self.claims.claims:
+                return self._environment.on_settled(self)
+        if first and self.is_sending and not self._first_pass_over:
+            self._try_another(again=False)  # at once: a refusal comes long before the next step
+
+    def _on_acknowledged(self, engine: Engine, sent_at: float) -> None:
         now = clock.now()
         if self.phase is Phase.BESIDE:
-            self.held.heard_beside = begun
-            return self.rest()
-        since = self.held.since
-        self.held.heard(engine, begun, now)
-        if since is not None and now - since > self.releases.within:
-            LOG.warning("a release was heard late", request=self.held.key, ms=round(now - since))
-        if not self.held.claims:
-            return self.releases.forget(self)
-        if self.phase is Phase.SEEKING:
-            self.phase = Phase.WATCHING
-            self._end_calls({claim.engine for claim in self.held.claims})
-            self._round_in(self._next_pass(now))
-        self._tell_heard()
-
-    def _next_pass(self, now: float) -> float:
-        """Milliseconds until the next release is sought: when the engines have finished by rights, if that is
-        soon."""
-        within, left = self.releases.within, self.held.work_left(now)
-        return left + 1.0 if 0 < left <= STRETCH * within else within
-
-    def _tell_heard(self) -> None:
-        on_heard, self.on_heard = self.on_heard, None
-        if on_heard is not None:
-            on_heard()
-
-    def _round_in(self, ms: float) -> None:
-        self._no_round()
-        self._timer = self.releases.reactor.callLater(max(0.0, ms) / 1000, self._round)
-
-    def _no_round(self) -> None:
+            self.claims.acknowledged_beside = sent_at
+            return self.pause()
+        due_since = self.claims.due_since
+        self.claims.release_acknowledged(engine, sent_at, now)
+        if due_since is not None and now - due_since > self._environment.time_limit_ms:
+            LOG.warning("late release", request=self.claims.key, duration_ms=round(now - due_since))
+        if not self.claims.claims:
+            return self._environment.on_settled(self)
+        if self.phase is Phase.SENDING:
+            self.phase = Phase.WAITING
+            self._end_calls(kept={claim.engine for claim in self.claims.claims})
+            self._schedule_round(self._next_pass_ms(now))
+        self._notify_acknowledged()
+
+    def _next_pass_ms(self, now: float) -> float:
+        """The delay of the next pass: until the engines should have finished, if that is soon."""
+        time_limit_ms, work_left_ms = self._environment.time_limit_ms, self.claims.work_left_ms(now)
+        return work_left_ms + 1.0 if 0 < work_left_ms <= MAX_WORK_DELAY * time_limit_ms else time_limit_ms
+
+    def _end_calls(self, kept: set[Engine]) -> None:
+        """Gives up the calls in flight, except those to the engines in `kept`."""
+        ended = [one for one in self._calls if one.engine not in kept]
+        self._calls = [one for one in self._calls if one.engine in kept]
+        for one in ended:
+            one.call.end()
+
+    def _notify_acknowledged(self) -> None:
+        on_acknowledged, self.on_acknowledged = self.on_acknowledged, None
+        if on_acknowledged is not None:
+            on_acknowledged()
+
+    def _schedule_round(self, delay_ms: float) -> None:
+        self._stop_timer()
+        self._timer = self._environment.reactor.callLater(max(0.0, delay_ms) / 1000, self._run_round)
+
+    def _stop_timer(self) -> None:
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
-
-
-class Releases:
-    """All releases of a node; `running` has those that are not over, by the request's id."""
-
-    def __init__(
-        self,
-        reactor: Reactor,
-        call: Calls,
-        other: Callable[[set[Engine]], Engine | None],
-        within: float,
-    ) -> None:
-        """`other` gives an engine outside a set that is likely to hear, or None; `within` is the time there
-        is for a release, milliseconds."""
-        self.reactor, self.call, self.other, self.within = reactor, call, other, within
-        self.step = within / STEPS
-        self.running: dict[str, Release] = {}
-
-    def held(self, key: str) -> HeldState:
-        """What is held for a request; it may be owed still for an earlier one with the same id."""
-        release = self.running.get(key)
-        return HeldState(key) if release is None else release.held
-
-    def start(self, held: HeldState) -> None:
-        """What is held is to be let go."""
-        release = self._of(held)
-        if release.phase in (Phase.RESTING, Phase.BESIDE):
-            release.rest()
-            release.start()
-
-    def start_beside(self, held: HeldState) -> None:
-        """To the engines the attempt that is out may not be: what is held is let go beside it."""
-        release = self._of(held)
-        if release.phase is Phase.RESTING:
-            release.start(beside=True)
-
-    def stop_beside(self, held: HeldState) -> None:
-        """The attempt that was in doubt is over."""
-        release = self.running.get(held.key)
-        if release is not None and release.phase is Phase.BESIDE:
-            release.rest()
-
-    def _of(self, held: HeldState) -> Release:
-        release = self.running.get(held.key)
-        if release is None:
-            release = self.running[held.key] = Release(self, held)
-        return release
-
-    def seeking(self, held: HeldState) -> Release | None:
-        """The release that is on its way for what may be held now, and that nobody has heard yet."""
-        release = self.running.get(held.key)
-        return release if release is not None and release.phase is Phase.SEEKING and held.owed else None
-
-    @property
-    def open(self) -> bool:
-        """Whether anything may be held now, or still appear."""
-        return any(release.held.claims for release in self.running.values())
-
-    @property
-    def owed(self) -> bool:
-        """Whether anything that may be held now has not been heard of."""
-        return any(release.held.owed for release in self.running.values())
-
-    def rest(self, held: HeldState) -> None:
-        """An attempt arrives: what was not yet heard stays owed."""
-        release = self.running.get(held.key)
-        if release is not None:
-            release.rest()
-
-    def drop_if_over(self, held: HeldState) -> None:
-        """Forgets a release that rests and has nothing left to let go."""
-        release = self.running.get(held.key)
-        if release is not None and not held.claims:
-            self.forget(release)
-
-    def forget(self, release: Release) -> None:
-        release.rest()
-        if self.running.get(release.held.key) is release:
-            del self.running[release.held.key]
--- a/worksmux/node/serve.py
+++ b/worksmux/node/serve.py
@@ -22,10 +22,10 @@
 from ..policy.id_map import Door
 from .clients import NodeClients
 from .config import BadConfig, Config, load
-from .core import BODY, HEAD, NodeCore
+from .core import MAX_BODY_BYTES, MAX_HEAD_BYTES, NodeCore
 from .counters import NodeCounts
 from .discovery import Discovery
-from .kv_claims import LONGEST_SILENCE
+from .kv_claims import MAX_SILENCE_MS
 from .limits import shares
 
 LOG = structlog.get_logger()
@@ -55,7 +55,16 @@
         self.core.on_empty = self._emptied
         self.clients = NodeClients(self.core)
         self.lateness = Lateness(reactor)
-        self.server = Server(self.clients, BODY, HEAD, IDLE, reactor, PATIENCE, share.clients, self.lateness)
+        self.server = Server(
+            self.clients,
+            MAX_BODY_BYTES,
+            MAX_HEAD_BYTES,
+            IDLE,
+            reactor,
+            PATIENCE,
+            share.clients,
+            self.lateness,
+        )
         self.listener: Any = None
         self.port = 0
         self.on_end: Callable[[], None] = lambda: None
@@ -160,9 +169,9 @@
             flushed = clock.now() + FLUSH_TIMEOUT_MS
 
             def waiting() -> bool:
-                return self.core.releases.open or bool(self.server.channels) and clock.now() < flushed
+                return self.core.releaser.has_claims or bool(self.server.channels) and clock.now() < flushed
 
-            wait_until_flushed(self.reactor, waiting, self._over, LONGEST_SILENCE)
+            wait_until_flushed(self.reactor, waiting, self._over, MAX_SILENCE_MS)
 
     def _over(self) -> None:
         self.close()
