--- a/tests/fault_injection/world.py
+++ b/tests/fault_injection/world.py
@@ -16,7 +16,7 @@
 from node_rig import SETTINGS
 
 from worksmux.net import clock
-from worksmux.node.config import Config, read
+from worksmux.node.config import Config, parse_config
 from worksmux.node.serve import Node
 
 from . import schedule as s
@@ -169,7 +169,7 @@
             "settings": settings,
             "known": json.loads(self._whole_list()),
         }
-        return read(json.dumps(told).encode(), "config.json", {})
+        return parse_config(json.dumps(told).encode(), "config.json", {})
 
     # The list of engines.
 
--- a/tests/node_rig.py
+++ b/tests/node_rig.py
@@ -13,7 +13,7 @@
 from twisted.internet.protocol import Factory, Protocol
 
 from worksmux.net.loop import listen
-from worksmux.node.config import Config, read
+from worksmux.node.config import Config, parse_config
 from worksmux.node.serve import Node
 
 SETTINGS = {
@@ -200,7 +200,7 @@
             "settings": SETTINGS,
             "known": {"index": 1, "snapshot": True, "endpoints": [one.entry() for one in self.engines]},
         }
-        return read(json.dumps(told).encode(), "config.json", {})
+        return parse_config(json.dumps(told).encode(), "config.json", {})
 
     def start(self) -> Rig:
         self.node = Node(self.config(), self.reactor)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -400,7 +400,7 @@
     scene.rig.until(lambda: case.final_answer)
     may_have_run = request_class == "mark" and point == "writing"
     assert case.final_answer == ("broken off" if may_have_run else "deferred")
-    assert "overdue" not in scene.rig.node.counts.sums
+    assert "deadlines_missed" not in scene.rig.node.counts.counts
     client.close()
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -29,9 +29,12 @@
 from worksmux.endpoints.list_reader import ListKeeper
 from worksmux.forwarding.decision_loop import SLOW_ROUND_MS
 from worksmux.net import clock
-from worksmux.node import config, discovery, protocol, serve
+from worksmux.node import config, discovery, serve
 from worksmux.node.attempts import PrefillAttempt
 from worksmux.node.endpoint_list import Endpoint, HostList, listing
+from worksmux.node.engine_reply import parse_load_report
+from worksmux.node.errors import ConfigError, CorruptStreamError
+from worksmux.node.event_stream import EventStream
 from worksmux.node.serve import Node
 from worksmux.policy.events import AttemptEnded, EndpointEntry, EndpointListUpdate, RequestArrived, TimerFired
 from worksmux.policy.id_map import Door
@@ -61,14 +64,14 @@
     ],
 )
 def test_wrong_configuration_names_file_place_and_what_was_expected(data: bytes, expected: str) -> None:
-    with pytest.raises(config.BadConfig) as error:
-        config.read(data, "c.json", {})
+    with pytest.raises(ConfigError) as error:
+        config.parse_config(data, "c.json", {})
     text = str(error.value)
     assert text.startswith("c.json: ") and expected in text and "\n" not in text
 
 
 def config_of(settings: dict[str, Any]) -> config.Config:
-    return config.read(
+    return config.parse_config(
         told(settings=settings, name="n", listen="127.0.0.1:1", discovery="127.0.0.1:2"), "c.json", {}
     )
 
@@ -100,7 +103,7 @@
             del inner[place[-1]]
         try:
             told_to = config_of(settings)
-        except config.BadConfig as error:
+        except ConfigError as error:
             assert str(error).startswith("c.json: $.settings"), (place, error)
             continue
         door = Door(told_to.settings, 1)
@@ -134,9 +137,9 @@
 
 
 def test_missing_configuration_is_told_and_variables_fill_in(tmp_path: Any) -> None:
-    with pytest.raises(config.BadConfig, match="LB_CONFIG"):
+    with pytest.raises(ConfigError, match="LB_CONFIG"):
         config.load({})
-    with pytest.raises(config.BadConfig, match="none.json"):
+    with pytest.raises(ConfigError, match="none.json"):
         config.load({"LB_CONFIG": str(tmp_path / "none.json")})
     (tmp_path / "c.json").write_text(json.dumps({"settings": SETTINGS}))
     found = config.load(
@@ -167,38 +170,38 @@
 
 @given(st.lists(st.integers(0, len(b"".join(EVENTS))), max_size=6))
 def test_stream_is_passed_on_unchanged_wherever_it_is_cut(cuts: list[int]) -> None:
-    whole, stream = b"".join(EVENTS), protocol.Stream(1000)
+    whole, stream = b"".join(EVENTS), EventStream(1000)
     places = [0, *sorted(cuts), len(whole)]
     given_on = b"".join(stream.feed(whole[a:b]) for a, b in zip(places, places[1:], strict=False))
-    assert given_on == whole and stream.done and not stream.cut
+    assert given_on == whole and stream.done and not stream.is_cut
 
 
 @pytest.mark.parametrize(
     "junk", [b"data: {junk\n\n", b"\r\n3f\r\ndata: {}\n\n", b"\x00\xff\n\n", b"x" * 2000]
 )
 def test_noise_among_events_spoils_a_stream_and_keeps_what_came_before(junk: bytes) -> None:
-    stream = protocol.Stream(1000)
-    with pytest.raises(protocol.Spoilt) as fault:
+    stream = EventStream(1000)
+    with pytest.raises(CorruptStreamError) as fault:
         stream.feed(EVENTS[0] + junk)
-    assert fault.value.args[1] == EVENTS[0]
+    assert fault.value.intact == EVENTS[0]
 
 
 def test_load_report_stands_in_a_comment_and_may_be_unreadable() -> None:
-    stream = protocol.Stream(1000)
+    stream = EventStream(1000)
     data = EVENTS[0] + b": X-Server-Load: inflight=2\n" + EVENTS[2] + b": X-Server-Load: \xff"
     assert stream.feed(data) == EVENTS[0] + EVENTS[2]
-    assert stream.report == "inflight=2" and not stream.cut
-    assert protocol.load_report("inflight=\xff", ["inflight"]) is None
+    assert stream.load_report == "inflight=2" and not stream.is_cut
+    assert parse_load_report("inflight=\xff", ["inflight"]) is None
 
 
 @pytest.mark.parametrize("end", [b"\n\n", b"\r\n\r\n", b"\n\r\n"])
 def test_each_event_goes_on_with_its_last_byte_whatever_ends_its_lines(end: bytes) -> None:
     """Guards against events that are held back until the next one, or until the stream is over."""
-    stream = protocol.Stream(1000)
+    stream = EventStream(1000)
     for event in EVENTS:
         data = event.strip() + end
         assert [stream.feed(data[at : at + 1]) for at in range(len(data))][-1] == data
-    assert stream.done and not stream.cut
+    assert stream.done and not stream.is_cut
 
 
 # Trips.
--- a/worksmux/node/__init__.py
+++ b/worksmux/node/__init__.py
@@ -1,1 +1,2 @@
-"""A front node on an operator's platform: its configuration, its protocol, its discovery.  No decision."""
+"""A front node on the operators' platform: its configuration, protocol, discovery and releases of KV
+cache."""
--- a/worksmux/node/attempts.py
+++ b/worksmux/node/attempts.py
@@ -7,7 +7,10 @@
 from ..forwarding.attempt import AttemptCall, StreamingAttempt
 from ..net import client, clock
 from ..policy.state import Engine, Outcome
-from . import protocol
+from . import engine_reply, protocol
+from .client_request import ClientRequest
+from .errors import CorruptStreamError
+from .event_stream import EventStream
 
 MAX_HEAD_AGE_MS = 20.0  # an older head is written again, as the time left in it is too long
 
@@ -16,7 +19,7 @@
     """An attempt whose reply may be a rejection. Times are milliseconds of the clock."""
 
     report_fields: list[str] = []  # the names of the load report's figures
-    client_request: protocol.Asked
+    client_request: ClientRequest
     head_written_at = 0.0
     expires_at = 0.0  # the end of the time left that the engine is sent
     written_at = 0.0  # when its connection was up and its bytes were handed over
@@ -24,7 +27,7 @@
     monitored = False  # by the monitor of unresponsive attempts
     last_piece_at = 0.0  # of its stream
 
-    def send(self, client_request: protocol.Asked, timeout_ms: float) -> client.Call:
+    def send(self, client_request: ClientRequest, timeout_ms: float) -> client.Call:
         """Starts the call."""
         self.client_request, self.head_written_at = client_request, clock.now()
         self.expires_at = self.head_written_at + timeout_ms
@@ -34,7 +37,7 @@
     def _headers(self) -> list[tuple[str, str]]:
         request = self.client_request
         left_ms = max(1, round(self.expires_at - clock.now()))
-        headers = [(protocol.ID, request.key), (protocol.TIME_LEFT, str(left_ms)), *request.headers]
+        headers = [(protocol.REQUEST_ID, request.key), (protocol.TIME_LEFT, str(left_ms)), *request.headers]
         if not any(name.lower() == "content-type" for name, _ in request.headers):
             headers.append(("Content-Type", "application/json"))
         return headers
@@ -72,10 +75,10 @@
         return max(self.pool.answered, self.last_piece_at)
 
     def _rejection(self) -> tuple[Outcome, int]:
-        return protocol.refusal(self.status, self.headers)
+        return engine_reply.rejection(self.status, self.headers)
 
     def _load_report(self) -> dict[str, float] | None:
-        return protocol.load_report(self.headers.get(protocol.LOAD), self.report_fields)
+        return engine_reply.parse_load_report(self.headers.get(protocol.LOAD), self.report_fields)
 
 
 class PrefillAttempt(NodeAttempt):
@@ -85,7 +88,7 @@
         """The reply is whole."""
         if self.status != 202:
             return super().done()
-        self._end(Outcome.READ, protocol.cached_tokens(bytes(self.body)))
+        self._end(Outcome.READ, engine_reply.cached_tokens(bytes(self.body)))
 
 
 class DecodeAttempt(StreamingAttempt, NodeAttempt):
@@ -93,13 +96,13 @@
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self.stream = protocol.Stream(self.max_body_bytes)
+        self.stream = EventStream(self.max_body_bytes)
 
     def _on_stream_data(self, data: bytes) -> None:
         try:
             self._relay_events(self.stream.feed(data))
-        except protocol.Spoilt as error:
-            self._relay_events(error.args[1])
+        except CorruptStreamError as error:
+            self._relay_events(error.intact)
             self._end(Outcome.ERROR)
 
     def _relay_events(self, events: bytes) -> None:
@@ -107,10 +110,11 @@
             self._relay(events)
 
     def _on_stream_end(self) -> None:
-        if self.last_piece_at and not self.stream.cut and self.headers.get("transfer-encoding"):
-            self._end(Outcome.DELIVERED, self.stream.cached, ())
+        if self.last_piece_at and not self.stream.is_cut and self.headers.get("transfer-encoding"):
+            self._end(Outcome.DELIVERED, self.stream.cached_tokens, ())
         else:
             self._end(Outcome.ERROR)
 
     def _load_report(self) -> dict[str, float] | None:
-        return protocol.load_report(self.stream.report, self.report_fields) or super()._load_report()
+        in_stream = engine_reply.parse_load_report(self.stream.load_report, self.report_fields)
+        return in_stream or super()._load_report()
--- a/worksmux/node/clients.py
+++ b/worksmux/node/clients.py
@@ -1,4 +1,4 @@
-"""The clients' side of a node: heads checked, streams passed on unchanged, one answer to each job."""
+"""The clients' side of a node: checks heads, relays streams unchanged, gives one answer to each request."""
 
 from __future__ import annotations
 
@@ -6,33 +6,40 @@
 from ..forwarding.stream_relay import StreamRelay
 from ..net.server import Exchange
 from . import protocol
+from .client_request import end_to_end_headers, parse_client_request
 from .core import NodeCore
+from .errors import InvalidRequestError
 
-DEFERRED, BROKEN_OFF, TIMED_OUT = 503, 502, 504
+REJECTED_STATUS, ABORTED_STATUS, TIMED_OUT_STATUS = 503, 502, 504
 
 
 class StreamClient(StreamRelay):
-    """One client's job; see `forwarding.request_context.Client`."""
+    """The client of one request, a `forwarding.request_context.Client`."""
 
     def send_content(self, content: bytes) -> None:
+        """Sends whole events."""
         self._begin()
         self.exchange.more(content)
 
     def complete(self, *result: object) -> None:
+        """Ends the stream."""
         self._disconnect_backpressure()
         self.exchange.end()
 
     def reject(self, retry_after_ms: float) -> None:
-        wait = (("Retry-After", f"{retry_after_ms / 1000:.3f}"),) if retry_after_ms else ()
-        self._refused(DEFERRED, "deferred: it has had no effect, and trying again is harmless", wait)
+        """Answers that the request was not executed."""
+        headers = (("Retry-After", f"{retry_after_ms / 1000:.3f}"),) if retry_after_ms else ()
+        message = "deferred: it has had no effect, and trying again is harmless"
+        self._answer_error(REJECTED_STATUS, message, headers)
 
     def abort(self, timed_out: bool) -> None:
-        self._refused(TIMED_OUT if timed_out else BROKEN_OFF, "broken off: it may have run")
+        """Answers that the request has possibly been executed."""
+        self._answer_error(TIMED_OUT_STATUS if timed_out else ABORTED_STATUS, "broken off: it may have run")
 
-    def _refused(self, status: int, message: str, headers: tuple[tuple[str, str], ...] = ()) -> None:
+    def _answer_error(self, status: int, message: str, headers: tuple[tuple[str, str], ...] = ()) -> None:
         if self.begun:
             self._disconnect_backpressure()
-            self.exchange.cut()  # without the last chunk
+            self.exchange.cut()  # without the last chunk, by which the client sees that it is not whole
         else:
             self.exchange.answer(status, errors.error(message, "server_error"), headers=headers)
 
@@ -47,39 +54,41 @@
 
     def __call__(self, exchange: Exchange) -> None:
         path = exchange.uri.decode("latin-1").partition("?")[0]
-        if path == protocol.CHAT and exchange.method == b"POST":
+        if path == protocol.CHAT_PATH and exchange.method == b"POST":
             self._chat(exchange)
-        elif path == protocol.READY and exchange.method in (b"GET", b"HEAD"):
-            able = self.ready and not self.core.failed
-            status, text = (200, b"serving\n") if able else (503, b"not serving\n")
-            exchange.answer(status, text, "text/plain")
-        elif path in (protocol.CHAT, protocol.READY):
-            self._no(exchange, 405, "another method was expected")
+        elif path == protocol.READY_PATH and exchange.method in (b"GET", b"HEAD"):
+            self._answer_ready(exchange)
+        elif path in (protocol.CHAT_PATH, protocol.READY_PATH):
+            self._answer_invalid(exchange, 405, "another method was expected")
         else:
-            self._no(exchange, 404, "no such path")
+            self._answer_invalid(exchange, 404, "no such path")
 
-    def _no(self, exchange: Exchange, status: int, message: str) -> None:
-        """An error for what is no job; its connection is not trusted further."""
+    def _answer_ready(self, exchange: Exchange) -> None:
+        is_serving = self.ready and not self.core.failed
+        status, text = (200, b"serving\n") if is_serving else (503, b"not serving\n")
+        exchange.answer(status, text, "text/plain")
+
+    def _answer_invalid(self, exchange: Exchange, status: int, message: str) -> None:
+        """Answers what is no valid request, and closes its connection, whose framing may be wrong too."""
         self.core.metrics.turned_away(str(status))
         exchange.last()
         exchange.answer(status, errors.error(message, "invalid_request_error"))
 
     def _chat(self, exchange: Exchange) -> None:
+        path = exchange.uri.decode("latin-1")
         try:
-            asked = protocol.asked(
-                exchange.values, exchange.uri.decode("latin-1"), exchange.body(), self.request_classes
-            )
-        except protocol.Refused as fault:
-            return self._no(exchange, fault.status, fault.why)
-        asked.headers = protocol.forwarded(exchange.fields())
-        if asked.key in self.core.open_keys:
-            return self._no(exchange, 409, "a job with this id is open")
-        side = StreamClient(exchange)
-        if self.core.failed:  # the module has: nothing would decide on it
+            request = parse_client_request(exchange.values, path, exchange.body(), self.request_classes)
+        except InvalidRequestError as error:
+            return self._answer_invalid(exchange, error.status, error.reason)
+        request.headers = end_to_end_headers(exchange.fields())
+        if request.key in self.core.open_keys:
+            return self._answer_invalid(exchange, 409, "a job with this id is open")
+        client = StreamClient(exchange)
+        if self.core.failed:
             self.core.metrics.turned_away("module failed")
-            return side.reject(0.0)
+            return client.reject(0.0)
         if len(self.core.open_requests) >= self.core.share.requests:
             self.core.metrics.turned_away("too many open")
-            return side.reject(0.0)
-        context = side.context = self.core.arrived(asked, side, exchange.came())
+            return client.reject(0.0)
+        context = client.context = self.core.arrived(request, client, exchange.came())
         exchange.on_gone = lambda: self.core.client_disconnected(context)
--- a/worksmux/node/config.py
+++ b/worksmux/node/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells a front node at its start: the file that LB_CONFIG names, or single variables."""
+"""The configuration of a node: the file that LB_CONFIG names, and single variables for what it leaves out."""
 
 from __future__ import annotations
 
@@ -13,13 +13,15 @@
 from ..settings import units
 from ..settings.platform import Place, Untold, settings_from
 from .endpoint_list import HostList
+from .errors import ConfigError
 
-Address = tuple[str, int]
-FILE, NAME, LISTEN, DISCOVERY = "LB_CONFIG", "LB_NAME", "LB_LISTEN", "LB_DISCOVERY"
+Address = tuple[str, int]  # host, port
 
-
-class BadConfig(Exception):
-    """One line: the file or variable, the place in it, and what was expected."""
+FILE_VARIABLE = "LB_CONFIG"
+NAME_VARIABLE = "LB_NAME"
+LISTEN_VARIABLE = "LB_LISTEN"
+DISCOVERY_VARIABLE = "LB_DISCOVERY"
+MAX_QUOTED_CHARACTERS = 60  # of a wrong value, in an error
 
 
 class _Limits(msgspec.Struct):
@@ -38,92 +40,104 @@
     known: HostList = msgspec.field(default_factory=HostList)
 
 
-READ = msgspec.json.Decoder(_File)
+FILE_DECODER = msgspec.json.Decoder(_File)
 
 
 @dataclass(frozen=True)
 class Config:
+    """The configuration of one node."""
+
     name: str
     listen: Address
     discovery: Address
     seed: int
     cores: float  # the part of one core that the node gets
-    memory: float  # bytes; 0: no limit is told
-    sockets: int  # descriptors in all
-    known: HostList  # the list as this node last had it
-    settings: Settings  # what the module is given
+    memory_bytes: float  # 0: no limit is named
+    sockets: int  # file descriptors in all
+    known: HostList  # the endpoint list as this node last had it
+    settings: Settings  # of the policy
     request_classes: list[str]
     kinds: list[str]
     zones: list[str]
 
 
-def address(text: str | None, place: str) -> Address:
-    """
-    >>> address("127.0.0.1:3000", "listen")
+def parse_address(text: str | None, place: str) -> Address:
+    """Parses an address; `place` stands in the error. Raises ConfigError.
+
+    >>> parse_address("127.0.0.1:3000", "listen")
     ('127.0.0.1', 3000)
-    >>> address("127.0.0.1", "f: $.listen")
+    >>> parse_address("127.0.0.1", "f: $.listen")
     Traceback (most recent call last):
-    worksmux.node.config.BadConfig: f: $.listen: an address host:port was expected, found 127.0.0.1
+    worksmux.node.errors.ConfigError: f: $.listen: an address host:port was expected, found 127.0.0.1
     """
     if not text:
-        raise BadConfig(f"{place}: an address host:port was expected, it is missing")
+        raise ConfigError(f"{place}: an address host:port was expected, it is missing")
     try:
         return units.address(text)
     except ValueError:
-        raise BadConfig(f"{place}: an address host:port was expected, found {text[:60]}") from None
+        found = text[:MAX_QUOTED_CHARACTERS]
+        raise ConfigError(f"{place}: an address host:port was expected, found {found}") from None
 
 
-def _seed(told: str | int, place: str) -> int:
+def _parse_seed(value: str | int, place: str) -> int:
     try:
-        return told if isinstance(told, int) else int(told, 16)
+        return value if isinstance(value, int) else int(value, 16)
     except ValueError:
-        raise BadConfig(f"{place}: hexadecimal digits were expected, found {told!r:.40}") from None
+        raise ConfigError(f"{place}: hexadecimal digits were expected, found {value!r:.40}") from None
+
 
+def parse_config(data: bytes, place: str, variables: Mapping[str, str]) -> Config:
+    """Parses a file; `place` is its name, for errors. What it leaves out is taken from the variables.
 
-def read(data: bytes, place: str, variables: Mapping[str, str]) -> Config:
-    """`place` is the file's name, for errors.  What the file leaves out is taken from the variables."""
+    Raises ConfigError.
+    """
     try:
-        told = READ.decode(data)
-        settings = settings_from(told.settings, "$.settings")
-        root = Place(told.settings, "$.settings")
+        file = FILE_DECODER.decode(data)
+        settings = settings_from(file.settings, "$.settings")
+        root = Place(file.settings, "$.settings")
         request_classes = [
-            Place(one, f"$.settings.services[{at}]").text("name")
-            for at, one in enumerate(told.settings["services"])
+            Place(service, f"$.settings.services[{at}]").text("name")
+            for at, service in enumerate(file.settings["services"])
         ]
         kinds, zones = root.texts("kinds"), root.texts("zones", [])
-    except (Untold, msgspec.ValidationError) as error:  # they name the place themselves
-        raise BadConfig(f"{place}: {error}") from None
+    except (Untold, msgspec.ValidationError) as error:  # they name the place in the file
+        raise ConfigError(f"{place}: {error}") from None
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise BadConfig(f"{place}: {len(data)} bytes: whole JSON was expected: {error}") from None
+        raise ConfigError(f"{place}: {len(data)} bytes: whole JSON was expected: {error}") from None
     if len(settings["roles"]) != len(kinds):
-        raise BadConfig(f"{place}: $.settings.extra.duty_by_kind: one role a kind was expected, {len(kinds)}")
-    name = told.name or variables.get(NAME)
+        raise ConfigError(
+            f"{place}: $.settings.extra.duty_by_kind: one role a kind was expected, {len(kinds)}"
+        )
+    name = file.name or variables.get(NAME_VARIABLE)
     if not name:
-        raise BadConfig(f"{place}: $.name: a name was expected, neither it nor {NAME} is given")
-    limits = told.limits
+        raise ConfigError(f"{place}: $.name: a name was expected, neither it nor {NAME_VARIABLE} is given")
+    listen = file.listen or variables.get(LISTEN_VARIABLE)
+    discovery = file.discovery or variables.get(DISCOVERY_VARIABLE)
     return Config(
-        name,
-        address(told.listen or variables.get(LISTEN), f"{place}: $.listen"),
-        address(told.discovery or variables.get(DISCOVERY), f"{place}: $.discovery"),
-        _seed(told.seed, f"{place}: $.seed"),
-        limits.cores,
-        limits.memory_mb * 2**20,
-        limits.sockets,
-        told.known,
-        settings,
-        request_classes,
-        kinds,
-        zones,
+        name=name,
+        listen=parse_address(listen, f"{place}: $.listen"),
+        discovery=parse_address(discovery, f"{place}: $.discovery"),
+        seed=_parse_seed(file.seed, f"{place}: $.seed"),
+        cores=file.limits.cores,
+        memory_bytes=file.limits.memory_mb * 2**20,
+        sockets=file.limits.sockets,
+        known=file.known,
+        settings=settings,
+        request_classes=request_classes,
+        kinds=kinds,
+        zones=zones,
     )
 
 
 def load(variables: Mapping[str, str]) -> Config:
-    """Raises BadConfig."""
-    path = variables.get(FILE)
+    """Reads the file that the environment's variables name. Raises ConfigError."""
+    path = variables.get(FILE_VARIABLE)
     if not path:
-        raise BadConfig(f"{FILE}: the path of the configuration was expected, the variable is not set")
+        raise ConfigError(
+            f"{FILE_VARIABLE}: the path of the configuration was expected, the variable is not set"
+        )
     try:
         data = Path(path).read_bytes()
     except OSError as error:
-        raise BadConfig(f"{path}: a configuration in JSON was expected: {error.strerror}") from None
-    return read(data, path, variables)
+        raise ConfigError(f"{path}: a configuration in JSON was expected: {error.strerror}") from None
+    return parse_config(data, path, variables)
--- a/worksmux/node/core.py
+++ b/worksmux/node/core.py
@@ -9,8 +9,9 @@
 from ..net.time_out import TimeOut
 from ..policy.id_map import Door
 from ..policy.state import Attempt, Engine, Outcome, Request
-from . import protocol
+from . import engine_reply, protocol
 from .attempts import DecodeAttempt, NodeAttempt, PrefillAttempt
+from .client_request import ClientRequest
 from .counters import NodeCounts
 from .kv_claims import KvClaims
 from .kv_release import KvRelease
@@ -63,24 +64,24 @@
         self.prefill_work = PrefillWorkEstimate(self.releaser.time_limit_ms)
         self._releases_due: list[RequestContext] = []  # after the round
 
-    def arrived(self, asked: protocol.Asked, client_side: Client, arrived: float) -> RequestContext:
+    def arrived(self, client_request: ClientRequest, client_side: Client, arrived: float) -> RequestContext:
         """Accepts a request that came at `arrived` (milliseconds of the clock)."""
         self.last_request_id += 1
         request = Request(
             self.last_request_id,
-            asked.request_class,
-            asked.session,
-            asked.prefix,
-            asked.prompt,
-            asked.prefix_tokens,
-            asked.most,
+            client_request.request_class,
+            client_request.session,
+            client_request.prefix,
+            client_request.prompt_tokens,
+            client_request.prefix_tokens,
+            client_request.max_answer_tokens,
             arrived,
-            arrived + max(0.0, asked.time_left - CLIENT_RTT_ALLOWANCE_MS),
-            repeat=asked.repeat,
-            resumed=asked.resumed,
+            arrived + max(0.0, client_request.time_left_ms - CLIENT_RTT_ALLOWANCE_MS),
+            repeat=client_request.retried,
+            resumed=client_request.resumed,
         )
-        class_name = self.request_classes[asked.request_class]
-        context = RequestContext(request, asked, client_side, asked.key, class_name)
+        class_name = self.request_classes[client_request.request_class]
+        context = RequestContext(request, client_request, client_side, client_request.key, class_name)
         self.open_keys[context.key] = context
         self.kv_claims[request] = self.releaser.claims_of(context.key)
         return self._accept(context)
@@ -251,15 +252,15 @@
         return self.connect_timeout_ms, MAX_BODY_BYTES, ()
 
     def _health_check_path(self) -> str:
-        return protocol.ALIVE if self.module_settings["reports"] == "off" else protocol.LOAD_PATH
+        return protocol.ALIVE_PATH if self.module_settings["reports"] == "off" else protocol.LOAD_PATH
 
     def _health_check_result(
         self, status: int, headers: dict[str, str], reply: bytes
     ) -> tuple[Outcome, dict[str, float] | None]:
         if status != 200:
-            return protocol.refusal(status, headers)[0], None
+            return engine_reply.rejection(status, headers)[0], None
         text = headers.get(protocol.LOAD) or reply[:1000].decode("latin-1")
-        return Outcome.DELIVERED, protocol.load_report(text, self.module_settings["report_fields"])
+        return Outcome.DELIVERED, engine_reply.parse_load_report(text, self.module_settings["report_fields"])
 
     def _reserve_slot(self, request: Request, engine: Engine) -> None:
         raise LookupError("the platform's protocol has no reservation of decode slots")
--- a/worksmux/node/counters.py
+++ b/worksmux/node/counters.py
@@ -1,50 +1,62 @@
-"""What a node counts of itself, for its log: there is no listener for metrics on the platform."""
+"""What a node counts of itself, for its log: the platform has no listener for metrics."""
 
 from __future__ import annotations
 
 from collections import Counter
 
+# The log fields of the stages in `forwarding.counters.Counters.attempt`.
+STAGE_FIELDS = {"read": "prefill_attempts", "write": "decode_attempts", "moot": "moot_attempts"}
+
 
 class NodeCounts:
-    """Sums since they were last taken."""
+    """Counters since they were last taken, a `forwarding.counters.Counters`."""
 
     def __init__(self) -> None:
-        self.sums: Counter[str] = Counter()
-        self.open = 0
+        self.counts: Counter[str] = Counter()
+        self.open = 0  # requests
 
     def arrived(self, request_class: str) -> None:
+        """A request was accepted."""
         self.open += 1
-        self.sums["taken"] += 1
+        self.counts["accepted"] += 1
 
     def ended(
         self, request_class: str, answer: str, ms: float, first_ms: float | None, attempts: int
     ) -> None:
+        """A request has its final answer."""
         self.open -= 1
-        self.sums[answer] += 1
+        self.counts[answer] += 1
 
     def attempt(self, stage: str) -> None:
-        self.sums[stage] += 1
+        """An attempt was started, or was moot."""
+        self.counts[STAGE_FIELDS[stage]] += 1
 
     def probe(self, outcome: str) -> None:
-        self.sums["probes"] += 1
+        """A health check ended."""
+        self.counts["health_checks"] += 1
 
     def release(self) -> None:
-        self.sums["releases"] += 1
+        """A release of KV cache was started."""
+        self.counts["releases"] += 1
 
     def overdue(self) -> None:
-        self.sums["overdue"] += 1
+        """A request missed its deadline."""
+        self.counts["deadlines_missed"] += 1
 
     def decision_round(self, ms: float, events: int) -> None:
-        self.sums["turns"] += 1
+        """The policy decided on a batch of events."""
+        self.counts["decision_rounds"] += 1
 
-    def turned_away(self, why: str) -> None:
-        self.sums[f"turned away: {why}"] += 1
+    def turned_away(self, reason: str) -> None:
+        """A call of a client was answered without becoming a request."""
+        self.counts[f"turned away: {reason}"] += 1
 
     def closed(self, closes: Counter[str]) -> None:
         """Connections of clients that this side ended, by reason."""
-        for why, count in closes.items():
-            self.sums[f"closed: {why}"] += count
+        for reason, count in closes.items():
+            self.counts[f"closed: {reason}"] += count
 
     def take(self) -> dict[str, int]:
-        sums, self.sums = dict(self.sums), Counter()
-        return sums
+        """Returns the counters and resets them."""
+        counts, self.counts = dict(self.counts), Counter()
+        return counts
--- /dev/null
+++ b/worksmux/node/event_stream.py
@@ -0,0 +1,102 @@
+"""Cuts an engine's stream into whole server-sent events and checks each."""
+
+from __future__ import annotations
+
+import re
+from typing import Any
+
+import msgspec
+
+from .engine_reply import CachedTokens
+from .errors import CorruptStreamError
+from .protocol import LOAD
+
+EVENT_END = re.compile(rb"\r?\n\r?\n")
+DATA_FIELD = b"data:"
+LAST_EVENT = b"[DONE]"
+
+
+class _Usage(msgspec.Struct):
+    prompt_tokens_details: CachedTokens | None = None
+
+
+class _Chunk(msgspec.Struct):
+    choices: list[Any]
+    usage: _Usage | None = None
+
+
+CHUNK_DECODER = msgspec.json.Decoder(_Chunk)
+
+
+class EventStream:
+    """One stream; its events are relayed unchanged.
+
+    Failure: a transfer chunk with a wrong size lets other bytes in among the events. Each event is checked,
+    so that they end the stream instead of reaching the client.
+
+    >>> stream = EventStream(1000)
+    >>> stream.feed(b'data: {"choices":[]}\\n\\nda')
+    b'data: {"choices":[]}\\n\\n'
+    >>> stream.feed(b'ta: [DONE]\\n\\n: X-Server-Load: inflight=1\\n\\n'), stream.done, stream.load_report
+    (b'data: [DONE]\\n\\n', True, 'inflight=1')
+    """
+
+    def __init__(self, max_event_bytes: int) -> None:
+        self.max_event_bytes = max_event_bytes
+        self.done = False  # the last event has come
+        self.cached_tokens = 0
+        self.load_report: str | None = None
+        self._rest = b""
+
+    def feed(self, data: bytes) -> bytes:
+        """Takes a piece of the stream and returns the events that are whole with it.
+
+        Raises CorruptStreamError, with the whole events before the fault.
+        """
+        buffer, events, begin = self._rest + data, [], 0  # type: bytes, list[bytes], int
+        for blank_line in EVENT_END.finditer(buffer):
+            try:
+                event = self._check(buffer[begin : blank_line.start()])
+            except CorruptStreamError as error:
+                raise CorruptStreamError(str(error), b"".join(events)) from None
+            if event:
+                events.append(event + blank_line[0])
+            begin = blank_line.end()
+        self._rest = buffer[begin:]
+        if len(self._rest) > self.max_event_bytes:
+            raise CorruptStreamError("an event does not end", b"".join(events))
+        return b"".join(events)
+
+    @property
+    def is_cut(self) -> bool:
+        """Whether an event has begun that is not whole."""
+        return any(line.strip() and not line.startswith(b":") for line in self._rest.split(b"\n"))
+
+    def _check(self, event: bytes) -> bytes:
+        """The part of an event that is relayed: no comments, and nothing after the last event."""
+        if event.startswith(b":") or b"\n:" in event:
+            event = b"\n".join(line for line in event.split(b"\n") if not self._take_comment(line))
+        if not event.strip() or self.done:
+            return b""
+        if not event.startswith(DATA_FIELD):
+            raise CorruptStreamError("no event")
+        data = event.removeprefix(DATA_FIELD).strip()
+        if data == LAST_EVENT:
+            self.done = True
+            return event
+        try:
+            usage = CHUNK_DECODER.decode(data).usage
+        except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
+            raise CorruptStreamError("an event that can't be read") from None
+        if usage is not None and usage.prompt_tokens_details is not None:
+            self.cached_tokens = usage.prompt_tokens_details.cached_tokens
+        return event
+
+    def _take_comment(self, line: bytes) -> bool:
+        """Whether a line is a comment; the engine's load report stands in one."""
+        if not line.startswith(b":"):
+            return False
+        name, _, value = line[1:].partition(b":")
+        if name.strip().lower() == LOAD.encode():
+            self.load_report = value.strip().decode("latin-1")
+        return True
--- a/worksmux/node/kv_release.py
+++ b/worksmux/node/kv_release.py
@@ -98,7 +98,7 @@
         # Called once, with the next acknowledgement or the end of sending.
         self.on_acknowledged: Callable[[], None] | None = None
         self._environment = environment
-        self._path = protocol.HOLDS + claims.key
+        self._path = protocol.HOLDS_PATH + claims.key
         self._rounds = 0
         self._due_since: float | None = None  # the start of the time limit in the current pass
         self._tried: dict[Engine, None] = {}  # in this pass over all engines
--- a/worksmux/node/serve.py
+++ b/worksmux/node/serve.py
@@ -21,10 +21,11 @@
 from ..net.time_out import TimeOut
 from ..policy.id_map import Door
 from .clients import NodeClients
-from .config import BadConfig, Config, load
+from .config import Config, load
 from .core import MAX_BODY_BYTES, MAX_HEAD_BYTES, NodeCore
 from .counters import NodeCounts
 from .discovery import Discovery
+from .errors import ConfigError
 from .kv_claims import MAX_SILENCE_MS
 from .limits import shares
 
@@ -117,7 +118,7 @@
             port=self.port,
             cores=self.config.cores,
             sockets=self.config.sockets,
-            memory=round(self.config.memory),
+            memory=round(self.config.memory_bytes),
             frozen=gc.get_freeze_count(),
         )
 
@@ -132,7 +133,7 @@
         """Takes up discovery's new address; a configuration that is wrong leaves all as it was."""
         try:
             fresh = load(variables)
-        except BadConfig as error:
+        except ConfigError as error:
             LOG.error("the configuration was not taken up; the old one holds", why=str(error))
             return
         old = self.config
@@ -196,7 +197,7 @@
     """Serves until SIGTERM."""
     try:
         config = load(variables)
-    except BadConfig as error:
+    except ConfigError as error:
         print(f"worksmux node: {error}", file=sys.stderr)
         return BAD_CONFIG
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until it can be acted on
