--- a/tests/node_rig.py
+++ b/tests/node_rig.py
@@ -258,3 +258,11 @@
 
     rig.reactor.connectTCP = connectTCP
     return waiting
+
+
+def rig_of_two(writer: Any = None, sockets: int = 256) -> Rig:
+    """A started node with a prefill engine and a decode engine; `writer` scripts the latter."""
+    rig = Rig(sockets)
+    rig.engine("prefill")
+    rig.engine("decode", writer)
+    return rig.start()
--- /dev/null
+++ b/tests/test_node_config.py
@@ -0,0 +1,135 @@
+"""A node's configuration and the conversion of the endpoint list."""
+
+from __future__ import annotations
+
+import json
+from typing import Any
+
+import pytest
+from node_rig import SETTINGS
+
+from worksmux.endpoints.list_reader import ListKeeper
+from worksmux.node import config
+from worksmux.node.endpoint_list import Endpoint, HostList, convert
+from worksmux.node.errors import ConfigError
+from worksmux.policy.events import AttemptEnded, EndpointEntry, EndpointListUpdate, TimerFired
+from worksmux.policy.id_map import Door
+from worksmux.policy.state import Engine, Outcome, Request
+
+
+def told(**values: Any) -> bytes:
+    return json.dumps(values).encode()
+
+
+@pytest.mark.parametrize(
+    ("data", "expected"),
+    [
+        (b"", "0 bytes: whole JSON was expected"),
+        (b'{"settings": {"limits"', "22 bytes: whole JSON was expected"),
+        (b'{"name": "n"}', "`settings`"),
+        (told(settings={**SETTINGS, "limits": 3}), "$.settings.limits: an object was expected"),
+        (told(settings={**SETTINGS, "services": [{}]}), "$.settings.services[0].aim: a number"),
+        (told(settings=SETTINGS, name="n", listen="x"), "$.listen: an address host:port"),
+        (told(settings=SETTINGS, name=7), "$.name"),
+    ],
+)
+def test_wrong_configuration_names_file_place_and_what_was_expected(data: bytes, expected: str) -> None:
+    with pytest.raises(ConfigError) as error:
+        config.parse_config(data, "c.json", {})
+    text = str(error.value)
+    assert text.startswith("c.json: ") and expected in text and "\n" not in text
+
+
+def config_of(settings: dict[str, Any]) -> config.Config:
+    return config.parse_config(
+        told(settings=settings, name="n", listen="127.0.0.1:1", discovery="127.0.0.1:2"), "c.json", {}
+    )
+
+
+def paths(told: Any, at: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+    """Places of all values in a JSON object."""
+    inner = told.items() if isinstance(told, dict) else enumerate(told) if isinstance(told, list) else ()
+    return (
+        [at, *(place for key, value in inner for place in paths(value, (*at, key)))]
+        if at
+        else [place for key, value in inner for place in paths(value, (key,))]
+    )
+
+
+MISSING = object()
+
+
+@pytest.mark.parametrize("value", [MISSING, None, "x", -1, 0, 1e308, [], {}, True, [[]]], ids=repr)
+def test_setting_that_is_missing_or_strange_is_refused_by_its_place_or_served_with(value: Any) -> None:
+    """Guards against a traceback as the answer to a configuration, and against a module that fails by it."""
+    for place in paths(SETTINGS):
+        settings = json.loads(json.dumps(SETTINGS))
+        inner = settings
+        for key in place[:-1]:
+            inner = inner[key]
+        if value is not MISSING:
+            inner[place[-1]] = value
+        elif isinstance(inner, dict):
+            del inner[place[-1]]
+        try:
+            told_to = config_of(settings)
+        except ConfigError as error:
+            assert str(error).startswith("c.json: $.settings"), (place, error)
+            continue
+        door = Door(told_to.settings, 1)
+        engines = [door.engine(name, at + 1) for at, name in enumerate((b"r", b"w"))]
+        entries = [
+            EndpointEntry(engine, "ready", 0.0, 0, 0, kind, 1.0)
+            for kind, engine in enumerate(engines)
+            if kind < len(told_to.kinds)
+        ]
+        request = Request(1, 0, 1, 0, 500.0, 0.0, 80.0, 1000.0, 4000.0)
+        door.decide(1000.0, [EndpointListUpdate("full", entries), door.arrived(request)])
+        for at in range(1, 8):
+            ends = [
+                AttemptEnded(attempt, Outcome.READ if attempt.reading else Outcome.RESET, 5.0, False)
+                for attempt in request.out
+            ]
+            door.decide(1000.0 + 600 * at, [*ends, TimerFired(0)])
+
+
+def test_settings_without_zones_have_one() -> None:
+    """Guards against engines left out of a fleet whose settings name no zones."""
+    unnamed = {key: value for key, value in SETTINGS.items() if key != "zones"}
+    for settings in (unnamed, {**unnamed, "zones": []}):
+        told_to = config_of(settings)
+        keeper = ListKeeper(told_to.kinds, told_to.zones, lambda name: Engine(name.encode(), 1))
+        for zone in ("", "a", "b"):
+            endpoint = Endpoint(f"e{zone}", "127.0.0.1:3", zone, "decode")
+            event = keeper.take(1.0, convert(HostList(1, True, [endpoint]), 0, 0.0)[0]).event
+            assert event is not None
+            assert [(entry.state, entry.zone) for entry in event.entries] == [("ready", 0)]
+
+
+def test_missing_configuration_is_told_and_variables_fill_in(tmp_path: Any) -> None:
+    with pytest.raises(ConfigError, match="LB_CONFIG"):
+        config.load({})
+    with pytest.raises(ConfigError, match="none.json"):
+        config.load({"LB_CONFIG": str(tmp_path / "none.json")})
+    (tmp_path / "c.json").write_text(json.dumps({"settings": SETTINGS}))
+    found = config.load(
+        {
+            "LB_CONFIG": str(tmp_path / "c.json"),
+            "LB_NAME": "n3",
+            "LB_LISTEN": "127.0.0.1:3000",
+            "LB_DISCOVERY": "127.0.0.1:8500",
+        }
+    )
+    assert (found.name, found.listen, found.request_classes) == ("n3", ("127.0.0.1", 3000), ["chat", "mark"])
+
+
+def test_entries_that_make_no_sense_are_left_out_and_told() -> None:
+    hosts = [
+        Endpoint("a", "127.0.0.1:1"),
+        Endpoint("b", "nowhere"),
+        Endpoint("c", "h:1", status="?"),
+        Endpoint("d", status="DELETED"),
+    ]
+    made, notes = convert(HostList(5, False, hosts), 4, 1000.0)
+    assert [(line.id, line.state) for line in made.engines] == [("a", "ready"), ("d", "gone")]
+    assert len(notes) == 2
--- /dev/null
+++ b/tests/test_node_startup.py
@@ -0,0 +1,163 @@
+"""Start, discovery and shutdown of a node."""
+
+from __future__ import annotations
+
+import json
+from typing import Any
+
+import pytest
+from node_rig import ANSWER, Hosts, Rig, ask, chunk, rig_of_two
+
+from worksmux.net import clock
+from worksmux.node import serve
+from worksmux.node.serve import Node
+
+
+def test_engine_that_started_lately_is_cold_by_an_old_list_too() -> None:
+    rig = Rig()
+    old, young = rig.engine("prefill"), rig.engine("prefill")
+    usual = young.entry
+    young.entry = lambda status="SERVING": {**usual(status), "since_ms": clock.wall() - 1000.0}  # type: ignore[method-assign]
+    rig.start()
+    door = rig.node.core.door
+    rig.until(lambda: door.module.engines)
+    assert [engine.id.decode() for engine in door.module.index.cold] == [young.name] != [old.name]
+
+
+def test_stop_closes_the_idle_answers_the_open_and_ends() -> None:
+    rig = rig_of_two(lambda _: b"")
+    ends: list[bool] = []
+    rig.node.on_end = lambda: ends.append(True)
+    idle, out = rig.client(b"GET /up HTTP/1.1\r\n\r\n"), rig.client(ask())
+    assert rig.answered(idle) == b"200"
+    rig.until(lambda: rig.engines[1].asked)
+    rig.node.stop()
+    rig.until(lambda: idle.ended)
+    rig.engines[1].script = lambda _: ANSWER
+    late = rig.client(ask("a2"))  # a connection may still come for a while
+    assert rig.answered(late) == b"200" and not ends
+    rig.engines[1].peers[0].transport.write(ANSWER)  # type: ignore[union-attr]
+    assert rig.answered(out) == b"200"
+    rig.until(lambda: ends and late.ended and out.ended)
+
+
+def test_discovery_is_followed_to_a_new_address_while_the_old_one_speaks() -> None:
+    rig = rig_of_two()
+    old, rig.hosts = rig.hosts, Hosts(rig, first=b"")
+    rig.node.discovery.move(("127.0.0.1", rig.hosts.number))
+    rig.until(lambda: rig.hosts.watches)
+    old.tell(2, rig.engines[1].entry("DRAINING"))
+    states = rig.node.core.pools.keys
+    rig.until(lambda: [engine.state for engine in states()] == ["ready", "draining"])
+    rig.hosts.tell(3, rig.engines[0].entry("DRAINING"))
+    rig.until(lambda: old.watches[0].ended and all(engine.state == "draining" for engine in states()))
+
+
+def test_no_request_is_taken_before_discoverys_first_word_is_heard() -> None:
+    """Guards against a job sent by the list of an earlier life to an engine that left meanwhile."""
+    rig = Rig()
+    leaving, staying = rig.engine("prefill"), rig.engine("prefill")
+    rig.engine("decode")
+    line = json.dumps({"index": 2, "snapshot": False, "endpoints": [leaving.entry("DRAINING")]}).encode()
+    rig.hosts.first = chunk(line + b"\n")
+    node = rig.node = Node(rig.config(), rig.reactor)
+    node.start()
+    assert node.listener is None and not node.clients.ready
+    rig.until(lambda: node.listener)
+    for at in range(4):
+        assert rig.answered(rig.client(ask(f"a{at}"))) == b"200"
+    assert "POST" not in str(leaving.verbs()) and staying.verbs().count(b"POST") == 4
+
+
+def first_word(rig: Rig) -> tuple[bytes, list[int]]:
+    """A first word that drains an engine; which index the node has when it begins to serve is gathered."""
+    leaving = rig.engine("prefill")
+    rig.engine("decode")
+    told = {"index": 2, "snapshot": False, "endpoints": [leaving.entry("DRAINING")]}
+    rig.node = Node(rig.config(), rig.reactor)
+    served_by: list[int] = []
+    rig.node.on_serving = lambda: served_by.append(rig.node.discovery.index)
+    return json.dumps(told).encode() + b"\n", served_by
+
+
+def test_node_that_is_late_itself_hears_the_first_word_before_it_serves() -> None:
+    """Guards against a wait that is over as soon as a long last list is taken up, before anything is read."""
+    rig = Rig()
+    line, served_by = first_word(rig)
+    rig.hosts.first = chunk(line)
+    decide = rig.node.core.door.module.decide
+
+    def slowly(now: float, events: list[Any]) -> list[Any]:
+        end = clock.now() + 2 * serve.DISCOVERY_WAIT_MS
+        while events and clock.now() < end:
+            pass
+        return list(decide(now, events))
+
+    rig.node.core.door.module.decide = slowly
+    rig.node.start()
+    rig.until(lambda: rig.node.listener)
+    assert served_by == [2]
+
+
+def test_node_waits_for_a_first_word_that_has_begun_to_come() -> None:
+    """Guards against a long list that takes longer to read than a silent discovery is waited for."""
+    rig = Rig()
+    line, served_by = first_word(rig)
+    rig.hosts.first = chunk(line[:20])
+    rig.node.start()
+    rig.until(lambda: rig.hosts.watches)
+    begun = clock.now()
+    rig.until(lambda: clock.now() > begun + 2 * serve.DISCOVERY_WAIT_MS)
+    assert rig.node.listener is None
+    rig.hosts.watches[0].transport.write(chunk(line[20:]))  # type: ignore[union-attr]
+    rig.until(lambda: rig.node.listener)
+    assert served_by == [2]
+
+
+def test_node_serves_where_a_first_word_never_ends(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(serve, "MAX_DISCOVERY_WAIT_MS", 2 * serve.DISCOVERY_WAIT_MS)
+    rig = Rig()
+    line, served_by = first_word(rig)
+    rig.hosts.first = chunk(line[:20])
+    rig.node.start()
+    rig.until(lambda: rig.node.listener)
+    assert served_by == [1]
+
+
+def test_node_serves_by_its_last_list_where_discovery_says_nothing() -> None:
+    rig = Rig()
+    rig.hosts.first = b""
+    rig.engine("prefill")
+    rig.engine("decode")
+    assert rig.answered(rig.start().client(ask())) == b"200"
+
+
+def test_lost_watch_is_opened_again_and_nonsense_asks_for_the_whole_list() -> None:
+    rig = rig_of_two()
+    rig.hosts.watches[0].transport.abortConnection()  # type: ignore[union-attr]
+    rig.until(lambda: len(rig.hosts.watches) == 2)
+    rig.hosts.watches[1].transport.write(chunk(b"{nonsense\n"))  # type: ignore[union-attr]
+    rig.until(lambda: len(rig.hosts.watches) == 3)
+    rig.hosts.tell(9, rig.engines[0].entry(), snapshot=True)
+    rig.until(lambda: [engine.state for engine in rig.node.core.pools] == ["ready", "gone"])
+
+
+def test_engines_that_are_replaced_all_day_are_forgotten() -> None:
+    rig = rig_of_two()
+    door, discovery = rig.node.core.door, rig.node.discovery
+    for at in range(50):
+        entry = {**rig.engines[1].entry(), "name": f"x{at}"}
+        gone = {**entry, "name": f"x{at - 1}", "status": "DELETED"}
+        discovery.current.piece(
+            json.dumps({"index": 2 + at, "snapshot": False, "endpoints": [entry, gone]}).encode() + b"\n"
+        )
+        door.module.now += 60_000.0
+        for engine in door.module.engines:
+            engine.left -= 60_000.0  # a minute goes by
+        rig.until(lambda at=at: f"x{at}".encode() in [engine.id for engine in door.module.engines])
+    assert (
+        max(
+            len(door.engines), len(door.module.engines), len(rig.node.core.pools), len(discovery.keeper.known)
+        )
+        < 8
+    )
