--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,9 +4,12 @@
 from __future__ import annotations
 
 import os
+from collections.abc import Iterator
+from typing import Any
 
 import known_red
 import pytest
+import structlog
 from hypothesis import settings
 
 settings.register_profile("same", derandomize=True, deadline=None)
@@ -34,3 +37,13 @@
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
     for red in config.stash[REDS]:
         terminalreporter.write_line(f"known red: {red.test}: {red.cause} (issue {red.issue})")
+
+
+@pytest.fixture
+def logged() -> Iterator[list[Any]]:
+    """Every line of the log, whatever an earlier test has configured."""
+    before = structlog.get_config()
+    structlog.reset_defaults()
+    with structlog.testing.capture_logs() as lines:
+        yield lines
+    structlog.configure(**before)
