--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -1,4 +1,5 @@
-"""Bursts of connections, and a reactor that they make late: what was taken is still sent on and let go."""
+"""Bursts of connections, and a reactor that is late by them: requests are still forwarded and KV cache
+released."""
 
 from __future__ import annotations
 
@@ -17,13 +18,16 @@
 from worksmux.net.server import Server
 
 BURST = 150
-MOST_IN_A_TURN = 32
-TURN_ENDS = 0.01  # milliseconds from one late turn to the next
+MAX_ACCEPTED_PER_ITERATION = 32
+ITERATION_GAP_MS = 0.01  # from one late reactor iteration to the next
 
 
-def test_burst_of_connections_is_taken_a_few_in_a_turn() -> None:
-    """Guards against a turn of the reactor that takes a hundred new connections before it reads anything
-    else: with 1,500 a second, connections to engines that had come up were read after their time."""
+def test_burst_of_connections_is_accepted_a_few_at_a_time() -> None:
+    """1,500 clients connect in a second.
+
+    The reactor accepts a few of them in each iteration. If it took a hundred before it reads anything else,
+    it would see connections to engines come up only after their time-out.
+    """
     reactor: Any = EPollReactor()  # type: ignore[no-untyped-call]
     server = Server(lambda exchange: None, 1000, 1000, 2000.0, reactor, 0.0, 50)
     _, port = listen(reactor, ("127.0.0.1", 0), server)
@@ -34,7 +38,7 @@
     while (before := sum(taken)) < BURST:
         reactor.iterate(0.01)
         most = max(most, sum(taken) - before)
-    assert most <= MOST_IN_A_TURN
+    assert most <= MAX_ACCEPTED_PER_ITERATION
     for one in waiting:
         one.close()
 
@@ -56,8 +60,11 @@
         self.aborted = True
 
 
-def test_connection_to_close_is_found_without_a_look_at_all_of_them() -> None:
-    """Guards against a search whose cost grows with the number of connections, for each new one."""
+def test_connection_to_close_is_found_without_a_full_search() -> None:
+    """Clients connect while all descriptors are in use, and each new connection closes another one.
+
+    Finding that one must not cost more with each connection that there is.
+    """
     server = Server(lambda exchange: None, 1, 1, 2000.0, None, 0.0, 560)
     resting = [Resting(2, float(at)) for at in range(560)]
     for one in resting:
@@ -87,9 +94,12 @@
         self.trouble = str(trouble)
 
 
-def test_connection_that_came_up_while_the_reactor_was_late_is_used() -> None:
-    """Guards against time-outs called before what has come is read: no connection came up at all while each
-    turn took longer than the time for one."""
+def test_connection_that_came_up_in_a_late_iteration_is_used() -> None:
+    """A reactor iteration takes longer than a connection may take.
+
+    The connection has come up meanwhile and is used. If its time-out fired first, no connection would ever
+    come up.
+    """
     rig = Rig()
     engine: Engine = rig.engine("prefill", lambda _: READ)
     now = rig.reactor.seconds()
@@ -97,7 +107,7 @@
     pool = client.Pool(rig.reactor, "127.0.0.1", engine.number, 250.0, 0.0, 0, 1000)
     reply = Reply()
     pool.call("GET", "/alive", reply)
-    now += 0.3  # the turn was late
+    now += 0.3  # the iteration was late
     for _ in range(200):
         rig.reactor.iterate(0.005)
         if reply.status or reply.trouble:
@@ -136,14 +146,14 @@
     )
 
 
-@pytest.mark.parametrize("turn", [150.0, 260.0])
-def test_state_is_let_go_by_a_process_whose_every_turn_is_late(turn: float) -> None:
-    """A flood as an event loop sees it: for 3 s each turn takes longer than a connection may take."""
+@pytest.mark.parametrize("iteration_ms", [150.0, 260.0])
+def test_kv_cache_is_released_while_every_iteration_is_late(iteration_ms: float) -> None:
+    """A flood as a reactor sees it: for 3 s each iteration takes longer than a connection may take."""
     late: list[s.Fault] = []
     start = 1000.0
     while start < 4000.0:
-        late.append(s.Hang(start, start + turn, "n0"))
-        start += turn + TURN_ENDS
+        late.append(s.Hang(start, start + iteration_ms, "n0"))
+        start += iteration_ms + ITERATION_GAP_MS
     result = play(small_fleet(late))
     assert not [one for one in result.violations if one.rule is Rule.PINNED]
     assert result.served > 0.5 * result.requests
--- a/tests/test_many_engines.py
+++ b/tests/test_many_engines.py
@@ -1,7 +1,7 @@
 """A node process among thousands of engines, over sockets, judged by what clients and engines see.
 
-Incident c5f349: with 3,200 engines one turn of the reactor took seconds, so that answers, drains and releases
-came late.  Engines share a few listeners here, as the node knows them by name.
+Incident c5f349: with 3,200 engines one iteration of the reactor took seconds, so that answers, drains and
+releases came late. Engines share a few listeners here, as the node distinguishes them by name.
 """
 
 from __future__ import annotations
@@ -115,7 +115,7 @@
         assert match is not None
         return int(match[1])
 
-    def long_turns(self) -> list[dict[str, Any]]:
+    def slow_rounds(self) -> list[dict[str, Any]]:
         lines = (json.loads(line) for line in self.log.read_text().splitlines() if line.startswith("{"))
         return [line for line in lines if line["event"] == "slow decision round"]
 
@@ -225,20 +225,20 @@
         node.end()
 
 
-def test_each_request_is_answered_in_time_among_thousands_of_engines(day: Day) -> None:
+def test_requests_are_answered_in_time_among_thousands_of_engines(day: Day) -> None:
     assert day.node.process.poll() is None
     assert len(day.fleet.attempts) >= REQUESTS
-    assert not day.traffic.late(), day.node.long_turns()
+    assert not day.traffic.late(), day.node.slow_rounds()
 
 
-def test_collector_does_not_walk_through_all_engines(day: Day) -> None:
+def test_engines_are_frozen_for_the_garbage_collector(day: Day) -> None:
     assert day.node.frozen() > OBJECTS * ENGINES
 
 
-def test_nothing_begins_at_engines_told_draining_among_thousands(day: Day) -> None:
+def test_no_attempt_starts_at_draining_engines_among_thousands(day: Day) -> None:
     due = day.fleet.drained_at + DRAIN_GRACE
     assert [listener for listener, at in day.fleet.attempts if listener < 2 and at > due] == []
 
 
 def test_no_kv_cache_stays_held_among_thousands_of_engines(day: Day) -> None:
-    assert not day.fleet.held, day.node.long_turns()
+    assert not day.fleet.held, day.node.slow_rounds()
