--- a/tests/fault_injection/__main__.py
+++ b/tests/fault_injection/__main__.py
@@ -33,10 +33,10 @@
     return seed, Result(result.violations, {}, result.requests, result.served, result.releases)
 
 
-def run(seeds: range, requests: int, times: int) -> int:
+def run(seeds: range, jobs: int, times: int) -> int:
     """Plays many seeds; names those that break a rule."""
     broken = requests = served = releases = 0
-    with ProcessPoolExecutor(requests) as pool:
+    with ProcessPoolExecutor(jobs) as pool:
         for seed, result in pool.map(partial(_play_seed, times=times), seeds, chunksize=8):
             requests, served = requests + result.requests, served + result.served
             releases += result.releases
@@ -85,7 +85,7 @@
     told = parser.parse_args()
     try:
         if told.command == "run":
-            return run(_seeds(told.seeds), told.requests, told.times)
+            return run(_seeds(told.seeds), told.jobs, told.times)
         if told.command == "replay":
             return replay(_schedule(told.schedule, told.times), told.request, told.logs)
         small = shrink(_schedule(told.schedule, told.times))
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -175,3 +175,15 @@
         env={"PYTHONPATH": str(Path(__file__).parent.parent)},
     )
     assert done.returncode == 2 and wanted in done.stderr and len(done.stderr.splitlines()) == 1
+
+
+def test_command_line_plays_seeds() -> None:
+    done = subprocess.run(
+        [sys.executable, "-m", "fault_injection", "run", "1-2", "--jobs", "2"],
+        cwd=Path(__file__).parent,
+        capture_output=True,
+        text=True,
+        env={"PYTHONPATH": str(Path(__file__).parent.parent)},
+    )
+    assert done.returncode == 0, done.stderr
+    assert done.stdout.startswith("2 seeds, 0 broke a rule; ")
