--- a/tests/node_rig.py
+++ b/tests/node_rig.py
@@ -156,7 +156,7 @@
 
 
 class Hosts:
-    """Discovery: each watch gets a head and then the lines it is told."""
+    """Discovery: each watch gets a head and then the lines of `tell`."""
 
     def __init__(self, rig: Rig, first: bytes = chunk(b"\n")) -> None:
         self.watches: list[Peer] = []
@@ -191,7 +191,7 @@
         return self.engines[-1]
 
     def config(self) -> Config:
-        told = {
+        config = {
             "name": "n",
             "listen": "127.0.0.1:0",
             "discovery": f"127.0.0.1:{self.hosts.number}",
@@ -200,7 +200,7 @@
             "settings": SETTINGS,
             "known": {"index": 1, "snapshot": True, "endpoints": [one.entry() for one in self.engines]},
         }
-        return parse_config(json.dumps(told).encode(), "config.json", {})
+        return parse_config(json.dumps(config).encode(), "config.json", {})
 
     def start(self) -> Rig:
         self.node = Node(self.config(), self.reactor)
@@ -260,9 +260,9 @@
     return waiting
 
 
-def rig_of_two(writer: Any = None, sockets: int = 256) -> Rig:
-    """A started node with a prefill engine and a decode engine; `writer` scripts the latter."""
+def rig_of_two(decode_engine: Any = None, sockets: int = 256) -> Rig:
+    """A started node with a prefill engine and a decode engine; `decode_engine` scripts the latter."""
     rig = Rig(sockets)
     rig.engine("prefill")
-    rig.engine("decode", writer)
+    rig.engine("decode", decode_engine)
     return rig.start()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,7 +20,7 @@
 from worksmux.node import core, serve
 
 LOST = b"HTTP/1.1 410 Gone\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
-POINTS = ("waiting", "connecting to read", "reading", "connecting to write", "writing", "streaming")
+POINTS = ("waiting", "connecting to prefill", "in prefill", "connecting to decode", "in decode", "streaming")
 
 
 @dataclass
@@ -31,8 +31,8 @@
     waiting: dict[str, list[Callable[[], Any]]] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self.reader = self.rig.engine("prefill", lambda _: b"")
-        self.writer = self.rig.engine("decode", lambda _: b"")
+        self.prefill_engine = self.rig.engine("prefill", lambda _: b"")
+        self.decode_engine = self.rig.engine("decode", lambda _: b"")
         self.rig.start()
         self.ended: list[bool] = []
         self.rig.node.on_end = lambda: self.ended.append(True)
@@ -59,18 +59,18 @@
         client.setblocking(False)
         rig.until(lambda: rig.node.core.open_requests)
         if at >= 1:
-            rig.until(lambda: self.waiting[self.reader.name])
+            rig.until(lambda: self.waiting[self.prefill_engine.name])
         if at >= 2:
-            self.up(self.reader)
-            rig.until(lambda: self.reader.asked)
+            self.up(self.prefill_engine)
+            rig.until(lambda: self.prefill_engine.asked)
         if at >= 3:
-            self.reader.peers[-1].transport.write(READ)  # type: ignore[union-attr]
-            rig.until(lambda: self.waiting[self.writer.name])
+            self.prefill_engine.peers[-1].transport.write(READ)  # type: ignore[union-attr]
+            rig.until(lambda: self.waiting[self.decode_engine.name])
         if at >= 4:
-            self.up(self.writer)
-            rig.until(lambda: self.writer.asked)
+            self.up(self.decode_engine)
+            rig.until(lambda: self.decode_engine.asked)
         if at >= 5:
-            self.writer.peers[-1].transport.write(STREAM + chunk(EVENTS[0]))  # type: ignore[union-attr]
+            self.decode_engine.peers[-1].transport.write(STREAM + chunk(EVENTS[0]))  # type: ignore[union-attr]
             rig.until(
                 lambda: [
                     context for context in rig.node.core.open_requests.values() if context.first_token_at
@@ -80,20 +80,20 @@
 
     def _no_room(self, on: bool) -> None:
         for engine in self.rig.node.core.pools:
-            engine.skip_until = 1e12 if on and engine.id.decode() == self.reader.name else 0.0
+            engine.skip_until = 1e12 if on and engine.id.decode() == self.prefill_engine.name else 0.0
 
     def finish(self, point: str) -> None:
         """Everything goes its way from the point."""
         self._no_room(False)
         self.rig.node.core.wake()
-        self.reader.script, self.writer.script = (lambda _: READ), (lambda _: ANSWER)
+        self.prefill_engine.script, self.decode_engine.script = (lambda _: READ), (lambda _: ANSWER)
         at = POINTS.index(point)
         if at == 2:
-            self.reader.peers[-1].transport.write(READ)  # type: ignore[union-attr]
+            self.prefill_engine.peers[-1].transport.write(READ)  # type: ignore[union-attr]
         elif at == 4:
-            self.writer.peers[-1].transport.write(ANSWER)  # type: ignore[union-attr]
+            self.decode_engine.peers[-1].transport.write(ANSWER)  # type: ignore[union-attr]
         elif at == 5:
-            self.writer.peers[-1].transport.write(  # type: ignore[union-attr]
+            self.decode_engine.peers[-1].transport.write(  # type: ignore[union-attr]
                 b"".join(map(chunk, EVENTS[1:])) + LAST
             )
 
@@ -124,7 +124,7 @@
             self.rig.reactor.iterate(0.001)
 
     def effects(self) -> int:
-        return sum(request.startswith(b"POST") for request in self.writer.asked)
+        return sum(request.startswith(b"POST") for request in self.decode_engine.asked)
 
 
 @pytest.fixture
@@ -167,12 +167,12 @@
 
     scene.rig.until(over)
     deletes = sum(engine.verbs().count(b"DELETE") for engine in scene.rig.engines)
-    assert deletes >= 1 if point != "connecting to read" else deletes == 0
+    assert deletes >= 1 if point != "connecting to prefill" else deletes == 0
 
 
 def test_request_accepted_by_the_kernel_alone_is_answered(scene: Scene) -> None:
     rig = scene.rig
-    scene.reader.script, scene.writer.script = (lambda _: READ), (lambda _: ANSWER)
+    scene.prefill_engine.script, scene.decode_engine.script = (lambda _: READ), (lambda _: ANSWER)
     client = socket.create_connection(("127.0.0.1", rig.node.port))  # accepted by the machine alone
     client.sendall(ask())
     client.setblocking(False)
@@ -185,7 +185,7 @@
 
 def test_partial_request_at_sigterm_is_answered(scene: Scene) -> None:
     rig, data = scene.rig, ask()
-    scene.reader.script, scene.writer.script = (lambda _: READ), (lambda _: ANSWER)
+    scene.prefill_engine.script, scene.decode_engine.script = (lambda _: READ), (lambda _: ANSWER)
     client = socket.create_connection(("127.0.0.1", rig.node.port))
     client.sendall(data[:150])
     client.setblocking(False)
@@ -209,7 +209,7 @@
     scene.turns()
     client.close()
     rig.until(lambda: scene.ended)
-    assert not scene.reader.asked and rig.node.core.last_request_id == 0
+    assert not scene.prefill_engine.asked and rig.node.core.last_request_id == 0
 
 
 # A client that leaves.
@@ -227,7 +227,7 @@
             or not scene.rig.node.core.open_requests
         )
     )
-    scene.finish("connecting to read")  # whatever is asked from now on is answered
+    scene.finish("connecting to prefill")  # whatever is asked from now on is answered
     scene.turns()
 
     def over() -> bool:
@@ -239,14 +239,14 @@
     assert all(request.startswith(b"DELETE") for request in later)
 
 
-@pytest.mark.parametrize("point", ["connecting to read", "connecting to write"])
+@pytest.mark.parametrize("point", ["connecting to prefill", "connecting to decode"])
 def test_unread_disconnect_is_seen_before_an_attempt(scene: Scene, point: str) -> None:
     """A client disconnects while the connection to an engine comes up, and the reactor has not read it.
 
     The node looks for it before it sends.
     """
     client = scene.to(point)
-    engine = scene.reader if point == "connecting to read" else scene.writer
+    engine = scene.prefill_engine if point == "connecting to prefill" else scene.decode_engine
     (channel,) = [one for one in scene.rig.node.server.channels if one.busy]
     channel.transport.stopReading()  # the reactor does not come to read it
     client.close()
@@ -259,16 +259,16 @@
 # What cannot be repeated.
 
 
-@pytest.mark.parametrize("point", ["reading", "writing"])
+@pytest.mark.parametrize("point", ["in prefill", "in decode"])
 @pytest.mark.parametrize("request_class", ["chat", "mark"])
 @pytest.mark.parametrize("how", ["reset", "end", "half an answer", "noise"])
 def test_broken_attempt_is_retried_only_if_harmless(
     scene: Scene, point: str, request_class: str, how: str
 ) -> None:
     client = scene.to(point, request_class)
-    engine = scene.reader if point == "reading" else scene.writer
+    engine = scene.prefill_engine if point == "in prefill" else scene.decode_engine
     wire: Any = engine.peers[-1].transport
-    scene.reader.script, scene.writer.script = (lambda _: READ), (lambda _: ANSWER)
+    scene.prefill_engine.script, scene.decode_engine.script = (lambda _: READ), (lambda _: ANSWER)
     match how:
         case "reset":
             wire.abortConnection()
@@ -280,7 +280,7 @@
         case "noise":
             wire.write(b"\x00\xff\r\n\r\n")
     status = scene.read_all(client)[9:12]
-    may_have_run = point == "writing"
+    may_have_run = point == "in decode"
     if request_class == "mark" and may_have_run:
         assert status == b"502" and scene.effects() == 1  # neither repeated nor refused
     else:
@@ -290,9 +290,9 @@
 
 @pytest.mark.parametrize("request_class", ["chat", "mark"])
 def test_attempt_known_not_executed_is_always_retried(scene: Scene, request_class: str) -> None:
-    client = scene.to("writing", request_class)
-    wire: Any = scene.writer.peers[-1].transport
-    scene.reader.script, scene.writer.script = (lambda _: READ), (lambda _: ANSWER)
+    client = scene.to("in decode", request_class)
+    wire: Any = scene.decode_engine.peers[-1].transport
+    scene.prefill_engine.script, scene.decode_engine.script = (lambda _: READ), (lambda _: ANSWER)
     wire.write(LOST)
     assert scene.read_all(client)[9:12] == b"200" and scene.effects() == 2
     client.close()
@@ -310,9 +310,9 @@
 
     Before it nothing was executed; after it something possibly was, also where the engine read nothing.
     """
-    client = scene.to("connecting to write", request_class)
+    client = scene.to("connecting to decode", request_class)
     if written:
-        scene.writer.script = lambda _: None  # the request is received and the connection reset
+        scene.decode_engine.script = lambda _: None  # the request is received and the connection reset
     else:
         scene.rig.engines[1].port.stopListening()  # refused
     for _ in range(3):
@@ -330,7 +330,7 @@
 
 
 def test_request_in_single_bytes_is_one_request(scene: Scene) -> None:
-    scene.reader.script, scene.writer.script = (lambda _: READ), (lambda _: ANSWER)
+    scene.prefill_engine.script, scene.decode_engine.script = (lambda _: READ), (lambda _: ANSWER)
     client = socket.create_connection(("127.0.0.1", scene.rig.node.port))
     client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     head = ask().replace(b"X-Timeout-Ms: 3000", b"x-timeout-ms:\t3000 ")
@@ -345,7 +345,7 @@
 
 
 def test_pipelined_requests_are_answered_in_order(scene: Scene) -> None:
-    scene.reader.script, scene.writer.script = (lambda _: READ), (lambda _: ANSWER)
+    scene.prefill_engine.script, scene.decode_engine.script = (lambda _: READ), (lambda _: ANSWER)
     client = socket.create_connection(("127.0.0.1", scene.rig.node.port))
     client.sendall(ask("p1") + ask("p2") + b"GET /up HTTP/1.1\r\n\r\n")
     client.setblocking(False)
@@ -370,18 +370,18 @@
 
     No event is held back or merged with the next.
     """
-    scene.to("writing").close()  # its client leaves; another one comes
+    scene.to("in decode").close()  # its client leaves; another one comes
     scene.turns()
     rig = scene.rig
-    scene.reader.script = lambda _: READ
+    scene.prefill_engine.script = lambda _: READ
     peer: Peer = rig.client(ask("b1"))
 
     def reached() -> bool:
         scene.all_up()
-        return any(b"b1" in request for request in scene.writer.asked)
+        return any(b"b1" in request for request in scene.decode_engine.asked)
 
     rig.until(reached)
-    wire: Any = scene.writer.peers[-1].transport
+    wire: Any = scene.decode_engine.peers[-1].transport
     wire.write(STREAM)
     for number, event in enumerate(EVENTS[:1] * 5 + EVENTS[1:]):
         data = chunk(event)
@@ -401,7 +401,7 @@
     client = scene.to("streaming")
     got = scene.read_all(client)
     assert EVENTS[0] in got and not got.endswith(LAST)
-    scene.rig.until(lambda: scene.writer.peers[-1].ended)
+    scene.rig.until(lambda: scene.decode_engine.peers[-1].ended)
     client.close()
 
 
@@ -417,7 +417,7 @@
     while clock.now() < context.request.give_up_at + 30:  # the reactor does not turn
         pass
     scene.rig.until(lambda: context.final_answer)
-    may_have_run = request_class == "mark" and point == "writing"
+    may_have_run = request_class == "mark" and point == "in decode"
     assert context.final_answer == ("broken off" if may_have_run else "deferred")
     assert "deadlines_missed" not in scene.rig.node.counts.counts
     client.close()
@@ -438,7 +438,7 @@
             return False
 
     scene.rig.until(answered)
-    may_have_run = request_class == "mark" and point == "writing"
+    may_have_run = request_class == "mark" and point == "in decode"
     assert client.recv(1000)[9:12] in ((b"502", b"504") if may_have_run else (b"503",))
     assert clock.now() - begun < 400 + 100  # a busy machine has its share in it
     client.close()
@@ -450,17 +450,17 @@
     The attempt, meant for the old process, is not sent.
     """
     rig = scene.rig
-    client = scene.to("connecting to read", left="900")
-    old, new = scene.reader.entry("DELETED"), {**scene.reader.entry("DRAINING"), "name": "e9"}
+    client = scene.to("connecting to prefill", left="900")
+    old, new = scene.prefill_engine.entry("DELETED"), {**scene.prefill_engine.entry("DRAINING"), "name": "e9"}
     rig.hosts.tell(2, old, new)
     rig.until(lambda: [one for one in rig.node.core.pools if one.state == "gone"])
     scene.turns()
-    assert scene.read_all(client)[9:12] == b"503" and not scene.reader.asked
+    assert scene.read_all(client)[9:12] == b"503" and not scene.prefill_engine.asked
     client.close()
 
 
 def test_release_survives_a_shortage_of_descriptors(scene: Scene) -> None:
-    client = scene.to("reading")
+    client = scene.to("in prefill")
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     spare = os.dup(0)
     resource.setrlimit(resource.RLIMIT_NOFILE, (spare + 3, hard))
@@ -473,14 +473,14 @@
         except OSError:
             scene.all_up()
             scene.rig.reactor.iterate(0.002)
-    assert b"DELETE" not in scene.reader.verbs() + scene.writer.verbs()
+    assert b"DELETE" not in scene.prefill_engine.verbs() + scene.decode_engine.verbs()
     for one in taken:
         os.close(one)
     resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
     def heard() -> bool:
         scene.all_up()
-        return b"DELETE" in scene.reader.verbs() + scene.writer.verbs()
+        return b"DELETE" in scene.prefill_engine.verbs() + scene.decode_engine.verbs()
 
     scene.rig.until(heard)
     scene.rig.until(lambda: scene.all_up() or not scene.rig.node.core.releaser.running)
--- a/tests/test_kv_claims.py
+++ b/tests/test_kv_claims.py
@@ -14,8 +14,8 @@
 
 def test_claims_end_by_acknowledged_releases() -> None:
     claims = KvClaims("a1")
-    reader, unseen, other, _ = ENGINES
-    claims.add_held(reader, 100.0)
+    prefill_engine, unseen, other, _ = ENGINES
+    claims.add_held(prefill_engine, 100.0)
     claims.add_possible(unseen, 200.0, 500.0)
     assert claims.is_due and claims.due_since == 100.0
     claims.release_acknowledged(other, 210.0, 212.0)  # frees all that is held now, wherever it lies
--- a/tests/test_node_config.py
+++ b/tests/test_node_config.py
@@ -17,7 +17,7 @@
 from worksmux.policy.state import Engine, Outcome, Request
 
 
-def told(**values: Any) -> bytes:
+def json_of(**values: Any) -> bytes:
     return json.dumps(values).encode()
 
 
@@ -27,10 +27,10 @@
         (b"", "0 bytes: whole JSON was expected"),
         (b'{"settings": {"limits"', "22 bytes: whole JSON was expected"),
         (b'{"name": "n"}', "`settings`"),
-        (told(settings={**SETTINGS, "limits": 3}), "$.settings.limits: an object was expected"),
-        (told(settings={**SETTINGS, "services": [{}]}), "$.settings.services[0].aim: a number"),
-        (told(settings=SETTINGS, name="n", listen="x"), "$.listen: an address host:port"),
-        (told(settings=SETTINGS, name=7), "$.name"),
+        (json_of(settings={**SETTINGS, "limits": 3}), "$.settings.limits: an object was expected"),
+        (json_of(settings={**SETTINGS, "services": [{}]}), "$.settings.services[0].aim: a number"),
+        (json_of(settings=SETTINGS, name="n", listen="x"), "$.listen: an address host:port"),
+        (json_of(settings=SETTINGS, name=7), "$.name"),
     ],
 )
 def test_config_error_names_file_place_and_expectation(data: bytes, expected: str) -> None:
@@ -42,13 +42,13 @@
 
 def config_of(settings: dict[str, Any]) -> config.Config:
     return config.parse_config(
-        told(settings=settings, name="n", listen="127.0.0.1:1", discovery="127.0.0.1:2"), "c.json", {}
+        json_of(settings=settings, name="n", listen="127.0.0.1:1", discovery="127.0.0.1:2"), "c.json", {}
     )
 
 
-def paths(told: Any, at: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+def paths(value: Any, at: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
     """Places of all values in a JSON object."""
-    inner = told.items() if isinstance(told, dict) else enumerate(told) if isinstance(told, list) else ()
+    inner = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
     return (
         [at, *(place for key, value in inner for place in paths(value, (*at, key)))]
         if at
--- a/tests/test_node_ends.py
+++ b/tests/test_node_ends.py
@@ -94,8 +94,8 @@
     waiting[0]()
     rig.until(lambda: rig.engines[0].asked)
     head = rig.engines[0].asked[0].partition(b"\r\n\r\n")[0]
-    told = dict(line.split(b": ", 1) for line in head.split(b"\r\n")[1:])
-    assert int(told[b"X-Timeout-Ms"]) <= 900 / 2 - 120
+    headers = dict(line.split(b": ", 1) for line in head.split(b"\r\n")[1:])
+    assert int(headers[b"X-Timeout-Ms"]) <= 900 / 2 - 120
     client.close()
 
 
@@ -117,11 +117,11 @@
     """
     for end, outcome in (("cancel", Outcome.CANCELLED), ("_time_is_up", Outcome.TIMED_OUT)):
         ends: list[Outcome] = []
-        told: Any = SimpleNamespace(
+        listener: Any = SimpleNamespace(
             on_attempt_end=lambda attempt, outcome, *_, ends=ends: ends.append(outcome)
         )
         attempt = Attempt(Request(1, 0, 0, 0, 1.0, 0.0, 1.0, 0.0, 1.0), Engine(b"e", 1), 0, 0.0, False)
-        one = PrefillAttempt(Clock(), None, attempt, told, 100.0, 50.0, 300)  # type: ignore[arg-type]
+        one = PrefillAttempt(Clock(), None, attempt, listener, 100.0, 50.0, 300)  # type: ignore[arg-type]
         one.call = Call(written)  # type: ignore[assignment]
         getattr(one, end)()
         assert ends == [outcome if written else Outcome.MOOT]
@@ -135,17 +135,17 @@
     """
     monkeypatch.setattr(serve, "DRAIN_ACCEPT_MS", 5.0)
     rig = Rig()
-    reader = rig.engine("prefill", lambda _: b"")
+    prefill_engine = rig.engine("prefill", lambda _: b"")
     rig.engine("decode")
     rig.start()
     ended: list[tuple[int, float]] = []
-    rig.node.on_end = lambda: ended.append((reader.verbs().count(b"DELETE"), monotonic()))
+    rig.node.on_end = lambda: ended.append((prefill_engine.verbs().count(b"DELETE"), monotonic()))
     client = raw(rig, ask(left="1600"))
-    rig.until(lambda: reader.asked)
+    rig.until(lambda: prefill_engine.asked)
     rig.node.stop()
     rig.until(lambda: not rig.node.accepting)
     client.close()
-    rig.until(lambda: reader.verbs().count(b"DELETE") == 1)
+    rig.until(lambda: prefill_engine.verbs().count(b"DELETE") == 1)
     first = monotonic()
     rig.until(lambda: ended)  # once the engine can't come to hold anything any more
     ((releases, at),) = ended
@@ -176,21 +176,21 @@
     its KV cache.
     """
     rig = Rig()
-    readers = [rig.engine("prefill", lambda _: None), rig.engine("prefill", lambda _: None)]
-    writer = rig.engine("decode")
+    prefill_engines = [rig.engine("prefill", lambda _: None), rig.engine("prefill", lambda _: None)]
+    decode_engine = rig.engine("decode")
     rig.start()
-    waiting = [hold_connections(rig, engine) for engine in (*readers, writer)]
+    waiting = [hold_connections(rig, engine) for engine in (*prefill_engines, decode_engine)]
     peer = rig.client(ask())
     rig.until(lambda: waiting[0] or waiting[1])
     first, other = (0, 1) if waiting[0] else (1, 0)
-    readers[other].script = lambda _: READ
-    waiting[first].pop()()  # read, and reset: a release's connections wait
+    prefill_engines[other].script = lambda _: READ
+    waiting[first].pop()()  # the prefill is reset; connections of releases wait
     rig.until(lambda: waiting[other] or len(waiting[first]) > 1)
     again = other if waiting[other] else first
-    readers[again].script = lambda _: READ
+    prefill_engines[again].script = lambda _: READ
     waiting[again].pop()()
-    rig.until(lambda: readers[again].verbs().count(b"POST") == 1 + (again == first))
-    rig.until(lambda: any(b"HTTP/1.1" in request for request in readers[again].asked))
+    rig.until(lambda: prefill_engines[again].verbs().count(b"POST") == 1 + (again == first))
+    rig.until(lambda: any(b"HTTP/1.1" in request for request in prefill_engines[again].asked))
     for queue in waiting[:2]:
         while queue:  # what was on its way comes up now: it is given up
             queue.pop()()
@@ -241,7 +241,7 @@
     The release pauses, as it would free what the prefill brings, and goes on after the attempt.
     """
     rig = Rig()
-    readers = [rig.engine("prefill", lambda _: None), rig.engine("prefill", lambda _: None)]
+    prefill_engines = [rig.engine("prefill", lambda _: None), rig.engine("prefill", lambda _: None)]
     rig.engine("decode")
     for engine in rig.engines:
         engine.release_answer = b""
@@ -250,15 +250,17 @@
     client = raw(rig, ask())
     rig.until(lambda: waiting[0] or waiting[1])
     first, again = (0, 1) if waiting[0] else (1, 0)
-    waiting[first].pop()()  # read, and reset
+    waiting[first].pop()()  # the prefill is reset
     rig.until(lambda: waiting[again])
-    readers[again].script = lambda request: ALIVE if request.startswith(b"GET") else b""
-    rig.until(lambda: waiting[first])  # the second read does not come up: a release begins
+    prefill_engines[again].script = lambda request: ALIVE if request.startswith(b"GET") else b""
+    rig.until(
+        lambda: waiting[first]
+    )  # the connection of the second prefill does not come up: a release starts
     waiting[first].pop()()
-    rig.until(lambda: b"DELETE" in readers[first].verbs())
+    rig.until(lambda: b"DELETE" in prefill_engines[first].verbs())
     waiting[again].pop(0)()
-    rig.until(lambda: readers[again].asked)
-    rig.until(lambda: readers[first].peers[-1].ended)
+    rig.until(lambda: prefill_engines[again].asked)
+    rig.until(lambda: prefill_engines[first].peers[-1].ended)
     for queue in waiting:
         queue.clear()
     released = releases_heard(rig)
@@ -283,15 +285,15 @@
     """
     monkeypatch.setattr(serve, "DRAIN_ACCEPT_MS", 5.0)
     rig = Rig()
-    reader = rig.engine("prefill", lambda _: b"")
+    prefill_engine = rig.engine("prefill", lambda _: b"")
     rig.engine("decode")
     rig.start()
     peer = rig.client(ask())
-    rig.until(lambda: reader.asked)
+    rig.until(lambda: prefill_engine.asked)
     monkeypatch.setattr(rig.node.core.door.module, "decide", lambda *_: 1 / 0)
     rig.node.core.wake()
     assert rig.answered(peer) == b"502" and rig.node.core.failed
-    rig.until(lambda: reader.verbs().count(b"DELETE") == 1)
+    rig.until(lambda: prefill_engine.verbs().count(b"DELETE") == 1)
     assert rig.answered(rig.client(ask("a2"))) == b"503"
     assert rig.answered(rig.client(b"GET /up HTTP/1.1\r\n\r\n")) == b"503"
     ended: list[bool] = []
@@ -324,19 +326,19 @@
 
 def test_nothing_is_sent_to_an_engine_draining_while_connecting() -> None:
     rig = Rig()
-    readers = [rig.engine("prefill") for _ in range(2)]
+    prefill_engines = [rig.engine("prefill") for _ in range(2)]
     rig.engine("decode")
     rig.start()
-    waiting = [hold_connections(rig, engine) for engine in readers]
+    waiting = [hold_connections(rig, engine) for engine in prefill_engines]
     peer = rig.client(ask())
     rig.until(lambda: waiting[0] or waiting[1])
     first, other = (0, 1) if waiting[0] else (1, 0)
-    rig.hosts.tell(2, readers[first].entry("DRAINING"))
+    rig.hosts.tell(2, prefill_engines[first].entry("DRAINING"))
     rig.until(lambda: "draining" in [engine.state for engine in rig.node.core.pools])
     waiting[first][0]()
     rig.until(lambda: waiting[other])
     waiting[other][0]()
-    assert rig.answered(peer) == b"200" and not readers[first].asked
+    assert rig.answered(peer) == b"200" and not prefill_engines[first].asked
 
 
 @pytest.mark.parametrize("why", ["SIGTERM", "it rested too long"])
--- a/tests/test_node_releases.py
+++ b/tests/test_node_releases.py
@@ -15,21 +15,21 @@
     """
     rig, reads, order = Rig(), [None, READ], []  # type: Rig, list[bytes | None], list[str]
 
-    def read(request: bytes) -> bytes | None:
-        order.append("read")
+    def prefill(request: bytes) -> bytes | None:
+        order.append("prefill")
         return reads.pop(0)
 
-    readers = [rig.engine("prefill", read) for _ in range(2)]
-    writer = rig.engine("decode", lambda _: order.append("write") or ANSWER)  # type: ignore[func-returns-value]
+    prefill_engines = [rig.engine("prefill", prefill) for _ in range(2)]
+    decode_engine = rig.engine("decode", lambda _: order.append("decode") or ANSWER)  # type: ignore[func-returns-value]
     for engine in rig.engines:
         engine.on_release = lambda: order.append("release")
     rig.start()
     peer = rig.client(ask())
     rig.until(lambda: b"[DONE]" in peer.got)
-    assert order[:4] == ["read", "release", "read", "write"]
+    assert order[:4] == ["prefill", "release", "prefill", "decode"]
     rig.idle()
-    broken = next(engine for engine in readers if engine.peers[0].ended)
-    assert b"DELETE" in broken.verbs() and writer.verbs().count(b"POST") == 1
+    broken = next(engine for engine in prefill_engines if engine.peers[0].ended)
+    assert b"DELETE" in broken.verbs() and decode_engine.verbs().count(b"POST") == 1
 
 
 def test_release_is_acknowledged_by_another_engine() -> None:
@@ -44,7 +44,7 @@
     peer = rig.client(ask(left="600"))
     rig.answered(peer)
     rig.until(lambda: b"DELETE" in rig.engines[1].verbs())
-    rig.idle()  # one engine has heard: that is enough
+    rig.idle()  # one acknowledgement is enough
 
 
 def test_release_prefers_zones_not_tried_and_its_own() -> None:
@@ -58,10 +58,10 @@
     for engine in (first, rest[2], rest[1], rest[0]):  # the one in its own zone longest ago
         core.address_changed(engine, "127.0.0.1", 1)
         core.pools[engine].on_heard()
-    asked = {first}
+    tried = {first}
     for expected in (rest[2], rest[1], rest[0]):
-        assert core.release_targets.choose(asked) is expected
-        asked.add(expected)
+        assert core.release_targets.choose(tried) is expected
+        tried.add(expected)
 
 
 def test_release_is_sent_while_an_attempt_is_connecting() -> None:
@@ -70,12 +70,12 @@
     The release is sent meanwhile; waiting for attempts that never arrive would delay it for ever.
     """
     rig, silent = Rig(), Silent()
-    readers = [rig.engine("prefill", lambda _: None) for _ in range(2)]
+    prefill_engines = [rig.engine("prefill", lambda _: None) for _ in range(2)]
     rig.engine("decode")
     rig.start()
     peer = rig.client(ask())
-    rig.until(lambda: any(engine.asked for engine in readers))
-    (broken, other) = sorted(readers, key=lambda engine: not engine.asked)
+    rig.until(lambda: any(engine.asked for engine in prefill_engines))
+    (broken, other) = sorted(prefill_engines, key=lambda engine: not engine.asked)
     for engine, pool in rig.node.core.pools.items():
         if engine.id.decode() == other.name:
             pool.port = silent.port
--- a/tests/test_node_requests.py
+++ b/tests/test_node_requests.py
@@ -66,11 +66,11 @@
             return type("Timer", (), {"active": lambda self: True, "cancel": lambda self: None})()
 
     ends: list[Outcome] = []
-    told: Any = type(
+    listener: Any = type(
         "Listener", (), {"on_attempt_end": lambda self, attempt, outcome, *_: ends.append(outcome)}
     )()
     attempt = Attempt(Request(1, 0, 0, 0, 1.0, 0.0, 1.0, 0.0, 1.0), Engine(b"e", 1), 0, 0.0, True)
-    one = PrefillAttempt(Slow(), None, attempt, told, 100.0, 50.0, 300)  # type: ignore[arg-type]
+    one = PrefillAttempt(Slow(), None, attempt, listener, 100.0, 50.0, 300)  # type: ignore[arg-type]
     later.pop()()  # its time is up, and a reply waits at the socket
     assert not ends
     one.head(202, {})
--- a/tests/test_node_startup.py
+++ b/tests/test_node_startup.py
@@ -77,11 +77,11 @@
     serve."""
     leaving = rig.engine("prefill")
     rig.engine("decode")
-    told = {"index": 2, "snapshot": False, "endpoints": [leaving.entry("DRAINING")]}
+    hosts = {"index": 2, "snapshot": False, "endpoints": [leaving.entry("DRAINING")]}
     rig.node = Node(rig.config(), rig.reactor)
     served_by: list[int] = []
     rig.node.on_serving = lambda: served_by.append(rig.node.discovery.index)
-    return json.dumps(told).encode() + b"\n", served_by
+    return json.dumps(hosts).encode() + b"\n", served_by
 
 
 def test_slow_start_still_reads_the_first_event() -> None:
