--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,8 +4,11 @@
 from __future__ import annotations
 
 import os
+from collections.abc import Iterator
+from typing import Any
 
 import pytest
+import structlog
 from hypothesis import settings
 from known_red import KnownRed, KnownRedError, read_known_red
 
@@ -38,3 +41,13 @@
         terminalreporter.write_line(
             f"known red: {entry.test}: {entry.seen} (issue {entry.issue}; {entry.command}){note}"
         )
+
+
+@pytest.fixture
+def logged() -> Iterator[list[Any]]:
+    """Every line of the log, whatever an earlier test has configured."""
+    before = structlog.get_config()
+    structlog.reset_defaults()
+    with structlog.testing.capture_logs() as lines:
+        yield lines
+    structlog.configure(**before)
--- a/tests/node_rig.py
+++ b/tests/node_rig.py
@@ -13,7 +13,7 @@
 from twisted.internet.protocol import Factory, Protocol
 
 from worksmux.net.loop import listen
-from worksmux.node.config import Config, read
+from worksmux.node.config import Config, parse_config
 from worksmux.node.serve import Node
 
 SETTINGS = {
@@ -156,7 +156,7 @@
 
 
 class Hosts:
-    """Discovery: each watch gets a head and then the lines it is told."""
+    """Discovery: each watch gets a head and then the lines of `tell`."""
 
     def __init__(self, rig: Rig, first: bytes = chunk(b"\n")) -> None:
         self.watches: list[Peer] = []
@@ -191,7 +191,7 @@
         return self.engines[-1]
 
     def config(self) -> Config:
-        told = {
+        config = {
             "name": "n",
             "listen": "127.0.0.1:0",
             "discovery": f"127.0.0.1:{self.hosts.number}",
@@ -200,12 +200,12 @@
             "settings": SETTINGS,
             "known": {"index": 1, "snapshot": True, "endpoints": [one.entry() for one in self.engines]},
         }
-        return read(json.dumps(told).encode(), "config.json", {})
+        return parse_config(json.dumps(config).encode(), "config.json", {})
 
     def start(self) -> Rig:
         self.node = Node(self.config(), self.reactor)
         self.node.start()
-        self.until(lambda: self.node.listener and (self.node.discovery.watching or not self.hosts.first))
+        self.until(lambda: self.node.listener and (self.node.discovery.current or not self.hosts.first))
         return self
 
     def client(self, *data: bytes) -> Peer:
@@ -239,8 +239,8 @@
         return peer.got[9:12]
 
     def idle(self) -> None:
-        """Until no job is open and nothing is left to be released."""
-        self.until(lambda: not self.node.core.cases and not self.node.core.releases.running)
+        """Waits until no request is open and no release is left."""
+        self.until(lambda: not self.node.core.open_requests and not self.node.core.releaser.running)
 
 
 def hold_connections(rig: Rig, engine: Engine) -> list[Callable[[], Any]]:
@@ -258,3 +258,11 @@
 
     rig.reactor.connectTCP = connectTCP
     return waiting
+
+
+def rig_of_two(decode_engine: Any = None, sockets: int = 256) -> Rig:
+    """A started node with a prefill engine and a decode engine; `decode_engine` scripts the latter."""
+    rig = Rig(sockets)
+    rig.engine("prefill")
+    rig.engine("decode", decode_engine)
+    return rig.start()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,6 +1,8 @@
-"""Every point that a request can be at, crossed with what may end it there: SIGTERM, its client's leave, the
-end of an engine's connection.  The stand-ins hold until the other side was seen; nothing here waits by the
-clock for something to happen."""
+"""Every point that a request can be at, combined with what may end it there: SIGTERM, a client disconnect,
+the end of an engine's connection.
+
+The fake peers wait until they have seen the other side; nothing waits by the clock for something to happen.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +20,7 @@
 from worksmux.node import core, serve
 
 LOST = b"HTTP/1.1 410 Gone\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
-POINTS = ("waiting", "connecting to read", "reading", "connecting to write", "writing", "streaming")
+POINTS = ("waiting", "connecting to prefill", "in prefill", "connecting to decode", "in decode", "streaming")
 
 
 @dataclass
@@ -29,8 +31,8 @@
     waiting: dict[str, list[Callable[[], Any]]] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self.reader = self.rig.engine("prefill", lambda _: b"")
-        self.writer = self.rig.engine("decode", lambda _: b"")
+        self.prefill_engine = self.rig.engine("prefill", lambda _: b"")
+        self.decode_engine = self.rig.engine("decode", lambda _: b"")
         self.rig.start()
         self.ended: list[bool] = []
         self.rig.node.on_end = lambda: self.ended.append(True)
@@ -55,39 +57,43 @@
         client = socket.create_connection(("127.0.0.1", rig.node.port))
         client.sendall(ask(request_class=request_class, left=left))
         client.setblocking(False)
-        rig.until(lambda: rig.node.core.cases)
+        rig.until(lambda: rig.node.core.open_requests)
         if at >= 1:
-            rig.until(lambda: self.waiting[self.reader.name])
+            rig.until(lambda: self.waiting[self.prefill_engine.name])
         if at >= 2:
-            self.up(self.reader)
-            rig.until(lambda: self.reader.asked)
+            self.up(self.prefill_engine)
+            rig.until(lambda: self.prefill_engine.asked)
         if at >= 3:
-            self.reader.peers[-1].transport.write(READ)  # type: ignore[union-attr]
-            rig.until(lambda: self.waiting[self.writer.name])
+            self.prefill_engine.peers[-1].transport.write(READ)  # type: ignore[union-attr]
+            rig.until(lambda: self.waiting[self.decode_engine.name])
         if at >= 4:
-            self.up(self.writer)
-            rig.until(lambda: self.writer.asked)
+            self.up(self.decode_engine)
+            rig.until(lambda: self.decode_engine.asked)
         if at >= 5:
-            self.writer.peers[-1].transport.write(STREAM + chunk(EVENTS[0]))  # type: ignore[union-attr]
-            rig.until(lambda: [case for case in rig.node.core.cases.values() if case.first_at])
+            self.decode_engine.peers[-1].transport.write(STREAM + chunk(EVENTS[0]))  # type: ignore[union-attr]
+            rig.until(
+                lambda: [
+                    context for context in rig.node.core.open_requests.values() if context.first_token_at
+                ]
+            )
         return client
 
     def _no_room(self, on: bool) -> None:
         for engine in self.rig.node.core.pools:
-            engine.skipped_until = 1e12 if on and engine.id.decode() == self.reader.name else 0.0
+            engine.skipped_until = 1e12 if on and engine.id.decode() == self.prefill_engine.name else 0.0
 
     def finish(self, point: str) -> None:
         """Everything goes its way from the point."""
         self._no_room(False)
         self.rig.node.core.wake()
-        self.reader.script, self.writer.script = (lambda _: READ), (lambda _: ANSWER)
+        self.prefill_engine.script, self.decode_engine.script = (lambda _: READ), (lambda _: ANSWER)
         at = POINTS.index(point)
         if at == 2:
-            self.reader.peers[-1].transport.write(READ)  # type: ignore[union-attr]
+            self.prefill_engine.peers[-1].transport.write(READ)  # type: ignore[union-attr]
         elif at == 4:
-            self.writer.peers[-1].transport.write(ANSWER)  # type: ignore[union-attr]
+            self.decode_engine.peers[-1].transport.write(ANSWER)  # type: ignore[union-attr]
         elif at == 5:
-            self.writer.peers[-1].transport.write(  # type: ignore[union-attr]
+            self.decode_engine.peers[-1].transport.write(  # type: ignore[union-attr]
                 b"".join(map(chunk, EVENTS[1:])) + LAST
             )
 
@@ -118,12 +124,12 @@
             self.rig.reactor.iterate(0.001)
 
     def effects(self) -> int:
-        return sum(request.startswith(b"POST") for request in self.writer.asked)
+        return sum(request.startswith(b"POST") for request in self.decode_engine.asked)
 
 
 @pytest.fixture
 def scene(monkeypatch: Any) -> Scene:
-    monkeypatch.setattr(serve, "ACCEPTING", 50.0)
+    monkeypatch.setattr(serve, "DRAIN_ACCEPT_MS", 50.0)
     return Scene()
 
 
@@ -132,9 +138,7 @@
 
 @pytest.mark.parametrize("point", POINTS)
 @pytest.mark.parametrize("request_class", ["chat", "mark"])
-def test_request_taken_before_sigterm_is_answered_and_the_node_ends(
-    scene: Scene, point: str, request_class: str
-) -> None:
+def test_request_accepted_before_sigterm_is_answered(scene: Scene, point: str, request_class: str) -> None:
     client = scene.to(point, request_class)
     scene.rig.node.stop()
     assert not scene.ended
@@ -143,12 +147,15 @@
     assert got[9:12] == b"200" and got.count(b"[DONE]") == 1 and got.endswith(LAST)
     client.close()
     scene.rig.until(lambda: scene.ended)
-    assert scene.effects() == 1 and not scene.rig.node.core.releases.owed
+    assert scene.effects() == 1 and not scene.rig.node.core.releaser.is_due
 
 
 @pytest.mark.parametrize("point", POINTS[1:5])
-def test_node_told_to_end_lets_go_of_what_a_leaving_client_had(scene: Scene, point: str) -> None:
-    """Guards against the process ending before the release that its last client's leave calls for."""
+def test_shutdown_releases_after_a_client_disconnect(scene: Scene, point: str) -> None:
+    """The last client disconnects while the node shuts down.
+
+    The process ends only after the release that this calls for.
+    """
     client = scene.to(point)
     scene.rig.node.stop()
     scene.rig.until(lambda: not scene.rig.node.accepting)
@@ -160,12 +167,12 @@
 
     scene.rig.until(over)
     deletes = sum(engine.verbs().count(b"DELETE") for engine in scene.rig.engines)
-    assert deletes >= 1 if point != "connecting to read" else deletes == 0
+    assert deletes >= 1 if point != "connecting to prefill" else deletes == 0
 
 
-def test_request_that_arrives_with_the_listeners_end_is_answered(scene: Scene) -> None:
+def test_request_accepted_by_the_kernel_alone_is_answered(scene: Scene) -> None:
     rig = scene.rig
-    scene.reader.script, scene.writer.script = (lambda _: READ), (lambda _: ANSWER)
+    scene.prefill_engine.script, scene.decode_engine.script = (lambda _: READ), (lambda _: ANSWER)
     client = socket.create_connection(("127.0.0.1", rig.node.port))  # accepted by the machine alone
     client.sendall(ask())
     client.setblocking(False)
@@ -176,9 +183,9 @@
     rig.until(lambda: scene.ended)
 
 
-def test_half_a_request_at_sigterm_is_answered_once_it_is_whole(scene: Scene) -> None:
+def test_partial_request_at_sigterm_is_answered(scene: Scene) -> None:
     rig, data = scene.rig, ask()
-    scene.reader.script, scene.writer.script = (lambda _: READ), (lambda _: ANSWER)
+    scene.prefill_engine.script, scene.decode_engine.script = (lambda _: READ), (lambda _: ANSWER)
     client = socket.create_connection(("127.0.0.1", rig.node.port))
     client.sendall(data[:150])
     client.setblocking(False)
@@ -192,7 +199,7 @@
     rig.until(lambda: scene.ended)
 
 
-def test_request_that_crosses_the_close_of_its_resting_connection_reaches_no_engine(scene: Scene) -> None:
+def test_request_that_crosses_an_idle_close_reaches_no_engine(scene: Scene) -> None:
     rig = scene.rig
     client = socket.create_connection(("127.0.0.1", rig.node.port))
     client.sendall(b"GET /up HTTP/1.1\r\n\r\n")
@@ -202,7 +209,7 @@
     scene.turns()
     client.close()
     rig.until(lambda: scene.ended)
-    assert not scene.reader.asked and rig.node.core.number == 0
+    assert not scene.prefill_engine.asked and rig.node.core.last_request_id == 0
 
 
 # A client that leaves.
@@ -210,55 +217,58 @@
 
 @pytest.mark.parametrize("point", POINTS)
 @pytest.mark.parametrize("request_class", ["chat", "mark"])
-def test_nothing_begins_for_a_client_who_has_left(scene: Scene, point: str, request_class: str) -> None:
+def test_no_attempt_starts_after_a_client_disconnect(scene: Scene, point: str, request_class: str) -> None:
     client = scene.to(point, request_class)
     sent = [request for engine in scene.rig.engines for request in engine.asked]
     client.close()
     scene.rig.until(
         lambda: (
-            [case for case in scene.rig.node.core.cases.values() if case.answered]
-            or not scene.rig.node.core.cases
+            [context for context in scene.rig.node.core.open_requests.values() if context.final_answer]
+            or not scene.rig.node.core.open_requests
         )
     )
-    scene.finish("connecting to read")  # whatever is asked from now on is answered
+    scene.finish("connecting to prefill")  # whatever is asked from now on is answered
     scene.turns()
 
     def over() -> bool:
         scene.all_up()
-        return not scene.rig.node.core.cases and not scene.rig.node.core.releases.running
+        return not scene.rig.node.core.open_requests and not scene.rig.node.core.releaser.running
 
     scene.rig.until(over)
     later = [request for engine in scene.rig.engines for request in engine.asked if request not in sent]
     assert all(request.startswith(b"DELETE") for request in later)
 
 
-@pytest.mark.parametrize("point", ["connecting to read", "connecting to write"])
-def test_leave_that_was_not_read_yet_is_looked_for_before_an_attempt(scene: Scene, point: str) -> None:
-    """Guards against a close that waits unread while the connection to an engine comes up."""
+@pytest.mark.parametrize("point", ["connecting to prefill", "connecting to decode"])
+def test_unread_disconnect_is_seen_before_an_attempt(scene: Scene, point: str) -> None:
+    """A client disconnects while the connection to an engine comes up, and the reactor has not read it.
+
+    The node looks for it before it sends.
+    """
     client = scene.to(point)
-    engine = scene.reader if point == "connecting to read" else scene.writer
+    engine = scene.prefill_engine if point == "connecting to prefill" else scene.decode_engine
     (channel,) = [one for one in scene.rig.node.server.channels if one.busy]
     channel.transport.stopReading()  # the reactor does not come to read it
     client.close()
     scene.up(engine)
     scene.turns()
     assert not any(request.startswith(b"POST") for request in engine.asked)
-    assert not scene.rig.node.core.cases
+    assert not scene.rig.node.core.open_requests
 
 
 # What cannot be repeated.
 
 
-@pytest.mark.parametrize("point", ["reading", "writing"])
+@pytest.mark.parametrize("point", ["in prefill", "in decode"])
 @pytest.mark.parametrize("request_class", ["chat", "mark"])
 @pytest.mark.parametrize("how", ["reset", "end", "half an answer", "noise"])
-def test_broken_attempt_is_repeated_only_where_that_is_harmless(
+def test_broken_attempt_is_retried_only_if_harmless(
     scene: Scene, point: str, request_class: str, how: str
 ) -> None:
     client = scene.to(point, request_class)
-    engine = scene.reader if point == "reading" else scene.writer
+    engine = scene.prefill_engine if point == "in prefill" else scene.decode_engine
     wire: Any = engine.peers[-1].transport
-    scene.reader.script, scene.writer.script = (lambda _: READ), (lambda _: ANSWER)
+    scene.prefill_engine.script, scene.decode_engine.script = (lambda _: READ), (lambda _: ANSWER)
     match how:
         case "reset":
             wire.abortConnection()
@@ -270,7 +280,7 @@
         case "noise":
             wire.write(b"\x00\xff\r\n\r\n")
     status = scene.read_all(client)[9:12]
-    may_have_run = point == "writing"
+    may_have_run = point == "in decode"
     if request_class == "mark" and may_have_run:
         assert status == b"502" and scene.effects() == 1  # neither repeated nor refused
     else:
@@ -279,10 +289,10 @@
 
 
 @pytest.mark.parametrize("request_class", ["chat", "mark"])
-def test_attempt_refused_unrun_may_always_be_followed_by_another(scene: Scene, request_class: str) -> None:
-    client = scene.to("writing", request_class)
-    wire: Any = scene.writer.peers[-1].transport
-    scene.reader.script, scene.writer.script = (lambda _: READ), (lambda _: ANSWER)
+def test_attempt_known_not_executed_is_always_retried(scene: Scene, request_class: str) -> None:
+    client = scene.to("in decode", request_class)
+    wire: Any = scene.decode_engine.peers[-1].transport
+    scene.prefill_engine.script, scene.decode_engine.script = (lambda _: READ), (lambda _: ANSWER)
     wire.write(LOST)
     assert scene.read_all(client)[9:12] == b"200" and scene.effects() == 2
     client.close()
@@ -293,11 +303,16 @@
 
 @pytest.mark.parametrize("request_class", ["chat", "mark"])
 @pytest.mark.parametrize("written", [False, True])
-def test_break_proves_no_more_than_it_does(scene: Scene, request_class: str, written: bool) -> None:
-    """Before the last byte has left nothing has run; after it something may have, also where nobody read."""
-    client = scene.to("connecting to write", request_class)
+def test_broken_connection_proves_only_what_was_not_sent(
+    scene: Scene, request_class: str, written: bool
+) -> None:
+    """A connection breaks before or after the last byte has left.
+
+    Before it nothing was executed; after it something possibly was, also where the engine read nothing.
+    """
+    client = scene.to("connecting to decode", request_class)
     if written:
-        scene.writer.script = lambda _: None  # read, and reset without a word
+        scene.decode_engine.script = lambda _: None  # the request is received and the connection reset
     else:
         scene.rig.engines[1].port.stopListening()  # refused
     for _ in range(3):
@@ -314,8 +329,8 @@
 # Requests and events in pieces.
 
 
-def test_request_of_single_bytes_is_one_request(scene: Scene) -> None:
-    scene.reader.script, scene.writer.script = (lambda _: READ), (lambda _: ANSWER)
+def test_request_in_single_bytes_is_one_request(scene: Scene) -> None:
+    scene.prefill_engine.script, scene.decode_engine.script = (lambda _: READ), (lambda _: ANSWER)
     client = socket.create_connection(("127.0.0.1", scene.rig.node.port))
     client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     head = ask().replace(b"X-Timeout-Ms: 3000", b"x-timeout-ms:\t3000 ")
@@ -325,12 +340,12 @@
         scene.rig.reactor.iterate(0)
     client.setblocking(False)
     got = scene.read_all(client)
-    assert got[9:12] == b"200" and scene.effects() == 1 and scene.rig.node.core.number == 1
+    assert got[9:12] == b"200" and scene.effects() == 1 and scene.rig.node.core.last_request_id == 1
     client.close()
 
 
-def test_requests_behind_one_another_are_answered_in_their_order(scene: Scene) -> None:
-    scene.reader.script, scene.writer.script = (lambda _: READ), (lambda _: ANSWER)
+def test_pipelined_requests_are_answered_in_order(scene: Scene) -> None:
+    scene.prefill_engine.script, scene.decode_engine.script = (lambda _: READ), (lambda _: ANSWER)
     client = socket.create_connection(("127.0.0.1", scene.rig.node.port))
     client.sendall(ask("p1") + ask("p2") + b"GET /up HTTP/1.1\r\n\r\n")
     client.setblocking(False)
@@ -345,25 +360,28 @@
         return b"serving" in b"".join(got)
 
     scene.rig.until(over)
-    assert b"".join(got).count(b"[DONE]") == 2 and scene.rig.node.core.number == 2
+    assert b"".join(got).count(b"[DONE]") == 2 and scene.rig.node.core.last_request_id == 2
     client.close()
 
 
 @pytest.mark.parametrize("size", [1, 7, 10_000])
-def test_each_event_reaches_the_client_before_the_next_is_written(scene: Scene, size: int) -> None:
-    """Guards against events held back or sent in lumps: the engine waits for each to be seen."""
-    scene.to("writing").close()  # its client leaves; another one comes
+def test_each_event_reaches_the_client_at_once(scene: Scene, size: int) -> None:
+    """An engine sends an event and waits until the client has seen it before it sends the next.
+
+    No event is held back or merged with the next.
+    """
+    scene.to("in decode").close()  # its client leaves; another one comes
     scene.turns()
     rig = scene.rig
-    scene.reader.script = lambda _: READ
+    scene.prefill_engine.script = lambda _: READ
     peer: Peer = rig.client(ask("b1"))
 
     def reached() -> bool:
         scene.all_up()
-        return any(b"b1" in request for request in scene.writer.asked)
+        return any(b"b1" in request for request in scene.decode_engine.asked)
 
     rig.until(reached)
-    wire: Any = scene.writer.peers[-1].transport
+    wire: Any = scene.decode_engine.peers[-1].transport
     wire.write(STREAM)
     for number, event in enumerate(EVENTS[:1] * 5 + EVENTS[1:]):
         data = chunk(event)
@@ -378,35 +396,36 @@
 # Time-outs, engines that change, descriptors.
 
 
-def test_stream_that_stalls_ends_its_client_without_the_last_chunk(scene: Scene, monkeypatch: Any) -> None:
-    monkeypatch.setattr(core, "SILENCE", 60.0)
+def test_stalled_stream_is_cut_for_its_client(scene: Scene, monkeypatch: Any) -> None:
+    monkeypatch.setattr(core, "MAX_STREAM_GAP_MS", 60.0)
     client = scene.to("streaming")
     got = scene.read_all(client)
     assert EVENTS[0] in got and not got.endswith(LAST)
-    scene.rig.until(lambda: scene.writer.peers[-1].ended)
+    scene.rig.until(lambda: scene.decode_engine.peers[-1].ended)
     client.close()
 
 
 @pytest.mark.parametrize("point", POINTS[:5])
 @pytest.mark.parametrize("request_class", ["chat", "mark"])
-def test_late_reactor_lets_the_module_answer_a_request_whose_time_is_over(
-    scene: Scene, point: str, request_class: str
-) -> None:
-    """Guards against an answer that says less than is known, where all timers come due in one turn."""
+def test_late_reactor_lets_the_policy_answer_first(scene: Scene, point: str, request_class: str) -> None:
+    """The reactor is blocked past a deadline, and all timers come due at once.
+
+    The policy answers, which knows more of the request than the guard of its deadline does.
+    """
     client = scene.to(point, request_class, left="400")
-    (case,) = scene.rig.node.core.cases.values()
-    while clock.now() < case.request.deadline + 30:  # the reactor does not turn
+    (context,) = scene.rig.node.core.open_requests.values()
+    while clock.now() < context.request.deadline + 30:  # the reactor does not turn
         pass
-    scene.rig.until(lambda: case.answered)
-    may_have_run = request_class == "mark" and point == "writing"
-    assert case.answered == ("broken off" if may_have_run else "deferred")
-    assert "overdue" not in scene.rig.node.counts.sums
+    scene.rig.until(lambda: context.final_answer)
+    may_have_run = request_class == "mark" and point == "in decode"
+    assert context.final_answer == ("broken off" if may_have_run else "deferred")
+    assert "deadlines_missed" not in scene.rig.node.counts.counts
     client.close()
 
 
 @pytest.mark.parametrize("point", POINTS[:5])
 @pytest.mark.parametrize("request_class", ["chat", "mark"])
-def test_request_whose_time_is_over_is_answered_before_its_client_gives_up(
+def test_expired_request_is_answered_before_its_client_gives_up(
     scene: Scene, point: str, request_class: str
 ) -> None:
     begun = clock.now()
@@ -419,26 +438,29 @@
             return False
 
     scene.rig.until(answered)
-    may_have_run = request_class == "mark" and point == "writing"
+    may_have_run = request_class == "mark" and point == "in decode"
     assert client.recv(1000)[9:12] in ((b"502", b"504") if may_have_run else (b"503",))
     assert clock.now() - begun < 400 + 100  # a busy machine has its share in it
     client.close()
 
 
-def test_engine_replaced_at_its_address_while_a_connection_comes_up_is_sent_nothing(scene: Scene) -> None:
-    """Guards against an attempt meant for one process that arrives at the next."""
+def test_nothing_is_sent_to_an_engine_replaced_while_connecting(scene: Scene) -> None:
+    """An engine is replaced by another process at its address while a connection to it comes up.
+
+    The attempt, meant for the old process, is not sent.
+    """
     rig = scene.rig
-    client = scene.to("connecting to read", left="900")
-    old, new = scene.reader.entry("DELETED"), {**scene.reader.entry("DRAINING"), "name": "e9"}
+    client = scene.to("connecting to prefill", left="900")
+    old, new = scene.prefill_engine.entry("DELETED"), {**scene.prefill_engine.entry("DRAINING"), "name": "e9"}
     rig.hosts.tell(2, old, new)
     rig.until(lambda: [one for one in rig.node.core.pools if one.state == "gone"])
     scene.turns()
-    assert scene.read_all(client)[9:12] == b"503" and not scene.reader.asked
+    assert scene.read_all(client)[9:12] == b"503" and not scene.prefill_engine.asked
     client.close()
 
 
-def test_release_outlasts_a_shortage_of_descriptors(scene: Scene) -> None:
-    client = scene.to("reading")
+def test_release_survives_a_shortage_of_descriptors(scene: Scene) -> None:
+    client = scene.to("in prefill")
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     spare = os.dup(0)
     resource.setrlimit(resource.RLIMIT_NOFILE, (spare + 3, hard))
@@ -451,14 +473,14 @@
         except OSError:
             scene.all_up()
             scene.rig.reactor.iterate(0.002)
-    assert b"DELETE" not in scene.reader.verbs() + scene.writer.verbs()
+    assert b"DELETE" not in scene.prefill_engine.verbs() + scene.decode_engine.verbs()
     for one in taken:
         os.close(one)
     resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
     def heard() -> bool:
         scene.all_up()
-        return b"DELETE" in scene.reader.verbs() + scene.writer.verbs()
+        return b"DELETE" in scene.prefill_engine.verbs() + scene.decode_engine.verbs()
 
     scene.rig.until(heard)
-    scene.rig.until(lambda: scene.all_up() or not scene.rig.node.core.releases.running)
+    scene.rig.until(lambda: scene.all_up() or not scene.rig.node.core.releaser.running)
