--- a/worksmux/gateway/fleet/audit_log_keeper.py
+++ b/worksmux/gateway/fleet/audit_log_keeper.py
@@ -34,7 +34,7 @@
     return f"copy:{front}"
 
 
-class AccountKeeper:
+class AuditLogKeeper:
     """`send(front, message)` goes to another front; `fronts()` are the names of all, this one included."""
 
     def __init__(
--- a/worksmux/gateway/fleet/consensus_disk.py
+++ b/worksmux/gateway/fleet/consensus_disk.py
@@ -26,12 +26,12 @@
 AGAIN = 0.3  # seconds before a write that failed is tried again
 
 
-class Hard(msgspec.Struct):
+class StoredHardState(msgspec.Struct):
     term: int
     vote: str
 
 
-class Own(msgspec.Struct):
+class StoredIdentity(msgspec.Struct):
     """`mark` is of this disk; `life` counts the front's starts."""
 
     mark: str
@@ -42,7 +42,7 @@
     return f"e{index:015d}"
 
 
-class CouncilDisk:
+class ConsensusDisk:
     """`told(number)` is called through `later` once a write is on disk."""
 
     def __init__(self, folder: Path, later: Callable[..., object]) -> None:
@@ -61,12 +61,12 @@
         self.thread = threading.Thread(target=self._run, name="council", daemon=True)
         self.thread.start()
 
-    def _read(self) -> Own:
+    def _read(self) -> StoredIdentity:
         council, front = self.store.read(COUNCIL), self.store.read(FRONT)
         own = None
         try:
             if front.whole and "own" in front.values:
-                own = msgspec.msgpack.decode(front.values["own"], type=Own)
+                own = msgspec.msgpack.decode(front.values["own"], type=StoredIdentity)
             if council.whole and own is not None:
                 self.saved = self._saved(council.values)
             elif council.values or council.bad or front.values:
@@ -76,9 +76,9 @@
             self.saved = PersistentState()
             life = own.life if own else 0
             self.store.replace(COUNCIL, [], time.time() * 1000)
-            own = Own(secrets.token_hex(4), life)
+            own = StoredIdentity(secrets.token_hex(4), life)
         if own is None:
-            own = Own(secrets.token_hex(4), 0)
+            own = StoredIdentity(secrets.token_hex(4), 0)
         # A clock that counts seconds is ahead of most lives that a lost disk knew.
         own.life = max(own.life + 1, int(time.time()))
         self._write({FRONT: {"own": msgspec.msgpack.encode(own)}})
@@ -89,7 +89,11 @@
     @staticmethod
     def _saved(values: dict[str, bytes]) -> PersistentState:
         """Raises ValueError where something between is missing."""
-        hard = msgspec.msgpack.decode(values["hard"], type=Hard) if "hard" in values else Hard(0, "")
+        hard = (
+            msgspec.msgpack.decode(values["hard"], type=StoredHardState)
+            if "hard" in values
+            else StoredHardState(0, "")
+        )
         base = msgspec.msgpack.decode(values["base"], type=Snapshot) if "base" in values else Snapshot()
         entries = [
             msgspec.msgpack.decode(values[key], type=Entry) for key in sorted(values) if key.startswith("e")
@@ -109,7 +113,12 @@
         """The first snapshot of a new council, at once."""
         self.saved = PersistentState(snapshot=base)
         self._write(
-            {COUNCIL: {"base": msgspec.msgpack.encode(base), "hard": msgspec.msgpack.encode(Hard(0, ""))}}
+            {
+                COUNCIL: {
+                    "base": msgspec.msgpack.encode(base),
+                    "hard": msgspec.msgpack.encode(StoredHardState(0, "")),
+                }
+            }
         )
 
     def _run(self) -> None:
@@ -154,7 +163,7 @@
         for write in writes:
             if write.hard_state is not None:
                 changes["hard"] = msgspec.msgpack.encode(
-                    Hard(write.hard_state.term, write.hard_state.voted_for)
+                    StoredHardState(write.hard_state.term, write.hard_state.voted_for)
                 )
             if write.truncate_from is not None and first:
                 for index in range(max(first, write.truncate_from), last + 1):
--- a/worksmux/gateway/fleet/consensus_voter.py
+++ b/worksmux/gateway/fleet/consensus_voter.py
@@ -24,16 +24,16 @@
 from ...net.loop import Reactor
 from ...policy.measure import mix
 from ...settings.fleet import FleetSettings
-from .consensus_disk import CouncilDisk
+from .consensus_disk import ConsensusDisk
 from .core_timers import CoreTimers
-from .peers_link import ToSeat
+from .message_transport import ConsensusMessage
 
 LOG = structlog.get_logger()
 LONGEST_LOG = 1000  # entries, from which the log is cut
 FIRST, FOUNDED = 1, 4  # streams of chance: of the core at the start, and of a council that is founded here
 
 
-class CouncilSeat:
+class ConsensusVoter:
     """`send(front, message)` goes to another front; `on_step` is called after each step, `on_leader` as a
     seat begins to lead, this one or another."""
 
@@ -43,9 +43,9 @@
         fleet: FleetSettings,
         reactor: Reactor,
         seed: int,
-        disk: CouncilDisk,
+        disk: ConsensusDisk,
         timers: CoreTimers,
-        send: Callable[[str, ToSeat], None],
+        send: Callable[[str, ConsensusMessage], None],
     ) -> None:
         self.fleet, self.reactor, self.seed, self.disk, self.timers = fleet, reactor, seed, disk, timers
         self.send = send
@@ -120,7 +120,7 @@
 
     def _post(self, messages: list[tuple[str, Any]]) -> None:
         for seat, message in messages:
-            self.send(node_of(seat), ToSeat(self.name, seat, message))
+            self.send(node_of(seat), ConsensusMessage(self.name, seat, message))
 
     def _fact(self, fact: outputs.Event) -> None:
         match fact:
--- a/worksmux/gateway/fleet/peers_link.py
+++ b/worksmux/gateway/fleet/message_transport.py
@@ -34,7 +34,7 @@
 SAY_AGAIN = 10_000.0  # milliseconds between two lines of the log about the same fault
 
 
-class ToSeat(msgspec.Struct, tag="seat"):
+class ConsensusMessage(msgspec.Struct, tag="seat"):
     """Of the council: from one seat to another."""
 
     seat: str
@@ -42,19 +42,19 @@
     message: council.Message
 
 
-class ToPeer(msgspec.Struct, tag="peer"):
+class GossipMessage(msgspec.Struct, tag="peer"):
     message: peers.Message
 
 
-class ToFollower(msgspec.Struct, tag="follow"):
+class ReplicationMessage(msgspec.Struct, tag="follow"):
     message: following.Message
 
 
-class ToAccount(msgspec.Struct, tag="account"):
+class AuditMessage(msgspec.Struct, tag="account"):
     message: copies.Message
 
 
-Inner = ToSeat | ToPeer | ToFollower | ToAccount
+Inner = ConsensusMessage | GossipMessage | ReplicationMessage | AuditMessage
 
 
 class Envelope(msgspec.Struct):
@@ -66,7 +66,7 @@
     inner: Inner
 
 
-class _Head(msgspec.Struct):
+class _EnvelopeHeader(msgspec.Struct):
     """What must be readable of a message of any form."""
 
     form: int
@@ -75,11 +75,11 @@
 
 
 DECODE = msgspec.msgpack.Decoder(Envelope)
-HEAD_OF = msgspec.msgpack.Decoder(_Head)
+HEAD_OF = msgspec.msgpack.Decoder(_EnvelopeHeader)
 Take = Callable[[Envelope], None]
 
 
-class PeersLink:
+class MessageTransport:
     def __init__(self, settings: FleetSettings, reactor: Reactor, name: str, take: Take) -> None:
         self.settings, self.reactor, self.name, self.take = settings, reactor, name, take
         self.life = 0
--- a/worksmux/gateway/fleet/peering.py
+++ b/worksmux/gateway/fleet/peering.py
@@ -38,11 +38,18 @@
 from ...settings.front import FrontSettings
 from ..active_versions import Holding
 from ..chat_engine_client import PublishedCore
-from .audit_log_keeper import AccountKeeper
-from .consensus_disk import CouncilDisk
-from .consensus_voter import CouncilSeat
+from .audit_log_keeper import AuditLogKeeper
+from .consensus_disk import ConsensusDisk
+from .consensus_voter import ConsensusVoter
 from .core_timers import CoreTimers
-from .peers_link import Envelope, PeersLink, ToAccount, ToFollower, ToPeer, ToSeat
+from .message_transport import (
+    AuditMessage,
+    ConsensusMessage,
+    Envelope,
+    GossipMessage,
+    MessageTransport,
+    ReplicationMessage,
+)
 
 LOG = structlog.get_logger()
 COUNCIL = "council"  # the chapter with the council's own mark
@@ -58,13 +65,15 @@
         fleet = settings.fleet
         assert fleet is not None
         self.settings, self.fleet, self.core, self.reactor, self.seed = settings, fleet, core, reactor, seed
-        self.link = PeersLink(fleet, reactor, settings.name, self._came)
-        disk = CouncilDisk(Path(fleet.disk), reactor.callFromThread)
+        self.link = MessageTransport(fleet, reactor, settings.name, self._came)
+        disk = ConsensusDisk(Path(fleet.disk), reactor.callFromThread)
         for note in disk.notes:
             LOG.warning("the council's disk", note=note)
         self.life = disk.own.life
         self.timers = CoreTimers(reactor)
-        self.council = CouncilSeat(settings.name, fleet, reactor, seed, disk, self.timers, self._send_to_seat)
+        self.council = ConsensusVoter(
+            settings.name, fleet, reactor, seed, disk, self.timers, self._send_to_seat
+        )
         self.council.on_step, self.council.on_leader = self._tell_follower, self._forget_planner
         self.swim: peers.Swim | None = None
         self.follower = follow.Replica(settings.name, fleet.lease, mix(seed, 2), clock.now(), self._report)
@@ -78,7 +87,9 @@
             fleet.look,
             fleet.carries,
         )
-        self.keeper = AccountKeeper(Path(fleet.disk), reactor, settings.name, self._send_account, self._names)
+        self.keeper = AuditLogKeeper(
+            Path(fleet.disk), reactor, settings.name, self._send_account, self._names
+        )
         self.holding = Holding(settings)
         self.planner: Planner | None = None
         self.plan = Plan()
@@ -151,7 +162,7 @@
         assert self.swim is not None
         out = self.swim.step(clock.now(), what)
         for post in out.messages:
-            self.link.post(post.receiver, post.address, ToPeer(post.message))
+            self.link.post(post.receiver, post.address, GossipMessage(post.message))
         for fact in out.events:
             self._peer_fact(fact)
         if out.events:
@@ -223,19 +234,19 @@
         if (
             known is not None
             and envelope.life < known.update.generation
-            and not isinstance(envelope.inner, ToPeer)
+            and not isinstance(envelope.inner, GossipMessage)
         ):
             return self.link.refuse(
                 "life", envelope.name, f"life {envelope.life} is over; {known.update.generation} is known"
             )
         match envelope.inner:
-            case ToPeer(message):
+            case GossipMessage(message):
                 self._swim(gossip_inputs.MessageReceived(envelope.name, envelope.address, message))
-            case ToFollower(message):
+            case ReplicationMessage(message):
                 self._follow(follow.MessageReceived(envelope.name, message))
-            case ToAccount(message):
+            case AuditMessage(message):
                 self.keeper.heard(envelope.name, message)
-            case ToSeat(seat, to, message):
+            case ConsensusMessage(seat, to, message):
                 if to != self.council.name:
                     return self.link.refuse(
                         "seat", envelope.name, f"it is for {to}; this is {self.council.name}"
@@ -248,7 +259,7 @@
         return known.update.address if known else ""
 
     def _send_account(self, name: str, message: Any) -> None:
-        self.link.post(name, self._address(name), ToAccount(message))
+        self.link.post(name, self._address(name), AuditMessage(message))
 
     def _names(self) -> list[str]:
         """Of all fronts that are known, there or not."""
@@ -256,7 +267,7 @@
 
     # The council.
 
-    def _send_to_seat(self, name: str, message: ToSeat) -> None:
+    def _send_to_seat(self, name: str, message: ConsensusMessage) -> None:
         self.link.post(name, self._address(name), message)
 
     def _forget_planner(self) -> None:
@@ -273,7 +284,7 @@
             return
         out = self.follower.step(clock.now(), what)
         for name, message in out.messages:
-            self.link.post(name, self._address(name), ToFollower(message))
+            self.link.post(name, self._address(name), ReplicationMessage(message))
         for fact in out.events:
             match fact:
                 case follow.ValuesChanged(chapters):
--- a/worksmux/gateway/serve.py
+++ b/worksmux/gateway/serve.py
@@ -32,7 +32,7 @@
 from .vectors import VectorSide
 
 if TYPE_CHECKING:
-    from .fleet.audit_log_keeper import AccountKeeper
+    from .fleet.audit_log_keeper import AuditLogKeeper
     from .fleet.peering import Peering
 
 LOG = structlog.get_logger()
@@ -193,7 +193,7 @@
         else:
             exchange.answer(404, b"known here: /metrics /health /ready /live\n", "text/plain")
 
-    def _audit(self, exchange: Exchange, keeper: AccountKeeper) -> None:
+    def _audit(self, exchange: Exchange, keeper: AuditLogKeeper) -> None:
         """What all accounts say, by `at` (milliseconds since 1970) or `job`; others are asked first."""
         asked = {key.decode("latin-1"): values[0].decode("latin-1") for key, values in exchange.args.items()}
         try:
