--- a/worksmux/gateway/fleet/message_transport.py
+++ b/worksmux/gateway/fleet/message_transport.py
@@ -1,9 +1,8 @@
-"""Messages between fronts: one POST each over the program's own HTTP, on a listener of their own.
+"""Messages between front nodes: one HTTP POST each, on a listener of its own.
 
-A message is sent and forgotten: what it asks for comes back as another.  Each is bounded, typed, and names
-fleet, form and sender; what does not fit is refused, counted and logged with sender and field, and changes
-nothing.  Calls are few to each address and end by time, so that a front that is there and says nothing costs
-little.
+Delivery is best effort: a message is not acknowledged and not retried, an answer is a message of its own.
+Every message is bounded in size, typed, and carries the fleet's name, the format version and its sender. A
+message that does not fit is counted, logged with its sender and the reason, and has no other effect.
 """
 
 from __future__ import annotations
@@ -16,174 +15,234 @@
 import structlog
 
 from ...config_audit import copies
-from ...consensus import messages as council
-from ...consensus import replication_messages as following
-from ...gossip import messages as peers
+from ...consensus import messages as consensus_messages
+from ...consensus import replication_messages
+from ...gossip import messages as gossip_messages
 from ...net import client, clock
-from ...net.loop import Reactor, listen
+from ...net.loop import Reactor, Timer, listen
 from ...net.server import Exchange, Server
 from ...settings.fleet import FleetSettings
 
 LOG = structlog.get_logger()
-FORM = 1  # of messages; another one is refused by its number
-PATH = "/fleet/message"
-KIND = "application/msgpack"
-HEAD = 8192
-OUT = 16  # calls to one address at once; more are dropped, as a network does
-IDLE = 2
-SAY_AGAIN = 10_000.0  # milliseconds between two lines of the log about the same fault
+FORMAT_VERSION = 1  # a message of any other version is refused
+MESSAGE_PATH = "/fleet/message"
+CONTENT_TYPE = "application/msgpack"
+MAX_HEAD_BYTES = 8192
+MAX_PENDING_CALLS = 16  # to one address; further messages are dropped, as a network does
+MAX_IDLE_CONNECTIONS = 2  # to one address
+KEEP_ALIVE_PERIODS = 10  # probe periods until an idle connection is closed
+MAX_PORT = 65_535
+LOG_INTERVAL_MS = 10_000.0  # between two log lines about the same fault of the same sender
+MAX_LOGGED_FAULTS = 1000  # remembered for LOG_INTERVAL_MS
+MAX_LOGGED_NAME, MAX_LOGGED_REASON, MAX_LOGGED_ADDRESS = 200, 300, 100  # characters
 
 
 class ConsensusMessage(msgspec.Struct, tag="seat"):
-    """Of the council: from one seat to another."""
+    """From one voter or learner to another, both by their consensus node names."""
 
-    seat: str
-    to: str
-    message: council.Message
+    sender: str = msgspec.field(name="seat")
+    receiver: str = msgspec.field(name="to")
+    message: consensus_messages.Message
 
 
 class GossipMessage(msgspec.Struct, tag="peer"):
-    message: peers.Message
+    """Of the membership protocol."""
+
+    message: gossip_messages.Message
 
 
 class ReplicationMessage(msgspec.Struct, tag="follow"):
-    message: following.Message
+    """Between replicas of the agreed state."""
+
+    message: replication_messages.Message
 
 
 class AuditMessage(msgspec.Struct, tag="account"):
+    """Between the holders of audit logs and of their copies."""
+
     message: copies.Message
 
 
-Inner = ConsensusMessage | GossipMessage | ReplicationMessage | AuditMessage
+Payload = ConsensusMessage | GossipMessage | ReplicationMessage | AuditMessage
 
 
 class Envelope(msgspec.Struct):
-    form: int
+    """A message with its sender; `generation` counts the sender's starts, `address` is its listener."""
+
+    format_version: int = msgspec.field(name="form")
     fleet: str
-    name: str
-    life: int
+    sender: str = msgspec.field(name="name")
+    generation: int = msgspec.field(name="life")
     address: str
-    inner: Inner
+    payload: Payload = msgspec.field(name="inner")
 
 
 class _EnvelopeHeader(msgspec.Struct):
-    """What must be readable of a message of any form."""
+    """The part of an envelope that every format version has."""
 
-    form: int
+    format_version: int = msgspec.field(name="form")
     fleet: str = ""
-    name: str = ""
+    sender: str = msgspec.field(name="name", default="")
+
+
+_ENVELOPE_DECODER = msgspec.msgpack.Decoder(Envelope)
+_HEADER_DECODER = msgspec.msgpack.Decoder(_EnvelopeHeader)
 
 
-DECODE = msgspec.msgpack.Decoder(Envelope)
-HEAD_OF = msgspec.msgpack.Decoder(_EnvelopeHeader)
-Take = Callable[[Envelope], None]
+class AddressError(ValueError):
+    """An address is not `host:port` with a port from 1 to 65535."""
+
+    def __init__(self, address: str) -> None:
+        super().__init__(f"{address[:MAX_LOGGED_ADDRESS]!r} is no address")
+
+
+def _parse_address(address: str) -> tuple[str, int]:
+    """Host and port; raises AddressError."""
+    host, _, port = address.rpartition(":")
+    if not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
+        raise AddressError(address)
+    return host, int(port)
 
 
 class MessageTransport:
-    def __init__(self, settings: FleetSettings, reactor: Reactor, name: str, take: Take) -> None:
-        self.settings, self.reactor, self.name, self.take = settings, reactor, name, take
-        self.life = 0
+    """Listener and connection pools; `on_message` is called with each envelope of this fleet."""
+
+    def __init__(
+        self, settings: FleetSettings, reactor: Reactor, name: str, on_message: Callable[[Envelope], None]
+    ) -> None:
+        self.settings, self.reactor, self.name, self.on_message = settings, reactor, name, on_message
+        self.generation = 0
         self.address = settings.address
-        self.server = Server(self._came, settings.body, HEAD, 10 * settings.period, reactor)
-        self.pools: dict[str, client.Pool] = {}
-        self.out: Counter[str] = Counter()
-        self.refused: Counter[str] = Counter()
-        self.sent = self.sent_bytes = self.dropped = 0
-        self.said: dict[str, float] = {}
-        self.port: Any = None
-        self.ended = False
+        self.refused_count: Counter[str] = Counter()  # by reason
+        self.sent_count = self.sent_bytes = self.dropped_count = 0
+        keep_alive_ms = KEEP_ALIVE_PERIODS * settings.period
+        self._server = Server(self._on_exchange, settings.body, MAX_HEAD_BYTES, keep_alive_ms, reactor)
+        self._pools: dict[str, client.Pool] = {}  # by address
+        self._pending_calls: Counter[str] = Counter()  # by address
+        self._fault_logged_at: dict[str, float] = {}  # by reason and sender
+        self._port: Any = None
+        self._closed = False
 
     def start(self) -> None:
-        self.port, number = listen(self.reactor, self.settings.listen, self.server)
+        """Listens; the address is then known, also where the settings leave the port to the system."""
+        self._port, number = listen(self.reactor, self.settings.listen, self._server)
         self.address = self.address or f"{self.settings.listen[0]}:{number}"
 
     def close(self) -> None:
-        self.ended = True
-        if self.port is not None:
-            self.port.stopListening()
-        for pool in self.pools.values():
+        """Stops listening and drops all connections; nothing is sent any more."""
+        self._closed = True
+        if self._port is not None:
+            self._port.stopListening()
+        for pool in self._pools.values():
             pool.close()
-        for channel in list(self.server.channels):
+        for channel in list(self._server.channels):
             channel.transport.abortConnection()
 
-    # Out.
-
-    def post(self, name: str, address: str, inner: Inner) -> None:
-        """To a front by name, by the way that settings tell or the address that it told."""
-        address = self.settings.reach.get(name, address)
-        if not address or self.ended:
+    def send(self, receiver: str, address: str, payload: Payload) -> None:
+        """Sends to a front node by name; an address in the settings goes before the advertised `address`."""
+        address = self.settings.reach.get(receiver, address)
+        if not address or self._closed:
             return
-        if self.out[address] >= OUT:
-            self.dropped += 1
+        if self._pending_calls[address] >= MAX_PENDING_CALLS:
+            self.dropped_count += 1
             return
-        body = msgspec.msgpack.encode(
-            Envelope(FORM, self.settings.name, self.name, self.life, self.address, inner)
+        try:
+            pool = self._pool(address)
+        except AddressError as error:
+            self.refuse("address", receiver, str(error))
+            return
+        envelope = Envelope(
+            FORMAT_VERSION, self.settings.name, self.name, self.generation, self.address, payload
         )
-        if address not in self.pools:
-            host, _, port = address.rpartition(":")
-            if not host or not port.isdecimal() or not 0 < int(port) < 65_536:
-                return self.refuse("address", name, f"{address[:100]!r} is no address")
-            patience = self.settings.period
-            self.pools[address] = client.Pool(
-                self.reactor, host, int(port), patience, 10 * patience, IDLE, HEAD
-            )
-        self.out[address] += 1
-        self.sent += 1
+        body = msgspec.msgpack.encode(envelope)
+        self._pending_calls[address] += 1
+        self.sent_count += 1
         self.sent_bytes += len(body)
+        self._post(pool, address, body)
+
+    def _pool(self, address: str) -> client.Pool:
+        """Raises AddressError."""
+        if address not in self._pools:
+            host, port = _parse_address(address)
+            connect_timeout_ms = self.settings.period
+            keep_alive_ms = KEEP_ALIVE_PERIODS * self.settings.period
+            self._pools[address] = client.Pool(
+                self.reactor,
+                host,
+                port,
+                connect_timeout_ms,
+                keep_alive_ms,
+                MAX_IDLE_CONNECTIONS,
+                MAX_HEAD_BYTES,
+            )
+        return self._pools[address]
 
-        def over(*_: Any) -> None:
+    def _post(self, pool: client.Pool, address: str, body: bytes) -> None:
+        """One call; abandoned after a probe period, so that a silent receiver does not hold it for ever."""
+        timer: Timer
+
+        def on_end(*_: Any) -> None:
             if timer.active():
                 timer.cancel()
-            self.out[address] -= 1
+            self._pending_calls[address] -= 1
 
-        def late() -> None:
+        def on_timeout() -> None:
             call.abandon()
-            self.out[address] -= 1
+            self._pending_calls[address] -= 1
 
-        timer = self.reactor.callLater(self.settings.period / 1000, late)
-        call = self.pools[address].call(
-            "POST", PATH, client.Whole(HEAD, over), (("Content-Type", KIND),), body
-        )
+        timer = self.reactor.callLater(self.settings.period / 1000, on_timeout)
+        reader = client.Whole(MAX_HEAD_BYTES, on_end)
+        call = pool.call("POST", MESSAGE_PATH, reader, (("Content-Type", CONTENT_TYPE),), body)
 
     def forget(self, address: str) -> None:
-        """A front has gone: its connections too."""
-        pool = self.pools.pop(address, None)
-        if pool is not None and not self.out[address]:
+        """Closes the connections to a front node that is gone."""
+        pool = self._pools.pop(address, None)
+        if pool is not None and not self._pending_calls[address]:
             pool.close()
-            del self.out[address]
-
-    # In.
+            del self._pending_calls[address]
 
-    def _came(self, exchange: Exchange) -> None:
-        if exchange.method != b"POST" or exchange.path.decode("latin-1") != PATH:
+    def _on_exchange(self, exchange: Exchange) -> None:
+        if exchange.method != b"POST" or exchange.path.decode("latin-1") != MESSAGE_PATH:
             return exchange.answer(404, b"")
         body = exchange.body()
-        exchange.answer(204, b"", KIND)
+        exchange.answer(204, b"", CONTENT_TYPE)
         try:
-            envelope = DECODE.decode(body)
+            envelope = _ENVELOPE_DECODER.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            return self._refuse(body, str(error))
-        if envelope.form != FORM or envelope.fleet != self.settings.name:
-            return self._refuse(body, f"its form is {envelope.form}, its fleet {envelope.fleet!r}")
-        self.take(envelope)
+            return self._refuse_body(body, str(error))
+        if envelope.format_version != FORMAT_VERSION or envelope.fleet != self.settings.name:
+            return self._refuse_body(
+                body, f"its form is {envelope.format_version}, its fleet {envelope.fleet!r}"
+            )
+        self.on_message(envelope)
 
-    def _refuse(self, body: bytes, why: str) -> None:
+    def _refuse_body(self, body: bytes, detail: str) -> None:
+        """Refuses a body that is no envelope of this fleet and version, by as much of it as can be read."""
         try:
-            head = HEAD_OF.decode(body)
-            sender, reason = (
-                head.name[:200],
-                "form" if head.form != FORM else ("fleet" if head.fleet != self.settings.name else "field"),
-            )
+            header = _HEADER_DECODER.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError):
-            sender, reason = "", "no message"
-        self.refuse(reason, sender, why)
-
-    def refuse(self, reason: str, sender: str, why: str) -> None:
-        """Counts what was refused; logs it, each fault of each sender once in a while."""
-        self.refused[reason] += 1
+            return self.refuse("no message", "", detail)
+        if header.format_version != FORMAT_VERSION:
+            reason = "form"
+        elif header.fleet != self.settings.name:
+            reason = "fleet"
+        else:
+            reason = "field"
+        self.refuse(reason, header.sender[:MAX_LOGGED_NAME], detail)
+
+    def refuse(self, reason: str, sender: str, detail: str) -> None:
+        """Counts a refused message; logs the same fault of a sender at most once in LOG_INTERVAL_MS."""
+        self.refused_count[reason] += 1
         now, fault = clock.now(), f"{reason} {sender}"
-        if now > self.said.get(fault, -SAY_AGAIN) + SAY_AGAIN:
-            if len(self.said) > 1000:
-                self.said.clear()
-            self.said[fault] = now
-            LOG.warning("a message of another front is refused", sender=sender, reason=reason, why=why[:300])
+        if now <= self._fault_logged_at.get(fault, -LOG_INTERVAL_MS) + LOG_INTERVAL_MS:
+            return
+        # Senders choose their names: without a bound a faulty one would grow this map without end.
+        if len(self._fault_logged_at) > MAX_LOGGED_FAULTS:
+            self._fault_logged_at.clear()
+        self._fault_logged_at[fault] = now
+        LOG.warning(
+            "a message of another front is refused",
+            sender=sender,
+            reason=reason,
+            why=detail[:MAX_LOGGED_REASON],
+        )
--- a/worksmux/gateway/fleet/peering.py
+++ b/worksmux/gateway/fleet/peering.py
@@ -65,7 +65,7 @@
         fleet = settings.fleet
         assert fleet is not None
         self.settings, self.fleet, self.core, self.reactor, self.seed = settings, fleet, core, reactor, seed
-        self.link = MessageTransport(fleet, reactor, settings.name, self._came)
+        self.transport = MessageTransport(fleet, reactor, settings.name, self._came)
         disk = ConsensusDisk(Path(fleet.disk), reactor.callFromThread)
         for note in disk.notes:
             LOG.warning("the council's disk", note=note)
@@ -105,15 +105,15 @@
     # Start and end.
 
     def start(self) -> None:
-        self.link.start()
-        self.link.life = self.life
+        self.transport.start()
+        self.transport.generation = self.life
         zone = self.settings.zones[self.settings.module.zone]
         me = MembershipUpdate(
             self.settings.name,
             self.life,
             0,
             MemberState.ALIVE,
-            self.link.address,
+            self.transport.address,
             zone,
             self.settings.regions.get(zone, ""),
             {SEAT: self.council.name, COUNCIL: self._council()},
@@ -125,7 +125,7 @@
         self.core.on_decision = self._decided
         LOG.info(
             "fleet",
-            peers=self.link.address,
+            peers=self.transport.address,
             seat=self.council.name,
             life=self.life,
             seats=list(self.council.voters),
@@ -152,7 +152,7 @@
     def close(self) -> None:
         self.ended = True
         self.timers.close()
-        self.link.close()
+        self.transport.close()
         self.keeper.close()
         self.council.close()
 
@@ -162,7 +162,7 @@
         assert self.swim is not None
         out = self.swim.step(clock.now(), what)
         for post in out.messages:
-            self.link.post(post.receiver, post.address, GossipMessage(post.message))
+            self.transport.send(post.receiver, post.address, GossipMessage(post.message))
         for fact in out.events:
             self._peer_fact(fact)
         if out.events:
@@ -183,10 +183,10 @@
                         before=MemberState(before.state).name.lower() if before else None,
                     )
                 if state >= MemberState.DEAD:
-                    self.link.forget(now.address)
+                    self.transport.forget(now.address)
             case gossip_outputs.GenerationRaised(life):
                 LOG.info("this front takes a higher life: an earlier start of it is known", life=life)
-                self.life = self.link.life = life
+                self.life = self.transport.generation = life
             case gossip_outputs.Superseded(life, address):
                 LOG.error(
                     "another process with this name has started later; this one ends",
@@ -230,26 +230,28 @@
     def _came(self, envelope: Envelope) -> None:
         if self.ended or self.swim is None:
             return
-        known = self.swim.members.known.get(envelope.name)
+        known = self.swim.members.known.get(envelope.sender)
         if (
             known is not None
-            and envelope.life < known.update.generation
-            and not isinstance(envelope.inner, GossipMessage)
+            and envelope.generation < known.update.generation
+            and not isinstance(envelope.payload, GossipMessage)
         ):
-            return self.link.refuse(
-                "life", envelope.name, f"life {envelope.life} is over; {known.update.generation} is known"
+            return self.transport.refuse(
+                "life",
+                envelope.sender,
+                f"life {envelope.generation} is over; {known.update.generation} is known",
             )
-        match envelope.inner:
+        match envelope.payload:
             case GossipMessage(message):
-                self._swim(gossip_inputs.MessageReceived(envelope.name, envelope.address, message))
+                self._swim(gossip_inputs.MessageReceived(envelope.sender, envelope.address, message))
             case ReplicationMessage(message):
-                self._follow(follow.MessageReceived(envelope.name, message))
+                self._follow(follow.MessageReceived(envelope.sender, message))
             case AuditMessage(message):
-                self.keeper.heard(envelope.name, message)
+                self.keeper.heard(envelope.sender, message)
             case ConsensusMessage(seat, to, message):
                 if to != self.council.name:
-                    return self.link.refuse(
-                        "seat", envelope.name, f"it is for {to}; this is {self.council.name}"
+                    return self.transport.refuse(
+                        "seat", envelope.sender, f"it is for {to}; this is {self.council.name}"
                     )
                 self.council.step(inputs.MessageReceived(seat, message))
 
@@ -259,7 +261,7 @@
         return known.update.address if known else ""
 
     def _send_account(self, name: str, message: Any) -> None:
-        self.link.post(name, self._address(name), AuditMessage(message))
+        self.transport.send(name, self._address(name), AuditMessage(message))
 
     def _names(self) -> list[str]:
         """Of all fronts that are known, there or not."""
@@ -268,7 +270,7 @@
     # The council.
 
     def _send_to_seat(self, name: str, message: ConsensusMessage) -> None:
-        self.link.post(name, self._address(name), message)
+        self.transport.send(name, self._address(name), message)
 
     def _forget_planner(self) -> None:
         self.planner = None
@@ -284,7 +286,7 @@
             return
         out = self.follower.step(clock.now(), what)
         for name, message in out.messages:
-            self.link.post(name, self._address(name), ReplicationMessage(message))
+            self.transport.send(name, self._address(name), ReplicationMessage(message))
         for fact in out.events:
             match fact:
                 case follow.ValuesChanged(chapters):
@@ -332,7 +334,7 @@
                     raise msgspec.ValidationError("its figures make no sense")
                 found.append(told)
             except msgspec.DecodeError as error:
-                self.link.refuse("report", "", str(error))
+                self.transport.refuse("report", "", str(error))
         return added(found)
 
     # Looks, at their own pace.
@@ -480,10 +482,10 @@
             "zones": {name: msgspec.to_builtins(one) for name, one in self.own.zones.items()},
             "seen_by_leader": self._views(),
             "messages": {
-                "sent": self.link.sent,
-                "bytes": self.link.sent_bytes,
-                "dropped": self.link.dropped,
-                "refused": dict(self.link.refused),
+                "sent": self.transport.sent_count,
+                "bytes": self.transport.sent_bytes,
+                "dropped": self.transport.dropped_count,
+                "refused": dict(self.transport.refused_count),
             },
             "contradictions": self.contradictions + self.council.contradictions,
         }
