--- a/worksmux/gateway/fleet/consensus_voter.py
+++ b/worksmux/gateway/fleet/consensus_voter.py
@@ -1,23 +1,22 @@
-"""The shell of this front's seat in the council: its log on disk and its messages to other seats.  It decides
-nothing.
+"""I/O of this node's consensus voter: log on disk, messages to other voters. Decides nothing.
 
-The Raft core is stepped with what came and the time.  Its messages leave once its writes, and all before
-them, are on disk.
+The Raft core is stepped with each input and the time. The messages of a step are sent only once all writes up
+to that step are on disk: a vote or an acknowledgement must not be known to others before it is durable here.
 """
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable
+from dataclasses import dataclass
 from math import inf
-from typing import Any
 
 import msgspec
 import structlog
 
-from ...consensus import inputs, outputs, raft
-from ...consensus import replica as follow
+from ...consensus import inputs, outputs, raft, replica
 from ...consensus.entries import COMMAND, Configuration, Snapshot, node_of
+from ...consensus.messages import Message
 from ...consensus.state_machine import KeyValueState, Put
 from ...consensus.voter import RaftTiming
 from ...net import clock
@@ -29,17 +28,35 @@
 from .message_transport import ConsensusMessage
 
 LOG = structlog.get_logger()
-LONGEST_LOG = 1000  # entries, from which the log is cut
-FIRST, FOUNDED = 1, 4  # streams of chance: of the core at the start, and of a council that is founded here
+MAX_LOG_ENTRIES = 1000  # applied since the last snapshot; above that the log is compacted
+RESTART_SEED, BOOTSTRAP_SEED = 1, 4  # random streams of the core: as it starts, and of a group begun here
+
+
+@dataclass(frozen=True, slots=True)
+class _UnsentMessages:
+    """Messages, by receiver, that wait for a write to be synced."""
+
+    write_number: int
+    messages: list[tuple[str, Message]]
+
+
+@dataclass(frozen=True, slots=True)
+class _StateHash:
+    """Hash of the applied state, computed once for each index."""
+
+    index: int
+    value: int
 
 
 class ConsensusVoter:
-    """`send(front, message)` goes to another front; `on_step` is called after each step, `on_leader` as a
-    seat begins to lead, this one or another."""
+    """`send(node, message)` sends to the node of another voter.
+
+    `on_step` is called after each step, `on_leader_change` once a leader is known, this voter or another.
+    """
 
     def __init__(
         self,
-        front: str,
+        node: str,
         fleet: FleetSettings,
         reactor: Reactor,
         seed: int,
@@ -47,101 +64,110 @@
         timers: CoreTimers,
         send: Callable[[str, ConsensusMessage], None],
     ) -> None:
-        self.fleet, self.reactor, self.seed, self.disk, self.timers = fleet, reactor, seed, disk, timers
-        self.send = send
-        self.name = f"{front}#{disk.own.mark}"
-        self.raft = self._core(FIRST)
-        self.book = KeyValueState()
-        self.book.restore(disk.saved.snapshot)
-        self.led_since = -inf
-        self.contradictions = 0
-        self.ended = False
+        self._fleet, self._reactor, self._seed, self._disk, self._timers = fleet, reactor, seed, disk, timers
+        self._send = send
+        self.name = f"{node}#{disk.identity.disk_id}"
+        self.raft = self._new_core(RESTART_SEED)
+        self.state = KeyValueState()
+        self.state.restore(disk.saved.snapshot)
+        self.leader_since_ms = -inf  # since when the present leader is known
+        self.invariant_violations = 0
         self.on_step: Callable[[], None] = lambda: None
-        self.on_leader: Callable[[], None] = lambda: None
-        self._synced_number = 0  # the last write that is on disk
-        self._held: deque[tuple[int, list[tuple[str, Any]]]] = deque()  # messages that wait for one
-        self._marked = -1, 0  # of the book: index and mark
+        self.on_leader_change: Callable[[], None] = lambda: None
+        self._closed = False
+        self._synced_write = 0
+        self._unsent: deque[_UnsentMessages] = deque()
+        self._state_hash = _StateHash(-1, 0)
 
-    def _core(self, stream: int) -> raft.Raft:
-        figures = RaftTiming(self.fleet.beat, self.fleet.patience)
-        return raft.Raft(self.name, self.disk.saved, figures, mix(self.seed, stream), clock.now())
+    def _new_core(self, stream: int) -> raft.Raft:
+        timing = RaftTiming(self._fleet.beat, self._fleet.patience)
+        return raft.Raft(self.name, self._disk.saved, timing, mix(self._seed, stream), clock.now())
 
     @property
     def voters(self) -> tuple[str, ...]:
+        """Names of all voters in the newest configuration."""
         return self.raft.configuration.voters
 
     @property
-    def leads(self) -> bool:
-        """Surely, and with all that was agreed before it applied."""
+    def is_leader(self) -> bool:
+        """Whether this voter leads with a lease and has applied all that was committed before its term."""
         return self.raft.holds_lease(clock.now()) and self.raft.commit_index >= self.raft.term_start_index
 
-    def agreed(self) -> follow.LocalVoterApplied:
-        """What this seat has applied, for this front's follower."""
-        if self.book.index != self._marked[0]:
-            self._marked = self.book.index, self.book.state_hash()
-        age = self.raft.quorum_contact_age(clock.now()) if self.leads else -1.0
+    def applied_state(self) -> replica.LocalVoterApplied:
+        """The state that this voter has applied, as input of this node's replica."""
+        if self.state.index != self._state_hash.index:
+            self._state_hash = _StateHash(self.state.index, self.state.state_hash())
+        age_ms = self.raft.quorum_contact_age(clock.now()) if self.is_leader else replica.UNKNOWN_AGE
         leader = node_of(self.raft.leader)
-        return follow.LocalVoterApplied(self.book.index, self._marked[1], self.book.values, age, leader)
+        return replica.LocalVoterApplied(
+            self.state.index, self._state_hash.value, self.state.values, age_ms, leader
+        )
 
-    def found(self) -> None:
-        """Begins a council of this seat alone."""
+    def bootstrap(self) -> None:
+        """Begins a group with this voter as its only member."""
         LOG.info("the council is founded", by=self.name)
-        self.disk.found(Snapshot(configuration=Configuration((self.name,))))
-        self.raft = self._core(FOUNDED)
-        self._synced_number = 0
-        self._held.clear()
+        self._disk.bootstrap(Snapshot(configuration=Configuration((self.name,))))
+        self.raft = self._new_core(BOOTSTRAP_SEED)
+        self._synced_write = 0
+        self._unsent.clear()
         self.step(inputs.Tick())
 
     def propose(self, put: Put) -> None:
+        """Proposes a change of the replicated state; it has no effect unless this voter leads."""
         self.step(inputs.Propose(COMMAND, msgspec.msgpack.encode(put)))
 
-    def step(self, what: inputs.Input) -> None:
-        if self.ended:
+    def step(self, raft_input: inputs.Input) -> None:
+        """Steps the core, and carries out what it returns."""
+        if self._closed:
             return
-        out = self.raft.step(clock.now(), what)
-        for write in out.writes:
-            self.disk.put(write, self._synced)
-        if out.messages and self.raft.last_write_number > self._synced_number:
-            self._held.append((self.raft.last_write_number, out.messages))
+        output = self.raft.step(clock.now(), raft_input)
+        for write in output.writes:
+            self._disk.put(write, self._on_synced)
+        if output.messages and self.raft.last_write_number > self._synced_write:
+            self._unsent.append(_UnsentMessages(self.raft.last_write_number, output.messages))
         else:
-            self._post(out.messages)
-        for fact in out.events:
-            self._fact(fact)
+            self._send_all(output.messages)
+        for event in output.events:
+            self._on_event(event)
         self.on_step()
-        self.timers.ring_at("raft", self.raft.due, lambda: self.step(inputs.Tick()))
+        self._timers.schedule("raft", self.raft.due, lambda: self.step(inputs.Tick()))
 
-    def _synced(self, number: int) -> None:
-        if self.ended:
+    def _on_synced(self, write_number: int) -> None:
+        if self._closed:
             return
-        self._synced_number = max(self._synced_number, number)
-        while self._held and self._held[0][0] <= self._synced_number:
-            self._post(self._held.popleft()[1])
-        self.step(inputs.WritesSynced(number))
+        self._synced_write = max(self._synced_write, write_number)
+        while self._unsent and self._unsent[0].write_number <= self._synced_write:
+            self._send_all(self._unsent.popleft().messages)
+        self.step(inputs.WritesSynced(write_number))
 
-    def _post(self, messages: list[tuple[str, Any]]) -> None:
-        for seat, message in messages:
-            self.send(node_of(seat), ConsensusMessage(self.name, seat, message))
+    def _send_all(self, messages: list[tuple[str, Message]]) -> None:
+        for receiver, message in messages:
+            self._send(node_of(receiver), ConsensusMessage(self.name, receiver, message))
 
-    def _fact(self, fact: outputs.Event) -> None:
-        match fact:
+    def _on_event(self, event: outputs.Event) -> None:
+        match event:
             case outputs.EntriesCommitted(entries):
                 for entry in entries:
-                    self.book.apply(entry)
-                if self.book.index - self.raft.log.snapshot.index > LONGEST_LOG:
-                    compact = inputs.Compact(self.book.index, self.book.snapshot_data())
-                    self.reactor.callLater(0, self.step, compact)
-            case outputs.SnapshotInstalled(base):
-                self.book.restore(base)
-            case outputs.LeaderChanged(term, seat):
-                LOG.info("council", term=term, leader=node_of(seat), seats=list(self.voters))
-                self.led_since = clock.now()
-                self.on_leader()
+                    self.state.apply(entry)
+                self._compact_long_log()
+            case outputs.SnapshotInstalled(snapshot):
+                self.state.restore(snapshot)
+            case outputs.LeaderChanged(term, leader):
+                LOG.info("council", term=term, leader=node_of(leader), seats=list(self.voters))
+                self.leader_since_ms = clock.now()
+                self.on_leader_change()
             case outputs.InvariantViolation(text):
                 LOG.error("the council contradicts itself", what=text)
-                self.contradictions += 1
+                self.invariant_violations += 1
             case _:
                 pass
 
+    def _compact_long_log(self) -> None:
+        if self.state.index - self.raft.log.snapshot.index > MAX_LOG_ENTRIES:
+            compact = inputs.Compact(self.state.index, self.state.snapshot_data())
+            self._reactor.callLater(0, self.step, compact)  # not from within a step of the core
+
     def close(self) -> None:
-        self.ended = True
-        self.disk.close()
+        """Ends the voter; its disk is closed too."""
+        self._closed = True
+        self._disk.close()
--- a/worksmux/gateway/fleet/core_timers.py
+++ b/worksmux/gateway/fleet/core_timers.py
@@ -1,4 +1,4 @@
-"""One timer for each sans-I/O core, for when it wants to be stepped next."""
+"""One timer for each I/O-free core, set to when the core wants its next tick."""
 
 from __future__ import annotations
 
@@ -10,27 +10,31 @@
 
 
 class CoreTimers:
-    """Timers by the names of their cores; none is set any more once closed."""
+    """Timers by the name of their core; after `close` none is set."""
 
     def __init__(self, reactor: Reactor) -> None:
-        self.reactor = reactor
-        self._due: dict[str, float] = {}
+        self._reactor = reactor
+        self._due_ms: dict[str, float] = {}
         self._timers: dict[str, Timer] = {}
         self._closed = False
 
-    def ring_at(self, core: str, due: float, ring: Callable[[], None]) -> None:
-        """Calls `ring` at a time in milliseconds, in place of what was set for this core; never where that is
-        infinite."""
+    def schedule(self, core: str, due_ms: float, callback: Callable[[], None]) -> None:
+        """Calls `callback` at `due_ms` by the steady clock, in place of the core's earlier timer.
+
+        An infinite time cancels the timer. A timer already set to that time keeps its callback.
+        """
         timer = self._timers.get(core)
         if timer is not None and timer.active():
-            if self._due[core] == due:
+            if self._due_ms[core] == due_ms:
                 return
             timer.cancel()
-        if due < inf and not self._closed:
-            self._due[core] = due
-            self._timers[core] = self.reactor.callLater(max(0.0, due - clock.now()) / 1000, ring)
+        if due_ms < inf and not self._closed:
+            self._due_ms[core] = due_ms
+            delay_s = max(0.0, due_ms - clock.now()) / 1000
+            self._timers[core] = self._reactor.callLater(delay_s, callback)
 
     def close(self) -> None:
+        """Cancels all timers."""
         self._closed = True
         for timer in self._timers.values():
             if timer.active():
--- a/worksmux/gateway/fleet/peering.py
+++ b/worksmux/gateway/fleet/peering.py
@@ -69,12 +69,12 @@
         disk = ConsensusDisk(Path(fleet.disk), reactor.callFromThread)
         for note in disk.notes:
             LOG.warning("the council's disk", note=note)
-        self.life = disk.own.life
+        self.life = disk.identity.generation
         self.timers = CoreTimers(reactor)
         self.council = ConsensusVoter(
             settings.name, fleet, reactor, seed, disk, self.timers, self._send_to_seat
         )
-        self.council.on_step, self.council.on_leader = self._tell_follower, self._forget_planner
+        self.council.on_step, self.council.on_leader_change = self._tell_follower, self._forget_planner
         self.swim: peers.Swim | None = None
         self.follower = follow.Replica(settings.name, fleet.lease, mix(seed, 2), clock.now(), self._report)
         self.watcher = Watcher(
@@ -167,7 +167,7 @@
             self._peer_fact(fact)
         if out.events:
             self._follow(follow.TopologyChanged(frozenset(self.swim.members.present), self._seat_fronts()))
-        self.timers.ring_at("swim", self.swim.due, lambda: self._swim(gossip_inputs.Tick()))
+        self.timers.schedule("swim", self.swim.due, lambda: self._swim(gossip_inputs.Tick()))
 
     def _peer_fact(self, fact: gossip_outputs.Event) -> None:
         match fact:
@@ -212,7 +212,7 @@
         return frozenset(one.name for one in there if one.metadata.get(VOTES))
 
     def _council(self) -> str:
-        told = self.council.book.values.get(COUNCIL) or self.follower.values.get(COUNCIL)
+        told = self.council.state.values.get(COUNCIL) or self.follower.values.get(COUNCIL)
         # A seat that has not applied anything yet knows that there is one.
         return told.value.decode() if told else "?" if self.council.voters else ""
 
@@ -277,7 +277,7 @@
 
     def _tell_follower(self) -> None:
         if self.council.voters:
-            self._follow(self.council.agreed())
+            self._follow(self.council.applied_state())
 
     # What all follow.
 
@@ -297,7 +297,7 @@
                         "another front holds something else under the same number", name=name, index=index
                     )
                     self.contradictions += 1
-        self.timers.ring_at("follow", self.follower.due, lambda: self._follow(inputs.Tick()))
+        self.timers.schedule("follow", self.follower.due, lambda: self._follow(inputs.Tick()))
 
     def _take_plan(self, chapter: VersionedValue) -> None:
         try:
@@ -347,7 +347,7 @@
         self.own = self.watcher.report(now)
         self._carry()
         self._found()
-        if self.council.leads:
+        if self.council.is_leader:
             self._seat(now)
             self._plan()
         if self.alone:
@@ -358,11 +358,11 @@
         if not self.council.voters and should_bootstrap(
             self.settings.name, founders, self.able(), self._council()
         ):
-            self.council.found()
+            self.council.bootstrap()
 
     def _seat(self, now: float) -> None:
         """Brings the council to its size; names it once."""
-        if COUNCIL not in self.council.book.values:
+        if COUNCIL not in self.council.state.values:
             return self.council.propose(Put(COUNCIL, secrets.token_hex(8).encode(), 0))
         swim = self.swim
         assert swim is not None
@@ -370,10 +370,12 @@
         def gone(name: str) -> bool:
             known = swim.members.known.get(name)
             since = (
-                known.state_since if known is not None and not known.is_present else self.council.led_since
+                known.state_since
+                if known is not None and not known.is_present
+                else self.council.leader_since_ms
             )
             return (known is None or not known.is_present) and now - max(
-                since, self.council.led_since
+                since, self.council.leader_since_ms
             ) > self.fleet.gone
 
         if self.council.raft.configuration_index <= self.council.raft.commit_index:
@@ -390,7 +392,7 @@
 
     def _plan(self) -> None:
         """One look of the planner; no other while what it proposed is not agreed."""
-        now, held = clock.now(), self.council.book.values.get(PLAN_KEY)
+        now, held = clock.now(), self.council.state.values.get(PLAN_KEY)
         in_force = decode(held.value) if held else Plan()
         if (
             self.planner is not None
@@ -462,7 +464,7 @@
                 "leader": self.follower.leader,
                 "voters": list(self.council.voters),
                 "learners": list(self.council.raft.configuration.learners),
-                "agreed": self.council.book.index,
+                "agreed": self.council.state.index,
                 "known": self.follower.index,
             },
             "fronts": [
@@ -487,12 +489,12 @@
                 "dropped": self.transport.dropped_count,
                 "refused": dict(self.transport.refused_count),
             },
-            "contradictions": self.contradictions + self.council.contradictions,
+            "contradictions": self.contradictions + self.council.invariant_violations,
         }
 
     def _views(self) -> dict[str, Any]:
         """How each zone is, where this front's seat leads and plans."""
-        if self.planner is None or not self.council.leads:
+        if self.planner is None or not self.council.is_leader:
             return {}
         return {
             name: {
