--- a/worksmux/gateway/fleet/audit_log_keeper.py
+++ b/worksmux/gateway/fleet/audit_log_keeper.py
@@ -1,41 +1,59 @@
-"""The shell of a front's account: written to disk as it grows, copied by two other fronts, asked for by any.
+"""I/O of the audit logs: this node's own log grows, copies of others' are fetched, any node's are collected.
 
-The account lies in the fleet's folder; writing goes by the store's own thread, several records at once, so
-that no job waits for it.  What was not written when a process is killed is a gap, and shows as one.
+Each round writes the decisions since the last one, and asks the nodes whose copies are held here for newer
+records. A query asks all nodes, and the holders of their copies, for what is missing here.
 """
 
 from __future__ import annotations
 
-from collections import Counter
 from collections.abc import Callable
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
 import msgspec
 import structlog
 
 from ...config_audit.audit_log import AuditLog, AuditRecord, Version, chain_faults
-from ...config_audit.copies import CopyReply, CopyRequest, Message, copy_holders, first_page
+from ...config_audit.copies import (
+    COPY_QUERY,
+    CopyReply,
+    CopyRequest,
+    Message,
+    copy_holders,
+    first_page,
+)
 from ...config_audit.fleet_audit import FleetAudit
 from ...net import clock
 from ...net.loop import Reactor
-from ...storage.database import open_store
-from ...storage.writer import Writer
+from .audit_record_store import AuditRecordStore
+from .audit_report import RequestReport, VersionsReport, request_report, versions_report
 
 LOG = structlog.get_logger()
-EVERY = 250.0  # milliseconds between two writes, and between two rounds of copying
-MOST = 16 * 2**20  # bytes kept of this front, and of each front copied
-QUIET = 2000.0  # without any record, until one says that the front goes on
-PATIENCE = 1500.0  # that an answer for all waits for others
-OWN = "account"
+ROUND_INTERVAL_MS = 250.0
+HEARTBEAT_INTERVAL_MS = 2000.0  # without any record, until one says that the node is alive
+QUERY_TIMEOUT_MS = 1500.0  # then a query is answered with what has come
 
+_RECORD_DECODER = msgspec.msgpack.Decoder(AuditRecord)
 
-def _table(front: str) -> str:
-    return f"copy:{front}"
+
+@dataclass(frozen=True, slots=True)
+class _QueryPart:
+    """Records of `node`, asked of `holder`."""
+
+    holder: str
+    node: str
+
+
+@dataclass(frozen=True, slots=True)
+class _Query:
+    """`on_done` is called once no part is awaited any more."""
+
+    awaited: set[_QueryPart]
+    on_done: Callable[[], None]
 
 
 class AuditLogKeeper:
-    """`send(front, message)` goes to another front; `fronts()` are the names of all, this one included."""
+    """`send(node, message)` sends to another node; `nodes()` are the names of all, this one included."""
 
     def __init__(
         self,
@@ -43,183 +61,159 @@
         reactor: Reactor,
         name: str,
         send: Callable[[str, Message], None],
-        fronts: Callable[[], list[str]],
+        nodes: Callable[[], list[str]],
     ) -> None:
-        self.reactor, self.name, self.send, self.fronts = reactor, name, send, fronts
-        self.store = open_store(folder / "account.db")
-        for note in self.store.notes:
-            LOG.warning("the account's disk", note=note)
-        self.kept: dict[str, dict[int, bytes]] = {}  # by front: records, encoded; this front's own among them
-        self.sizes: Counter[str] = Counter()
-        self._load()
-        self.account = self._go_on()
-        self.writer = Writer(self.store, EVERY / 1000, lambda text: LOG.error("account", why=text))
-        self.number = 0
-        self.asking: dict[int, tuple[set[str], Callable[[], None]]] = {}
-        self.ended = False
-
-    def _load(self) -> None:
-        tables = self.store.database.execute("SELECT DISTINCT tab FROM record").fetchall()
-        for (table,) in tables:
-            front = self.name if table == OWN else str(table).removeprefix("copy:")
-            values = self.store.read(str(table)).values
-            self.kept[front] = {int(key): value for key, value in sorted(values.items()) if key.isdecimal()}
-            self.sizes[front] = sum(map(len, self.kept[front].values()))
-        self.kept.setdefault(self.name, {})
-
-    def _go_on(self) -> AuditLog:
-        records = [msgspec.msgpack.decode(data, type=AuditRecord) for data in self.kept[self.name].values()]
+        self._reactor, self._name, self._send, self._nodes = reactor, name, send, nodes
+        self._store = AuditRecordStore(folder, name, ROUND_INTERVAL_MS)
+        self._log = self._continue_log()
+        self._query_number = COPY_QUERY
+        self._queries: dict[int, _Query] = {}
+        self._closed = False
+
+    def _continue_log(self) -> AuditLog:
+        """This node's log, from the last record on disk."""
+        records = [_RECORD_DECODER.decode(data) for data in self._store.records(self._name).values()]
         for fault in chain_faults(records):
             LOG.error("the account is broken", after=fault.index, why=fault.text)
         return AuditLog(records[-1] if records else None)
 
-    def start(self, life: int) -> None:
-        self._add(self.account.record_start(clock.wall(), clock.now(), life))
-        self.reactor.callLater(EVERY / 1000, self._round)
+    def start(self, generation: int) -> None:
+        """Records the start of the process and begins the rounds."""
+        self._add(self._log.record_start(clock.wall(), clock.now(), generation))
+        self._reactor.callLater(ROUND_INTERVAL_MS / 1000, self._run_round)
 
     def close(self) -> None:
-        if not self.ended:
-            self.ended = True
-            self._pages()
-            self.writer.close()
+        """Writes what is left."""
+        if not self._closed:
+            self._closed = True
+            self._add_due_records()
+            self._store.close()
 
-    # This front's own.
+    # This node's own log
 
-    def acts_on(self, versions: dict[str, Version]) -> None:
-        record = self.account.record_versions(clock.wall(), clock.now(), versions)
+    def record_versions(self, versions: dict[str, Version]) -> None:
+        """Records the active versions if they have changed."""
+        record = self._log.record_versions(clock.wall(), clock.now(), versions)
         if record is not None:
             self._add(record)
 
+    def record_decision(self, request: str, attempt: int) -> None:
+        """Records a decision under the versions active now; it is written with the next round."""
+        self._log.record_decision(request, attempt, clock.wall())
+
     def _add(self, record: AuditRecord) -> None:
-        self._keep(self.name, record.index, msgspec.msgpack.encode(record))
+        self._store.put(self._name, record.index, msgspec.msgpack.encode(record))
 
-    def _pages(self) -> None:
-        wall, steady = clock.wall(), clock.now()
-        for record in self.account.flush_decisions(wall, steady):
+    def _add_due_records(self) -> None:
+        wall_ms, monotonic_ms = clock.wall(), clock.now()
+        for record in self._log.flush_decisions(wall_ms, monotonic_ms):
             self._add(record)
-        if (quiet := self.account.heartbeat(wall, steady, QUIET)) is not None:
-            self._add(quiet)
-
-    def _keep(self, front: str, index: int, data: bytes) -> None:
-        kept, table = self.kept.setdefault(front, {}), OWN if front == self.name else _table(front)
-        kept[index] = data
-        self.sizes[front] += len(data)
-        self.writer.put(table, f"{index:015d}", data)
-        while self.sizes[front] > MOST and len(kept) > 1:
-            oldest = next(iter(kept))
-            self.sizes[front] -= len(kept.pop(oldest))
-            self.writer.put(table, f"{oldest:015d}", None)
-
-    def _round(self) -> None:
-        if self.ended:
-            return
-        self.reactor.callLater(EVERY / 1000, self._round)
-        self._pages()
-        names = self.fronts()
-        for front in names:
-            if front != self.name and self.name in copy_holders(front, names):
-                self.send(front, CopyRequest(front, self._newest(front)))
-
-    def _newest(self, front: str) -> int:
-        return max(self.kept.get(front, {}), default=0)
+        heartbeat = self._log.heartbeat(wall_ms, monotonic_ms, HEARTBEAT_INTERVAL_MS)
+        if heartbeat is not None:
+            self._add(heartbeat)
 
-    # Others.
+    # Copies
 
-    def heard(self, name: str, message: Message) -> None:
+    def _run_round(self) -> None:
+        if self._closed:
+            return
+        self._reactor.callLater(ROUND_INTERVAL_MS / 1000, self._run_round)
+        self._add_due_records()
+        nodes = self._nodes()
+        for node in nodes:
+            if node != self._name and self._name in copy_holders(node, nodes):
+                self._request(node, node, COPY_QUERY)
+
+    def _request(self, holder: str, node: str, query_number: int) -> None:
+        """Asks `holder` for the records of `node` that are newer than those here."""
+        self._send(holder, CopyRequest(node, self._store.last_index(node), query_number))
+
+    def on_message(self, sender: str, message: Message) -> None:
+        """Takes a message of another node."""
         match message:
-            case CopyRequest(front, after, number):
-                kept = self._on_disk(front)
-                records = first_page([data for index, data in kept.items() if index > after])
-                self.send(name, CopyReply(front, after, records, max(kept, default=0), number))
-            case CopyReply(front, _, records, last, number):
-                self._have(name, front, records, last, number)
-
-    def _on_disk(self, front: str) -> dict[int, bytes]:
-        """Guards against a copy that knows what its front forgot: a front killed before it wrote goes on
-        under numbers that a copy would hold with another content."""
-        waits = self.writer.waits(OWN if front == self.name else _table(front))
-        return {
-            index: data for index, data in self.kept.get(front, {}).items() if f"{index:015d}" not in waits
-        }
-
-    def _have(self, name: str, front: str, records: list[bytes], last: int, number: int) -> None:
-        if front == self.name:
-            return  # of itself a front believes its own disk alone
-        for data in records:
+            case CopyRequest():
+                self._on_request(sender, message)
+            case CopyReply():
+                self._on_reply(sender, message)
+
+    def _on_request(self, sender: str, request: CopyRequest) -> None:
+        synced = self._store.synced_records(request.node)
+        page = first_page([data for index, data in synced.items() if index > request.after_index])
+        last_index = max(synced, default=0)
+        reply = CopyReply(request.node, request.after_index, page, last_index, request.query_number)
+        self._send(sender, reply)
+
+    def _on_reply(self, sender: str, reply: CopyReply) -> None:
+        if reply.node == self._name:
+            return  # this node's own log is what its own disk says
+        for data in reply.records:
             try:
-                index = msgspec.msgpack.decode(data, type=AuditRecord).index
+                index = _RECORD_DECODER.decode(data).index
             except msgspec.DecodeError:
-                LOG.warning("a copied record cannot be read", of=front, by=name)
+                LOG.warning("a copied record cannot be read", of=reply.node, by=sender)
                 return
-            if index not in self.kept.get(front, {}):
-                self._keep(front, index, data)
-        if number and records and self._newest(front) < last:
-            self.send(name, CopyRequest(front, self._newest(front), number))
-        elif number:
-            self._answered(number, f"{name} {front}")
-
-    # For who asks.
-
-    def gather(self, then: Callable[[], None]) -> None:
-        """Asks every front and its keepers for what is lacking here; calls `then` once they have answered, or
-        after a while."""
-        names = self.fronts()
-        self.number += 1
-        asked: set[str] = set()
-        for front in names:
-            for other in {front, *copy_holders(front, names)} - {self.name}:
-                if front != self.name:
-                    asked.add(f"{other} {front}")
-                    self.send(other, CopyRequest(front, self._newest(front), self.number))
-        self._pages()
-        self.asking[self.number] = asked, then
-        if not asked:
-            self._over(self.number)
+            if index not in self._store.records(reply.node):
+                self._store.put(reply.node, index, data)
+        if reply.query_number == COPY_QUERY:
+            return
+        if reply.records and self._store.last_index(reply.node) < reply.last_index:
+            self._request(sender, reply.node, reply.query_number)
         else:
-            self.reactor.callLater(PATIENCE / 1000, self._over, self.number)
-
-    def _answered(self, number: int, who: str) -> None:
-        if number in self.asking:
-            self.asking[number][0].discard(who)
-            if not self.asking[number][0]:
-                self._over(number)
-
-    def _over(self, number: int) -> None:
-        found = self.asking.pop(number, None)
-        if found is not None and not self.ended:
-            found[1]()
-
-    def accounts(self) -> FleetAudit:
-        found = FleetAudit()
-        for front, kept in self.kept.items():
-            found.add(front, [msgspec.msgpack.decode(data, type=AuditRecord) for data in kept.values()])
-        return found
-
-    def told(self, at: float | None, request: str) -> dict[str, Any]:
-        """What all accounts say, as far as they are known here."""
-        accounts, until = self.accounts(), clock.wall()
-        if request:
-            return {
-                "job": request,
-                "decisions": [
-                    {
-                        "front": one.node,
-                        "trip": one.decision.attempt,
-                        "at": one.decision.at_ms,
-                        "line": one.decision.versions_number,
-                        "versions": msgspec.to_builtins(one.versions),
-                    }
-                    for one in accounts.explain(request)
-                ],
-            }
-        fronts = sorted(accounts.records)
-        spans = (
-            accounts.spans_at(at).values()
-            if at is not None
-            else [span for front in fronts for span in accounts.spans(front, until)]
-        )
+            self._on_part_done(reply.query_number, _QueryPart(sender, reply.node))
+
+    # Queries
+
+    def collect(self, on_done: Callable[[], None]) -> None:
+        """Asks every node and the holders of its copies for what is missing here.
+
+        `on_done` is called once all have answered, or after QUERY_TIMEOUT_MS.
+        """
+        self._query_number += 1
+        number = self._query_number
+        parts = self._query_parts()
+        for part in parts:
+            self._request(part.holder, part.node, number)
+        self._add_due_records()
+        self._queries[number] = _Query(parts, on_done)
+        if parts:
+            self._reactor.callLater(QUERY_TIMEOUT_MS / 1000, self._finish_query, number)
+        else:
+            self._finish_query(number)
+
+    def _query_parts(self) -> set[_QueryPart]:
+        nodes = self._nodes()
         return {
-            "fronts": fronts,
-            "spans": [msgspec.to_builtins(span) for span in spans],
-            "findings": [msgspec.to_builtins(one) for one in accounts.findings()],
+            _QueryPart(holder, node)
+            for node in nodes
+            if node != self._name
+            for holder in {node, *copy_holders(node, nodes)} - {self._name}
         }
+
+    def _on_part_done(self, number: int, part: _QueryPart) -> None:
+        query = self._queries.get(number)
+        if query is None:
+            return
+        query.awaited.discard(part)
+        if not query.awaited:
+            self._finish_query(number)
+
+    def _finish_query(self, number: int) -> None:
+        query = self._queries.pop(number, None)
+        if query is not None and not self._closed:
+            query.on_done()
+
+    def report(self, at_ms: float | None, request: str) -> RequestReport | VersionsReport:
+        """What all logs known here say of a request if one is given, else of the versions.
+
+        `at_ms` is of the wall clock and limits the versions to those active then.
+        """
+        audit = self._fleet_audit()
+        if request:
+            return request_report(audit, request)
+        return versions_report(audit, at_ms, clock.wall())
+
+    def _fleet_audit(self) -> FleetAudit:
+        audit = FleetAudit()
+        for node in self._store.nodes():
+            audit.add(node, [_RECORD_DECODER.decode(data) for data in self._store.records(node).values()])
+        return audit
--- a/worksmux/gateway/fleet/peering.py
+++ b/worksmux/gateway/fleet/peering.py
@@ -122,7 +122,7 @@
         before = self.core.on_event
         self.core.on_event = self._both(before) if before else self.watcher.saw
         self.core.before_turn, self.core.acts_on = self.check, self.acts_on
-        self.core.on_decision = self._decided
+        self.core.on_decision = self.keeper.record_decision
         LOG.info(
             "fleet",
             peers=self.transport.address,
@@ -247,7 +247,7 @@
             case ReplicationMessage(message):
                 self._follow(follow.MessageReceived(envelope.sender, message))
             case AuditMessage(message):
-                self.keeper.heard(envelope.sender, message)
+                self.keeper.on_message(envelope.sender, message)
             case ConsensusMessage(seat, to, message):
                 if to != self.council.name:
                     return self.transport.refuse(
@@ -431,10 +431,7 @@
         if event != self.told:
             self.told = event
             self.core.tell(event or FailoverPlan({}, {}, 0.0))
-        self.keeper.acts_on(self.holding.versions(self.plan, alone, self.core.engine_list.keeper))
-
-    def _decided(self, request: str, attempt: int) -> None:
-        self.keeper.account.record_decision(request, attempt, clock.wall())
+        self.keeper.record_versions(self.holding.versions(self.plan, alone, self.core.engine_list.keeper))
 
     def acts_on(self) -> str:
         return f"{self.plan.number} alone" if self.alone else str(self.plan.number)
--- a/worksmux/gateway/serve.py
+++ b/worksmux/gateway/serve.py
@@ -201,7 +201,7 @@
         except ValueError:
             return exchange.answer(400, b"at: expected milliseconds since 1970\n", "text/plain")
         request = asked.get("job", "")
-        keeper.gather(lambda: exchange.answer(200, msgspec.json.encode(keeper.told(at, request))))
+        keeper.collect(lambda: exchange.answer(200, msgspec.json.encode(keeper.report(at, request))))
 
     def stop(self) -> None:
         if self.stopping:
