--- a/worksmux/gateway/fleet/peering.py
+++ b/worksmux/gateway/fleet/peering.py
@@ -1,507 +1,264 @@
-"""The shell of the fleet of fronts: timers, sockets and disk for the cores of `peers`, `council` and
-`failover`.  It decides nothing.
+"""A node's part in the fleet: connects the I/O-free cores of gossip, consensus and failover with each other,
+the transport and the policy. Decides nothing.
 
-Each core is stepped with what came and the time; what it answers is sent, written or told on.  What the
-module acts on is looked at before each of its turns, so that a front that slept finds its lease over before
-it decides anything.
+    message_transport  ->  fleet_membership, consensus_voter, replica, audit_log_keeper
+    replica            ->  active_plan  ->  policy
+    leader_tasks       ->  consensus_voter, on the leader's node
+
+The lease is checked before each decision round. Failure: a process that was suspended acts on a plan that the
+others have replaced meanwhile. It finds its lease expired before it decides anything.
 """
 
 from __future__ import annotations
 
-import secrets
-from collections import deque
 from collections.abc import Callable
-from math import inf
 from pathlib import Path
 from typing import Any
 
 import msgspec
 import structlog
 
-from ...consensus import inputs
-from ...consensus import replica as follow
-from ...consensus.reconfiguration import Candidate, next_configuration, should_bootstrap
-from ...consensus.state_machine import PLAN_KEY, Put, VersionedValue
-from ...failover import acting
-from ...failover.plan import Plan, decode, encode
-from ...failover.planner import Map, Planner
-from ...failover.tally import Tally, added
-from ...failover.watcher import Watcher
+from ...consensus import inputs, replica
+from ...consensus.reconfiguration import should_bootstrap
+from ...consensus.state_machine import PLAN_KEY
 from ...gossip import inputs as gossip_inputs
-from ...gossip import outputs as gossip_outputs
-from ...gossip import swim as peers
-from ...gossip.members import MembershipUpdate, MemberState
 from ...net import clock
 from ...net.loop import Reactor
-from ...policy.events import Event, FailoverPlan
+from ...policy.events import Event
 from ...policy.measure import mix
 from ...settings.front import FrontSettings
 from ..active_versions import Holding
 from ..chat_engine_client import PublishedCore
+from .active_plan import ActivePlan
 from .audit_log_keeper import AuditLogKeeper
 from .consensus_disk import ConsensusDisk
 from .consensus_voter import ConsensusVoter
 from .core_timers import CoreTimers
+from .fleet_membership import GROUP_KEY, SERVER_KEY, VOTER_KEY, FleetMembership
+from .fleet_status import fleet_status
+from .leader_tasks import GROUP_ID_KEY, LeaderTasks
 from .message_transport import (
     AuditMessage,
     ConsensusMessage,
     Envelope,
     GossipMessage,
     MessageTransport,
+    Payload,
     ReplicationMessage,
 )
+from .zone_reports import ZoneReports
 
 LOG = structlog.get_logger()
-COUNCIL = "council"  # the chapter with the council's own mark
-SEAT, VOTES = "seat", "votes"  # what a front carries along: its seat, and whether it votes
-KEPT = 200  # plans remembered for who asks
-READ_TALLY = msgspec.msgpack.Decoder(Tally)
+REPLICA_SEED = 2  # random stream of the core
+UNKNOWN_GROUP = "?"  # announced by a member that has not applied the group's id yet
 
 
 class Peering:
-    """`on_outlived` is called when another process with this name has started later."""
+    """`on_superseded` is called when another process with this node's name has started later."""
 
     def __init__(self, settings: FrontSettings, core: PublishedCore, reactor: Reactor, seed: int) -> None:
         fleet = settings.fleet
         assert fleet is not None
-        self.settings, self.fleet, self.core, self.reactor, self.seed = settings, fleet, core, reactor, seed
-        self.transport = MessageTransport(fleet, reactor, settings.name, self._came)
+        self.settings, self.fleet = settings, fleet
+        self._core, self._reactor = core, reactor
+        self.state_mismatches = 0  # found by the replica; the voter counts its own
+        self.on_superseded: Callable[[], None] = lambda: None
+        self._closed = False
+        self._timers = CoreTimers(reactor)
+        self.transport = MessageTransport(fleet, reactor, settings.name, self._on_envelope)
+
         disk = ConsensusDisk(Path(fleet.disk), reactor.callFromThread)
         for note in disk.notes:
             LOG.warning("the council's disk", note=note)
-        self.life = disk.identity.generation
-        self.timers = CoreTimers(reactor)
-        self.council = ConsensusVoter(
-            settings.name, fleet, reactor, seed, disk, self.timers, self._send_to_seat
-        )
-        self.council.on_step, self.council.on_leader_change = self._tell_follower, self._forget_planner
-        self.swim: peers.Swim | None = None
-        self.follower = follow.Replica(settings.name, fleet.lease, mix(seed, 2), clock.now(), self._report)
-        self.watcher = Watcher(
-            settings.zones, [one.name for one in settings.request_classes], settings.module
+        self.transport.generation = disk.identity.generation
+        self.voter = ConsensusVoter(settings.name, fleet, reactor, seed, disk, self._timers, self._send)
+        self.voter.on_step = self._on_voter_step
+
+        self.membership = FleetMembership(settings, fleet, self.transport, self._timers, seed)
+        self.membership.on_topology_change = self._on_topology_change
+        self.membership.on_superseded = lambda: self.on_superseded()
+
+        self.reports = ZoneReports(settings, lambda detail: self.transport.refuse("report", "", detail))
+        self.replica = replica.Replica(
+            settings.name, fleet.lease, mix(seed, REPLICA_SEED), clock.now(), self.reports.encoded_total
         )
-        self.map = Map(
-            {zone: settings.regions.get(zone, "") for zone in settings.zones},
-            {one.name: one.credit for one in settings.request_classes},
-            settings.module.slow_start_share,
-            fleet.look,
-            fleet.carries,
+        self.active_plan = ActivePlan(settings, core, self.replica, self.reports)
+        self.leader_tasks = LeaderTasks(
+            settings,
+            fleet,
+            self.voter,
+            self.membership,
+            lambda: self.reports.total(self.replica.child_reports()),
         )
-        self.keeper = AuditLogKeeper(
-            Path(fleet.disk), reactor, settings.name, self._send_account, self._names
+        self.voter.on_leader_change = self.leader_tasks.on_leader_change
+
+        self.audit_logs = AuditLogKeeper(
+            Path(fleet.disk),
+            reactor,
+            settings.name,
+            lambda node, message: self._send(node, AuditMessage(message)),
+            self.membership.nodes,
         )
-        self.holding = Holding(settings)
-        self.planner: Planner | None = None
-        self.plan = Plan()
-        self.alone = True
-        self.told: FailoverPlan | None = None
-        self.history: deque[dict[str, Any]] = deque(maxlen=KEPT)
-        self.own = Tally(zones={}, asked={})  # this front's latest report
-        self.proposed_at = -inf
-        self.contradictions = 0  # of followers; the seat counts its own
-        self.ended = False
-        self.on_outlived: Callable[[], None] = lambda: None
-
-    # Start and end.
+        self._versions = Holding(settings)
 
     def start(self) -> None:
+        """Listens, joins the fleet and begins the periodic work."""
         self.transport.start()
-        self.transport.generation = self.life
-        zone = self.settings.zones[self.settings.module.zone]
-        me = MembershipUpdate(
-            self.settings.name,
-            self.life,
-            0,
-            MemberState.ALIVE,
-            self.transport.address,
-            zone,
-            self.settings.regions.get(zone, ""),
-            {SEAT: self.council.name, COUNCIL: self._council()},
-        )
-        self.swim = peers.Swim(me, self.fleet.seeds, self.fleet.period, mix(self.seed, 3), clock.now())
-        before = self.core.on_event
-        self.core.on_event = self._both(before) if before else self.watcher.saw
-        self.core.before_turn, self.core.acts_on = self.check, self.acts_on
-        self.core.on_decision = self.keeper.record_decision
+        self.membership.start({SERVER_KEY: self.voter.name, GROUP_KEY: self._known_group()})
+        self._subscribe_to_core()
         LOG.info(
             "fleet",
             peers=self.transport.address,
-            seat=self.council.name,
-            life=self.life,
-            seats=list(self.council.voters),
+            seat=self.voter.name,
+            life=self.transport.generation,
+            seats=list(self.voter.voters),
         )
-        self.keeper.start(self.life)
-        self._swim(gossip_inputs.Tick())
-        self.council.step(inputs.Tick())
-        self._follow(inputs.Tick())
-        self._look()
+        self.audit_logs.start(self.transport.generation)
+        self.membership.step(gossip_inputs.Tick())
+        self.voter.step(inputs.Tick())
+        self._step_replica(inputs.Tick())
+        self._run_periodic_work()
+
+    def _subscribe_to_core(self) -> None:
+        earlier_subscriber, watcher = self._core.on_event, self.reports.watcher
 
-    def _both(self, other: Callable[[float, Event], None]) -> Callable[[float, Event], None]:
-        def saw(now: float, event: Event) -> None:
-            other(now, event)
-            self.watcher.saw(now, event)
+        def on_event(now: float, event: Event) -> None:
+            earlier_subscriber(now, event)
+            watcher.saw(now, event)
 
-        return saw
+        self._core.on_event = on_event if earlier_subscriber else watcher.saw
+        self._core.before_turn = self._before_decisions
+        self._core.acts_on = self.active_plan.header_value
+        self._core.on_decision = self.audit_logs.record_decision
 
     def leave(self) -> None:
-        """This front ends in order: another seat leads, and nobody calls it dead."""
-        if not self.ended:
-            self.council.step(inputs.TransferLeadership())
-            self._swim(gossip_inputs.Leave())
+        """Begins an orderly exit: hands leadership over, and announces that this node leaves."""
+        if not self._closed:
+            self.voter.step(inputs.TransferLeadership())
+            self.membership.leave()
 
     def close(self) -> None:
-        self.ended = True
-        self.timers.close()
+        """Closes timers, sockets and files."""
+        self._closed = True
+        self._timers.close()
         self.transport.close()
-        self.keeper.close()
-        self.council.close()
-
-    # Peers.
-
-    def _swim(self, what: gossip_inputs.Input) -> None:
-        assert self.swim is not None
-        out = self.swim.step(clock.now(), what)
-        for post in out.messages:
-            self.transport.send(post.receiver, post.address, GossipMessage(post.message))
-        for fact in out.events:
-            self._peer_fact(fact)
-        if out.events:
-            self._follow(follow.TopologyChanged(frozenset(self.swim.members.present), self._seat_fronts()))
-        self.timers.schedule("swim", self.swim.due, lambda: self._swim(gossip_inputs.Tick()))
-
-    def _peer_fact(self, fact: gossip_outputs.Event) -> None:
-        match fact:
-            case gossip_outputs.MemberChanged(before, now):
-                state = MemberState(now.state)
-                if before is None or before.state != now.state or before.generation != now.generation:
-                    LOG.info(
-                        "front",
-                        name=now.name,
-                        state=state.name.lower(),
-                        life=now.generation,
-                        by=now.accuser,
-                        before=MemberState(before.state).name.lower() if before else None,
-                    )
-                if state >= MemberState.DEAD:
-                    self.transport.forget(now.address)
-            case gossip_outputs.GenerationRaised(life):
-                LOG.info("this front takes a higher life: an earlier start of it is known", life=life)
-                self.life = self.transport.generation = life
-            case gossip_outputs.Superseded(life, address):
-                LOG.error(
-                    "another process with this name has started later; this one ends",
-                    life=life,
-                    address=address,
-                )
-                self.on_outlived()
-
-    def able(self) -> dict[str, Candidate]:
-        """Fronts that could hold a seat, this one included."""
-        assert self.swim is not None
-        rumours = [self.swim.me, *(member.update for member in self.swim.members.present.values())]
-        return {
-            one.name: Candidate(one.name, one.metadata[SEAT], one.zone, one.metadata.get(COUNCIL, ""))
-            for one in rumours
-            if one.metadata.get(SEAT)
-        }
-
-    def _seat_fronts(self) -> frozenset[str]:
-        """Those that vote, by what each carries along."""
-        assert self.swim is not None
-        there = [self.swim.me, *(member.update for member in self.swim.members.present.values())]
-        return frozenset(one.name for one in there if one.metadata.get(VOTES))
-
-    def _council(self) -> str:
-        told = self.council.state.values.get(COUNCIL) or self.follower.values.get(COUNCIL)
-        # A seat that has not applied anything yet knows that there is one.
-        return told.value.decode() if told else "?" if self.council.voters else ""
-
-    def _carry(self) -> None:
-        """What others are told of this front."""
-        facts = {SEAT: self.council.name, COUNCIL: self._council()}
-        if self.council.name in self.council.voters:
-            facts[VOTES] = "yes"
-        if self.swim is not None and facts != self.swim.me.metadata:
-            self._swim(gossip_inputs.MetadataChanged(facts))
-            self._follow(follow.TopologyChanged(frozenset(self.swim.members.present), self._seat_fronts()))
-
-    # Messages.
-
-    def _came(self, envelope: Envelope) -> None:
-        if self.ended or self.swim is None:
+        self.audit_logs.close()
+        self.voter.close()
+
+    # Messages
+
+    def _send(self, node: str, payload: Payload) -> None:
+        self.transport.send(node, self.membership.address_of(node), payload)
+
+    def _on_envelope(self, envelope: Envelope) -> None:
+        if self._closed or not self.membership.is_started or self._is_outdated(envelope):
             return
-        known = self.swim.members.known.get(envelope.sender)
-        if (
-            known is not None
-            and envelope.generation < known.update.generation
-            and not isinstance(envelope.payload, GossipMessage)
-        ):
-            return self.transport.refuse(
-                "life",
-                envelope.sender,
-                f"life {envelope.generation} is over; {known.update.generation} is known",
-            )
         match envelope.payload:
             case GossipMessage(message):
-                self._swim(gossip_inputs.MessageReceived(envelope.sender, envelope.address, message))
+                received = gossip_inputs.MessageReceived(envelope.sender, envelope.address, message)
+                self.membership.step(received)
             case ReplicationMessage(message):
-                self._follow(follow.MessageReceived(envelope.sender, message))
+                self._step_replica(replica.MessageReceived(envelope.sender, message))
             case AuditMessage(message):
-                self.keeper.on_message(envelope.sender, message)
-            case ConsensusMessage(seat, to, message):
-                if to != self.council.name:
-                    return self.transport.refuse(
-                        "seat", envelope.sender, f"it is for {to}; this is {self.council.name}"
-                    )
-                self.council.step(inputs.MessageReceived(seat, message))
-
-    def _address(self, name: str) -> str:
-        assert self.swim is not None
-        known = self.swim.members.known.get(name)
-        return known.update.address if known else ""
-
-    def _send_account(self, name: str, message: Any) -> None:
-        self.transport.send(name, self._address(name), AuditMessage(message))
-
-    def _names(self) -> list[str]:
-        """Of all fronts that are known, there or not."""
-        return [self.settings.name, *(self.swim.members.known if self.swim is not None else ())]
-
-    # The council.
-
-    def _send_to_seat(self, name: str, message: ConsensusMessage) -> None:
-        self.transport.send(name, self._address(name), message)
-
-    def _forget_planner(self) -> None:
-        self.planner = None
-
-    def _tell_follower(self) -> None:
-        if self.council.voters:
-            self._follow(self.council.applied_state())
-
-    # What all follow.
-
-    def _follow(self, what: follow.Input) -> None:
-        if self.ended:
-            return
-        out = self.follower.step(clock.now(), what)
-        for name, message in out.messages:
-            self.transport.send(name, self._address(name), ReplicationMessage(message))
-        for fact in out.events:
-            match fact:
-                case follow.ValuesChanged(chapters):
-                    if PLAN_KEY in chapters:
-                        self._take_plan(self.follower.values[PLAN_KEY])
-                case follow.StateMismatch(name, index):
-                    LOG.error(
-                        "another front holds something else under the same number", name=name, index=index
-                    )
-                    self.contradictions += 1
-        self.timers.schedule("follow", self.follower.due, lambda: self._follow(inputs.Tick()))
-
-    def _take_plan(self, chapter: VersionedValue) -> None:
-        try:
-            plan = decode(chapter.value)
-        except msgspec.DecodeError as error:
-            LOG.error("a plan cannot be read; the last one stays", why=str(error))
+                self.audit_logs.on_message(envelope.sender, message)
+            case ConsensusMessage(sender, receiver, message):
+                if receiver != self.voter.name:
+                    detail = f"it is for {receiver}; this is {self.voter.name}"
+                    return self.transport.refuse("seat", envelope.sender, detail)
+                self.voter.step(inputs.MessageReceived(sender, message))
+
+    def _is_outdated(self, envelope: Envelope) -> bool:
+        """Refuses messages of a process that a later one with its name has replaced.
+
+        Gossip passes: it compares generations itself, and its reply tells the sender that it is superseded.
+        """
+        known = self.membership.generation_of(envelope.sender)
+        if known is None or envelope.generation >= known or isinstance(envelope.payload, GossipMessage):
+            return False
+        detail = f"life {envelope.generation} is over; {known} is known"
+        self.transport.refuse("life", envelope.sender, detail)
+        return True
+
+    # Replicated state
+
+    def _on_voter_step(self) -> None:
+        if self.voter.voters:
+            self._step_replica(self.voter.applied_state())
+
+    def _on_topology_change(self) -> None:
+        self._step_replica(self.membership.topology())
+
+    def _step_replica(self, replica_input: replica.Input) -> None:
+        if self._closed:
             return
-        if plan.number <= self.plan.number:
+        output = self.replica.step(clock.now(), replica_input)
+        for node, message in output.messages:
+            self._send(node, ReplicationMessage(message))
+        for event in output.events:
+            self._on_replica_event(event)
+        self._timers.schedule("follow", self.replica.due, lambda: self._step_replica(inputs.Tick()))
+
+    def _on_replica_event(self, event: replica.Event) -> None:
+        match event:
+            case replica.ValuesChanged(keys):
+                if PLAN_KEY in keys:
+                    self.active_plan.take(self.replica.values[PLAN_KEY])
+            case replica.StateMismatch(node, index):
+                LOG.error("another front holds something else under the same number", name=node, index=index)
+                self.state_mismatches += 1
+
+    def _known_group(self) -> str:
+        """The id of the Raft group, UNKNOWN_GROUP, or empty if there is no group as far as is known."""
+        group_id = self.voter.state.values.get(GROUP_ID_KEY) or self.replica.values.get(GROUP_ID_KEY)
+        if group_id:
+            return group_id.value.decode()
+        return UNKNOWN_GROUP if self.voter.voters else ""
+
+    # Periodic work
+
+    def _run_periodic_work(self) -> None:
+        if self._closed or not self.membership.is_started:
             return
-        self.plan = plan
-        self.history.append(
-            {
-                "at": clock.wall(),
-                "number": plan.number,
-                "event": plan.event,
-                "why": plan.why,
-                "rows": plan.rows,
-                "shed": plan.shed,
-            }
-        )
-        LOG.info("plan", number=plan.number, of_event=plan.event, why=plan.why)
-        self.core.wake()  # so that it is acted on now, not with the next job
-
-    def _report(self, below: list[bytes]) -> bytes:
-        return msgspec.msgpack.encode(self._tally(below))
-
-    def _tally(self, below: list[bytes]) -> Tally:
-        """This front's own report, and those that came up."""
-        found = [self.own]
-        for data in below:
-            try:
-                told = READ_TALLY.decode(data)
-                if not told.sound():
-                    raise msgspec.ValidationError("its figures make no sense")
-                found.append(told)
-            except msgspec.DecodeError as error:
-                self.transport.refuse("report", "", str(error))
-        return added(found)
-
-    # Looks, at their own pace.
-
-    def _look(self) -> None:
-        if self.ended or self.swim is None:
-            return
-        self.reactor.callLater(self.fleet.look / 1000, self._look)
+        self._reactor.callLater(self.fleet.look / 1000, self._run_periodic_work)
         now = clock.now()
-        self.own = self.watcher.report(now)
-        self._carry()
-        self._found()
-        if self.council.is_leader:
-            self._seat(now)
-            self._plan()
-        if self.alone:
-            self.check(now)
-
-    def _found(self) -> None:
-        founders = list(self.fleet.founders)
-        if not self.council.voters and should_bootstrap(
-            self.settings.name, founders, self.able(), self._council()
-        ):
-            self.council.bootstrap()
-
-    def _seat(self, now: float) -> None:
-        """Brings the council to its size; names it once."""
-        if COUNCIL not in self.council.state.values:
-            return self.council.propose(Put(COUNCIL, secrets.token_hex(8).encode(), 0))
-        swim = self.swim
-        assert swim is not None
-
-        def gone(name: str) -> bool:
-            known = swim.members.known.get(name)
-            since = (
-                known.state_since
-                if known is not None and not known.is_present
-                else self.council.leader_since_ms
-            )
-            return (known is None or not known.is_present) and now - max(
-                since, self.council.leader_since_ms
-            ) > self.fleet.gone
-
-        if self.council.raft.configuration_index <= self.council.raft.commit_index:
-            seats = next_configuration(
-                self.council.raft.configuration,
-                self.able(),
-                self.fleet.seats,
-                gone,
-                self.council.raft.caught_up,
-            )
-            if seats is not None:
-                LOG.info("seats", voters=list(seats.voters), learners=list(seats.learners))
-                self.council.step(inputs.ChangeConfiguration(seats))
-
-    def _plan(self) -> None:
-        """One look of the planner; no other while what it proposed is not agreed."""
-        now, held = clock.now(), self.council.state.values.get(PLAN_KEY)
-        in_force = decode(held.value) if held else Plan()
-        if (
-            self.planner is not None
-            and self.planner.plan.number > in_force.number
-            and now < self.proposed_at + self.fleet.patience
+        self.reports.refresh(now)
+        self._announce_metadata()
+        self._bootstrap_if_first()
+        if self.voter.is_leader:
+            self.leader_tasks.reconfigure(now)
+            self.leader_tasks.plan_failover()
+        if not self.active_plan.has_lease:
+            self._before_decisions(now)
+
+    def _announce_metadata(self) -> None:
+        metadata = {SERVER_KEY: self.voter.name, GROUP_KEY: self._known_group()}
+        if self.voter.name in self.voter.voters:
+            metadata[VOTER_KEY] = "yes"
+        self.membership.set_metadata(metadata)
+
+    def _bootstrap_if_first(self) -> None:
+        if not self.voter.voters and should_bootstrap(
+            self.settings.name,
+            list(self.fleet.founders),
+            self.membership.candidates(),
+            self._known_group(),
         ):
-            return
-        if self.planner is None or self.planner.plan.number != in_force.number:
-            self.planner = Planner(self.map, in_force)
-        plan = self.planner.look(self._tally(self.follower.child_reports()))
-        if plan is not None:
-            self.proposed_at = now
-            self.council.propose(Put(PLAN_KEY, encode(plan), held.index if held else 0))
-
-    # What the module acts on.
-
-    def check(self, now: float) -> None:
-        """Before each turn of the module: the lease is looked at before anything is decided."""
-        alone = not self.follower.holds_lease(now)
-        if alone != self.alone:
-            self.alone = alone
-            LOG.warning(
-                "alone: what was decided in common is too old to act on"
-                if alone
-                else "with the others again",
-                plan=self.plan.number,
-            )
-        event = acting.told(
-            self.plan,
-            self.settings.zones,
-            [one.name for one in self.settings.request_classes],
-            alone,
-            self.settings.zones[self.settings.module.zone],
-            self.own,
-        )
-        if event != self.told:
-            self.told = event
-            self.core.tell(event or FailoverPlan({}, {}, 0.0))
-        self.keeper.record_versions(self.holding.versions(self.plan, alone, self.core.engine_list.keeper))
+            self.voter.bootstrap()
 
-    def acts_on(self) -> str:
-        return f"{self.plan.number} alone" if self.alone else str(self.plan.number)
+    # Policy and operators
 
-    # Who asks.
+    def _before_decisions(self, now: float) -> None:
+        self.active_plan.publish(now)
+        versions = self._versions.versions(
+            self.active_plan.plan, not self.active_plan.has_lease, self._core.engine_list.keeper
+        )
+        self.audit_logs.record_versions(versions)
 
-    def stands(self) -> str:
+    def readiness_text(self) -> str:
         """In a few words, for `/ready`."""
-        return f"alone, with plan {self.plan.number} as a bound" if self.alone else f"plan {self.plan.number}"
+        return self.active_plan.readiness_text()
 
     def status(self) -> dict[str, Any]:
-        """All that an operator may want to see, from this front's own view."""
-        now, swim = clock.now(), self.swim
-        assert swim is not None
-        members = [swim.me, *(member.update for member in swim.members.known.values())]
-        return {
-            "front": self.settings.name,
-            "fleet": self.fleet.name,
-            "life": self.life,
-            "seat": self.council.name,
-            "alone": self.alone,
-            "lease_ms": round(max(0.0, self.follower.lease_expires_at() - now)),
-            "doubts_itself": swim.health.level,
-            "council": {
-                "term": self.council.raft.term,
-                "role": self.council.raft.role.value,
-                "leader": self.follower.leader,
-                "voters": list(self.council.voters),
-                "learners": list(self.council.raft.configuration.learners),
-                "agreed": self.council.state.index,
-                "known": self.follower.index,
-            },
-            "fronts": [
-                {
-                    "name": one.name,
-                    "state": MemberState(one.state).name.lower(),
-                    "life": one.generation,
-                    "zone": one.zone,
-                    "region": one.region,
-                    "address": one.address,
-                    "seat": bool(one.metadata.get(VOTES)),
-                }
-                for one in sorted(members, key=lambda x: x.name)
-            ],
-            "plan": msgspec.to_builtins(self.plan),
-            "history": list(self.history),
-            "zones": {name: msgspec.to_builtins(one) for name, one in self.own.zones.items()},
-            "seen_by_leader": self._views(),
-            "messages": {
-                "sent": self.transport.sent_count,
-                "bytes": self.transport.sent_bytes,
-                "dropped": self.transport.dropped_count,
-                "refused": dict(self.transport.refused_count),
-            },
-            "contradictions": self.contradictions + self.council.invariant_violations,
-        }
-
-    def _views(self) -> dict[str, Any]:
-        """How each zone is, where this front's seat leads and plans."""
-        if self.planner is None or not self.council.is_leader:
-            return {}
-        return {
-            name: {
-                "phase": view.phase.value,
-                "keeps": round(view.keep, 3),
-                "ready": round(view.ready, 1),
-                "of": round(view.size, 1),
-                "warm": round(view.warm, 2),
-                "waits": round(self.planner.press.get(name, 0.0), 3),
-                "relapses": view.relapses,
-            }
-            for name, view in self.planner.zones.views.items()
-        }
+        """The status by its JSON keys, for `/fleet` and the metrics."""
+        found: dict[str, Any] = msgspec.to_builtins(fleet_status(self))
+        return found
--- /dev/null
+++ b/worksmux/gateway/fleet/zone_reports.py
@@ -0,0 +1,49 @@
+"""Reports on the zones: this node's own, and their sum with those of the nodes below it in the tree."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import msgspec
+
+from ...failover.tally import Tally, added
+from ...failover.watcher import Watcher
+from ...settings.front import FrontSettings
+
+_TALLY_DECODER = msgspec.msgpack.Decoder(Tally)
+
+
+class ZoneReports:
+    """`on_refused(detail)` is called for each report that cannot be used."""
+
+    def __init__(self, settings: FrontSettings, on_refused: Callable[[str], None]) -> None:
+        request_classes = [request_class.name for request_class in settings.request_classes]
+        self.watcher = Watcher(settings.zones, request_classes, settings.module)
+        self.latest = Tally(zones={}, asked={})  # this node's own
+        self._on_refused = on_refused
+
+    def refresh(self, now: float) -> None:
+        """Takes this node's own report anew."""
+        self.latest = self.watcher.report(now)
+
+    def total(self, child_reports: list[bytes]) -> Tally:
+        """The sum of this node's latest report and those of its children; unusable ones are left out."""
+        tallies = [self.latest]
+        for data in child_reports:
+            try:
+                tallies.append(_decode(data))
+            except msgspec.DecodeError as error:
+                self._on_refused(str(error))
+        return added(tallies)
+
+    def encoded_total(self, child_reports: list[bytes]) -> bytes:
+        """`total`, as it is sent to the parent."""
+        return msgspec.msgpack.encode(self.total(child_reports))
+
+
+def _decode(data: bytes) -> Tally:
+    """Raises msgspec.DecodeError, also for figures that cannot be true."""
+    tally = _TALLY_DECODER.decode(data)
+    if not tally.sound():
+        raise msgspec.ValidationError("its figures make no sense")
+    return tally
--- a/worksmux/gateway/serve.py
+++ b/worksmux/gateway/serve.py
@@ -112,7 +112,7 @@
             from .fleet.peering import Peering
 
             self.peering = Peering(settings, self.core, reactor, seed)
-            self.peering.on_outlived = self.stop
+            self.peering.on_superseded = self.stop
         self.watchman: Watchman | None = None
         if settings.admission:
             self._one_stage(settings.admission, seed, make)
@@ -180,14 +180,14 @@
         elif path in ("/health", "/ready"):
             ready = self.engine_list.keeper.ready
             state = "stopping" if self.stopping else "serving" if ready else "no engine is listed as ready"
-            common = f"; {self.peering.stands()}" if self.peering else ""
+            common = f"; {self.peering.readiness_text()}" if self.peering else ""
             exchange.answer(
                 200 if ready and not self.stopping else 503,
                 f"{state}; engines ready: {ready}; open jobs: {len(self.core.cases)}{common}\n".encode(),
                 "text/plain",
             )
         elif path == "/fleet/audit" and self.peering:
-            self._audit(exchange, self.peering.keeper)
+            self._audit(exchange, self.peering.audit_logs)
         elif path == "/fleet" and self.peering:
             exchange.answer(200, msgspec.json.encode(self.peering.status()))
         else:
