--- a/worksmux/gateway/serve.py
+++ b/worksmux/gateway/serve.py
@@ -32,7 +32,7 @@
 from .vectors import VectorSide
 
 if TYPE_CHECKING:
-    from .fleet.audit_log_keeper import AccountKeeper
+    from .fleet.audit_log_keeper import AuditLogKeeper
     from .fleet.peering import Peering
 
 LOG = structlog.get_logger()
@@ -112,7 +112,7 @@
             from .fleet.peering import Peering
 
             self.peering = Peering(settings, self.core, reactor, seed)
-            self.peering.on_outlived = self.stop
+            self.peering.on_superseded = self.stop
         self.watchman: Watchman | None = None
         if settings.admission:
             self._one_stage(settings.admission, seed, make)
@@ -180,7 +180,7 @@
         elif path in ("/health", "/ready"):
             ready = self.engine_list.keeper.ready
             state = "stopping" if self.stopping else "serving" if ready else "no engine is listed as ready"
-            common = f"; {self.peering.stands()}" if self.peering else ""
+            common = f"; {self.peering.readiness_text()}" if self.peering else ""
             exchange.answer(
                 200 if ready and not self.stopping else 503,
                 f"{state}; engines ready: {ready}; "
@@ -188,13 +188,13 @@
                 "text/plain",
             )
         elif path == "/fleet/audit" and self.peering:
-            self._audit(exchange, self.peering.keeper)
+            self._audit(exchange, self.peering.audit_logs)
         elif path == "/fleet" and self.peering:
             exchange.answer(200, msgspec.json.encode(self.peering.status()))
         else:
             exchange.answer(404, b"known here: /metrics /health /ready /live\n", "text/plain")
 
-    def _audit(self, exchange: Exchange, keeper: AccountKeeper) -> None:
+    def _audit(self, exchange: Exchange, keeper: AuditLogKeeper) -> None:
         """What all accounts say, by `at` (milliseconds since 1970) or `job`; others are asked first."""
         asked = {key.decode("latin-1"): values[0].decode("latin-1") for key, values in exchange.args.items()}
         try:
@@ -202,7 +202,7 @@
         except ValueError:
             return exchange.answer(400, b"at: expected milliseconds since 1970\n", "text/plain")
         request = asked.get("job", "")
-        keeper.gather(lambda: exchange.answer(200, msgspec.json.encode(keeper.told(at, request))))
+        keeper.collect(lambda: exchange.answer(200, msgspec.json.encode(keeper.report(at, request))))
 
     def stop(self) -> None:
         if self.stopping:
