--- a/benchmarks/module_by_size.py
+++ b/benchmarks/module_by_size.py
@@ -60,12 +60,12 @@
         while line and line[0][0] <= now:
             _, attempt = line.popleft()
             if attempt.is_prefill:
-                events.append(AttemptEnded(attempt, Outcome.READ, 50.0, False))
+                events.append(AttemptEnded(attempt, Outcome.PREFILLED, 50.0, False))
             elif not attempt.first_token_at:
                 events.append(FirstToken(attempt, 30.0))
                 line.append((now + 200.0, attempt))
             else:
-                events.append(AttemptEnded(attempt, Outcome.DELIVERED, 230.0, True))
+                events.append(AttemptEnded(attempt, Outcome.SERVED, 230.0, True))
                 ended += 1
         start = time.perf_counter()
         actions = front.decide(now, events)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -115,7 +115,10 @@
                     )
                 elif attempt.is_prefill:
                     self._after(
-                        READ, self._tell, made, [AttemptEnded(attempt, Outcome.READ, READ, False, 0, None)]
+                        READ,
+                        self._tell,
+                        made,
+                        [AttemptEnded(attempt, Outcome.PREFILLED, READ, False, 0, None)],
                     )
                 else:
                     self._after(30.0, self._tell, made, [FirstToken(attempt, 30.0)])
@@ -125,14 +128,14 @@
                 self.sent[number].append(self.now)
                 if number in made.told:
                     self.sent_knowing[number].append(self.now)
-                answer = HealthCheckEnded(action.engine, Outcome.DELIVERED, 2.0, None)
+                answer = HealthCheckEnded(action.engine, Outcome.SERVED, 2.0, None)
                 self._after(2.0, self._tell, made, [answer])
             elif isinstance(action, SetTimer):
                 self._after(action.after, self._tell, made, [TimerFired(action.token)])
 
     def _done(self, made: Instance, attempt: Attempt) -> None:
         self.served += 1
-        self._tell(made, [AttemptEnded(attempt, Outcome.DELIVERED, WRITE, True, 0, None)])
+        self._tell(made, [AttemptEnded(attempt, Outcome.SERVED, WRITE, True, 0, None)])
 
     def run(self, ms: float) -> None:
         end = self.now + ms
--- a/tests/test_cost_by_fleet_size.py
+++ b/tests/test_cost_by_fleet_size.py
@@ -109,7 +109,7 @@
             if attempt.outcome is not None:
                 return None
             return AttemptEnded(
-                attempt, outcome, at - attempt.sent_at, attempt.request.ended or outcome is Outcome.DELIVERED
+                attempt, outcome, at - attempt.sent_at, attempt.request.ended or outcome is Outcome.SERVED
             )
 
         self.tell(at, ended)
@@ -118,16 +118,16 @@
         if attempt.engine.key % 100 < 100 * self.hung:
             return self.outcome(attempt, Outcome.TIMED_OUT, attempt.request.deadline)
         if attempt.is_prefill:
-            return self.outcome(attempt, Outcome.READ, now + 60)
+            return self.outcome(attempt, Outcome.PREFILLED, now + 60)
         self.tell(now + 30, lambda: FirstToken(attempt, 30.0) if attempt.outcome is None else None)
-        self.outcome(attempt, Outcome.DELIVERED, now + 400)
+        self.outcome(attempt, Outcome.SERVED, now + 400)
 
     def carry_out(self, action: Action, now: float) -> None:
         match action:
             case SetTimer(after, token):
                 self.tell(now + after, lambda: TimerFired(token))
             case CheckHealth(engine) if self.chance.random() < self.answered:
-                self.tell(now + 10, lambda: HealthCheckEnded(engine, Outcome.DELIVERED, 10.0))
+                self.tell(now + 10, lambda: HealthCheckEnded(engine, Outcome.SERVED, 10.0))
             case StartAttempt(attempt):
                 self.send(attempt, now)
             case CancelAttempt(attempt):
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -288,7 +288,7 @@
     watcher, (reader, writer, other, _) = watched()
     fault(watcher, reader, NOW + 500)
     fault(watcher, writer, NOW + 600)
-    fault(watcher, other, NOW + 600, Outcome.READ)
+    fault(watcher, other, NOW + 600, Outcome.PREFILLED)
     report = watcher.report(NOW + 900)
     assert report.zones["north"].lost == 1 and report.zones["south"].lost == 0
     assert watcher.report(NOW + 3000).zones["north"].lost == 1
@@ -299,18 +299,18 @@
     """Guards against a zone that is cut off while fronts wait for its decode engines to fail, which get no
     attempts any more: two votes of five, and no plan."""
     watcher, (reader, writer, *_) = watched()
-    fault(watcher, writer, NOW + 300, Outcome.DELIVERED)
+    fault(watcher, writer, NOW + 300, Outcome.SERVED)
     fault(watcher, reader, NOW + 500)
     report = watcher.report(NOW + 900).zones["north"]
     assert report.lost == 1 and report.spoke == 1
-    fault(watcher, writer, NOW + 950, Outcome.DELIVERED)
+    fault(watcher, writer, NOW + 950, Outcome.SERVED)
     assert watcher.report(NOW + 1500).zones["north"].lost == 0
 
 
 def test_one_engine_of_many_at_fault_loses_no_zone() -> None:
     watcher, (reader, writer, *_) = watched()
     fault(watcher, reader, NOW + 500)
-    fault(watcher, writer, NOW + 600, Outcome.READ)
+    fault(watcher, writer, NOW + 600, Outcome.PREFILLED)
     assert watcher.report(NOW + 900).zones["north"].lost == 0
 
 
@@ -364,7 +364,7 @@
     for one in requests:
         front.decide(NOW, [RequestArrived(one)])
         for attempt in one.attempts:
-            front.decide(NOW, [AttemptEnded(attempt, Outcome.READ, 5.0, False)])
+            front.decide(NOW, [AttemptEnded(attempt, Outcome.PREFILLED, 5.0, False)])
     return requests
 
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -323,7 +323,7 @@
                 ReserveSlot(event.request, self.engines[b"e2"]),
                 CheckHealth(self.engines[b"e1"]),
             ]
-        if isinstance(event, AttemptEnded) and event.outcome is Outcome.READ:
+        if isinstance(event, AttemptEnded) and event.outcome is Outcome.PREFILLED:
             event.attempt.request.kv_holder = event.attempt.engine
             return [self.send(event.attempt.request, b"e2", now, False)]
         return []
@@ -352,7 +352,7 @@
         and kinds.count("HealthCheckEnded") == requests
     )
     assert all(
-        event.outcome is Outcome.DELIVERED for event in module.told if isinstance(event, HealthCheckEnded)
+        event.outcome is Outcome.SERVED for event in module.told if isinstance(event, HealthCheckEnded)
     )
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -114,7 +114,7 @@
         door.decide(1000.0, [EndpointListUpdate("full", entries), door.arrived(request)])
         for at in range(1, 8):
             ends = [
-                AttemptEnded(attempt, Outcome.READ if attempt.is_prefill else Outcome.RESET, 5.0, False)
+                AttemptEnded(attempt, Outcome.PREFILLED if attempt.is_prefill else Outcome.RESET, 5.0, False)
                 for attempt in request.in_flight
             ]
             door.decide(1000.0 + 600 * at, [*ends, TimerFired(0)])
@@ -335,7 +335,7 @@
     one.head(202, {})
     one.done()
     later.pop()()
-    assert ends == [Outcome.READ]
+    assert ends == [Outcome.PREFILLED]
 
 
 # Releases.
--- a/tests/test_node_ends.py
+++ b/tests/test_node_ends.py
@@ -122,7 +122,7 @@
         one = PrefillAttempt(Clock(), None, attempt, told, 100.0, 50.0, 300)  # type: ignore[arg-type]
         one.call = Call(written)  # type: ignore[assignment]
         getattr(one, end)()
-        assert ends == [outcome if written else Outcome.MOOT]
+        assert ends == [outcome if written else Outcome.NOT_SENT]
         assert one.call.abandoned  # type: ignore[union-attr]
 
 
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -118,7 +118,7 @@
             now, _, event = heapq.heappop(self.events)
             if isinstance(event, FirstToken | AttemptEnded) and event.attempt.outcome is not None:
                 continue
-            if isinstance(event, AttemptEnded) and event.outcome is Outcome.DELIVERED:
+            if isinstance(event, AttemptEnded) and event.outcome is Outcome.SERVED:
                 self.answered.add(event.attempt.request)
             for action in front.decide(now, [event]):
                 self._carry_out(now, action)
@@ -130,14 +130,14 @@
                 done = self.free[attempt.engine] = (
                     max(now, self.free[attempt.engine]) + 5 + PER_TOKEN * attempt.prefill_tokens
                 )
-                self.at(done, AttemptEnded(attempt, Outcome.READ, done - now, False))
+                self.at(done, AttemptEnded(attempt, Outcome.PREFILLED, done - now, False))
             case StartAttempt(attempt):
                 self.at(now + FIRST, FirstToken(attempt, FIRST))
-                self.at(now + REST, AttemptEnded(attempt, Outcome.DELIVERED, REST, True))
+                self.at(now + REST, AttemptEnded(attempt, Outcome.SERVED, REST, True))
             case CancelAttempt(attempt):
                 self.at(now, AttemptEnded(attempt, Outcome.CANCELLED, now - attempt.sent_at, False))
             case CheckHealth(engine):
-                self.at(now + 2, HealthCheckEnded(engine, Outcome.DELIVERED, 2.0))
+                self.at(now + 2, HealthCheckEnded(engine, Outcome.SERVED, 2.0))
             case SetTimer(after, token):
                 self.at(now + after, TimerFired(token))
 
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -196,9 +196,9 @@
 def taught(faults: int, good: int) -> Learner:
     learner, engine = Learner(["a", "b"]), Engine(b"e", 1)
     for at in range(faults + good):
-        outcome = Outcome.ERROR if at < faults else Outcome.DELIVERED
+        outcome = Outcome.ERROR if at < faults else Outcome.SERVED
         learner.saw(1000.0 + at, AttemptEnded(attempt_at(engine), outcome, 50.0, False))
-    learner.saw(1100.0, AttemptEnded(attempt_at(engine), Outcome.READ, 200.0, False))
+    learner.saw(1100.0, AttemptEnded(attempt_at(engine), Outcome.PREFILLED, 200.0, False))
     learner.saw(1200.0, FirstToken(attempt_at(engine), 900.0))
     return learner
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -25,7 +25,7 @@
 
 def read(front, one, now=NOW):
     front.decide(now, [RequestArrived(one)])
-    return ended(front, one.attempts[0], Outcome.READ)
+    return ended(front, one.attempts[0], Outcome.PREFILLED)
 
 
 def test_ordinary_path_reads_then_writes_at_the_paired_writer():
@@ -163,7 +163,7 @@
     one = request()
     read(front, one)
     attempt = one.attempts[1]
-    front.decide(NOW + 60, [FirstToken(attempt, 10.0), AttemptEnded(attempt, Outcome.DELIVERED, 10.0, True)])
+    front.decide(NOW + 60, [FirstToken(attempt, 10.0), AttemptEnded(attempt, Outcome.SERVED, 10.0, True)])
     assert one.ended and not writer.attempts and not front.outliers.awaited
 
 
@@ -211,7 +211,7 @@
     one = request()
     front.decide(NOW, [RequestArrived(one)])
     front.decide(NOW, [EndpointListUpdate("delta", [EndpointEntry(writer, "draining", 0.0, 0, 0, 1, 1.0)])])
-    assert kinds(ended(front, one.attempts[0], Outcome.READ)) == []
+    assert kinds(ended(front, one.attempts[0], Outcome.PREFILLED)) == []
 
 
 def test_engine_missing_from_a_full_list_is_gone():
@@ -227,7 +227,7 @@
     requests = [request(number) for number in range(1, 4)]
     front.decide(NOW, [RequestArrived(requests[0]), RequestArrived(requests[1])])
     assert {one.decode_engine for one in requests[:2]} == {warm}
-    ended(front, requests[0].attempts[0], Outcome.READ)
+    ended(front, requests[0].attempts[0], Outcome.PREFILLED)
     front.decide(NOW + 60, [FirstToken(requests[0].attempts[1], 10.0), RequestArrived(requests[2])])
     assert requests[2].decode_engine is cold and cold.credit < 0.1
 
@@ -274,9 +274,9 @@
         one = request(number, now=NOW + 100 * number)
         front.decide(one.arrived, [RequestArrived(one)])
         sent.append(one.attempts[0].engine)
-        ended(front, one.attempts[0], Outcome.READ)
+        ended(front, one.attempts[0], Outcome.PREFILLED)
         front.decide(one.arrived + 60, [FirstToken(one.attempts[1], 10.0)])
-        ended(front, one.attempts[1], Outcome.DELIVERED, closed=True)
+        ended(front, one.attempts[1], Outcome.SERVED, closed=True)
     to_cold = sum(engine is not warm for engine in sent)
     assert 12 <= to_cold <= 40 * 0.3 * 3.0 * 0.5 * 1.25 * 0.8 + 1  # the budget of four in five
     assert len({engine for engine in sent if engine is not warm}) == len(cold)
@@ -353,7 +353,7 @@
     one = request()
     front.decide(NOW, [RequestArrived(one)])
     front.decide(NOW + 700, [TimerFired(0)])
-    assert kinds(front.decide(NOW + 702, [HealthCheckEnded(reader, Outcome.DELIVERED, 2.0)])) == [
+    assert kinds(front.decide(NOW + 702, [HealthCheckEnded(reader, Outcome.SERVED, 2.0)])) == [
         "CancelAttempt"
     ]
     assert not front.outliers.is_healthy(reader, 0)
@@ -366,9 +366,9 @@
     one = request()
     front.decide(NOW, [RequestArrived(one)])
     reader.health_check_pending = True  # only then is a probe's answer a judgement
-    assert kinds(front.decide(NOW + 700, [HealthCheckEnded(reader, Outcome.DELIVERED, 2.0)])) == []
+    assert kinds(front.decide(NOW + 700, [HealthCheckEnded(reader, Outcome.SERVED, 2.0)])) == []
     reader.health_check_pending = True
-    assert kinds(front.decide(NOW + 2200, [HealthCheckEnded(reader, Outcome.DELIVERED, 2.0)])) == [
+    assert kinds(front.decide(NOW + 2200, [HealthCheckEnded(reader, Outcome.SERVED, 2.0)])) == [
         "CancelAttempt"
     ]
 
@@ -379,7 +379,7 @@
     one = request()
     front.decide(NOW, [RequestArrived(one)])
     reader.health_check_pending, front.probing.enabled = True, True
-    assert kinds(front.decide(NOW + 980, [HealthCheckEnded(reader, Outcome.DELIVERED, 2.0)])) == []
+    assert kinds(front.decide(NOW + 980, [HealthCheckEnded(reader, Outcome.SERVED, 2.0)])) == []
     assert not one.attempts[0].cancel_requested
 
 
@@ -389,7 +389,7 @@
     front.probing.enabled = True
     for number, (time, kept) in enumerate([(80.0, 200), (10.0, 950), (15.0, 900)], 1):
         attempt = Attempt(request(number), reader, 0, NOW, True, prefill_tokens=1000.0)
-        front._learn(AttemptEnded(attempt, Outcome.READ, time, False, kept))
+        front._learn(AttemptEnded(attempt, Outcome.PREFILLED, time, False, kept))
     front.decide(NOW, [])
     assert front.estimates.best_prefill_per_token == 0.1  # 80 ms for 800 tokens
     uncached = Attempt(request(4), reader, 0, NOW, True, prefill_tokens=1000.0)
@@ -489,7 +489,7 @@
     one = request()
     front.decide(NOW, [RequestArrived(one)])
     writer.ejected_until = {-1: NOW + 9000}
-    ended(front, one.attempts[0], Outcome.READ)
+    ended(front, one.attempts[0], Outcome.PREFILLED)
     assert "ReleaseKvCache" in kinds(front.decide(NOW + 250, [TimerFired(0)]))
 
 
@@ -522,7 +522,7 @@
     one = request()
     front.decide(NOW, [RequestArrived(one)])
     front.decide(NOW + 10, [ClientDisconnected(one)])
-    assert kinds(ended(front, one.attempts[0], Outcome.READ)) == ["ReleaseKvCache"]
+    assert kinds(ended(front, one.attempts[0], Outcome.PREFILLED)) == ["ReleaseKvCache"]
 
 
 def test_failing_writer_loses_its_turns_for_longer_each_time():
@@ -562,7 +562,7 @@
     front.decide(NOW, [RequestArrived(late)])
     writer.window_reduction = 100.0
     front.decide(NOW + 900, [RequestArrived(other)])
-    actions = front.decide(NOW + 1001, [AttemptEnded(late.attempts[0], Outcome.READ, 50.0, False)])
+    actions = front.decide(NOW + 1001, [AttemptEnded(late.attempts[0], Outcome.PREFILLED, 50.0, False)])
     assert "RejectRequest" in kinds(actions) and not other.ended
 
 
@@ -584,7 +584,7 @@
     one = request()
     front.decide(NOW, [RequestArrived(one)])
     front.in_flight.prefill_tokens -= 1e-9  # what sums of fractions come to
-    ended(front, one.attempts[0], Outcome.READ)
+    ended(front, one.attempts[0], Outcome.PREFILLED)
     assert front.placer.has_capacity(reader, request(2))
 
 
@@ -596,7 +596,7 @@
     gone = EndpointEntry(reader, "gone", 0.0, reader.zone, reader.cell, reader.kind, 1.0)
     front.decide(NOW + 10, [EndpointListUpdate("delta", [gone])])
     one.decode_engine.health_check_pending = True  # another writer is sought, from the reader's cell on
-    ended(front, one.attempts[0], Outcome.READ)
+    ended(front, one.attempts[0], Outcome.PREFILLED)
     assert [attempt.engine.role for attempt in one.attempts] == ["read", "write"]
 
 
@@ -622,7 +622,7 @@
     """Guards against a line of the other fronts' reads, of which this one sees nothing."""
     front, one, (reader,) = asking()
     assert not one.attempts
-    front.decide(NOW + 4, [HealthCheckEnded(reader, Outcome.DELIVERED, 4.0)])
+    front.decide(NOW + 4, [HealthCheckEnded(reader, Outcome.SERVED, 4.0)])
     assert [attempt.engine for attempt in one.attempts] == [reader] and not one.checked_engines
 
 
@@ -630,7 +630,7 @@
     front, one, (first,) = asking()
     (second,) = asked_at(front, NOW + 25, TimerFired(0))
     assert second is not first and not asked_at(front, NOW + 30, TimerFired(0))
-    front.decide(NOW + 40, [HealthCheckEnded(first, Outcome.DELIVERED, 40.0)])
+    front.decide(NOW + 40, [HealthCheckEnded(first, Outcome.SERVED, 40.0)])
     assert [attempt.engine for attempt in one.attempts] == [first]
 
 
--- a/tests/test_wire_forms.py
+++ b/tests/test_wire_forms.py
@@ -282,8 +282,8 @@
 @pytest.mark.parametrize(
     ("status", "pieces", "outcome", "note"),
     [
-        (200, [CHUNK, LAST, DONE], Outcome.DELIVERED, 0),
-        (200, [CHUNK, LAST, DONE, b"data: {junk\n\n"], Outcome.DELIVERED, 0),
+        (200, [CHUNK, LAST, DONE], Outcome.SERVED, 0),
+        (200, [CHUNK, LAST, DONE, b"data: {junk\n\n"], Outcome.SERVED, 0),
         (200, [CHUNK, LAST], Outcome.ERROR, 0),
         (200, [DONE], Outcome.ERROR, 0),
         (200, [LAST, DONE], Outcome.ERROR, 0),
@@ -334,7 +334,7 @@
         )
     )
     one.done()
-    assert listener.heard == [(Outcome.READ, 4)]
+    assert listener.heard == [(Outcome.PREFILLED, 4)]
     two, listener = carrier(Reading)
     two.head(200, {})
     two.piece(b'{"choices": []}')  # an answer without a handle is none
--- a/worksmux/baselines/plain.py
+++ b/worksmux/baselines/plain.py
@@ -96,9 +96,9 @@
         if event.closed:
             request.ended = True
         if request.ended:
-            if event.outcome is not Outcome.DELIVERED:
+            if event.outcome is not Outcome.SERVED:
                 self.actions.append(ReleaseKvCache(request))
-        elif event.outcome is Outcome.READ:
+        elif event.outcome is Outcome.PREFILLED:
             request.kv_holder, request.kv_held_since = attempt.engine, self.now
             self.requests[request] = None
         else:
--- a/worksmux/bench_adapter/instance.py
+++ b/worksmux/bench_adapter/instance.py
@@ -36,15 +36,15 @@
 from .codec import ENTRY, Record, WireError
 
 OUTCOMES = {
-    1: Outcome.DELIVERED,
+    1: Outcome.SERVED,
     0: Outcome.ERROR,
     2: Outcome.FULL,
     3: Outcome.TIMED_OUT,
     4: Outcome.UNREACHABLE,
     5: Outcome.RESET,
     6: Outcome.CANCELLED,
-    7: Outcome.MOOT,
-    102: Outcome.READ,
+    7: Outcome.NOT_SENT,
+    102: Outcome.PREFILLED,
 }
 SCOPES = {0: "delta", 1: "full", 2: "cached", 3: "failed"}
 STATES = {2: "ready", 0: "draining", 1: "gone"}
--- a/worksmux/endpoints/learned_state.py
+++ b/worksmux/endpoints/learned_state.py
@@ -81,9 +81,9 @@
             waited = event.elapsed - SLOW_FACTOR * self.per_token.least(now) * event.attempt.prefill_tokens
             self.first.add(now, max(0.0, waited))
         elif isinstance(event, AttemptEnded):
-            if event.outcome is Outcome.READ:
+            if event.outcome is Outcome.PREFILLED:
                 self.per_token.add(now, event.elapsed, max(1.0, event.attempt.prefill_tokens))
-            if event.outcome in FAULTS or event.outcome in (Outcome.READ, Outcome.DELIVERED):
+            if event.outcome in FAULTS or event.outcome in (Outcome.PREFILLED, Outcome.SERVED):
                 self.faults[event.attempt.request.request_class].add(now, float(event.outcome in FAULTS))
 
     def pace(self, now: float, wall: float) -> Pace | None:
--- a/worksmux/endpoints/staleness.py
+++ b/worksmux/endpoints/staleness.py
@@ -172,7 +172,7 @@
         """What a trip tells of the line of its engine."""
         if outcome is Outcome.UNREACHABLE:
             return self.refused(name, now)
-        return self.served(name) if outcome in (Outcome.READ, Outcome.DELIVERED) else Step()
+        return self.served(name) if outcome in (Outcome.PREFILLED, Outcome.SERVED) else Step()
 
     def urge(self, now: float, kinds: Iterable[str]) -> Step:
         """A job waits and of these kinds no engine is usable: the next of each is asked now, one at a
--- a/worksmux/forwarding/attempt.py
+++ b/worksmux/forwarding/attempt.py
@@ -70,13 +70,13 @@
     def cancel(self) -> None:
         """Calls the trip off: the connection closes, by which the engine knows."""
         self.why = self.why or "called off"
-        self._end(Outcome.CANCELLED if self._sent else Outcome.MOOT)
+        self._end(Outcome.CANCELLED if self._sent else Outcome.NOT_SENT)
 
     def withdraw(self) -> None:
         """Ends a trip whose last byte has not left: it was never sent."""
         if not self._sent:
             self.why = self.why or "withdrawn before it was written"
-            self._end(Outcome.MOOT)
+            self._end(Outcome.NOT_SENT)
 
     @property
     def _sent(self) -> bool:
@@ -85,7 +85,7 @@
 
     def _time_is_up(self) -> None:
         self.why = "its time is up"
-        self._end(Outcome.TIMED_OUT if self._sent else Outcome.MOOT)
+        self._end(Outcome.TIMED_OUT if self._sent else Outcome.NOT_SENT)
 
     def _end(self, outcome: Outcome, note: int = 0, result: Any = None) -> None:
         if self.over:
@@ -93,7 +93,7 @@
         self.over = True
         if self.timer.active():
             self.timer.cancel()
-        if self.call is not None and outcome is not Outcome.DELIVERED:
+        if self.call is not None and outcome is not Outcome.SERVED:
             self.call.abandon()
         self.listener.ended(self.attempt, outcome, note, self._report(), result)
 
--- a/worksmux/forwarding/request_lifecycle.py
+++ b/worksmux/forwarding/request_lifecycle.py
@@ -239,7 +239,7 @@
 
     def _may_hold(self, case: Case, attempt: Attempt, outcome: Outcome, carrier: Any) -> None:
         """A trip has ended: its engine may hold state from now on, also where the reply was lost."""
-        if attempt.is_prefill and outcome not in (Outcome.FULL, Outcome.UNREACHABLE, Outcome.MOOT):
+        if attempt.is_prefill and outcome not in (Outcome.FULL, Outcome.UNREACHABLE, Outcome.NOT_SENT):
             case.held[attempt.engine] = None
 
     def text(self, attempt: Attempt, content: Any) -> None:
@@ -262,10 +262,10 @@
         if self.on_attempt:
             self.on_attempt(attempt.engine, outcome)
         if attempt.is_prefill:
-            if outcome is Outcome.READ:
+            if outcome is Outcome.PREFILLED:
                 case.state = result
                 case.kept += note
-        elif outcome is Outcome.DELIVERED:
+        elif outcome is Outcome.SERVED:
             case.result = result
             self._answer(case, "delivered", result=result)
         elif attempt.first_token_at:
@@ -342,7 +342,7 @@
         )
         if moot or case is None:
             self.metrics.attempt("moot")
-            self.tell(AttemptEnded(attempt, Outcome.MOOT, 0.0, case is None or bool(case.answered)))
+            self.tell(AttemptEnded(attempt, Outcome.NOT_SENT, 0.0, case is None or bool(case.answered)))
             return
         if attempt.engine not in self.pools:
             raise LookupError(f"the module sends to an engine without an address: {attempt.engine.id!r}")
--- a/worksmux/gateway/attempts.py
+++ b/worksmux/gateway/attempts.py
@@ -48,7 +48,7 @@
             reply = READ_REPLY.decode(bytes(self.body))
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
             return self._end(Outcome.ERROR)
-        self._end(Outcome.READ, reply.usage.cached if reply.usage else 0, reply.kv_transfer_params)
+        self._end(Outcome.PREFILLED, reply.usage.cached if reply.usage else 0, reply.kv_transfer_params)
 
 
 class Writing(Streaming, Carrier):
@@ -73,7 +73,7 @@
         if data == b"[DONE]":
             if not (self.finish and self.attempt.first_token_at):
                 return self._end(Outcome.ERROR)  # an end without an answer
-            return self._end(Outcome.DELIVERED, self.usage.cached, (self.finish, self.usage))
+            return self._end(Outcome.SERVED, self.usage.cached, (self.finish, self.usage))
         chunk = READ_CHUNK.decode(data)
         if chunk.usage is not None:
             self.usage = chunk.usage
--- a/worksmux/gateway/chat_engine_client.py
+++ b/worksmux/gateway/chat_engine_client.py
@@ -112,7 +112,7 @@
     ) -> tuple[Outcome, dict[str, float] | None]:
         if status != 200:
             return carriers.refusal(status, reply)[0], None
-        return Outcome.DELIVERED, calls.load_report(headers.get(calls.LOAD))
+        return Outcome.SERVED, calls.load_report(headers.get(calls.LOAD))
 
     def _hold(self, request: Request, engine: Engine) -> None:
         case = self.cases.get(request)
--- a/worksmux/gateway/stage.py
+++ b/worksmux/gateway/stage.py
@@ -69,9 +69,9 @@
             return
         if self.status == 200:
             complete = self.errand.replied(bytes(self.body))
-            self._end(Outcome.DELIVERED if complete else Outcome.ERROR, 0, "")
+            self._end(Outcome.SERVED if complete else Outcome.ERROR, 0, "")
         elif self.status in BAD_INPUT:
-            self._end(Outcome.DELIVERED, 0, errors.message_of(bytes(self.body)) or "bad input")
+            self._end(Outcome.SERVED, 0, errors.message_of(bytes(self.body)) or "bad input")
         else:
             super().done()
 
@@ -155,13 +155,13 @@
             self.core.on_attempt(attempt.engine, outcome)
         now = clock.now()
         closed = work.over
-        if outcome is Outcome.DELIVERED and not work.over:
+        if outcome is Outcome.SERVED and not work.over:
             closed = work.over = True
             attempt.first_token_at, attempt.request.streaming = now, True
             self.tell(FirstToken(attempt, now - attempt.sent_at))  # so that the module sees the time it took
         self.tell(AttemptEnded(attempt, outcome, now - attempt.sent_at, closed, note, report))
         self._close(work)
-        if outcome is Outcome.DELIVERED and closed:
+        if outcome is Outcome.SERVED and closed:
             if result:
                 work.errand.refused(result)
             else:
@@ -196,7 +196,7 @@
         left = request.deadline - now
         if work is None or work.over or left <= 0 or attempt.engine not in self.core.pools:
             self.metrics.attempt("moot")
-            self.tell(AttemptEnded(attempt, Outcome.MOOT, 0.0, work is None or work.over))
+            self.tell(AttemptEnded(attempt, Outcome.NOT_SENT, 0.0, work is None or work.over))
             return
         transport = self.core.settings.transport
         carrier = Whole(
--- a/worksmux/node/attempts.py
+++ b/worksmux/node/attempts.py
@@ -74,7 +74,7 @@
     def done(self) -> None:
         if self.status != 202:
             return super().done()
-        self._end(Outcome.READ, protocol.cached_tokens(bytes(self.body)))
+        self._end(Outcome.PREFILLED, protocol.cached_tokens(bytes(self.body)))
 
 
 class DecodeAttempt(Streaming, AttemptCall):
@@ -97,7 +97,7 @@
 
     def _stream_over(self) -> None:
         if self.last and not self.stream.cut and self.headers.get("transfer-encoding"):
-            self._end(Outcome.DELIVERED, self.stream.cached, ())
+            self._end(Outcome.SERVED, self.stream.cached, ())
         else:
             self._end(Outcome.ERROR)
 
--- a/worksmux/node/core.py
+++ b/worksmux/node/core.py
@@ -143,13 +143,13 @@
 
     def _may_hold(self, case: Case, attempt: Attempt, outcome: Outcome, attempt_call: AttemptCall) -> None:
         held = self.held[case.request]
-        if attempt_call is None or outcome in (Outcome.UNREACHABLE, Outcome.MOOT):
+        if attempt_call is None or outcome in (Outcome.UNREACHABLE, Outcome.NOT_SENT):
             return  # it never arrived: the time to let go runs on
         now = clock.now()
         self.releases.stop_beside(held)
         unseen = outcome in NOT_SEEN and not attempt.first_token_at
         held.outcome(now, not unseen or attempt_call.pool.answered >= attempt_call.written_at)
-        if outcome is Outcome.READ:
+        if outcome is Outcome.PREFILLED:
             self.read_times.append((case.request.prompt, now - attempt_call.written_at))
         if unseen:
             held.ended_unseen(attempt.engine, now, self._work_left(case, attempt_call, now))
@@ -240,7 +240,7 @@
         if status != 200:
             return protocol.refusal(status, headers)[0], None
         text = headers.get(protocol.LOAD) or reply[:1000].decode("latin-1")
-        return Outcome.DELIVERED, protocol.load_report(text, list(self.module_settings.load_report_fields))
+        return Outcome.SERVED, protocol.load_report(text, list(self.module_settings.load_report_fields))
 
     def _hold(self, request: Request, engine: Engine) -> None:
         raise LookupError("the platform's protocol has no places held ahead")
--- a/worksmux/policy/kv_transfer.py
+++ b/worksmux/policy/kv_transfer.py
@@ -31,7 +31,7 @@
         The time to its release runs on through attempts that never reached a decode engine.
         """
         request = event.attempt.request
-        if event.outcome not in (Outcome.UNREACHABLE, Outcome.MOOT):
+        if event.outcome not in (Outcome.UNREACHABLE, Outcome.NOT_SENT):
             request.kv_held_since = self._context.now
         self.requests[request] = None
 
--- a/worksmux/policy/load_estimates.py
+++ b/worksmux/policy/load_estimates.py
@@ -111,11 +111,11 @@
         """
         attempt, outcome, now = event.attempt, event.outcome, self._context.now
         tokens = max(1.0, attempt.prefill_tokens)
-        if attempt.is_prefill and outcome in (Outcome.READ, Outcome.CANCELLED, Outcome.TIMED_OUT):
+        if attempt.is_prefill and outcome in (Outcome.PREFILLED, Outcome.CANCELLED, Outcome.TIMED_OUT):
             self.prefill_queue_waits.add(now, max(0.0, event.elapsed - self.allowed_prefill_ms(attempt)))
             self.prefill_per_token.add(now, event.elapsed, tokens)
             self.prefill_sizes.add(now, tokens)
-        if outcome is Outcome.READ and 2 * event.note < attempt.prefill_tokens:
+        if outcome is Outcome.PREFILLED and 2 * event.note < attempt.prefill_tokens:
             self.uncached_prefill_per_token.add(
                 now, event.elapsed, max(1.0, attempt.prefill_tokens - event.note)
             )
--- a/worksmux/policy/outlier_detection.py
+++ b/worksmux/policy/outlier_detection.py
@@ -112,7 +112,7 @@
         if not engine.attempts or event.outcome not in (
             Outcome.TIMED_OUT,
             Outcome.CANCELLED,
-            Outcome.MOOT,
+            Outcome.NOT_SENT,
         ):
             self.record_sign_of_life(engine)
 
@@ -190,12 +190,12 @@
 
     def record_health_check(self, engine: Engine, outcome: Outcome) -> list[Attempt]:
         """The attempts at a suspected engine that had better run elsewhere."""
-        if outcome is Outcome.DELIVERED:
+        if outcome is Outcome.SERVED:
             engine.reported = self._context.now
         if not engine.health_check_pending:  # it was only checked before a prefill
             return []
         engine.health_check_pending = False
-        if outcome not in (Outcome.DELIVERED, Outcome.FULL):
+        if outcome not in (Outcome.SERVED, Outcome.FULL):
             self.eject(engine)
             return list(engine.attempts)
         late = self._overdue(engine)
--- a/worksmux/policy/router.py
+++ b/worksmux/policy/router.py
@@ -220,10 +220,10 @@
             request.ended = True
             self.in_flight.release(request)
         if request.ended:
-            if outcome is not Outcome.DELIVERED:
+            if outcome is not Outcome.SERVED:
                 # Guards against KV cache held for a request that has its final answer.
                 self._do(ReleaseKvCache(request))
-        elif outcome is Outcome.READ and not self.retry.is_exhausted(request):
+        elif outcome is Outcome.PREFILLED and not self.retry.is_exhausted(request):
             self.kv_caches.hold(request, attempt.engine)
         elif (
             request.kv_holder
@@ -239,9 +239,9 @@
         """What an attempt's end tells of its engine and of the load."""
         attempt, outcome = event.attempt, event.outcome
         self.estimates.record_ended(event)
-        if outcome is Outcome.READ:
+        if outcome is Outcome.PREFILLED:
             self.outliers.record_success(attempt)
-        elif outcome is Outcome.DELIVERED:
+        elif outcome is Outcome.SERVED:
             self.window.grow(attempt.engine)
         elif outcome is Outcome.FULL:
             if not event.kv_cache_lost:  # which is no fault of the decode engine
--- a/worksmux/policy/state.py
+++ b/worksmux/policy/state.py
@@ -18,18 +18,18 @@
 class Outcome(Enum):
     """How a trip ended."""
 
-    DELIVERED = "delivered"
-    READ = "read"  # the prompt is read and its state waits; nothing has been answered
+    SERVED = "delivered"
+    PREFILLED = "read"  # the prompt is read and its state waits; nothing has been answered
     ERROR = "error"
     FULL = "full"
     TIMED_OUT = "timed out"
     UNREACHABLE = "unreachable"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_SENT = "moot"
 
 
-KNOWN_NOT_EXECUTED = frozenset({Outcome.READ, Outcome.FULL, Outcome.UNREACHABLE, Outcome.MOOT})
+KNOWN_NOT_EXECUTED = frozenset({Outcome.PREFILLED, Outcome.FULL, Outcome.UNREACHABLE, Outcome.NOT_SENT})
 
 
 @dataclass(eq=False, slots=True)
--- a/worksmux/simulation/engine.py
+++ b/worksmux/simulation/engine.py
@@ -297,7 +297,7 @@
         self.used -= call.memory - call.prompt
         self.states[call.request] = State(call.prompt, call.front)
         self.note(self.spec.id, "held", job=call.request, tokens=call.prompt, front=call.front)
-        self._end(call, "read", Outcome.READ, int(call.cached))
+        self._end(call, "read", Outcome.PREFILLED, int(call.cached))
         self.sim.after(self.spec.lease, self._lease, call.request)
         if call.ahead is not None:
             call.ahead.read_ahead(call.request, self)
@@ -357,7 +357,7 @@
             if end:
                 del self.answering[call]
                 self.used -= call.memory
-                self._end(call, "done", Outcome.DELIVERED, int(call.cached), made=call.answer)
+                self._end(call, "done", Outcome.SERVED, int(call.cached), made=call.answer)
                 freed = True
             else:
                 self.note(self.spec.id, "first", job=call.request, trip=call.key, front=call.front)
--- a/worksmux/simulation/front.py
+++ b/worksmux/simulation/front.py
@@ -334,11 +334,11 @@
             self.counts.unreachable += 1
             self.counts.stale_last = self.sim.now
         if attempt.is_prefill:
-            if outcome is Outcome.READ:
+            if outcome is Outcome.PREFILLED:
                 case.holder = self.engines.get(attempt.engine.id.decode())
-            if outcome not in (Outcome.FULL, Outcome.UNREACHABLE, Outcome.MOOT):
+            if outcome not in (Outcome.FULL, Outcome.UNREACHABLE, Outcome.NOT_SENT):
                 case.held[attempt.engine] = None
-        elif outcome is Outcome.DELIVERED:
+        elif outcome is Outcome.SERVED:
             self._answer(case, "delivered")
         elif attempt.first_token_at:
             self._answer(case, "broken off")
@@ -389,7 +389,7 @@
         case = self.cases.get(request)
         left = request.deadline - self.sim.now
         if case is None or case.over or request.streaming or left <= 0:
-            self.tell(AttemptEnded(attempt, Outcome.MOOT, 0.0, case is None or bool(case.over)))
+            self.tell(AttemptEnded(attempt, Outcome.NOT_SENT, 0.0, case is None or bool(case.over)))
             return
         self.counts.attempts += 1
         if case.place not in (None, attempt.engine) and not attempt.is_prefill:
@@ -445,7 +445,7 @@
                 self.tell(HealthCheckEnded(engine, outcome, self.sim.now - sent))
 
         def heard(answered: bool, _: ModelEngine) -> None:
-            end(Outcome.DELIVERED if answered else Outcome.UNREACHABLE)
+            end(Outcome.SERVED if answered else Outcome.UNREACHABLE)
 
         if target is None:
             self.sim.after(2 * self.hop, end, Outcome.UNREACHABLE)
