--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -131,7 +131,7 @@
                 answer = HealthCheckEnded(action.engine, Outcome.SERVED, 2.0, None)
                 self._after(2.0, self._tell, made, [answer])
             elif isinstance(action, SetTimer):
-                self._after(action.after, self._tell, made, [TimerFired(action.token)])
+                self._after(action.delay_ms, self._tell, made, [TimerFired(action.token)])
 
     def _done(self, made: Instance, attempt: Attempt) -> None:
         self.served += 1
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -403,7 +403,7 @@
     hint, mark = request(1), request(2, request_class=1)
     actions = front.decide(NOW, [RequestArrived(hint), RequestArrived(mark)])
     defers = [action for action in actions if isinstance(action, RejectRequest)]
-    assert [one.request for one in defers] == [hint] and 400.0 <= defers[0].stay_away <= 800.0
+    assert [one.request for one in defers] == [hint] and 400.0 <= defers[0].retry_after_ms <= 800.0
     assert hint.ended and not hint.attempts and mark.attempts
 
 
--- a/worksmux/endpoints/learned_state.py
+++ b/worksmux/endpoints/learned_state.py
@@ -178,12 +178,12 @@
         for name, until in marks.unwell.items():
             left = min(until - wall, HISTORY_MS - age)
             if left > 0 and name in at_of:
-                told.unwell.append((engine, at_of[name], left))
+                told.ejections.append((engine, at_of[name], left))
         for name, time in marks.good.items():
             if 0 <= wall - time < HISTORY_MS and at_of.get(name, ALL_REQUEST_CLASSES) != ALL_REQUEST_CLASSES:
-                told.good.append((engine, at_of[name], wall - time))
+                told.last_successes.append((engine, at_of[name], wall - time))
         if marks.narrowed > 0:
-            told.narrowed.append((engine, marks.narrowed * (1 - age / HISTORY_MS)))
+            told.window_reductions.append((engine, marks.narrowed * (1 - age / HISTORY_MS)))
     return told
 
 
--- a/worksmux/forwarding/request_lifecycle.py
+++ b/worksmux/forwarding/request_lifecycle.py
@@ -348,7 +348,7 @@
             raise LookupError(f"the module sends to an engine without an address: {attempt.engine.id!r}")
         if self.on_decision:
             self.on_decision(case.key, attempt.number)
-        time_out = min(action.time_out, left) if action.time_out else left
+        time_out = min(action.timeout_ms, left) if action.timeout_ms else left
         case.out[attempt] = self._carry(case, attempt, self.pools[attempt.engine], time_out)
         self.metrics.attempt("read" if attempt.is_prefill else "write")
 
--- a/worksmux/gateway/stage.py
+++ b/worksmux/gateway/stage.py
@@ -204,7 +204,7 @@
             self.core.pools[attempt.engine],
             attempt,
             self,
-            min(action.time_out, left) if action.time_out else left,
+            min(action.timeout_ms, left) if action.timeout_ms else left,
             transport.stream_silence,
             transport.reply,
             errand=work.errand,
--- a/worksmux/policy/actions.py
+++ b/worksmux/policy/actions.py
@@ -1,4 +1,4 @@
-"""What the policy asks for.  Times are milliseconds."""
+"""Actions that the policy asks for."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 @dataclass(slots=True)
 class StartAttempt:
     attempt: Attempt
-    time_out: float = 0.0  # 0: until the client leaves
+    timeout_ms: float = 0.0  # 0: until the deadline
 
 
 @dataclass(slots=True)
 class RejectRequest:
     request: Request
-    stay_away: float = 0.0
+    retry_after_ms: float = 0.0  # 0: not told
     reason: EndReason = EndReason.UNSPECIFIED
 
 
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    after: float
+    delay_ms: float
     token: int
 
 
--- a/worksmux/policy/admission.py
+++ b/worksmux/policy/admission.py
@@ -45,7 +45,7 @@
         shares = plan.shed.get(first.zone) if first else None
         if shares is None or straw(key, mix(request.request_class, 3)) >= shares[request.request_class]:
             return None
-        retry_after_ms = plan.stay_away if self._context.settings.max_retry_after_ms else 0.0
+        retry_after_ms = plan.retry_after_ms if self._context.settings.max_retry_after_ms else 0.0
         return RejectRequest(
             request,
             retry_after_ms * (1 + self._context.random_source.share()),
--- a/worksmux/policy/decode_window.py
+++ b/worksmux/policy/decode_window.py
@@ -97,5 +97,5 @@
 
     @staticmethod
     def restore(event: StateRestored) -> None:
-        for engine, requests in event.narrowed:
+        for engine, requests in event.window_reductions:
             engine.window_reduction = requests
--- a/worksmux/policy/endpoint_index.py
+++ b/worksmux/policy/endpoint_index.py
@@ -115,9 +115,9 @@
         known: list[Engine], listed: list[Engine], plan: FailoverPlan | None
     ) -> tuple[list[Engine], dict[Engine, None]]:
         """Those that take part, and those of zones that the plan moves: where jobs belong stays known."""
-        if plan is None or not plan.rows:
+        if plan is None or not plan.zone_shares:
             return listed, {}
-        rows = {zone: dict(row) for zone, row in plan.rows.items()}
+        rows = {zone: dict(row) for zone, row in plan.zone_shares.items()}
         ready = [one for one in listed if one.zone in rows.get(one.zone, {one.zone: 1})] or listed
         able = set(ready)
         missed = {
--- a/worksmux/policy/events.py
+++ b/worksmux/policy/events.py
@@ -1,4 +1,4 @@
-"""What the policy is told: the endpoint list, requests, and what became of attempts.  Times: milliseconds."""
+"""Events for the policy: endpoint lists, requests and how attempts ended.  Times are milliseconds."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class EndpointEntry:
-    """A line of the list of engines."""
+    """One engine of an endpoint list."""
 
     engine: Engine
     state: str
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class EndpointListUpdate:
-    scope: str  # delta, full, cached or failed
+    scope: str  # "delta", "full", "cached" or "failed"
     entries: list[EndpointEntry]
 
 
@@ -44,8 +44,8 @@
     attempt: Attempt
     outcome: Outcome
     elapsed: float
-    closed: bool
-    note: int = 0
+    closed: bool  # the client has its final answer
+    note: int = 0  # of a prefill: tokens found cached; of "full": KV_CACHE_LOST
     report: dict[str, float] | None = None
 
     @property
@@ -81,25 +81,25 @@
 
 @dataclass(slots=True)
 class StateRestored:
-    """What this front saw before it was restarted, weighed by age by who tells it."""
+    """What this node learned before it was restarted, already weighed by age."""
 
-    seen: list[tuple[float, float]]  # sum, count: first tokens' waits, reading a token, fates
-    unwell: list[tuple[Engine, int, float]]  # offering, milliseconds left
-    good: list[tuple[Engine, int, float]]  # offering, milliseconds ago
-    narrowed: list[tuple[Engine, float]]
+    window_totals: list[tuple[float, float]]  # sum, count: first-token waits, prefill per token, failures
+    ejections: list[tuple[Engine, int, float]]  # request class, milliseconds left
+    last_successes: list[tuple[Engine, int, float]]  # request class, milliseconds ago
+    window_reductions: list[tuple[Engine, float]]  # requests
 
 
 @dataclass(slots=True)
 class FailoverPlan:
-    """What the fronts have decided in common.  `rows`: by zone that is not to read all its own jobs, which
-    zones do, and what part each; a zone that is not in its own row reads nothing that others can.  `shed`:
-    by the zone where they belong and by offering, the part of new jobs that is deferred at once, to come back
-    after `stay_away` to twice it.  `near`: jobs go to no zone but the one that reads them."""
-
-    rows: dict[int, list[tuple[int, float]]]
-    shed: dict[int, list[float]]
-    stay_away: float
-    near: bool = False
+    """Where the requests of which zone run, as all nodes have agreed.
+
+    A zone that is not in its own row of `zone_shares` prefills nothing that others can.
+    """
+
+    zone_shares: dict[int, list[tuple[int, float]]]  # by home zone: the zones that prefill, and their shares
+    shed: dict[int, list[float]]  # by home zone: the share of new requests to reject, by request class
+    retry_after_ms: float  # for those; up to twice that is told
+    keep_near: bool = False  # no request leaves the zone that prefills it
 
 
 Event = (
--- a/worksmux/policy/load_estimates.py
+++ b/worksmux/policy/load_estimates.py
@@ -128,6 +128,6 @@
 
     def restore(self, event: StateRestored) -> None:
         windows = (self.first_token_waits, self.prefill_per_token, *self.failures)
-        for window, (total, count) in zip(windows, event.seen, strict=True):
+        for window, (total, count) in zip(windows, event.window_totals, strict=True):
             if count:
                 window.add(self._context.now, total, count)
--- a/worksmux/policy/outlier_detection.py
+++ b/worksmux/policy/outlier_detection.py
@@ -226,8 +226,8 @@
 
     def restore(self, event: StateRestored) -> None:
         now = self._context.now
-        for engine, request_class, left in event.unwell:
+        for engine, request_class, left in event.ejections:
             engine.ejected_until[request_class] = now + left
-        for engine, request_class, ago in sorted(event.good, key=lambda entry: -entry[2]):
+        for engine, request_class, ago in sorted(event.last_successes, key=lambda entry: -entry[2]):
             engine.last_success[request_class] = now - ago
             self.known_good[request_class][engine] = None
--- a/worksmux/policy/prefill_order.py
+++ b/worksmux/policy/prefill_order.py
@@ -140,13 +140,13 @@
         """
         home = zone = order[0].zone
         draw = straw(key, mix(home, 2))
-        for other, share in plan.rows.get(home, []):
+        for other, share in plan.zone_shares.get(home, []):
             zone, draw = other, draw - share
             if draw < 0:
                 break
         missed = self._context.index.missed
         able = [engine for engine in order if engine not in missed]
         in_zone = [engine for engine in able if engine.zone == zone]
-        if in_zone and plan.near:
+        if in_zone and plan.keep_near:
             return in_zone, zone != home
         return sorted(able, key=lambda engine: engine.zone != zone), zone != home
--- a/worksmux/policy/state.py
+++ b/worksmux/policy/state.py
@@ -12,16 +12,16 @@
 from .measure import Ring
 
 ALL_REQUEST_CLASSES = -1  # as a key of `ejected_until`: the engine is ejected for every class
-EMPTY_WINDOW = Ring(1.0, 1)  # stands for a ring that the module has yet to make
+EMPTY_WINDOW = Ring(1.0, 1)  # until the engine enters the endpoint table
 
 
 class Outcome(Enum):
-    """How a trip ended."""
+    """How an attempt ended."""
 
     SERVED = "delivered"
-    PREFILLED = "read"  # the prompt is read and its state waits; nothing has been answered
+    PREFILLED = "read"  # the KV cache waits at the engine; nothing has been answered
     ERROR = "error"
-    FULL = "full"
+    FULL = "full"  # the engine rejected it
     TIMED_OUT = "timed out"
     UNREACHABLE = "unreachable"
     RESET = "reset"
@@ -34,7 +34,7 @@
 
 @dataclass(eq=False, slots=True)
 class Engine:
-    """A machine that reads, writes or does both, and what this front has seen of it."""
+    """An engine that prefills, decodes or does both, and what this node has seen of it."""
 
     id: bytes
     key: int  # a number for hashing
@@ -44,58 +44,58 @@
     size: float = 1.0
     state: str = "gone"  # ready, draining or gone
     started: float = 0.0  # 0: long ago
-    gone_since: float = 0.0  # when it was told gone
-    role: str = ""  # read, write or both
-    attempts: dict[Attempt, None] = field(default_factory=dict)  # out at this engine
-    reserved: dict[Request, None] = field(default_factory=dict)  # being read for this writer
-    window_reduction: float = 0.0  # by how many jobs its window is under the even share and margin
-    skipped_until: float = 0.0  # answered full lately
-    last_turn: float = 0.0  # when it last had its turn
-    key_hash: int = 0  # the key, hashed
-    role_share: float = 0.0  # of its role's size
-    weight: float = 1.0  # among those that read
-    credit: float = 0.0  # while it is cold: jobs that it may be sent, as a writer or mixed
-    silent_since: float = 0.0  # the first send since its last sign of life; 0: none is awaited
-    ejected_until: dict[int, float] = field(default_factory=dict)  # by offering: set aside until then
-    last_success: dict[int, float] = field(default_factory=dict)  # by offering: when it last served one
-    health_check_pending: bool = False  # silent, and a probe is out
-    failures: Ring = EMPTY_WINDOW  # made by the module
+    gone_since: float = 0.0
+    role: str = ""  # ROLE_PREFILL, ROLE_DECODE or ROLE_COMBINED
+    attempts: dict[Attempt, None] = field(default_factory=dict)  # in flight here
+    reserved: dict[Request, None] = field(default_factory=dict)  # in prefill, to be decoded here
+    window_reduction: float = 0.0  # requests taken off the window since the engine answered "full"
+    skipped_until: float = 0.0  # after it answered "full"
+    last_turn: float = 0.0  # number of its last turn in the round-robin
+    key_hash: int = 0
+    role_share: float = 0.0  # of the size of all engines of its role
+    weight: float = 1.0  # in the rendezvous hash
+    credit: float = 0.0  # in slow start: requests that it may be sent, unless it only prefills
+    silent_since: float = 0.0  # first send since the last sign of life; 0: no answer is awaited
+    ejected_until: dict[int, float] = field(default_factory=dict)  # by request class
+    last_success: dict[int, float] = field(default_factory=dict)  # by request class
+    health_check_pending: bool = False  # suspected
+    failures: Ring = EMPTY_WINDOW
     first_token_delays: Ring = EMPTY_WINDOW
-    report: dict[str, float] = field(default_factory=dict)
-    reported: float = 0.0
+    report: dict[str, float] = field(default_factory=dict)  # of its load
+    reported: float = 0.0  # when it last answered a health check
 
     @property
     def unanswered(self) -> list[Attempt]:
-        """Trips out here that have brought no first token, the first sent first."""
+        """Attempts in flight here without a first token, the first sent first."""
         return [attempt for attempt in self.attempts if not attempt.first_token_at]
 
 
 @dataclass(eq=False, slots=True)
 class Request:
-    """One client's question, to be given exactly one final answer."""
+    """A client's request, to be given exactly one final answer."""
 
     id: int
     request_class: int
     session: int
-    prefix: int  # the beginning it shares with other sessions; 0: none
-    prompt: float
+    prefix: int  # that it shares with other sessions; 0: none
+    prompt: float  # tokens
     prefix_tokens: float
-    max_answer: float
+    max_answer: float  # tokens
     arrived: float
-    deadline: float  # when this try's client leaves
+    deadline: float  # when this try's client disconnects
     hint: float = 0.0  # a guess at the answer's tokens; 0: none
-    party: int = 0
-    repeat: bool = False
+    party: int = 0  # tenant
+    repeat: bool = False  # a client's retry
     resumed: bool = False
-    latency_target_at: float = 0.0  # set by the module
+    latency_target_at: float = 0.0  # set by the router, as are all that follow
     attempts: list[Attempt] = field(default_factory=list)
-    decode_engine: Engine | None = None  # the writer it is paired with
-    kv_holder: Engine | None = None  # the reader that holds its state
+    decode_engine: Engine | None = None  # where a slot is reserved
+    kv_holder: Engine | None = None  # the prefill engine that holds its KV cache
     kv_held_since: float = 0.0
-    random_draw: float = 0.0  # its draw by chance
-    checked_engines: dict[Engine, float] = field(default_factory=dict)  # probed before its read, and when
+    random_draw: float = 0.0  # from 0 to 1, the same for all decisions on the request
+    checked_engines: dict[Engine, float] = field(default_factory=dict)  # before its prefill, and when
     ended: bool = False
-    streaming: bool = False
+    streaming: bool = False  # its first token has come
 
     @property
     def in_flight(self) -> list[Attempt]:
@@ -103,7 +103,7 @@
 
     @property
     def possibly_executed(self) -> list[Attempt]:
-        """Trips whose outcome does not prove that they had no effect; reading has none."""
+        """Attempts whose outcome does not prove that they had no side effect; a prefill has none."""
         return [
             attempt
             for attempt in self.attempts
@@ -113,14 +113,14 @@
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """One attempt at one engine."""
+    """One attempt of a request at one engine."""
 
     request: Request
     engine: Engine
     number: int
     sent_at: float
-    is_prefill: bool = False  # a trip to a reader: it has no effect, however it ends
+    is_prefill: bool = False  # it has no side effect, however it ends
     outcome: Outcome | None = None
-    first_token_at: float = 0.0
+    first_token_at: float = 0.0  # 0: none yet
     cancel_requested: bool = False
-    prefill_tokens: float = 0.0
+    prefill_tokens: float = 0.0  # 0 where the KV cache is transferred
--- a/worksmux/simulation/front.py
+++ b/worksmux/simulation/front.py
@@ -427,7 +427,7 @@
             return
         case.out[attempt] = call, engine
         self.sim.after(self.hop, engine.got, call)
-        time_out = min(action.time_out, left) if action.time_out else left
+        time_out = min(action.timeout_ms, left) if action.timeout_ms else left
         self.sim.after(time_out, self._late, attempt)
 
     def _late(self, attempt: Attempt) -> None:
