--- a/tests/test_engine_index.py
+++ b/tests/test_engine_index.py
@@ -8,10 +8,10 @@
 import pytest
 from helpers import NOW, settings
 
-from worksmux.policy.endpoint_index import MOST_LOOKS, RoundRobin
 from worksmux.policy.measure import mix
-from worksmux.policy.rendezvous import BUCKET, RankedEngines, rank
-from worksmux.policy.slow_start import PRUDENCE, SlowStart
+from worksmux.policy.rendezvous import LEAF_ENGINES, RankedEngines, rank
+from worksmux.policy.round_robin import MAX_TURN_LOOKS, RoundRobin
+from worksmux.policy.slow_start import BUDGET_SHARE, SlowStart
 from worksmux.policy.state import Engine
 
 KEYS = [mix(number, 9) for number in range(4000)]
@@ -26,7 +26,7 @@
 
 
 def test_one_bucket_is_ranked_as_a_whole() -> None:
-    few = engines(BUCKET, heavy=20)
+    few = engines(LEAF_ENGINES, heavy=20)
     ranked = RankedEngines(few)
     for key in KEYS[:50]:
         assert list(ranked.ranked(key)) == rank(key, few)
@@ -62,7 +62,7 @@
 
 
 def test_search_in_turn_goes_on_where_a_vain_one_stopped() -> None:
-    many = engines(4 * MOST_LOOKS)
+    many = engines(4 * MAX_TURN_LOOKS)
     for at, engine in enumerate(many):
         engine.last_turn = float(at)
     circle, last, looks = RoundRobin(many), many[-1], 0
@@ -78,7 +78,7 @@
 
 
 def test_search_in_turn_begins_anew_a_while_after_a_vain_one() -> None:
-    many = engines(2 * MOST_LOOKS)
+    many = engines(2 * MAX_TURN_LOOKS)
     for at, engine in enumerate(many):
         engine.last_turn = float(at)
     circle = RoundRobin(many)
@@ -91,7 +91,7 @@
     for at, engine in enumerate(many):
         engine.last_turn = float(at)
     circle = RoundRobin(many)
-    circle.had_turn(many[0])
+    circle.record_turn(many[0])
     assert [circle.first(NOW, lambda engine, tried=one: engine is not tried) for one in many] == [
         many[1],
         many[2],
@@ -101,14 +101,14 @@
 
 def test_credit_reckoned_when_asked_for_is_what_was_earned_one_by_one() -> None:
     rules = settings()
-    budget = rules.slow_start_share * rules.overload_multiple * PRUDENCE
+    budget = rules.slow_start_share * rules.overload_multiple * BUDGET_SHARE
     slow, cold = SlowStart(rules), engines(40)
     plain = {}
     for at, engine in enumerate(cold):
         engine.role_share = (1 + at % 4) / 100
         slow.begin(engine, at / 40)
         plain[engine] = at / 40
-    slow.cold_are(cold)
+    slow.set_cold(cold)
     random = Random(5)
     for _ in range(600):
         part = random.choice([0.25, 0.5, 1.0])
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -218,9 +218,9 @@
     def decide(self, now: float, events: list[Event]) -> list[Action]:
         actions = super().decide(now, events)
         for action in list(actions):
-            if isinstance(action, RejectRequest) and self.index.hosts:
+            if isinstance(action, RejectRequest) and self.index.prefill_capable:
                 attempt = Attempt(
-                    action.request, self.index.hosts[0], len(action.request.attempts), now, True
+                    action.request, self.index.prefill_capable[0], len(action.request.attempts), now, True
                 )
                 action.request.attempts.append(attempt)
                 actions.append(StartAttempt(attempt))
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -526,7 +526,7 @@
     rig.start()
     door = rig.node.core.door
     rig.until(lambda: door.module.engines)
-    assert [engine.id.decode() for engine in door.module.index.cold] == [young.name] != [old.name]
+    assert [engine.id.decode() for engine in door.module.index.cold_engines] == [young.name] != [old.name]
 
 
 def test_stop_closes_the_idle_answers_the_open_and_ends() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -16,7 +16,7 @@
     RequestArrived,
     TimerFired,
 )
-from worksmux.policy.slow_start import PRUDENCE
+from worksmux.policy.slow_start import BUDGET_SHARE
 from worksmux.policy.state import Attempt, Outcome
 
 PAIR = ((0, 0, 0), (1, 0, 0))
@@ -246,7 +246,7 @@
     one.repeat = repeat
     front.decide(NOW + 1, [RequestArrived(one)])
     rules = front.settings
-    earned = rules.slow_start_share * rules.overload_multiple * PRUDENCE * share * engines[2].role_share
+    earned = rules.slow_start_share * rules.overload_multiple * BUDGET_SHARE * share * engines[2].role_share
     assert front.slow_start.credit(engines[2]) == pytest.approx(before + earned)
 
 
@@ -268,7 +268,7 @@
     # Guards against budgets that hundreds of fronts hold and never spend: each waited for a job that the hash
     # sends to the very engine that had earned it, while the few warm readers were sent all.
     front, (_, warm, *cold) = cold_readers()
-    front.slow_start.read_credit = 0.0
+    front.slow_start.prefill_credit = 0.0
     sent = []
     for number in range(1, 41):
         one = request(number, now=NOW + 100 * number)
@@ -283,7 +283,7 @@
 
 
 def test_fronts_without_history_do_not_all_send_to_cold_readers():
-    credits = [cold_readers(seed)[0].slow_start.read_credit for seed in range(8)]
+    credits = [cold_readers(seed)[0].slow_start.prefill_credit for seed in range(8)]
     assert max(credits) < 1 and max(credits) - min(credits) > 0.3
 
 
@@ -300,7 +300,7 @@
 
 def test_readers_of_a_cell_with_few_writers_are_read_at_less_and_send_some_away():
     front, (lean, _, rich, other, _) = fleet((0, 0, 0), (0, 0, 0), (1, 0, 0), (1, 0, 1), (1, 0, 1))
-    assert front.index.keeps[0] < 0.5
+    assert front.index.local_decode_share[0] < 0.5
     far, near = request(1), request(2)
     far.random_draw, near.random_draw = 0.9, 0.1
     assert (
@@ -422,9 +422,8 @@
         front.context.now, front.probing.enabled = NOW, fronts == 200
         front.estimates.best_prefill_per_token = front.estimates.uncached_prefill_per_token.least(NOW)
         assert front.admission.latency_target_unreachable(one) is refused
-        one.checked_engines[front.index.readers[0]] = (
-            NOW - 400.0
-        )  # it was asked, and nobody answered: there are lines
+        checked = front.index.prefill_engines[0]
+        one.checked_engines[checked] = NOW - 400.0  # it has not answered: there are queues
         assert front.admission.latency_target_unreachable(one)
 
 
@@ -458,14 +457,14 @@
                 )
             ],
         )
-        front.slow_start.read_credit = 1.0
+        front.slow_start.prefill_credit = 1.0
         for engine in engines:
             engine.credit = 1.0
         front._send(request(1), engines[0], prefill=True)
         late = request(2, now=NOW + 900.0)
         late.prompt, late.session = 900.0, 2
         front.decide(NOW + 900.0, [])
-        front.slow_start.read_credit = 1.0
+        front.slow_start.prefill_credit = 1.0
         actions = front.decide(NOW + 900.0, [RequestArrived(late)])
         late.random_draw = 0.5
         assert kinds(actions) == answer
@@ -663,7 +662,7 @@
 def test_request_that_waits_for_an_answer_keeps_no_other_waiting():
     front, one, (reader,) = asking()
     other = request(2, session=77)
-    for known in front.index.readers:
+    for known in front.index.prefill_engines:
         if known is not reader:
             known.reported = NOW + 1
     front.decide(NOW + 1, [RequestArrived(other)])
--- a/worksmux/policy/decode_selection.py
+++ b/worksmux/policy/decode_selection.py
@@ -4,10 +4,10 @@
 
 from .context import PolicyContext
 from .decode_window import DecodeWindow
-from .endpoint_index import ANYWHERE, RoundRobin, Scope
 from .load_estimates import LoadEstimates
 from .outlier_detection import OutlierDetection
 from .retry import RetryPolicy
+from .round_robin import ANYWHERE, RoundRobin, Scope
 from .slow_start import SlowStart
 from .state import Engine, Request
 
@@ -43,7 +43,7 @@
             return None
         searched = {} if searched is None else searched
         for known_good in (True, False) if self._estimates.is_failing(request.request_class) else (False,):
-            for engines in self._context.index.rounds(request.random_draw, near, scope):
+            for engines in self._context.index.decode_groups(request.random_draw, near, scope):
                 if (engines, known_good) not in searched:
                     searched[engines, known_good] = self._next(engines, request, scope, known_good)
                 if found := searched[engines, known_good]:
@@ -67,5 +67,5 @@
         """The engine comes last from now on, and its slow-start credit is spent."""
         self._turns += 1
         engine.last_turn = self._turns
-        self._context.index.had_turn(engine)
+        self._context.index.record_turn(engine)
         self._slow_start.spend(engine)
--- a/worksmux/policy/decode_window.py
+++ b/worksmux/policy/decode_window.py
@@ -59,7 +59,7 @@
     def size(self, engine: Engine, random_draw: float = 0.0) -> float:
         """Requests that may be in flight at the engine, at least 1."""
         total = max(self._in_flight.decode_requests, self._in_flight_history.mean(self._context.now))
-        share = total / max(1, len(self._context.index.answering))
+        share = total / max(1, len(self._context.index.decode_capable))
         burst = float(share**0.5)
         return max(1.0, share * (1 + WINDOW_MARGIN) + burst - engine.window_reduction + random_draw)
 
--- a/worksmux/policy/endpoint_index.py
+++ b/worksmux/policy/endpoint_index.py
@@ -1,109 +1,60 @@
-"""The engines of one list, arranged for the decisions on where requests go: made once for each list.
+"""The engines of one endpoint list, arranged for the decisions on where requests go.
 
 A placement finds here what it looks at without a look at all engines: decode engines by cell and zone in the
-order of their turns, prefill engines ranked by hash, ranks kept for the keys seen last.  A search is bounded,
-and one in vain goes on at the next try where it stopped: the cost of a request does not grow with the fleet.
+order of their turns, and prefill engines ranked by hash.  The index is made once for each list.
 """
 
 from __future__ import annotations
 
 from bisect import bisect_right
 from collections import Counter, OrderedDict, defaultdict
-from collections.abc import Callable, Iterable, Iterator
-from itertools import islice
-from operator import attrgetter
-from typing import NamedTuple
+from collections.abc import Iterable, Iterator
 
 from .events import FailoverPlan
 from .measure import mix
+from .prefill_weights import weigh
 from .rendezvous import RankedEngines, Ranking
-from .settings import PolicySettings
+from .round_robin import ANYWHERE, RoundRobin, Scope
+from .settings import ROLE_COMBINED, ROLE_DECODE, ROLE_PREFILL, PolicySettings
 from .state import Engine, Request
 
-LEAN = 6.0  # times the price of moving state: what prefill engines take beyond their even share
-MOST_LOOKS = 128  # at decode engines of one circle in one search
-HEAD_LOOKS = 128  # at prefill engines in one search, those that the hash puts first
-FURTHER_LOOKS = 64  # at those behind them, going on where the last search stopped
-FORGOTTEN = 1_000.0  # milliseconds after a vain search: the next one begins with the first engine again
-KEPT_RANKINGS = 128  # of the keys seen last
-
-
-class Scope(NamedTuple):
-    """Where a further attempt may go: anywhere, in one zone, or in one cell of it."""
-
-    zone: int | None = None
-    cell: int | None = None
-
-    def has(self, engine: Engine) -> bool:
-        return (self.zone is None or engine.zone == self.zone) and (
-            self.cell is None or engine.cell == self.cell
-        )
-
-
-ANYWHERE = Scope()
-
-
-class RoundRobin:
-    """Engines in the order of their turns."""
-
-    def __init__(self, engines: Iterable[Engine]) -> None:
-        self._order = OrderedDict.fromkeys(sorted(engines, key=attrgetter("last_turn")))
-        self._start = 0  # where the next search begins, after vain ones
-        self._vain_at = 0.0
-
-    def __contains__(self, engine: Engine) -> bool:
-        return engine in self._order
-
-    def had_turn(self, engine: Engine) -> None:
-        """It comes last from now on."""
-        if engine in self._order:
-            self._order.move_to_end(engine)
-
-    def first(self, now: float, fits: Callable[[Engine], bool]) -> Engine | None:
-        """The first that fits, of MOST_LOOKS at most; `now` is milliseconds."""
-        if now - self._vain_at > FORGOTTEN:
-            self._start = 0
-        for engine in islice(self._order, self._start, self._start + MOST_LOOKS):
-            if fits(engine):
-                return engine
-        self._vain_at = now
-        self._start += MOST_LOOKS
-        if self._start >= len(self._order):
-            self._start = 0
-        return None
+MAX_RANKINGS = 128  # kept, of the keys seen last
 
 
 class EngineIndex:
-    """Who runs prefills and who answers, and what part of the work each is due."""
+    """Which engines prefill and decode, and what share of the work each is due."""
 
     def __init__(
         self, engines: Iterable[Engine], plan: FailoverPlan | None, settings: PolicySettings, now: float
     ) -> None:
         """`now`, milliseconds, decides which engines are cold."""
-        self.settings = settings
         known = list(engines)
         listed = [engine for engine in known if engine.state == "ready"]
         self.ready_by_role = Counter(engine.role for engine in listed)
-        ready, self.missed = self._by_plan(known, listed, plan)
-        roles: dict[str, list[Engine]] = defaultdict(list)
+        ready, self.excluded_by_plan = self._by_plan(known, listed, plan)
+        by_role: dict[str, list[Engine]] = defaultdict(list)
         for engine in ready:
-            roles[engine.role].append(engine)
-        self.readers, self.writers, self.mixed = roles["read"], roles["write"], roles["both"]
-        self.hosts, self.answering = self.readers + self.mixed, self.writers + self.mixed
-        self.prefill_engines, self.host_set = frozenset(self.readers), frozenset(self.hosts)
-        warm_up = settings.slow_start_ms
-        self.cold = {
-            engine: None for engine in ready if 0 < engine.started and now < engine.started + warm_up
+            by_role[engine.role].append(engine)
+        self.prefill_engines = by_role[ROLE_PREFILL]
+        self.decode_engines = by_role[ROLE_DECODE]
+        self.combined_engines = by_role[ROLE_COMBINED]
+        self.prefill_capable = self.prefill_engines + self.combined_engines
+        self.decode_capable = self.decode_engines + self.combined_engines
+        self.prefill_engine_set = frozenset(self.prefill_engines)
+        self.prefill_capable_set = frozenset(self.prefill_capable)
+        self._slow_start_ms = settings.slow_start_ms
+        self.cold_engines = {
+            engine: None for engine in ready if engine.started > 0 and now < self._warm_at(engine)
         }
-        self._readers_warm_at = sorted(
-            engine.started + warm_up if engine.started > 0 else 0.0 for engine in self.readers
-        )
-        self._first_writer_warm_at = min(
-            (engine.started + warm_up if engine.started > 0 else 0.0 for engine in self.writers),
-            default=0.0,
+        self._prefill_engines_warm_at = sorted(map(self._warm_at, self.prefill_engines))
+        self._first_decode_engine_warm_at = min(map(self._warm_at, self.decode_engines), default=0.0)
+        self.local_decode_share = weigh(
+            self.prefill_engines, self.decode_engines, self.combined_engines, settings.migration_price
         )
-        self._weigh()
-        # What follows is made when it is first asked for: lists come faster than requests, at times.
+        self._decode_engines_by_cell: dict[int, list[Engine]] = defaultdict(list)
+        for engine in self.decode_engines:
+            self._decode_engines_by_cell[engine.cell].append(engine)
+        # What follows is made when it is first needed, as lists can come faster than requests.
         self._by_hash: RankedEngines | None = None
         self._rankings: OrderedDict[int, Ranking] = OrderedDict()
         self._in_cell: dict[int, RoundRobin] = {}
@@ -114,78 +65,67 @@
     def _by_plan(
         known: list[Engine], listed: list[Engine], plan: FailoverPlan | None
     ) -> tuple[list[Engine], dict[Engine, None]]:
-        """Those that take part, and those of zones that the plan moves: where jobs belong stays known."""
+        """The engines that take part, and those that the plan excludes: a request's home stays known."""
         if plan is None or not plan.zone_shares:
             return listed, {}
         rows = {zone: dict(row) for zone, row in plan.zone_shares.items()}
-        ready = [one for one in listed if one.zone in rows.get(one.zone, {one.zone: 1})] or listed
-        able = set(ready)
-        missed = {
+        ready = [engine for engine in listed if engine.zone in rows.get(engine.zone, {engine.zone: 1})]
+        ready = ready or listed
+        taking_part = set(ready)
+        excluded = {
             engine: None
             for engine in known
-            if engine.zone in rows and engine not in able and engine.role != "write" and engine.weight
+            if engine.zone in rows
+            and engine not in taking_part
+            and engine.role != ROLE_DECODE
+            and engine.weight
         }
-        return ready, missed
-
-    def _weigh(self) -> None:
-        """Prefill engines weigh as much as their cell's decode engines can answer: where racks hold the two
-        unevenly, a plain hash would push a rack's few decode engines over, and a front that seldom meets them
-        sees no window fill."""
-        reads: dict[int, float] = defaultdict(float)
-        answers: dict[int, float] = defaultdict(float)
-        for engines, parts in (
-            (self.readers, reads),
-            (self.writers, answers),
-            (self.mixed, defaultdict(float)),
-        ):
-            whole = sum(engine.size for engine in engines)
-            for engine in engines:
-                engine.role_share = engine.size / whole
-                parts[engine.cell] += engine.role_share
-        lean = 1 + LEAN * self.settings.migration_price
-        flow = {cell: min(answers[cell], lean * part) for cell, part in reads.items()}
-        room = sum(lean * part - flow[cell] for cell, part in reads.items())
-        unread = 1 - sum(flow.values())
-        self._writers_by_cell: dict[int, list[Engine]] = defaultdict(list)
-        for engine in self.writers:
-            self._writers_by_cell[engine.cell].append(engine)
-        self.keeps: dict[int, float] = {}  # the part of a cell's reads that its own writers are due
-        for cell, part in reads.items():
-            flow[cell] += unread * (lean * part - flow[cell]) / (room or 1.0) + 1e-6
-            self.keeps[cell] = min(1.0, answers[cell] / flow[cell])
-        writers = max(1, len(self.writers))
-        for engine in self.readers:
-            engine.weight = engine.role_share * flow[engine.cell] / reads[engine.cell] * writers
-        for engine in self.mixed:  # each takes as many jobs as a writer answers
-            engine.weight = engine.role_share * len(self.mixed)
+        return ready, excluded
+
+    # Slow start.
+
+    def _warm_at(self, engine: Engine) -> float:
+        return engine.started + self._slow_start_ms if engine.started > 0 else 0.0
+
+    def most_prefill_engines_cold(self, now: float) -> bool:
+        """Whether more than half of the prefill engines are cold."""
+        warm = bisect_right(self._prefill_engines_warm_at, now)
+        cold = len(self._prefill_engines_warm_at) - warm
+        return 2 * cold > len(self.prefill_engines)
+
+    def all_decode_engines_cold(self, now: float) -> bool:
+        return not self.decode_engines or now < self._first_decode_engine_warm_at
+
+    # Decode engines.
 
     def _cell(self, cell: int) -> RoundRobin:
         if cell not in self._in_cell:
-            self._in_cell[cell] = RoundRobin(self._writers_by_cell.get(cell, ()))
+            self._in_cell[cell] = RoundRobin(self._decode_engines_by_cell.get(cell, ()))
         return self._in_cell[cell]
 
     def _zone(self, zone: int) -> RoundRobin:
         if zone not in self._in_zone:
-            self._in_zone[zone] = RoundRobin(engine for engine in self.writers if engine.zone == zone)
+            in_zone = (engine for engine in self.decode_engines if engine.zone == zone)
+            self._in_zone[zone] = RoundRobin(in_zone)
         return self._in_zone[zone]
 
     def _all(self) -> RoundRobin:
         if self._everywhere is None:
-            self._everywhere = RoundRobin(self.writers)
+            self._everywhere = RoundRobin(self.decode_engines)
         return self._everywhere
 
-    def had_turn(self, engine: Engine) -> None:
+    def record_turn(self, engine: Engine) -> None:
         """A decode engine was chosen."""
-        self._cell(engine.cell).had_turn(engine)
-        self._zone(engine.zone).had_turn(engine)
-        self._all().had_turn(engine)
+        self._cell(engine.cell).record_turn(engine)
+        self._zone(engine.zone).record_turn(engine)
+        self._all().record_turn(engine)
 
-    def rounds(self, luck: float, near: Engine | None, scope: Scope) -> Iterator[RoundRobin]:
-        """Decode engines, nearest first: the prefill engine's cell up to what its decode engines are due, its
-        zone, the rest, as far as the scope allows."""
+    def decode_groups(self, random_draw: float, near: Engine | None, scope: Scope) -> Iterator[RoundRobin]:
+        """Decode engines, nearest first, as far as the scope allows: the cell of the prefill engine, up to
+        what its decode engines are due, its zone, the rest."""
         if near:
-            # Guards against a cell whose prefill engines have all gone, while state still lies there.
-            if luck < self.keeps.get(near.cell, 1.0):
+            # A cell without a share is one whose prefill engines have all gone, while KV cache lies there.
+            if random_draw < self.local_decode_share.get(near.cell, 1.0):
                 yield self._cell(near.cell)
             yield self._zone(near.zone)
         if scope.cell is not None:
@@ -195,29 +135,23 @@
         else:
             yield self._all()
 
-    def any_in(self, group: list[Engine], scope: Scope) -> bool:
-        """Whether one of `hosts` or of `answering` lies in the scope."""
+    @staticmethod
+    def any_in(group: list[Engine], scope: Scope) -> bool:
+        """Whether an engine of the group lies in the scope."""
         if scope is ANYWHERE:
             return bool(group)
         return any(scope.has(engine) for engine in group)
 
-    def mostly_cold_readers(self, now: float) -> bool:
-        """Whether more than half of the prefill engines are cold."""
-        cold = len(self._readers_warm_at) - bisect_right(self._readers_warm_at, now)
-        return 2 * cold > len(self.readers)
-
-    def all_writers_cold(self, now: float) -> bool:
-        return not self.writers or now < self._first_writer_warm_at
+    # Prefill engines.
 
     def ranked(self, key: int) -> Ranking:
-        """Those that may run a prefill, and those of zones that the plan moves, by weighted rendezvous
-        hashing; kept for the keys seen last."""
+        """Engines that may prefill, and those that the plan excludes, by weighted rendezvous hashing."""
         if self._by_hash is None:
-            self._by_hash = RankedEngines([*self.hosts, *self.missed])
+            self._by_hash = RankedEngines([*self.prefill_capable, *self.excluded_by_plan])
         found = self._rankings.get(key)
         if found is None:
             found = self._rankings[key] = self._by_hash.ranked(key)
-            if len(self._rankings) > KEPT_RANKINGS:
+            if len(self._rankings) > MAX_RANKINGS:
                 self._rankings.popitem(last=False)
         else:
             self._rankings.move_to_end(key)
@@ -229,6 +163,5 @@
         key = mix(request.prefix, 0) if request.prefix else session
         return key, session, self.ranked(key)
 
-    def hosts_in(self, scope: Scope) -> list[Engine]:
-        """Those that may run a prefill in the scope."""
-        return [engine for engine in self.hosts if scope.has(engine)]
+    def prefill_capable_in(self, scope: Scope) -> list[Engine]:
+        return [engine for engine in self.prefill_capable if scope.has(engine)]
--- a/worksmux/policy/endpoint_table.py
+++ b/worksmux/policy/endpoint_table.py
@@ -77,7 +77,7 @@
 
     def _forget_gone(self) -> None:
         """Guards against memory growing without end where the fleet is replaced all day."""
-        now, missed = self._context.now, self._context.index.missed
+        now, missed = self._context.now, self._context.index.excluded_by_plan
         for engine in [
             engine
             for engine in self._context.engines
@@ -94,8 +94,8 @@
         """Due after each list and plan."""
         context = self._context
         self._slow_start.settle_all()
-        before = context.index.cold
+        before = context.index.cold_engines
         context.index = EngineIndex(context.engines, context.plan, context.settings, context.now)
         if not any(engine.role == ROLE_PREFILL for engine in before):
-            self._slow_start.read_credit = context.random_source.share()
-        self._slow_start.cold_are(context.index.cold)
+            self._slow_start.prefill_credit = context.random_source.share()
+        self._slow_start.set_cold(context.index.cold_engines)
--- a/worksmux/policy/load_estimates.py
+++ b/worksmux/policy/load_estimates.py
@@ -79,12 +79,12 @@
         """
         self.in_flight_prefill_per_token = 0.0
         index, now = self._context.index, self._context.now
-        if not index.mostly_cold_readers(now):
+        if not index.most_prefill_engines_cold(now):
             return
         waiting = [
             attempt
             for engine in self._in_flight.busy_engines
-            if engine in index.prefill_engines
+            if engine in index.prefill_engine_set
             for attempt in engine.unanswered
         ]
         self.in_flight_prefill_per_token = sum(now - attempt.sent_at for attempt in waiting) / max(
--- a/worksmux/policy/outlier_detection.py
+++ b/worksmux/policy/outlier_detection.py
@@ -14,7 +14,7 @@
 from .events import AttemptEnded, StateRestored
 from .load_estimates import HISTORY_MS, SLOW_FACTOR, SUSPECT_AFTER, LoadEstimates
 from .settings import ROLE_PREFILL
-from .slow_start import SlowStart
+from .slow_start import REQUEST_CREDIT, SlowStart
 from .state import ALL_REQUEST_CLASSES, Attempt, Engine, Outcome
 
 EJECTION_MS = 1_000.0  # after a first failure
@@ -55,8 +55,8 @@
             engine.skipped_until <= context.now
             and self.is_healthy(engine, request_class)
             and (
-                engine not in context.index.cold
-                or self._slow_start.credit(engine) >= 1.0
+                engine not in context.index.cold_engines
+                or self._slow_start.credit(engine) >= REQUEST_CREDIT
                 or not self._slow_start.is_cold(engine, context.now)
             )
         )
--- a/worksmux/policy/placement.py
+++ b/worksmux/policy/placement.py
@@ -10,13 +10,13 @@
 from .context import PolicyContext
 from .decode_selection import DecodeSelection, Searched
 from .decode_window import DecodeWindow
-from .endpoint_index import ANYWHERE
 from .in_flight import InFlight
 from .load_estimates import SLOW_FACTOR, TOLERATED_WAIT, LoadEstimates
 from .outlier_detection import OutlierDetection
 from .prefill_order import PrefillOrder
 from .prefill_probing import PrefillProbing
 from .retry import RetryPolicy
+from .round_robin import ANYWHERE
 from .settings import ROLE_COMBINED, ROLE_PREFILL
 from .state import ALL_REQUEST_CLASSES, Engine, Request
 
@@ -55,7 +55,6 @@
         scope = self._retry.scope(request) if request.possibly_executed else ANYWHERE
         if scope is None:
             return None
-        index = self._context.index
         found: Placement | None = None
         no_decode_engine = self._retry.attempts_left(request) < 2  # prefill and decode take one each
         searched: Searched = {}
@@ -73,25 +72,27 @@
                 continue
             if engine.role == ROLE_COMBINED:
                 if not found and self._combined_is_open(engine, request):
-                    found = Placement(engine, engine)
-                    break
+                    return Placement(engine, engine)
             elif not no_decode_engine and self._takes_prefill(engine, request, overflow_tokens):
                 decode_engine = self._decode_selection.select(request, engine, searched)
-                no_decode_engine = decode_engine is None
-                if decode_engine and not self._probing.may_send(engine, request):
+                if decode_engine is None:
+                    no_decode_engine = True
+                elif not self._probing.may_send(engine, request):
                     idle_only = self._probing.needs_known_idle(request)
-                    continue
-                if decode_engine and (
-                    decode_engine.cell == engine.cell or request.random_draw >= index.keeps[engine.cell]
-                ):
-                    found = Placement(engine, decode_engine)
-                    break
-                found = found or (Placement(engine, decode_engine) if decode_engine else None)
+                elif self._decodes_near(request, engine, decode_engine):
+                    return Placement(engine, decode_engine)
+                else:
+                    found = found or Placement(engine, decode_engine)
         if found is None and self._context.settings.decode_engines_may_prefill and not no_decode_engine:
             decode_engine = self._decode_selection.select(request, None)
             found = Placement(decode_engine, decode_engine) if decode_engine else None
         return found
 
+    def _decodes_near(self, request: Request, prefill_engine: Engine, decode_engine: Engine) -> bool:
+        """In the same cell, or the request is of the share that the cell's decode engines can't take."""
+        share = self._context.index.local_decode_share
+        return decode_engine.cell == prefill_engine.cell or request.random_draw >= share[prefill_engine.cell]
+
     def _combined_is_open(self, engine: Engine, request: Request) -> bool:
         return self._window.is_open(engine, request) and (
             not request.attempts or self._retry.may_send(request, engine)
@@ -115,7 +116,7 @@
         `overflow_tokens` more may wait there before a cached prefix is computed again elsewhere.
         """
         outstanding = sum(attempt.prefill_tokens for attempt in engine.attempts)
-        even_share = self._in_flight.prefill_tokens / len(self._context.index.readers)
+        even_share = self._in_flight.prefill_tokens / len(self._context.index.prefill_engines)
         estimates = self._estimates
         return (
             outstanding <= (1 + PREFILL_MARGIN) * even_share + overflow_tokens
--- a/worksmux/policy/prefill_order.py
+++ b/worksmux/policy/prefill_order.py
@@ -11,15 +11,18 @@
 from math import ceil
 
 from .context import PolicyContext
-from .endpoint_index import ANYWHERE, FURTHER_LOOKS, HEAD_LOOKS, Scope
 from .events import FailoverPlan
 from .load_estimates import LoadEstimates
 from .measure import mix, straw
 from .outlier_detection import OutlierDetection
 from .prefill_probing import PrefillProbing
 from .rendezvous import Ranking, rank
+from .round_robin import ANYWHERE, Scope
 from .state import Engine, Request
 
+HEAD_LOOKS = 128  # engines looked at in each search, those that the hash puts first
+FURTHER_LOOKS = 64  # engines behind them, from where the last search stopped
+
 # An engine, and the prompt tokens that may wait there beyond its even share for the sake of a cached prefix.
 Candidate = tuple[Engine, float]
 
@@ -71,10 +74,9 @@
             )
         if further or start:
             self._searched[request] = end if len(further) == FURTHER_LOOKS else 0
-        if len(index.hosts) > HEAD_LOOKS:
-            probed = (
-                engine for engine in request.checked_engines if engine in index.host_set and scope.has(engine)
-            )
+        if len(index.prefill_capable) > HEAD_LOOKS:
+            capable = index.prefill_capable_set
+            probed = (engine for engine in request.checked_engines if engine in capable and scope.has(engine))
             yield from ((engine, 0.0) for engine in chain(probed, further))
 
     @staticmethod
@@ -113,7 +115,7 @@
         before = set(first)
         if scope is ANYWHERE:
             return (engine for engine in ranking if engine not in before)
-        in_scope = self._context.index.hosts_in(scope)
+        in_scope = self._context.index.prefill_capable_in(scope)
         return iter(rank(key, [engine for engine in in_scope if engine not in before]))
 
     def _known_good_first(
@@ -121,7 +123,7 @@
     ) -> Iterator[Engine]:
         """All of them again, those known to serve the request class before the rest."""
         known, before = self._outliers.all_known_good(request.request_class), set(first)
-        host_set = self._context.index.host_set
+        host_set = self._context.index.prefill_capable_set
         behind = rank(
             key,
             [engine for engine in known if engine in host_set and scope.has(engine) and engine not in before],
@@ -144,7 +146,7 @@
             zone, draw = other, draw - share
             if draw < 0:
                 break
-        missed = self._context.index.missed
+        missed = self._context.index.excluded_by_plan
         able = [engine for engine in order if engine not in missed]
         in_zone = [engine for engine in able if engine.zone == zone]
         if in_zone and plan.keep_near:
--- a/worksmux/policy/prefill_probing.py
+++ b/worksmux/policy/prefill_probing.py
@@ -54,7 +54,8 @@
     def no_engine_healthy(self, request_class: int) -> bool:
         if request_class not in self._no_engine_healthy:
             self._no_engine_healthy[request_class] = not any(
-                self._outliers.is_healthy(engine, request_class) for engine in self._context.index.readers
+                self._outliers.is_healthy(engine, request_class)
+                for engine in self._context.index.prefill_engines
             )
         return self._no_engine_healthy[request_class]
 
@@ -73,12 +74,16 @@
 
     def exempt(self, request: Request) -> dict[Engine, None]:
         """Engines that are not checked before a prefill."""
-        exempt = self._slow_start.read_credit >= 1.0 or self.no_engine_healthy(request.request_class)
-        return self._context.index.cold if exempt else NO_ENGINES
+        exempt = self._slow_start.may_prefill() or self.no_engine_healthy(request.request_class)
+        return self._context.index.cold_engines if exempt else NO_ENGINES
 
     def only_known_idle(self, request: Request) -> bool:
         """Whether of all engines only those will do that have answered just now."""
-        return self.needs_known_idle(request) and not self._context.index.mixed and not self.exempt(request)
+        return (
+            self.needs_known_idle(request)
+            and not self._context.index.combined_engines
+            and not self.exempt(request)
+        )
 
     def unanswered(self, request: Request) -> bool:
         """Whether engines were checked and none has answered for long: all of them have queues."""
--- a/worksmux/policy/retry.py
+++ b/worksmux/policy/retry.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from .context import PolicyContext
-from .endpoint_index import ANYWHERE, Scope
+from .round_robin import ANYWHERE, Scope
 from .settings import DEDUPLICATED, IDEMPOTENT, NON_IDEMPOTENT, SCOPE_ALL, SCOPE_ZONE
 from .state import Engine, Request
 
@@ -51,14 +51,14 @@
     def may_retry(self, request: Request) -> bool:
         """Whether an engine that may answer lies in the request's scope."""
         scope = self.scope(request)
-        return scope is not None and self._context.index.any_in(self._context.index.answering, scope)
+        return scope is not None and self._context.index.any_in(self._context.index.decode_capable, scope)
 
     def may_prefill_again(self, request: Request) -> bool:
         """A prefill counts as an attempt: after a possible execution it too stays within the scope."""
         if not request.possibly_executed or self._context.settings.decode_engines_may_prefill:
             return True
         scope = self.scope(request)
-        return scope is not None and self._context.index.any_in(self._context.index.hosts, scope)
+        return scope is not None and self._context.index.any_in(self._context.index.prefill_capable, scope)
 
     def may_reject(self, request: Request) -> bool:
         """Whether the client may safely send the request again."""
--- a/worksmux/policy/router.py
+++ b/worksmux/policy/router.py
@@ -175,7 +175,7 @@
         self.waiting[request] = None
         for role in (ROLE_PREFILL, ROLE_DECODE, ROLE_COMBINED):
             self.slow_start.earn(role, REPEAT_CREDIT if request.repeat else ARRIVAL_CREDIT)
-        if not request.repeat and context.index.all_writers_cold(context.now):
+        if not request.repeat and context.index.all_decode_engines_cold(context.now):
             # A node that meets few requests has no serve to earn by.
             self.slow_start.earn(ROLE_DECODE, ARRIVAL_CREDIT)
 
@@ -277,7 +277,7 @@
             self._send(request, decode_engine, prefill=False)
             return
         if self.slow_start.is_cold(prefill_engine, self.context.now):
-            self.slow_start.spend_read()
+            self.slow_start.spend_prefill()
         self.in_flight.reserve(request, decode_engine)
         timeout_ms = (request.deadline - self.context.now) * PREFILL_TIMEOUT_SHARE
         self._send(request, prefill_engine, prefill=True, timeout_ms=timeout_ms)
