--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,13 +1,18 @@
 """Builds the small states that the tests start from."""
 
 from worksmux.policy.actions import SetTimer
-from worksmux.policy.events import AttemptEnded, EndpointEntry, EndpointListUpdate
+from worksmux.policy.events import AttemptEnded, EndpointEntry, EndpointListUpdate, RequestArrived
 from worksmux.policy.router import Router
 from worksmux.policy.settings import PolicySettings, RequestClassSettings
-from worksmux.policy.state import Engine, Request
+from worksmux.policy.state import Engine, Outcome, Request
 
 NOW = 100_000.0
 
+# Engines of a fleet: kind, zone and cell.
+PAIR = ((0, 0, 0), (1, 0, 0))
+TWO_WRITERS = (*PAIR, (1, 0, 0))
+THREE_READERS = ((0, 0, 0), (0, 0, 0), (0, 0, 0), (1, 0, 0))
+
 
 def settings(**changes):
     plain = {
@@ -60,3 +65,8 @@
 
 def kinds(actions):
     return [type(action).__name__ for action in actions if not isinstance(action, SetTimer)]
+
+
+def read(front, one, now=NOW):
+    front.decide(now, [RequestArrived(one)])
+    return ended(front, one.attempts[0], Outcome.PREFILLED)
