--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -34,7 +34,7 @@
 from worksmux.node.endpoint_list import Endpoint, HostList, listing
 from worksmux.node.serve import Node
 from worksmux.policy.events import AttemptEnded, EndpointEntry, EndpointListUpdate, RequestArrived, TimerFired
-from worksmux.policy.id_map import Door
+from worksmux.policy.id_map import IdMap
 from worksmux.policy.state import Attempt, Engine, Outcome, Request
 
 FULL = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
@@ -103,7 +103,7 @@
         except config.BadConfig as error:
             assert str(error).startswith("c.json: $.settings"), (place, error)
             continue
-        door = Door(told_to.settings, 1)
+        door = IdMap(told_to.settings, 1)
         engines = [door.engine(name, at + 1) for at, name in enumerate((b"r", b"w"))]
         entries = [
             EndpointEntry(engine, "ready", 0.0, 0, 0, kind, 1.0)
--- a/worksmux/baselines/__init__.py
+++ b/worksmux/baselines/__init__.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from ..policy.id_map import Maker
+from ..policy.id_map import PolicyFactory
 from ..policy.router import Router
 from .plain import LeastOfOurOwn, Random, RoundRobin
 
-POLICIES: dict[str, Maker] = {
+POLICIES: dict[str, PolicyFactory] = {
     "worksmux": Router,
     "random": Random,
     "round-robin": RoundRobin,
--- a/worksmux/bench_adapter/__init__.py
+++ b/worksmux/bench_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire: codec, translation into worksmux's words, instances, main loop.  No decision."""
+"""The bench's wire: codec, translation into our terms, instances, main loop.  No decision."""
--- a/worksmux/bench_adapter/__main__.py
+++ b/worksmux/bench_adapter/__main__.py
@@ -44,6 +44,7 @@
 
 
 def main(source: BinaryIO, sink: BinaryIO) -> int:
+    """Serves until the input ends; gives the exit code, 1 for a broken wire."""
     instances: dict[int, Instance] = {}
     number = None
     try:
--- a/worksmux/bench_adapter/codec.py
+++ b/worksmux/bench_adapter/codec.py
@@ -1,4 +1,7 @@
-"""Frames of the wire `tundra-a5ae`: bytes to records of plain values and back."""
+"""Frames of the bench's wire `tundra-a5ae`: bytes to records of plain values and back.
+
+Records and their names are those of the wire; `instance` maps them to ours.
+"""
 
 from __future__ import annotations
 
@@ -51,15 +54,19 @@
 
 
 class WireError(Exception):
-    """A frame that the wire page does not allow, with what is wrong and where."""
+    """A frame that the wire does not allow; the text says what is wrong and where."""
 
 
 class Record(NamedTuple):
+    """An event or an action."""
+
     name: str
     values: tuple[Any, ...]  # the last is the tail's bytes where the record has a tail
 
 
 class Batch(NamedTuple):
+    """Records of all instances up to one moment, in milliseconds."""
+
     number: int
     now: float
     records: list[Record]
--- a/worksmux/bench_adapter/instance.py
+++ b/worksmux/bench_adapter/instance.py
@@ -1,4 +1,7 @@
-"""One front: turns the wire's records into worksmux's events and its actions back.  No decision."""
+"""One node on the bench's wire: turns records into events of the policy, and its actions into records.
+
+The names of the wire are mapped to ours here and nowhere else.  No decision is taken.
+"""
 
 from __future__ import annotations
 
@@ -30,7 +33,7 @@
     SlotReserved,
     TimerFired,
 )
-from ..policy.id_map import Door
+from ..policy.id_map import IdMap
 from ..policy.state import Engine, Outcome, Request
 from ..settings.platform import settings_from
 from .codec import ENTRY, Record, WireError
@@ -52,7 +55,7 @@
 
 
 class Instance:
-    """One front on the wire: records in, records out."""
+    """One node: records in, records out."""
 
     def __init__(self, number: int, seed: int, settings: bytes) -> None:
         self.number = number
@@ -60,13 +63,14 @@
             self.settings = settings_from(json.loads(settings))
         except ValueError as error:
             raise WireError(str(error)) from error
-        self.door = Door(self.settings, seed)
+        self._ids = IdMap(self.settings, seed)
 
     def decide(self, now: float, records: list[Record]) -> list[Record]:
         events = [event for record in records if (event := self._event(now, record)) is not None]
-        return [self._record(action) for action in self.door.decide(now, events)]
+        return [self._record(action) for action in self._ids.decide(now, events)]
 
     def _event(self, now: float, record: Record) -> Event | None:
+        """None for what the policy takes no notice of, and for requests that it has forgotten."""
         values = record.values[1:]
         match record.name:
             case "sync":
@@ -75,61 +79,81 @@
                     SCOPES[scope], [self._entry(*line) for line in ENTRY.iter_unpack(entries)]
                 )
             case "req":
-                call, request_class, party, session, left, guess, prefix, prompt, shared, most, options = (
-                    values
-                )
-                if request_class >= len(self.settings.request_classes):
-                    raise WireError(f"request {call}: unknown class {request_class}")
-                pace = self.settings.request_classes[request_class].token_interval_ms
-                hint = guess / pace if options & HINTED and pace else 0.0
-                return self.door.arrived(
-                    Request(
-                        call,
-                        request_class,
-                        session,
-                        prefix,
-                        prompt,
-                        shared,
-                        most,
-                        now,
-                        now + left,
-                        hint,
-                        party,
-                        bool(options & REPEAT),
-                        bool(options & RESUMED),
-                    )
-                )
+                return self._ids.arrived(self._request(now, *values))
             case "flowing":
                 call, _, number, elapsed = values
-                attempt = self.door.attempt(call, number)
+                attempt = self._ids.attempt(call, number)
                 return FirstToken(attempt, elapsed) if attempt else None
             case "answer":
-                call, number, _, how, elapsed, done, note, *load = values
-                attempt = self.door.attempt(call, number)
-                report = self._report(load)
-                return (
-                    AttemptEnded(attempt, OUTCOMES[how], elapsed, bool(done), note, report)
-                    if attempt
-                    else None
-                )
+                return self._attempt_ended(*values)
             case "withdrawn":
-                return self.door.left(values[0])
+                return self._ids.left(values[0])
             case "bell":
                 return TimerFired(values[0])
             case "pong":
-                address, how, elapsed, *load = values
+                address, outcome, elapsed, *load = values
                 engine = self._engine(address)
-                return HealthCheckEnded(engine, OUTCOMES[how], elapsed, self._report(load))
+                return HealthCheckEnded(engine, OUTCOMES[outcome], elapsed, self._report(load))
             case "note_from":
                 return None  # messages between nodes: the policy has none
             case "answer_ahead":
-                call, number, address, what, _ = values
-                attempt = self.door.attempt(call, number)
-                return SlotReserved(attempt, self._engine(address), what == 1) if attempt else None
+                call, number, address, held, _ = values
+                attempt = self._ids.attempt(call, number)
+                return SlotReserved(attempt, self._engine(address), held == 1) if attempt else None
         raise WireError(f"{record.name} is not for a running instance")
 
+    def _request(
+        self,
+        now: float,
+        number: int,
+        request_class: int,
+        tenant: int,
+        session: int,
+        time_left: float,
+        expected_ms: float,
+        prefix: int,
+        prompt_tokens: float,
+        prefix_tokens: float,
+        max_tokens: float,
+        flags: int,
+    ) -> Request:
+        if request_class >= len(self.settings.request_classes):
+            raise WireError(f"request {number}: unknown class {request_class}")
+        interval_ms = self.settings.request_classes[request_class].token_interval_ms
+        return Request(
+            number,
+            request_class,
+            session,
+            prefix,
+            prompt_tokens,
+            prefix_tokens,
+            max_tokens,
+            now,
+            now + time_left,
+            expected_ms / interval_ms if flags & HINTED and interval_ms else 0.0,
+            tenant,
+            bool(flags & REPEAT),
+            bool(flags & RESUMED),
+        )
+
+    def _attempt_ended(
+        self,
+        request: int,
+        number: int,
+        _: bytes,
+        outcome: int,
+        elapsed: float,
+        closed: int,
+        note: int,
+        *load: float,
+    ) -> AttemptEnded | None:
+        attempt = self._ids.attempt(request, number)
+        if attempt is None:
+            return None
+        return AttemptEnded(attempt, OUTCOMES[outcome], elapsed, bool(closed), note, self._report(list(load)))
+
     def _engine(self, address: bytes) -> Engine:
-        return self.door.engine(address, int.from_bytes(address, "big"))
+        return self._ids.engine(address, int.from_bytes(address, "big"))
 
     def _entry(
         self, size: float, zone: int, kind: int, state: int, started: float, cell: int, address: bytes
@@ -142,22 +166,22 @@
         return dict(zip(fields, figures[: int(count)], strict=False)) if count else None
 
     def _record(self, action: Action) -> Record:
-        name, values = self._words(action)
+        name, values = self._wire_form(action)
         return Record(name, (self.number, *values))
 
     @staticmethod
-    def _words(action: Action) -> tuple[str, tuple[Any, ...]]:
+    def _wire_form(action: Action) -> tuple[str, tuple[Any, ...]]:
         match action:
-            case StartAttempt(attempt, time_out):
-                return "route", (attempt.request.id, attempt.engine.id, time_out)
-            case RejectRequest(request, stay_away):
-                return "say_no", (request.id, stay_away)
+            case StartAttempt(attempt, timeout_ms):
+                return "route", (attempt.request.id, attempt.engine.id, timeout_ms)
+            case RejectRequest(request, retry_after_ms):
+                return "say_no", (request.id, retry_after_ms)
             case AbortRequest(request):
                 return "finish_error", (request.id,)
             case CancelAttempt(attempt):
                 return "undo_send", (attempt.request.id, attempt.number)
-            case SetTimer(after, token):
-                return "set_alarm", (after, token)
+            case SetTimer(delay_ms, token):
+                return "set_alarm", (delay_ms, token)
             case CheckHealth(engine):
                 return "touch", (engine.id,)
             case ReserveSlot(request, engine):
--- a/worksmux/fault_trial/small.py
+++ b/worksmux/fault_trial/small.py
@@ -21,7 +21,7 @@
 from worksmux.fakes.registry import Registry
 from worksmux.gateway.serve import FrontProcess
 from worksmux.net import client, clock
-from worksmux.policy.id_map import Maker
+from worksmux.policy.id_map import PolicyFactory
 from worksmux.settings.document import parse
 from worksmux.settings.front import FrontSettings, read_front
 
@@ -129,7 +129,7 @@
         self,
         folder: Path,
         engines: list[tuple[str, int]],
-        make: Maker | None = None,
+        make: PolicyFactory | None = None,
         text: str = SETTINGS,
         **spec: Any,
     ) -> None:
--- a/worksmux/forwarding/decision_loop.py
+++ b/worksmux/forwarding/decision_loop.py
@@ -13,7 +13,7 @@
 from ..net.loop import Reactor
 from ..policy.actions import Action
 from ..policy.events import Event
-from ..policy.id_map import Door
+from ..policy.id_map import IdMap
 from .counters import Counts
 
 LOG = structlog.get_logger()
@@ -23,7 +23,7 @@
 class Turns:
     """What chat's core and the lanes share; who derives from it carries out actions and ends jobs."""
 
-    def __init__(self, door: Door, reactor: Reactor, metrics: Counts) -> None:
+    def __init__(self, door: IdMap, reactor: Reactor, metrics: Counts) -> None:
         self.door, self.reactor, self.metrics = door, reactor, metrics
         self.failed = False  # the module has: nothing more is asked of it
         self.on_event: Any = None  # called with the time and each event told to the module
--- a/worksmux/forwarding/request_lifecycle.py
+++ b/worksmux/forwarding/request_lifecycle.py
@@ -40,7 +40,7 @@
     HealthCheckEnded,
     TimerFired,
 )
-from ..policy.id_map import Door
+from ..policy.id_map import IdMap
 from ..policy.state import Attempt, Engine, Outcome, Request
 from .attempt import outcome_of
 from .control_call import NeverSent, OutgoingCall, SmallCall
@@ -53,7 +53,7 @@
 
 
 class Core(Turns):
-    def __init__(self, door: Door, reactor: Reactor, metrics: Counts) -> None:
+    def __init__(self, door: IdMap, reactor: Reactor, metrics: Counts) -> None:
         super().__init__(door, reactor, metrics)
         self.module_settings = door.settings
         self.cases: dict[Request, Case] = {}
--- a/worksmux/gateway/chat_engine_client.py
+++ b/worksmux/gateway/chat_engine_client.py
@@ -12,7 +12,7 @@
 from ..net import client, clock
 from ..net.loop import Reactor
 from ..policy.events import EndpointListUpdate, SlotReserved
-from ..policy.id_map import Door
+from ..policy.id_map import IdMap
 from ..policy.state import Attempt, Engine, Outcome, Request
 from ..settings.front import FrontSettings
 from . import attempts as carriers
@@ -25,7 +25,7 @@
     metrics: Metrics
 
     def __init__(
-        self, settings: FrontSettings, door: Door, reactor: Reactor, metrics: Metrics, name: str
+        self, settings: FrontSettings, door: IdMap, reactor: Reactor, metrics: Metrics, name: str
     ) -> None:
         super().__init__(door, reactor, metrics)
         self.settings = settings
--- a/worksmux/gateway/serve.py
+++ b/worksmux/gateway/serve.py
@@ -16,7 +16,7 @@
 from ..forwarding.process import let_out, run_reactor
 from ..net.loop import Reactor, listen, the_reactor
 from ..net.server import Exchange, Server
-from ..policy.id_map import Door, Maker
+from ..policy.id_map import IdMap, PolicyFactory
 from ..settings.document import SettingsError
 from ..settings.front import Admission, FrontSettings, load_front
 from ..tokenization.service import TokenService
@@ -87,11 +87,11 @@
 class FrontProcess:
     """One front with its sockets; `stop` takes no new job, finishes what is out, then calls `on_end`."""
 
-    def __init__(self, settings: FrontSettings, reactor: Reactor, make: Maker | None = None) -> None:
+    def __init__(self, settings: FrontSettings, reactor: Reactor, make: PolicyFactory | None = None) -> None:
         self.settings, self.reactor = settings, reactor
         self.metrics = Metrics()
         seed = settings.seed if settings.seed is not None else secrets.randbits(48)
-        door = Door(settings.module, seed, make or POLICIES[settings.policy])
+        door = IdMap(settings.module, seed, make or POLICIES[settings.policy])
         self.core = PublishedCore(
             settings, door, reactor, self.metrics, f"{settings.name}-{secrets.token_hex(4)}"
         )
@@ -128,7 +128,7 @@
         self.stopping = False
         self.timer: Any = None
 
-    def _one_stage(self, bounds: Admission, seed: int, make: Maker | None) -> None:
+    def _one_stage(self, bounds: Admission, seed: int, make: PolicyFactory | None) -> None:
         """Embeddings and rerank: a lane for each, one gate before them."""
         settings = self.settings
         lanes = {
--- a/worksmux/gateway/stage.py
+++ b/worksmux/gateway/stage.py
@@ -26,7 +26,7 @@
     WriteLog,
 )
 from ..policy.events import AttemptEnded, ClientDisconnected, FirstToken, TimerFired
-from ..policy.id_map import Door, Maker
+from ..policy.id_map import IdMap, PolicyFactory
 from ..policy.state import Attempt, Outcome, Request
 from ..settings.front import Lane as LaneSettings
 from . import attempts as carriers
@@ -88,8 +88,8 @@
 
 
 class Lane(Turns):
-    def __init__(self, settings: LaneSettings, core: PublishedCore, seed: int, make: Maker) -> None:
-        super().__init__(Door(settings.module, seed, make), core.reactor, core.metrics)
+    def __init__(self, settings: LaneSettings, core: PublishedCore, seed: int, make: PolicyFactory) -> None:
+        super().__init__(IdMap(settings.module, seed, make), core.reactor, core.metrics)
         self.settings, self.core = settings, core
         self.works: dict[Request, Work] = {}
         self.number = 0
--- a/worksmux/node/core.py
+++ b/worksmux/node/core.py
@@ -9,7 +9,7 @@
 from ..net import client, clock
 from ..net.loop import Reactor
 from ..net.time_out import TimeOut
-from ..policy.id_map import Door
+from ..policy.id_map import IdMap
 from ..policy.state import Attempt, Engine, Outcome, Request
 from . import protocol
 from .attempts import AttemptCall, DecodeAttempt, PrefillAttempt
@@ -42,7 +42,7 @@
     metrics: NodeCounts
 
     def __init__(
-        self, door: Door, reactor: Reactor, counts: NodeCounts, request_classes: list[str], share: Shares
+        self, door: IdMap, reactor: Reactor, counts: NodeCounts, request_classes: list[str], share: Shares
     ) -> None:
         super().__init__(door, reactor, counts)
         self.request_classes = request_classes
--- a/worksmux/node/serve.py
+++ b/worksmux/node/serve.py
@@ -19,7 +19,7 @@
 from ..net.loop import Reactor, listen, the_reactor
 from ..net.server import Server
 from ..net.time_out import TimeOut
-from ..policy.id_map import Door
+from ..policy.id_map import IdMap
 from .clients import NodeClients
 from .config import BadConfig, Config, load
 from .core import BODY, HEAD, NodeCore
@@ -47,7 +47,7 @@
     def __init__(self, config: Config, reactor: Reactor) -> None:
         self.config, self.reactor = config, reactor
         self.counts = NodeCounts()
-        door = Door(config.settings, config.seed)
+        door = IdMap(config.settings, config.seed)
         share = shares(config.sockets)
         self.core = NodeCore(door, reactor, self.counts, config.request_classes, share)
         self.discovery = Discovery(config.discovery, self.core, reactor, config.kinds, config.zones)
--- a/worksmux/policy/id_map.py
+++ b/worksmux/policy/id_map.py
@@ -1,7 +1,7 @@
-"""The door of one front: ids outside, objects inside, for the simulator's wire and the running front alike.
+"""Ids outside, objects inside: what the bench's adapter and the running nodes have in front of a policy.
 
-No decision is taken here.  The door makes the engines, jobs and list entries that the module is told of,
-finds them again by the ids that the outside uses, and forgets a job once nothing more can be told of it.
+No decision is taken here.  The map makes the engines and requests that the policy works on, finds them again
+by the ids that the outside uses, and forgets a request once no event can name it any more.
 """
 
 from __future__ import annotations
@@ -16,17 +16,19 @@
 from .state import Attempt, Engine, Request
 
 
-class Module(Protocol):
-    """What decides: the module or a baseline behind the same entry point."""
+class Policy(Protocol):
+    """What decides: the router or a baseline behind the same entry point."""
 
     def decide(self, now: float, events: list[Event]) -> list[Action]: ...
 
 
-Maker = Callable[[PolicySettings, int], Module]
+PolicyFactory = Callable[[PolicySettings, int], Policy]  # settings, seed
 
 
-class Door:
-    def __init__(self, settings: PolicySettings, seed: int, make: Maker = Router) -> None:
+class IdMap:
+    """One policy and the objects that it shares with the outside."""
+
+    def __init__(self, settings: PolicySettings, seed: int, make: PolicyFactory = Router) -> None:
         self.settings = settings
         self.module = make(settings, seed)
         self.engines: dict[bytes, Engine] = {}
@@ -34,8 +36,8 @@
         self._touched: list[Request] = []
 
     def decide(self, now: float, events: list[Event]) -> list[Action]:
-        """One call to the module for all that happened, in order; its actions, in order."""
-        # Guards against jobs kept for ever that were delivered: no action names them any more.
+        """One decision round on all that happened, in order; its actions, in order."""
+        # Events count too: no action names a request that was served, and it would be kept for ever.
         for event in events:
             if isinstance(event, AttemptEnded):
                 self._touched.append(event.attempt.request)
@@ -45,20 +47,23 @@
         for action in actions:
             if isinstance(action, (RejectRequest, AbortRequest, ReleaseKvCache, ReserveSlot)):
                 self._touched.append(action.request)
-        for request in self._touched:  # nothing more can be told of these
+        self._forget_ended()
+        return actions
+
+    def _forget_ended(self) -> None:
+        for request in self._touched:
             if request.ended and all(attempt.outcome for attempt in request.attempts):
                 self.requests.pop(request.id, None)
         self._touched.clear()
-        return actions
 
     def engine(self, address: bytes, key: int) -> Engine:
-        """The engine with this id, made at first sight; `key` is a number for hashing."""
+        """The engine with this id, made when it is first seen; `key` is a number for hashing."""
         if address not in self.engines:
             self.engines[address] = Engine(address, key)
         return self.engines[address]
 
     def forget(self, engine: Engine) -> bool:
-        """Forgets an engine that is gone, once the module has; whether it did."""
+        """Forgets an engine that is gone, once the policy has; whether it did."""
         if engine.state != "gone" or engine.attempts or engine in getattr(self.module, "engines", ()):
             return False
         self.engines.pop(engine.id, None)
@@ -69,12 +74,12 @@
         return RequestArrived(request)
 
     def left(self, number: int) -> ClientDisconnected | None:
-        """None where the job was forgotten: it had ended a moment ago."""
+        """None where the request was forgotten: it had ended a moment ago."""
         request = self.requests.get(number)
         return ClientDisconnected(request) if request else None
 
     def attempt(self, number: int, at: int) -> Attempt | None:
-        """Trip `at` of job `number`, of which something is about to be told."""
+        """Attempt `at` of request `number`; None where the request was forgotten."""
         request = self.requests.get(number)
         if request is None or at >= len(request.attempts):
             return None
--- a/worksmux/simulation/day.py
+++ b/worksmux/simulation/day.py
@@ -19,7 +19,7 @@
 from ..checker.records import Records, gather
 from ..endpoints.learned_state import Kept, Learner, Marks, Pace, recall
 from ..endpoints.staleness import Beliefs, Saved, Turnover
-from ..policy.id_map import Maker
+from ..policy.id_map import PolicyFactory
 from ..scenarios.engines import spec_of, struck, struck_fronts
 from ..scenarios.scenario import OF_CLIENTS, OF_FRONTS, OF_THE_LIST, Place, Scenario, Trouble
 from .clients import Clients
@@ -130,7 +130,7 @@
     def __init__(
         self,
         day: Scenario,
-        make: Maker | None = None,
+        make: PolicyFactory | None = None,
         journal: bool = True,
         remembered: Callable[[int], Remembered] | None = None,
         built: Callable[[Model], None] | None = None,
--- a/worksmux/simulation/front.py
+++ b/worksmux/simulation/front.py
@@ -35,7 +35,7 @@
     SlotReserved,
     TimerFired,
 )
-from ..policy.id_map import Door, Maker
+from ..policy.id_map import IdMap, PolicyFactory
 from ..policy.settings import PolicySettings
 from ..policy.state import Attempt, Engine, Outcome, Request
 from .engine import Call, ModelEngine, Note
@@ -98,7 +98,7 @@
         settings: PolicySettings,
         zones: list[str],
         kinds: list[str],
-        make: Maker,
+        make: PolicyFactory,
         seed: int,
         note: Note,
         hop: float,
@@ -106,7 +106,7 @@
         margin: float = 30.0,
     ) -> None:
         self.sim, self.engines, self.name, self.settings, self.note = sim, engines, name, settings, note
-        self.door = Door(settings, seed, make)
+        self.door = IdMap(settings, seed, make)
         self.roster = Roster(kinds, zones, self._engine, doubt, max(doubt, settings.slow_start_ms))
         self.hop, self.margin, self.turn = hop, margin, float(settings.tick_ms)
         self.cases: dict[Request, Case] = {}
