--- a/worksmux/baselines/__init__.py
+++ b/worksmux/baselines/__init__.py
@@ -1,14 +1,14 @@
-"""Policies to compare the module with, behind the same entry point.  Never the ordinary path."""
+"""Policies to compare the router with, behind the same entry point."""
 
 from __future__ import annotations
 
 from ..policy.id_map import PolicyFactory
 from ..policy.router import Router
-from .plain import LeastOfOurOwn, Random, RoundRobin
+from .plain import LeastInFlight, RandomEngine, RoundRobin
 
 POLICIES: dict[str, PolicyFactory] = {
     "worksmux": Router,
-    "random": Random,
+    "random": RandomEngine,
     "round-robin": RoundRobin,
-    "least-of-our-own": LeastOfOurOwn,
+    "least-of-our-own": LeastInFlight,
 }
--- a/worksmux/baselines/plain.py
+++ b/worksmux/baselines/plain.py
@@ -1,8 +1,8 @@
-"""Plain policies: a job goes to a reader, its state to a writer, by chance, in turn, or where few of our own
-are.
+"""Baseline policies: an engine by chance, in turn, or with the fewest attempts of this node.
 
-They keep the rules as far as a front can without watching engines: drains, what may be repeated, one answer
-in time, state let go, and a cold engine's budget by staying away from it while another of its role is warm.
+They keep the rules as far as a node can that does not watch engines: drains, idempotence, one answer in time,
+KV cache released, and a cold engine's budget by staying away from it while another of its role is warm.
+Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -27,19 +27,22 @@
     TimerFired,
 )
 from ..policy.measure import Chance
-from ..policy.settings import PolicySettings
+from ..policy.settings import IDEMPOTENT, ROLE_COMBINED, ROLE_DECODE, ROLE_PREFILL, PolicySettings
 from ..policy.state import Attempt, Engine, Outcome, Request
 
+ROUNDS_PER_RELEASE = 6  # decision rounds, while a request waits, within the limit for held KV cache
+ROUND_TIMER = 0
 
-class Plain:
+
+class BaselinePolicy:
     """What the baselines share; a subclass picks one engine of several."""
 
     def __init__(self, settings: PolicySettings, seed: int) -> None:
         self.settings, self.chance = settings, Chance(seed)
         self.engines: dict[Engine, None] = {}
-        self.requests: dict[Request, None] = {}  # unanswered, with no trip out
+        self.requests: dict[Request, None] = {}  # unanswered, with no attempt in flight
         self.now = 0.0
-        self.rings = False
+        self.timer_set = False
         self.actions: list[Action] = [WatchEndpoints(True)] if settings.polls_endpoint_list else []
 
     def pick(self, engines: list[Engine]) -> Engine:
@@ -48,31 +51,28 @@
     def decide(self, now: float, events: list[Event]) -> list[Action]:
         self.now = now
         for event in events:
-            self._take(event)
+            self._handle(event)
         for request in list(self.requests):
             self._forward(request)
-        if self.requests and not self.rings:
-            self.rings = True
-            self.actions.append(SetTimer(self.settings.release_within_ms / 6, 0))
+        if self.requests and not self.timer_set:
+            self.timer_set = True
+            self.actions.append(SetTimer(self.settings.release_within_ms / ROUNDS_PER_RELEASE, ROUND_TIMER))
         actions, self.actions = self.actions, []
         return actions
 
-    def _take(self, event: Event) -> None:
+    def _handle(self, event: Event) -> None:
         match event:
             case RequestArrived(request):
                 self.requests[request] = None
             case FirstToken(attempt, _):
-                attempt.first_token_at, attempt.request.streaming, attempt.request.kv_holder = (
-                    self.now,
-                    True,
-                    None,
-                )
+                attempt.first_token_at = self.now
+                attempt.request.streaming, attempt.request.kv_holder = True, None
             case AttemptEnded():
                 self._ended(event)
             case ClientDisconnected(request):
                 self._drop(request)
             case TimerFired():
-                self.rings = False
+                self.timer_set = False
             case EndpointListUpdate():
                 self._list(event)
 
@@ -102,7 +102,7 @@
             request.kv_holder, request.kv_held_since = attempt.engine, self.now
             self.requests[request] = None
         else:
-            if request.kv_holder and event.outcome is Outcome.FULL and event.note != 1:
+            if request.kv_holder and event.outcome is Outcome.FULL and not event.kv_cache_lost:
                 request.kv_held_since = self.now
             else:
                 request.kv_holder = None
@@ -119,47 +119,57 @@
         if request.attempts and not request.in_flight:
             self.actions.append(ReleaseKvCache(request))
 
-    def _may_repeat(self, request: Request) -> bool:
+    def _may_retry(self, request: Request) -> bool:
         effect = self.settings.request_classes[request.request_class].effect
-        return not request.possibly_executed or effect == "redoable"
+        return not request.possibly_executed or effect == IDEMPOTENT
 
     def _forward(self, request: Request) -> None:
-        last = self.now > request.deadline - self.settings.release_within_ms / 2
-        spent = len(request.attempts) >= self.settings.max_attempts or not self._may_repeat(request)
-        if last or spent:
-            self.actions.append(
-                RejectRequest(request) if self._may_repeat(request) else AbortRequest(request)
-            )
-            return self._drop(request)
-        roles = ("write", "both") if request.kv_holder else ("read", "both")
-        able = [engine for engine in self.engines if engine.state == "ready" and engine.role in roles]
-        warm = [
+        """Ends the request, or sends it if an engine is warm; else it waits."""
+        if self._must_end(request):
+            may_retry = self._may_retry(request)
+            self.actions.append(RejectRequest(request) if may_retry else AbortRequest(request))
+            self._drop(request)
+            return
+        warm = self._warm_engines(request)
+        if warm:
+            self._send(request, self.pick(warm))
+        elif request.kv_holder and self.now > request.kv_held_since + self.settings.release_within_ms / 2:
+            request.kv_holder = None
+            self.actions.append(ReleaseKvCache(request))
+
+    def _must_end(self, request: Request) -> bool:
+        too_late = self.now > request.deadline - self.settings.release_within_ms / 2
+        exhausted = len(request.attempts) >= self.settings.max_attempts
+        return too_late or exhausted or not self._may_retry(request)
+
+    def _warm_engines(self, request: Request) -> list[Engine]:
+        roles = (ROLE_DECODE if request.kv_holder else ROLE_PREFILL, ROLE_COMBINED)
+        return [
             engine
-            for engine in able
-            if not engine.started or self.now >= engine.started + self.settings.slow_start_ms
+            for engine in self.engines
+            if engine.state == "ready"
+            and engine.role in roles
+            and (not engine.started or self.now >= engine.started + self.settings.slow_start_ms)
         ]
-        if not warm:
-            if request.kv_holder and self.now > request.kv_held_since + self.settings.release_within_ms / 2:
-                request.kv_holder = None
-                self.actions.append(ReleaseKvCache(request))
-            return
-        engine = self.pick(warm)
-        attempt = Attempt(request, engine, len(request.attempts), self.now, engine.role == "read")
+
+    def _send(self, request: Request, engine: Engine) -> None:
+        is_prefill = engine.role == ROLE_PREFILL
+        attempt = Attempt(request, engine, len(request.attempts), self.now, is_prefill)
         request.attempts.append(attempt)
         engine.attempts[attempt] = None
         del self.requests[request]
         self.actions.append(StartAttempt(attempt))
 
 
-class Random(Plain):
-    """Any engine of the role."""
+class RandomEngine(BaselinePolicy):
+    """Any engine of the role, by chance."""
 
     def pick(self, engines: list[Engine]) -> Engine:
         return engines[int(self.chance.share() * len(engines))]
 
 
-class RoundRobin(Plain):
-    """The engine that had no turn for longest, without windows."""
+class RoundRobin(BaselinePolicy):
+    """The engine whose last turn was longest ago; no window."""
 
     turns = 0
 
@@ -170,8 +180,8 @@
         return engine
 
 
-class LeastOfOurOwn(Plain):
-    """The engine with the fewest of our own trips; chance decides between equals."""
+class LeastInFlight(BaselinePolicy):
+    """The engine with the fewest attempts of this node in flight; chance decides between equals."""
 
     def pick(self, engines: list[Engine]) -> Engine:
         fewest = min(len(engine.attempts) for engine in engines)
