--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -11,7 +11,7 @@
 from worksmux.consensus.messages import Vote
 from worksmux.consensus.raft import Raft
 from worksmux.consensus.steps import Change, Figures, HandOver, Out, Role
-from worksmux.policy.measure import Chance
+from worksmux.policy.random_source import RandomSource
 from worksmux.simulation.consensus import Broken, CouncilWorld, Make, SeatInTime, storm
 
 SAMPLE = 60  # storms in CI; thousands are played by benchmarks/council_storms.py
@@ -147,7 +147,7 @@
     """Milliseconds from a cut around the leader until the others have a leader that they follow, where each
     of their processes stands still for up to `pause` milliseconds, goes on for some, and so on."""
     world = CouncilWorld(3, seed)
-    old, chance = world.led(), Chance(seed + 5)
+    old, chance = world.led(), RandomSource(seed + 5)
     others = [seat for seat in world.seats.values() if seat is not old]
     world.run(500.0)
     world.wire.cut([old.name], [seat.name for seat in others])
--- a/tests/test_council_parts.py
+++ b/tests/test_council_parts.py
@@ -24,7 +24,7 @@
     parent_of,
 )
 from worksmux.consensus.state_machine import Book, Chapter, Put
-from worksmux.policy.measure import Chance
+from worksmux.policy.random_source import RandomSource
 from worksmux.simulation.followers import LEASE, Following
 
 # The book.
@@ -143,7 +143,7 @@
 def storm(make: type[Follower], seed: int) -> Following:
     """Cuts, freezes and losses while the council goes on agreeing."""
     fleet = Following(12, seed, make, loss=0.1)
-    chance = Chance(seed)
+    chance = RandomSource(seed)
     fleet.run(3000.0)
     for _ in range(40):
         fleet.run(600.0 * chance.share())
--- a/tests/test_engine_index.py
+++ b/tests/test_engine_index.py
@@ -8,7 +8,7 @@
 import pytest
 from helpers import NOW, settings
 
-from worksmux.policy.measure import mix
+from worksmux.policy.hashing import mix
 from worksmux.policy.rendezvous import LEAF_ENGINES, RankedEngines, rank
 from worksmux.policy.round_robin import MAX_TURN_LOOKS, RoundRobin
 from worksmux.policy.slow_start import BUDGET_SHARE, SlowStart
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -10,7 +10,7 @@
 
 from worksmux.gossip.members import Member, Members, Rumour, State
 from worksmux.gossip.swim import Outlived
-from worksmux.policy.measure import Chance
+from worksmux.policy.random_source import RandomSource
 from worksmux.simulation.peers import Peer, World
 from worksmux.simulation.wire import Weather
 
@@ -234,7 +234,7 @@
 
 def storm(seed: int) -> World:
     """Deaths, returns with and without a disk, freezes, cuts and losses; then calm: all agree."""
-    chance = Chance(seed)
+    chance = RandomSource(seed)
     found = World(seed, PERIOD, Weather((0.3, 80.0 * chance.share()), 0.2 * chance.share(), 0.1))
     names = [f"f{at}" for at in range(7)]
     lives = dict.fromkeys(names, 1)
--- a/worksmux/admission/concurrency_limit.py
+++ b/worksmux/admission/concurrency_limit.py
@@ -11,7 +11,7 @@
 
 from __future__ import annotations
 
-from ..policy.measure import Ring
+from ..policy.sliding_window import SlidingWindow
 
 TOLERATED = 2.0  # times the shortest: a token may take so long before the limit shrinks
 SHRINK = 0.9  # at a trip turned away, once in a step
@@ -31,10 +31,10 @@
         self.unit, self.limit = unit, max(unit, first)
         self.promised = promised
         self.least = unit
-        self.times = Ring(SPAN * promised, SPAN * 4)  # elapsed by cost; fine enough to show a look
-        self.lately = Ring(promised / 4, BUCKETS)  # short: what acts on old times swings
+        self.times = SlidingWindow(SPAN * promised, SPAN * 4)  # elapsed by cost; fine enough to show a look
+        self.lately = SlidingWindow(promised / 4, BUCKETS)  # short: what acts on old times swings
         self.gain = 1.0
-        self.served = Ring(2 * promised, BUCKETS)  # cost
+        self.served = SlidingWindow(2 * promised, BUCKETS)  # cost
         self.out = self.most_out = 0.0
         self.next_step = 0.0
         self.shrunk_until = 0.0
--- a/worksmux/admission/controller.py
+++ b/worksmux/admission/controller.py
@@ -15,7 +15,7 @@
 from enum import Enum
 from typing import Any
 
-from ..policy.measure import Chance
+from ..policy.random_source import RandomSource
 from .concurrency_limit import Limit
 from .fair_queue import Lines, Shared, Waiting
 from .overload import Brownout, Pressure
@@ -127,7 +127,7 @@
 
 class Gate:
     def __init__(self, settings: GateSettings, seed: int) -> None:
-        self.settings, self.chance = settings, Chance(seed)
+        self.settings, self.chance = settings, RandomSource(seed)
         self.shares = settings.shares
         self.lines: list[Lines[Asked]] = [
             Lines(share.largest, share.line, share.calls) for share in self.shares
--- a/worksmux/admission/retry_budget.py
+++ b/worksmux/admission/retry_budget.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from ..policy.measure import Chance
+from ..policy.random_source import RandomSource
 
 SPREAD = 0.5  # of the wait that chance adds
 
@@ -61,7 +61,7 @@
 
     def __init__(self, least: float, longest: float, seed: int) -> None:
         self.least, self.longest = least, longest
-        self.chance = Chance(seed)
+        self.chance = RandomSource(seed)
         self.free_at = 0.0  # until then the schedule is taken
 
     def stay_away(self, now: float, cost: float, rate: float, backlog: float) -> float:
--- a/worksmux/baselines/plain.py
+++ b/worksmux/baselines/plain.py
@@ -26,7 +26,7 @@
     RequestArrived,
     TimerFired,
 )
-from ..policy.measure import Chance
+from ..policy.random_source import RandomSource
 from ..policy.settings import IDEMPOTENT, ROLE_COMBINED, ROLE_DECODE, ROLE_PREFILL, PolicySettings
 from ..policy.state import Attempt, Engine, Outcome, Request
 
@@ -38,7 +38,7 @@
     """What the baselines share; a subclass picks one engine of several."""
 
     def __init__(self, settings: PolicySettings, seed: int) -> None:
-        self.settings, self.chance = settings, Chance(seed)
+        self.settings, self.chance = settings, RandomSource(seed)
         self.engines: dict[Engine, None] = {}
         self.requests: dict[Request, None] = {}  # unanswered, with no attempt in flight
         self.now = 0.0
--- a/worksmux/consensus/replication.py
+++ b/worksmux/consensus/replication.py
@@ -21,7 +21,8 @@
 
 import msgspec
 
-from ..policy.measure import Chance, mix
+from ..policy.hashing import mix
+from ..policy.random_source import RandomSource
 from .state_machine import Chapter
 from .voter import DRIFT
 
@@ -159,7 +160,7 @@
         now: float,
         report: Callable[[list[bytes]], bytes] = lambda _: b"",
     ) -> None:
-        self.me, self.lease, self.chance, self.report = me, lease, Chance(seed), report
+        self.me, self.lease, self.chance, self.report = me, lease, RandomSource(seed), report
         self.round = lease / ROUNDS
         self.index, self.mark = 0, 0
         self.chapters: dict[str, Chapter] = {}
--- a/worksmux/consensus/voter.py
+++ b/worksmux/consensus/voter.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from math import inf
 
-from ..policy.measure import Chance
+from ..policy.random_source import RandomSource
 from .entries import Base, Entry, Log, Saved, Write
 from .steps import Committed, Figures, Leads, Out, Progress, Refused, Role
 
@@ -15,7 +15,7 @@
 
 class Seat:
     def __init__(self, me: str, saved: Saved, figures: Figures, seed: int, now: float) -> None:
-        self.me, self.figures, self.chance = me, figures, Chance(seed)
+        self.me, self.figures, self.chance = me, figures, RandomSource(seed)
         self.term, self.vote = saved.term, saved.vote
         self.log = Log(saved.base, list(saved.entries))
         self.seats_at, self.seats = self.log.seats()
--- a/worksmux/endpoints/learned_state.py
+++ b/worksmux/endpoints/learned_state.py
@@ -19,7 +19,7 @@
 
 from ..policy.events import AttemptEnded, Event, FirstToken, StateRestored
 from ..policy.load_estimates import BUCKETS, HISTORY_MS, SLOW_FACTOR
-from ..policy.measure import Ring
+from ..policy.sliding_window import SlidingWindow
 from ..policy.state import ALL_REQUEST_CLASSES, Engine, Outcome
 from .staleness import USEFUL, Turnover
 
@@ -70,8 +70,8 @@
 
     def __init__(self, request_classes: list[str]) -> None:
         self.request_classes = request_classes
-        self.first, self.per_token = Ring(HISTORY_MS, BUCKETS), Ring(HISTORY_MS, BUCKETS)
-        self.faults = [Ring(HISTORY_MS, BUCKETS) for _ in request_classes]
+        self.first, self.per_token = SlidingWindow(HISTORY_MS, BUCKETS), SlidingWindow(HISTORY_MS, BUCKETS)
+        self.faults = [SlidingWindow(HISTORY_MS, BUCKETS) for _ in request_classes]
         self.shortest = self.shortest_at = 0.0
         self.saved: dict[str, Pace | Marks] = {}
 
@@ -102,7 +102,7 @@
         return Pace(wall, first, per_token, self.shortest, self.shortest_at, fates)
 
     @staticmethod
-    def _usual(ring: Ring, now: float) -> Usual:
+    def _usual(ring: SlidingWindow, now: float) -> Usual:
         count = ring.count(now)
         return Usual(ring.mean(now) * count, count)
 
--- a/worksmux/endpoints/staleness.py
+++ b/worksmux/endpoints/staleness.py
@@ -23,7 +23,7 @@
 import msgspec
 
 from ..api.listing import Line
-from ..policy.measure import Chance
+from ..policy.random_source import RandomSource
 from ..policy.state import Outcome
 
 SURE = 0.95  # likely enough to be used as it stands
@@ -129,7 +129,7 @@
     ) -> None:
         """`rate` is how many probes a second all `fronts` together may send to one engine; `whole` tells
         whether the store vouches for the list as a whole: if not, no line of it is sure."""
-        self.chance = Chance(seed)
+        self.chance = RandomSource(seed)
         self.spread = 1000 * fronts / rate  # the time over which all fronts ask one engine once
         self.beliefs: dict[str, Belief] = {}
         self.due: list[tuple[float, int, str]] = []
--- a/worksmux/failover/watcher.py
+++ b/worksmux/failover/watcher.py
@@ -10,8 +10,8 @@
 from typing import NamedTuple
 
 from ..policy.events import AttemptEnded, EndpointEntry, EndpointListUpdate, Event, FirstToken, RequestArrived
-from ..policy.measure import Ring
 from ..policy.settings import PolicySettings
+from ..policy.sliding_window import SlidingWindow
 from ..policy.state import Engine, Outcome, Request
 from .tally import Tally, ZoneTally
 
@@ -59,17 +59,18 @@
         return Waiting(self.count + count, self.pressure + pressure)
 
 
-def _ring() -> Ring:
-    return Ring(SPAN, BUCKETS)
+def _ring() -> SlidingWindow:
+    return SlidingWindow(SPAN, BUCKETS)
 
 
 @dataclass(eq=False)
 class ZoneRecord:
     """What was lately seen of one zone."""
 
-    successes: Ring = field(default_factory=_ring)
-    faults: Ring = field(default_factory=_ring)
-    pressure: Ring = field(default_factory=_ring)  # waits of answers that began, as parts of their targets
+    successes: SlidingWindow = field(default_factory=_ring)
+    faults: SlidingWindow = field(default_factory=_ring)
+    # Waits of answers that began, as parts of their targets.
+    pressure: SlidingWindow = field(default_factory=_ring)
     last_success: float = 0.0
     size: float = 0.0  # the most that was listed as ready, slowly forgotten
     sized_at: float = 0.0
--- a/worksmux/gateway/fleet/consensus_voter.py
+++ b/worksmux/gateway/fleet/consensus_voter.py
@@ -21,7 +21,7 @@
 from ...consensus.state_machine import Book, Put
 from ...net import clock
 from ...net.loop import Reactor
-from ...policy.measure import mix
+from ...policy.hashing import mix
 from ...settings.fleet import FleetSettings
 from .consensus_disk import CouncilDisk
 from .core_timers import CoreTimers
--- a/worksmux/gateway/fleet/peering.py
+++ b/worksmux/gateway/fleet/peering.py
@@ -32,7 +32,7 @@
 from ...net import clock
 from ...net.loop import Reactor
 from ...policy.events import Event, FailoverPlan
-from ...policy.measure import mix
+from ...policy.hashing import mix
 from ...settings.front import FrontSettings
 from ..active_versions import Holding
 from ..chat_engine_client import PublishedCore
--- a/worksmux/gossip/swim.py
+++ b/worksmux/gossip/swim.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from ..policy.measure import Chance
+from ..policy.random_source import RandomSource
 from .health import Health
 from .members import PARTS, Incarnation, Member, Members, Rumour, State, part_of
 from .messages import Ack, Ask, Everyone, Message, Nack, Parts, Ping, Same, Some
@@ -133,7 +133,7 @@
 class Swim:
     def __init__(self, me: Rumour, seeds: Iterable[str], period: float, seed: int, now: float) -> None:
         """`me` with its life; `seeds` are addresses to ask first, `period` milliseconds."""
-        self.me, self.seeds, self.period, self.chance = me, list(seeds), period, Chance(seed)
+        self.me, self.seeds, self.period, self.chance = me, list(seeds), period, RandomSource(seed)
         self.members = Members(me.name)
         self.health = Health()
         self.number = 0
--- a/worksmux/policy/admission.py
+++ b/worksmux/policy/admission.py
@@ -7,8 +7,8 @@
 
 from .actions import EndReason, RejectRequest
 from .context import PolicyContext
+from .hashing import hash_score, mix
 from .load_estimates import LoadEstimates
-from .measure import mix, straw
 from .prefill_probing import PrefillProbing
 from .state import Request
 
@@ -43,7 +43,7 @@
         key, _, ranking = self._context.index.ranked_for(request)
         first = next(iter(ranking), None)
         shares = plan.shed.get(first.zone) if first else None
-        if shares is None or straw(key, mix(request.request_class, 3)) >= shares[request.request_class]:
+        if shares is None or hash_score(key, mix(request.request_class, 3)) >= shares[request.request_class]:
             return None
         retry_after_ms = plan.retry_after_ms if self._context.settings.max_retry_after_ms else 0.0
         return RejectRequest(
--- a/worksmux/policy/context.py
+++ b/worksmux/policy/context.py
@@ -5,7 +5,7 @@
 from .actions import Action
 from .endpoint_index import EngineIndex
 from .events import FailoverPlan
-from .measure import Chance
+from .random_source import RandomSource
 from .settings import PolicySettings
 from .state import Engine
 
@@ -32,7 +32,7 @@
     def __init__(self, settings: PolicySettings, seed: int) -> None:
         self.settings = settings
         self.request_classes = settings.request_classes
-        self.random_source = Chance(seed)
+        self.random_source = RandomSource(seed)
         self.shortest_target_ms: float = min(
             request_class.latency_target_ms for request_class in self.request_classes
         )
--- a/worksmux/policy/decode_window.py
+++ b/worksmux/policy/decode_window.py
@@ -13,9 +13,9 @@
 from .events import StateRestored
 from .in_flight import InFlight
 from .load_estimates import BUCKETS, RECENT_BUCKETS, LoadEstimates
-from .measure import Ring
 from .outlier_detection import OutlierDetection
 from .prefill_probing import PrefillProbing
+from .sliding_window import SlidingWindow
 from .state import Engine, Request
 
 WINDOW_MARGIN = 0.25  # of the even share, also of the memory share, that may be exceeded
@@ -36,7 +36,7 @@
     ) -> None:
         self._context, self._estimates, self._in_flight = context, estimates, in_flight
         self._outliers, self._probing = outliers, probing
-        self._in_flight_history = Ring(IN_FLIGHT_HISTORY_MS, BUCKETS)
+        self._in_flight_history = SlidingWindow(IN_FLIGHT_HISTORY_MS, BUCKETS)
 
     def begin_placement(self) -> None:
         self._in_flight_history.add(self._context.now, self._in_flight.decode_requests)
--- a/worksmux/policy/endpoint_index.py
+++ b/worksmux/policy/endpoint_index.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Iterator
 
 from .events import FailoverPlan
-from .measure import mix
+from .hashing import mix
 from .prefill_weights import weigh
 from .rendezvous import RankedEngines, Ranking
 from .round_robin import ANYWHERE, RoundRobin, Scope
--- a/worksmux/policy/endpoint_table.py
+++ b/worksmux/policy/endpoint_table.py
@@ -6,11 +6,12 @@
 from .context import PolicyContext
 from .endpoint_index import EngineIndex
 from .events import EndpointEntry, EndpointListUpdate
+from .hashing import mix
 from .in_flight import InFlight
 from .load_estimates import BUCKETS, HISTORY_MS
-from .measure import Ring, mix
 from .outlier_detection import OutlierDetection
 from .settings import ROLE_PREFILL
+from .sliding_window import SlidingWindow
 from .slow_start import SlowStart
 from .state import Engine
 
@@ -54,8 +55,8 @@
             self._context.engines[engine] = None
             engine.key_hash = mix(engine.key, 0)
             engine.failures, engine.first_token_delays = (
-                Ring(HISTORY_MS, BUCKETS),
-                Ring(FIRST_TOKEN_HISTORY_MS, BUCKETS),
+                SlidingWindow(HISTORY_MS, BUCKETS),
+                SlidingWindow(FIRST_TOKEN_HISTORY_MS, BUCKETS),
             )
             engine.last_turn = self._context.random_source.share() - 1.0  # nodes' rounds start differently
         self._slow_start.leave(engine)
--- a/worksmux/policy/load_estimates.py
+++ b/worksmux/policy/load_estimates.py
@@ -11,7 +11,7 @@
 from .context import PolicyContext
 from .events import AttemptEnded, StateRestored
 from .in_flight import InFlight
-from .measure import Ring
+from .sliding_window import SlidingWindow
 from .state import Attempt, Engine, Outcome
 
 HISTORY_MS = 16_000.0  # what is remembered of failures, successes and usual times
@@ -28,12 +28,14 @@
 
     def __init__(self, context: PolicyContext, in_flight: InFlight) -> None:
         self._context, self._in_flight = context, in_flight
-        self.prefill_per_token = Ring(HISTORY_MS, BUCKETS)
-        self.uncached_prefill_per_token = Ring(HISTORY_MS, BUCKETS)  # tokens without a prefix cache hit
-        self.prefill_sizes = Ring(HISTORY_MS, BUCKETS)
-        self.first_token_waits = Ring(HISTORY_MS, BUCKETS)
-        self.prefill_queue_waits = Ring(HISTORY_MS, BUCKETS)
-        self.failures = [Ring(HISTORY_MS, BUCKETS) for _ in context.request_classes]  # by request class
+        self.prefill_per_token = SlidingWindow(HISTORY_MS, BUCKETS)
+        # Only tokens without a prefix cache hit.
+        self.uncached_prefill_per_token = SlidingWindow(HISTORY_MS, BUCKETS)
+        self.prefill_sizes = SlidingWindow(HISTORY_MS, BUCKETS)  # tokens
+        self.first_token_waits = SlidingWindow(HISTORY_MS, BUCKETS)
+        self.prefill_queue_waits = SlidingWindow(HISTORY_MS, BUCKETS)
+        # By request class: 1 for each failure, 0 for each success.
+        self.failures = [SlidingWindow(HISTORY_MS, BUCKETS) for _ in context.request_classes]
         self._target_per_token_ms: float = (
             max(request_class.latency_target_per_1000_tokens_ms for request_class in context.request_classes)
             / 1000
--- a/worksmux/policy/prefill_order.py
+++ b/worksmux/policy/prefill_order.py
@@ -12,8 +12,8 @@
 
 from .context import PolicyContext
 from .events import FailoverPlan
+from .hashing import hash_score, mix
 from .load_estimates import LoadEstimates
-from .measure import mix, straw
 from .outlier_detection import OutlierDetection
 from .prefill_probing import PrefillProbing
 from .rendezvous import Ranking, rank
@@ -66,7 +66,7 @@
             few = self._cached_at(request, ranking)
             behind = max(few, HEAD_LOOKS)
             if request not in self._head:
-                first = sorted(ranking.part(0, few), key=lambda engine: straw(session, engine.key_hash))
+                first = sorted(ranking.part(0, few), key=lambda engine: hash_score(session, engine.key_hash))
                 self._head[request] = self._with_overflow(request, first, ranking.part(few, behind))
             yield from self._head[request]
             further = (
@@ -103,7 +103,7 @@
             ranking = Ranking(len(planned), iter(planned))
             # Away from home one engine keeps a prefix: kept by several, it would evict those at home there.
             few = min(few, 1) if moved else self._cached_at(request, ranking)
-        first = sorted(ranking.part(0, few), key=lambda engine: straw(session, engine.key_hash))
+        first = sorted(ranking.part(0, few), key=lambda engine: hash_score(session, engine.key_hash))
         others = self._behind(first, key, ranking, scope)
         if self._estimates.is_failing(request.request_class):
             others = self._known_good_first(request, first, others, key, scope)
@@ -141,7 +141,7 @@
         Its home is the zone of the first engine by hash; the plan's shares draw the zone by the prefix.
         """
         home = zone = order[0].zone
-        draw = straw(key, mix(home, 2))
+        draw = hash_score(key, mix(home, 2))
         for other, share in plan.zone_shares.get(home, []):
             zone, draw = other, draw - share
             if draw < 0:
--- /dev/null
+++ b/worksmux/policy/random_source.py
@@ -0,0 +1,36 @@
+"""A seeded source of random numbers."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from typing import TypeVar
+
+T = TypeVar("T")
+MODULUS = 2**64
+
+
+class RandomSource:
+    """A linear congruential generator; only its high bits are used."""
+
+    def __init__(self, seed: int) -> None:
+        self.state = seed
+
+    def share(self) -> float:
+        """A number from 0 to below 1.
+
+        >>> 0 <= RandomSource(7).share() < 1 and RandomSource(7).share() != RandomSource(8).share()
+        True
+        """
+        self.state = (self.state * 6364136223846793005 + 1442695040888963407) % MODULUS
+        return (self.state >> 32) / 2**32
+
+    def some(self, items: Iterable[T], count: int) -> list[T]:
+        """At most `count` of the items, in random order.
+
+        >>> sorted(RandomSource(1).some("abc", 5)), len(RandomSource(1).some("abc", 2))
+        (['a', 'b', 'c'], 2)
+        """
+        left, found = list(items), []  # type: list[T], list[T]
+        while left and len(found) < count:
+            found.append(left.pop(int(self.share() * len(left))))
+        return found
--- a/worksmux/policy/rendezvous.py
+++ b/worksmux/policy/rendezvous.py
@@ -15,7 +15,7 @@
 from math import log
 from operator import attrgetter
 
-from .measure import mix, straw, straws
+from .hashing import hash_score, hash_scores, mix
 from .state import Engine
 
 # Where a leaf splits or joins many of its keys move, so this is far from most fleets' leaves.
@@ -90,7 +90,7 @@
             yield from self._leaf(node, key)
             return
         for child in sorted(
-            node.children, key=lambda child: -log(straw(key, child.path_hash)) / child.weight
+            node.children, key=lambda child: -log(hash_score(key, child.path_hash)) / child.weight
         ):
             yield from self._walk(child, key)
 
@@ -101,6 +101,6 @@
 
 def rank(key: int, engines: Sequence[Engine], key_hashes: Sequence[int] | None = None) -> list[Engine]:
     """All of the engines by weighted rendezvous hashing; `key_hashes` are theirs, if at hand."""
-    scores = straws(key, [engine.key_hash for engine in engines] if key_hashes is None else key_hashes)
+    scores = hash_scores(key, [engine.key_hash for engine in engines] if key_hashes is None else key_hashes)
     ranks = [-log(score) / engine.weight for score, engine in zip(scores, engines, strict=True)]
     return [engines[at] for at in sorted(range(len(ranks)), key=ranks.__getitem__)]
--- a/worksmux/policy/state.py
+++ b/worksmux/policy/state.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from .measure import Ring
+from .sliding_window import SlidingWindow
 
 ALL_REQUEST_CLASSES = -1  # as a key of `ejected_until`: the engine is ejected for every class
-EMPTY_WINDOW = Ring(1.0, 1)  # until the engine enters the endpoint table
+EMPTY_WINDOW = SlidingWindow(1.0, 1)  # until the engine enters the endpoint table
 
 
 class Outcome(Enum):
@@ -59,8 +59,8 @@
     ejected_until: dict[int, float] = field(default_factory=dict)  # by request class
     last_success: dict[int, float] = field(default_factory=dict)  # by request class
     health_check_pending: bool = False  # suspected
-    failures: Ring = EMPTY_WINDOW
-    first_token_delays: Ring = EMPTY_WINDOW
+    failures: SlidingWindow = EMPTY_WINDOW
+    first_token_delays: SlidingWindow = EMPTY_WINDOW
     report: dict[str, float] = field(default_factory=dict)  # of its load
     reported: float = 0.0  # when it last answered a health check
 
--- a/worksmux/simulation/consensus.py
+++ b/worksmux/simulation/consensus.py
@@ -33,7 +33,8 @@
     What,
     Written,
 )
-from ..policy.measure import Chance, mix
+from ..policy.hashing import mix
+from ..policy.random_source import RandomSource
 from .sim import Sim, Timer
 from .wire import Weather, Wire
 
@@ -70,7 +71,7 @@
 
     def __init__(self, world: CouncilWorld, name: str, disk: Disk) -> None:
         self.world, self.name, self.disk = world, name, disk
-        chance = Chance(mix(world.seed, len(name) * 7919 + ord(name[0])))
+        chance = RandomSource(mix(world.seed, len(name) * 7919 + ord(name[0])))
         self.rate = 1 + world.drift * (2 * chance.share() - 1)
         self.zero = 1e6 * chance.share()
         self.raft: Raft | None = None
@@ -210,7 +211,7 @@
         self.sim = Sim()
         self.sim.now = 1000.0
         self.seed, self.make, self.drift, self.disk_ms, self.patient = seed, make, drift, disk_ms, patient
-        self.chance = Chance(mix(seed, 17))
+        self.chance = RandomSource(mix(seed, 17))
         self.wire = Wire(self.sim, mix(seed, 3), weather)
         self.figures = Figures(60.0, 400.0)
         names = [chr(ord("a") + at) for at in range(count)]
@@ -338,7 +339,7 @@
 ) -> CouncilWorld:
     """One run with everything at once: loss, repeats, reordering, cuts, crashes, freezes, snapshots, reads.
     Raises Broken where something that must always hold does not."""
-    chance = Chance(mix(seed, 99))
+    chance = RandomSource(mix(seed, 99))
     weather = Weather((0.3, 3.0 + 60.0 * chance.share()), 0.2 * chance.share(), 0.2 * chance.share())
     world = CouncilWorld(
         seats or (3 if chance.share() < 0.6 else 5),
--- a/worksmux/simulation/followers.py
+++ b/worksmux/simulation/followers.py
@@ -9,7 +9,7 @@
 
 from ..consensus.replication import Agreed, Follower, Fronts, Heard, Out, Tick
 from ..consensus.state_machine import Chapter
-from ..policy.measure import Chance
+from ..policy.random_source import RandomSource
 from .sim import Sim
 from .wire import Weather, Wire
 
@@ -24,7 +24,7 @@
         self.sim.now = 1000.0
         self.wire = Wire(self.sim, seed, Weather((0.3, 3.0), loss, loss / 2))
         self.names = [f"f{at}" for at in range(count)]
-        self.zero = {name: 1e5 * Chance(seed + at).share() for at, name in enumerate(self.names)}
+        self.zero = {name: 1e5 * RandomSource(seed + at).share() for at, name in enumerate(self.names)}
         self.followers = {
             name: make(name, LEASE, seed + at, self.now(name)) for at, name in enumerate(self.names)
         }
--- a/worksmux/simulation/peers.py
+++ b/worksmux/simulation/peers.py
@@ -6,7 +6,7 @@
 from ..gossip.members import Rumour, State
 from ..gossip.messages import Message
 from ..gossip.swim import Changed, Fact, Heard, Leave, Outlived, Swim, Tick, What
-from ..policy.measure import mix
+from ..policy.hashing import mix
 from ..scenarios.engines import hash_of
 from .sim import Sim, Timer
 from .wire import Weather, Wire
--- a/worksmux/simulation/wire.py
+++ b/worksmux/simulation/wire.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from ..policy.measure import Chance
+from ..policy.random_source import RandomSource
 from .sim import Sim
 
 Take = Callable[[str, Any], object]
@@ -31,7 +31,7 @@
 
 class Wire:
     def __init__(self, sim: Sim, seed: int, weather: Weather | None = None) -> None:
-        self.sim, self.chance, self.weather = sim, Chance(seed), weather or Weather()
+        self.sim, self.chance, self.weather = sim, RandomSource(seed), weather or Weather()
         self.at: dict[str, Take] = {}
         self.cuts: set[tuple[str, str]] = set()  # directed pairs of addresses
         self.slow: dict[str, float] = {}  # milliseconds more, for all that comes from an address
--- a/worksmux/tokenization/desk.py
+++ b/worksmux/tokenization/desk.py
@@ -16,7 +16,7 @@
 from enum import Enum
 from itertools import count
 
-from ..policy.measure import Ring
+from ..policy.sliding_window import SlidingWindow
 
 WAIT = 0.15  # of the promised time: a count is waited for that long
 PATIENCE = 20.0  # times the usual time for its bytes, before a worker counts as hung
@@ -80,7 +80,7 @@
     ) -> None:
         self.long, self.bound, self.time_limit = long, bound, time_limit
         self.lanes = {False: Lane(short_workers), True: Lane(long_workers)}
-        self.rate = Ring(RATE_MEMORY, 10)  # milliseconds for a byte
+        self.rate = SlidingWindow(RATE_MEMORY, 10)  # milliseconds for a byte
         self.order = count()
         self.deadlines: list[tuple[float, int, Ask]] = []
         self.refused = 0
