--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -10,8 +10,8 @@
 
 # Engines of a fleet: kind, zone and cell.
 PAIR = ((0, 0, 0), (1, 0, 0))
-TWO_WRITERS = (*PAIR, (1, 0, 0))
-THREE_READERS = ((0, 0, 0), (0, 0, 0), (0, 0, 0), (1, 0, 0))
+TWO_DECODE_ENGINES = (*PAIR, (1, 0, 0))
+THREE_PREFILL_ENGINES = ((0, 0, 0), (0, 0, 0), (0, 0, 0), (1, 0, 0))
 
 
 def settings(**changes):
@@ -44,29 +44,29 @@
 
 
 def fleet(*places, seed=1, **changes):
-    """A front that knows an engine for each (kind, zone, cell), and those engines."""
-    front = Router(settings(**changes), seed)
+    """A router that knows an engine for each (kind, zone, cell), and those engines."""
+    router = Router(settings(**changes), seed)
     engines = [Engine(bytes([at]), at + 1) for at in range(len(places))]
     entries = [
         EndpointEntry(engine, "ready", 0.0, zone, cell, kind, 1.0)
         for engine, (kind, zone, cell) in zip(engines, places, strict=True)
     ]
-    front.decide(NOW, [EndpointListUpdate("full", entries)])
-    return front, engines
+    router.decide(NOW, [EndpointListUpdate("full", entries)])
+    return router, engines
 
 
 def request(number=1, request_class=0, now=NOW, left=4000.0, session=0):
     return Request(number, request_class, session or number, 0, 1000.0, 0.0, 300.0, now, now + left)
 
 
-def ended(front, attempt, outcome, after=50.0, closed=False, note=0):
-    return front.decide(attempt.sent_at + after, [AttemptEnded(attempt, outcome, after, closed, note)])
+def ended(router, attempt, outcome, after=50.0, closed=False, note=0):
+    return router.decide(attempt.sent_at + after, [AttemptEnded(attempt, outcome, after, closed, note)])
 
 
 def kinds(actions):
     return [type(action).__name__ for action in actions if not isinstance(action, SetTimer)]
 
 
-def read(front, one, now=NOW):
-    front.decide(now, [RequestArrived(one)])
-    return ended(front, one.attempts[0], Outcome.PREFILLED)
+def prefill(router, one, now=NOW):
+    router.decide(now, [RequestArrived(one)])
+    return ended(router, one.attempts[0], Outcome.PREFILLED)
--- a/tests/test_policy_decode_window.py
+++ b/tests/test_policy_decode_window.py
@@ -1,61 +1,64 @@
 """How many requests a decode engine gets, and in which turn."""
 
-from helpers import NOW, PAIR, TWO_WRITERS, ended, fleet, read, request
+from helpers import NOW, PAIR, TWO_DECODE_ENGINES, ended, fleet, prefill, request
 
 from worksmux.policy.events import RequestArrived
 from worksmux.policy.state import Attempt, Outcome
 
 
-def test_writers_take_turns_in_the_readers_cell():
-    front, (_, first, second) = fleet(*TWO_WRITERS)
+def test_decode_engines_of_the_prefill_engines_cell_take_turns():
+    router, (_, first, second) = fleet(*TWO_DECODE_ENGINES)
     requests = [request(number) for number in (1, 2)]
-    front.decide(NOW, [RequestArrived(one) for one in requests])
+    router.decide(NOW, [RequestArrived(one) for one in requests])
     assert {one.decode_engine for one in requests} == {first, second}
 
 
-def test_full_window_makes_the_request_wait_before_its_read():
-    front, (_, writer) = fleet(*PAIR)
-    writer.window_reduction = 100.0
+def test_request_waits_for_its_prefill_while_the_decode_window_is_full():
+    router, (_, decode_engine) = fleet(*PAIR)
+    decode_engine.window_reduction = 100.0
     requests = [request(number) for number in (1, 2)]
-    front.decide(NOW, [RequestArrived(one) for one in requests])
+    router.decide(NOW, [RequestArrived(one) for one in requests])
     assert [len(one.attempts) for one in requests] == [1, 0]
 
 
-def test_full_answer_marks_the_writer_and_the_next_one_gets_the_state():
-    front, _ = fleet(*TWO_WRITERS)
+def test_full_decode_engine_is_skipped_and_the_next_gets_the_kv_cache():
+    router, _ = fleet(*TWO_DECODE_ENGINES)
     one = request()
-    read(front, one)
+    prefill(router, one)
     first = one.attempts[1].engine
-    ended(front, one.attempts[1], Outcome.FULL)
+    ended(router, one.attempts[1], Outcome.FULL)
     assert first.skipped_until > NOW + 900 and first.window_reduction > 0
     assert one.attempts[2].engine not in (first, one.attempts[0].engine)
 
 
-def test_restarted_front_is_not_stuck_at_one_request_a_writer():
-    front, (_, writer) = fleet(*PAIR)
-    front.in_flight.decode_requests = 8
-    assert front.window.size(writer) > 8
+def test_restarted_node_may_have_several_requests_at_a_decode_engine():
+    router, (_, decode_engine) = fleet(*PAIR)
+    router.in_flight.decode_requests = 8
+    assert router.window.size(decode_engine) > 8
 
 
-def test_writer_whose_memory_share_is_used_up_is_skipped():
-    front, (_, writer) = fleet(*PAIR, kind_memory_tokens=(200_000, 10_000))
-    writer.attempts = {
-        Attempt(request(number), writer, 0, NOW, first_token_at=NOW): None for number in range(7)
+def test_decode_engine_whose_memory_share_is_used_up_gets_no_request():
+    router, (_, decode_engine) = fleet(*PAIR, kind_memory_tokens=(200_000, 10_000))
+    decode_engine.attempts = {
+        Attempt(request(number), decode_engine, 0, NOW, first_token_at=NOW): None for number in range(7)
     }
-    front.in_flight.decode_requests = 7
-    assert front.window.size(writer) > 8 and not front.window.has_capacity(writer, request())
+    router.in_flight.decode_requests = 7
+    assert router.window.size(decode_engine) > 8 and not router.window.has_capacity(decode_engine, request())
 
 
-def test_front_with_more_than_its_part_of_the_traffic_need_not_stand_back_while_answers_begin_at_once():
-    # Guards against a busy front of hundreds that holds each writer to one answer, with memory idle.
-    front, (_, writer) = fleet(*PAIR, node_count=200, kind_memory_tokens=(400_000, 570_000))
-    writer.attempts = {
-        Attempt(request(number), writer, 0, NOW, first_token_at=NOW): None for number in range(4)
+def test_memory_share_does_not_limit_a_busy_node_while_first_tokens_are_prompt():
+    """One node of hundreds gets more than its share of the traffic while the engines' memory is idle.
+
+    It must not hold each decode engine to its memory share, unless first tokens are late somewhere.
+    """
+    router, (_, decode_engine) = fleet(*PAIR, node_count=200, kind_memory_tokens=(400_000, 570_000))
+    decode_engine.attempts = {
+        Attempt(request(number), decode_engine, 0, NOW, first_token_at=NOW): None for number in range(4)
     }
-    front.in_flight.decode_requests, front.context.now, front.probing.enabled = 4, NOW, True
+    router.in_flight.decode_requests, router.context.now, router.probing.enabled = 4, NOW, True
     one = request(9)
     one.random_draw = 0.9
-    front.estimates.first_token_waits.add(NOW, 40.0)
-    assert front.window.has_capacity(writer, one)
-    front.estimates.first_token_waits.add(NOW, 4000.0)  # states wait for memory somewhere
-    assert not front.window.has_capacity(writer, one)
+    router.estimates.first_token_waits.add(NOW, 40.0)
+    assert router.window.has_capacity(decode_engine, one)
+    router.estimates.first_token_waits.add(NOW, 4000.0)  # KV cache waits for memory somewhere
+    assert not router.window.has_capacity(decode_engine, one)
--- a/tests/test_policy_endpoint_table.py
+++ b/tests/test_policy_endpoint_table.py
@@ -6,15 +6,17 @@
 from worksmux.policy.state import Outcome
 
 
-def test_nothing_new_to_an_engine_told_draining():
-    front, (_, writer) = fleet(*PAIR)
+def test_draining_engine_gets_no_new_attempt():
+    router, (_, decode_engine) = fleet(*PAIR)
     one = request()
-    front.decide(NOW, [RequestArrived(one)])
-    front.decide(NOW, [EndpointListUpdate("delta", [EndpointEntry(writer, "draining", 0.0, 0, 0, 1, 1.0)])])
-    assert kinds(ended(front, one.attempts[0], Outcome.PREFILLED)) == []
+    router.decide(NOW, [RequestArrived(one)])
+    draining = EndpointEntry(decode_engine, "draining", 0.0, 0, 0, 1, 1.0)
+    router.decide(NOW, [EndpointListUpdate("delta", [draining])])
+    assert kinds(ended(router, one.attempts[0], Outcome.PREFILLED)) == []
 
 
 def test_engine_missing_from_a_full_list_is_gone():
-    front, (reader, writer) = fleet(*PAIR)
-    front.decide(NOW, [EndpointListUpdate("full", [EndpointEntry(reader, "ready", 0.0, 0, 0, 0, 1.0)])])
-    assert writer.state == "gone" and reader.state == "ready"
+    router, (prefill_engine, decode_engine) = fleet(*PAIR)
+    listed = EndpointEntry(prefill_engine, "ready", 0.0, 0, 0, 0, 1.0)
+    router.decide(NOW, [EndpointListUpdate("full", [listed])])
+    assert decode_engine.state == "gone" and prefill_engine.state == "ready"
--- a/tests/test_policy_prefill_probing.py
+++ b/tests/test_policy_prefill_probing.py
@@ -1,74 +1,82 @@
 """Health checks before a prefill on nodes with sparse traffic."""
 
-from helpers import NOW, THREE_READERS, fleet, request
+from helpers import NOW, THREE_PREFILL_ENGINES, fleet, request
 
 from worksmux.policy.actions import CheckHealth
 from worksmux.policy.events import HealthCheckEnded, RequestArrived, TimerFired
 from worksmux.policy.state import Outcome
 
 
-def asking(**changes):
-    """One of many fronts with a job that has just come: the front, the job and the reader that was asked."""
-    front, _ = fleet(*THREE_READERS, **{"node_count": 200, **changes})
+def probing_router(**changes):
+    """A node of 200, a request that has just come, and the engines that were checked for it."""
+    router, _ = fleet(*THREE_PREFILL_ENGINES, **{"node_count": 200, **changes})
     one = request()
     probes = [
-        action for action in front.decide(NOW, [RequestArrived(one)]) if isinstance(action, CheckHealth)
+        action for action in router.decide(NOW, [RequestArrived(one)]) if isinstance(action, CheckHealth)
     ]
-    return front, one, [probe.engine for probe in probes]
+    return router, one, [probe.engine for probe in probes]
 
 
-def asked_at(front, now, *events):
-    actions = front.decide(now, list(events))
+def checked_at(router, now, *events):
+    actions = router.decide(now, list(events))
     return [action.engine for action in actions if isinstance(action, CheckHealth)]
 
 
-def test_one_of_many_fronts_asks_a_reader_before_it_sends_a_read():
-    """Guards against a line of the other fronts' reads, of which this one sees nothing."""
-    front, one, (reader,) = asking()
+def test_node_with_sparse_traffic_checks_an_engine_before_a_prefill():
+    """Other nodes have filled a prefill engine's queue, and this node sees nothing of it.
+
+    It must check the engine before it sends a prefill there.
+    """
+    router, one, (prefill_engine,) = probing_router()
     assert not one.attempts
-    front.decide(NOW + 4, [HealthCheckEnded(reader, Outcome.SERVED, 4.0)])
-    assert [attempt.engine for attempt in one.attempts] == [reader] and not one.checked_engines
+    router.decide(NOW + 4, [HealthCheckEnded(prefill_engine, Outcome.SERVED, 4.0)])
+    assert [attempt.engine for attempt in one.attempts] == [prefill_engine] and not one.checked_engines
 
 
-def test_reader_that_does_not_answer_at_once_is_passed_by_and_the_first_to_answer_reads():
-    front, one, (first,) = asking()
-    (second,) = asked_at(front, NOW + 25, TimerFired(0))
-    assert second is not first and not asked_at(front, NOW + 30, TimerFired(0))
-    front.decide(NOW + 40, [HealthCheckEnded(first, Outcome.SERVED, 40.0)])
+def test_first_engine_to_answer_its_check_gets_the_prefill():
+    router, one, (first,) = probing_router()
+    (second,) = checked_at(router, NOW + 25, TimerFired(0))
+    assert second is not first and not checked_at(router, NOW + 30, TimerFired(0))
+    router.decide(NOW + 40, [HealthCheckEnded(first, Outcome.SERVED, 40.0)])
     assert [attempt.engine for attempt in one.attempts] == [first]
 
 
-def test_request_goes_to_the_reader_of_its_hash_where_none_answers():
-    front, one, (first,) = asking()
+def test_first_engine_by_hash_gets_the_prefill_where_none_answers():
+    router, one, (first,) = probing_router()
     now, asked = NOW, [first]
     while not one.attempts and now < NOW + 1000:
         now += 10
-        asked += asked_at(front, now, TimerFired(0))
+        asked += checked_at(router, now, TimerFired(0))
     assert (
         now < NOW + 250
         and len(asked) == 3
-        and one.attempts[0].engine is next(front.prefill_order.candidates(one))[0]
+        and one.attempts[0].engine is next(router.prefill_order.candidates(one))[0]
     )
 
 
-def test_probe_that_fails_before_a_read_marks_nobody():
-    """Guards against engines set aside for a probe that waited in their line."""
-    front, one, (reader,) = asking()
-    front.decide(NOW + 20, [HealthCheckEnded(reader, Outcome.TIMED_OUT, 20.0)])
-    assert not reader.ejected_until and not reader.failures.count(NOW + 20) and not one.attempts
+def test_failed_check_before_a_prefill_ejects_nobody():
+    """A health check times out because it waited in the engine's queue.
+
+    That is no fault of the engine, so it is not ejected.
+    """
+    router, one, (prefill_engine,) = probing_router()
+    router.decide(NOW + 20, [HealthCheckEnded(prefill_engine, Outcome.TIMED_OUT, 20.0)])
+    assert (
+        not prefill_engine.ejected_until and not prefill_engine.failures.count(NOW + 20) and not one.attempts
+    )
 
 
-def test_who_sees_its_engines_or_may_not_ask_sends_at_once():
+def test_node_that_sees_its_engines_or_may_not_check_sends_at_once():
     for changes in ({"node_count": 2}, {"may_check_health": False}):
-        _, one, asked = asking(**changes)
+        _, one, asked = probing_router(**changes)
         assert len(one.attempts) == 1 and not asked
 
 
-def test_request_that_waits_for_an_answer_keeps_no_other_waiting():
-    front, one, (reader,) = asking()
+def test_request_that_waits_for_a_check_keeps_no_other_waiting():
+    router, one, (prefill_engine,) = probing_router()
     other = request(2, session=77)
-    for known in front.index.prefill_engines:
-        if known is not reader:
+    for known in router.index.prefill_engines:
+        if known is not prefill_engine:
             known.reported = NOW + 1
-    front.decide(NOW + 1, [RequestArrived(other)])
+    router.decide(NOW + 1, [RequestArrived(other)])
     assert other.attempts or other.checked_engines
