--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -1,5 +1,5 @@
-"""Cold engines under the sum of all fronts: many instances of the module, each seeded, none with the others'
-knowledge, and what reaches each cold engine in its worst window."""
+"""Cold engines under the load of all nodes: many routers, none with the others' knowledge, and what reaches
+each cold engine in its worst window.  Times are milliseconds."""
 
 from __future__ import annotations
 
@@ -29,31 +29,31 @@
 ENGINES = 10  # of each role
 RATE = 0.06  # requests a millisecond in all
 LOAD = 0.8  # of what the fleet can do: a warm engine can do RATE / ENGINES / LOAD
-READ, WRITE = 60.0, 400.0
+PREFILL_MS, DECODE_MS = 60.0, 400.0
 
 
 class Instance:
-    """One front; `alive` until it is killed."""
+    """One node; `alive` until it is killed."""
 
-    def __init__(self, front: Router, engines: list[Engine]) -> None:
-        self.front, self.engines, self.alive = front, engines, True
+    def __init__(self, router: Router, engines: list[Engine]) -> None:
+        self.router, self.engines, self.alive = router, engines, True
         self.told: set[int] = set()  # engines whose start it has heard of
 
 
 class Fleet:
-    """So many fronts; `sent` has the times at which each engine was sent anything."""
+    """Several nodes; `sent` has the times at which each engine was sent anything."""
 
-    def __init__(self, fronts: int, seed: int, prefixes: int = 40, full: float = 0.0, **changes: Any) -> None:
-        self.chance, self.fronts, self.full = Random(seed), fronts, full
-        self.changes = {"node_count": fronts, "slow_start_share": 0.25, "overload_multiple": 2.0, **changes}
+    def __init__(self, nodes: int, seed: int, prefixes: int = 40, full: float = 0.0, **changes: Any) -> None:
+        self.chance, self.nodes, self.full = Random(seed), nodes, full
+        self.changes = {"node_count": nodes, "slow_start_share": 0.25, "overload_multiple": 2.0, **changes}
         self.settings = settings(**self.changes)
         self.now, self.queue, self.order = NOW, [], count()
         self.numbers, self.prefixes = count(1), prefixes
         self.started: dict[int, float] = {}
         self.sent: dict[int, list[float]] = defaultdict(list)
-        self.sent_knowing: dict[int, list[float]] = defaultdict(list)  # by fronts told of its start
+        self.sent_knowing: dict[int, list[float]] = defaultdict(list)  # by nodes told of its start
         self.served = 0
-        self.instances = [self._new() for _ in range(fronts)]
+        self.instances = [self._new() for _ in range(nodes)]
         self._after(0.0, self._arrive)
 
     def _after(self, ms: float, call: Any, *args: Any) -> None:
@@ -75,10 +75,10 @@
         )
 
     def cold(self, numbers: list[int]) -> None:
-        """Engines start anew, and every front is told within half a second."""
+        """Engines start anew, and every node is told within half a second."""
         for number in numbers:
             self.started[number] = self.now
-        for at in range(self.fronts):
+        for at in range(self.nodes):
             self._after(self.chance.uniform(0, 500), self._told, at, numbers)
 
     def _told(self, at: int, numbers: list[int]) -> None:
@@ -89,7 +89,7 @@
         )
 
     def restart(self, part: float) -> None:
-        for at in range(self.fronts):
+        for at in range(self.nodes):
             if self.chance.random() < part:
                 self.instances[at].alive = False
                 self.instances[at] = self._new()
@@ -99,10 +99,10 @@
         number = next(self.numbers)
         prefix = 1 + int(self.prefixes * self.chance.random() ** 2)
         one = Request(number, 0, number, prefix, 1000.0, 800.0, 100.0, self.now, self.now + 4000.0)
-        self._tell(self.instances[self.chance.randrange(self.fronts)], [RequestArrived(one)])
+        self._tell(self.instances[self.chance.randrange(self.nodes)], [RequestArrived(one)])
 
     def _tell(self, made: Instance, events: list[Event]) -> None:
-        for action in made.front.decide(self.now, events) if made.alive else ():
+        for action in made.router.decide(self.now, events) if made.alive else ():
             if isinstance(action, StartAttempt):
                 attempt = action.attempt
                 number = made.engines.index(attempt.engine)
@@ -115,14 +115,14 @@
                     )
                 elif attempt.is_prefill:
                     self._after(
-                        READ,
+                        PREFILL_MS,
                         self._tell,
                         made,
-                        [AttemptEnded(attempt, Outcome.PREFILLED, READ, False, 0, None)],
+                        [AttemptEnded(attempt, Outcome.PREFILLED, PREFILL_MS, False, 0, None)],
                     )
                 else:
                     self._after(30.0, self._tell, made, [FirstToken(attempt, 30.0)])
-                    self._after(WRITE, self._done, made, attempt)
+                    self._after(DECODE_MS, self._done, made, attempt)
             elif isinstance(action, CheckHealth):  # it costs the engine work too
                 number = made.engines.index(action.engine)
                 self.sent[number].append(self.now)
@@ -135,7 +135,7 @@
 
     def _done(self, made: Instance, attempt: Attempt) -> None:
         self.served += 1
-        self._tell(made, [AttemptEnded(attempt, Outcome.SERVED, WRITE, True, 0, None)])
+        self._tell(made, [AttemptEnded(attempt, Outcome.SERVED, DECODE_MS, True, 0, None)])
 
     def run(self, ms: float) -> None:
         end = self.now + ms
@@ -146,7 +146,7 @@
 
     def worst(self, number: int, knowing: bool = False) -> int:
         """The most that was sent to an engine since its start within the time that the settings name;
-        `knowing`: by fronts that had been told of the start, which alone can keep to it."""
+        `knowing`: by nodes that had been told of the start, which alone can keep to it."""
         sent = self.sent_knowing if knowing else self.sent
         times = [at for at in sent[number] if at >= self.started[number]]
         window = self.settings.overload_window_ms
@@ -165,13 +165,16 @@
 FEW, MOST, ALL = [0, 10], [*range(6), *range(10, 16)], list(range(20))
 
 
-@pytest.mark.parametrize("fronts", [2, 30, 200])
+@pytest.mark.parametrize("nodes", [2, 30, 200])
 @pytest.mark.parametrize("cold", [FEW, MOST, ALL], ids=["few", "most", "all"])
-@pytest.mark.parametrize("full", [0.0, 0.3], ids=["served", "three in ten turned away"])
-def test_all_fronts_together_keep_to_a_cold_engines_budget(fronts: int, cold: list[int], full: float) -> None:
-    """Guards against shares that round up, first requests that coincide, a front that begins with its whole
-    share again after a restart, and repeats of what was turned away: all of it reaches the engine."""
-    fleet = Fleet(fronts, 7 * fronts + len(cold), full=full)
+@pytest.mark.parametrize("full", [0.0, 0.3], ids=["served", "three in ten rejected"])
+def test_all_nodes_together_keep_to_a_cold_engines_budget(nodes: int, cold: list[int], full: float) -> None:
+    """Engines start, nodes restart twice, and some requests are rejected and retried.
+
+    Shares that round up, first requests that coincide, a node that begins with its whole share again after a
+    restart, and retries all reach the engine; together they must stay within its budget.
+    """
+    fleet = Fleet(nodes, 7 * nodes + len(cold), full=full)
     fleet.run(4000)
     fleet.cold(cold)
     fleet.run(2000)
@@ -183,9 +186,9 @@
     assert max(fleet.worst(engine) for engine in cold) <= budget + 2 * budget**0.5 + 2
 
 
-@pytest.mark.parametrize("fronts", [2, 30, 200])
-def test_cold_engines_are_in_full_use_once_the_settings_time_is_over(fronts: int) -> None:
-    fleet = Fleet(fronts, fronts)
+@pytest.mark.parametrize("nodes", [2, 30, 200])
+def test_cold_engines_are_in_full_use_once_the_settings_time_is_over(nodes: int) -> None:
+    fleet = Fleet(nodes, nodes)
     fleet.run(2000)
     fleet.cold(MOST)
     fleet.run(fleet.settings.slow_start_ms + 1000)
@@ -203,16 +206,19 @@
     return budget + 2 * budget**0.5 + 2 if budget >= 30 else budget + 3 * budget**0.5 + 3
 
 
-@pytest.mark.parametrize("fronts", [2, 5, 30, 200])
+@pytest.mark.parametrize("nodes", [2, 5, 30, 200])
 @pytest.mark.parametrize("budget", [1.0, 2.0, 4.0, 29.0, 60.0])
-def test_small_and_large_budgets_are_kept_however_few_or_many_fronts_run(fronts: int, budget: float) -> None:
-    """Guards against shares that fit the usual budget alone, or fleets of the usual size.  Half a second of
-    sends by fronts that were not told yet would fill the smallest budgets by itself, and is not counted."""
+def test_small_and_large_budgets_are_kept_however_few_or_many_nodes_run(nodes: int, budget: float) -> None:
+    """Engines start whose budget is far from the usual, in fleets of any size, and half the nodes restart.
+
+    The budget must be kept by all nodes that know of the start; the others, in the first half second, would
+    fill the smallest budgets by themselves and are not counted.
+    """
     fall_time = 3000.0 if budget < 20 else 10_000.0
     part = budget / (RATE / ENGINES / LOAD * fall_time)
     fleet = Fleet(
-        fronts,
-        fronts + int(budget),
+        nodes,
+        nodes + int(budget),
         slow_start_share=part,
         overload_multiple=1.0,
         overload_window_ms=fall_time,
--- a/tests/test_cost_by_fleet_size.py
+++ b/tests/test_cost_by_fleet_size.py
@@ -1,7 +1,7 @@
 """What an event costs among 3,200 engines and among 200, counted in instructions of the interpreter.
 
-Incident c5f349: one turn took seconds among thousands of engines, as the search for engines looked at all of
-them, for each of them, again and again.
+Incident c5f349: one decision round took seconds among thousands of engines, as the search for engines looked
+at all of them, for each of them, again and again.
 """
 
 from __future__ import annotations
@@ -37,13 +37,13 @@
 
 FEW, MANY = 200, 3200
 REQUESTS, PAUSE = 6, 150.0  # milliseconds between two requests
-FRONTS = 200
-TIMES = 4.0  # what an event, and a request, may cost more among so many
-RUNAWAY = 2_000_000  # instructions in one turn: it is not counted further
+NODES = 200
+TIMES = 4.0  # what an event, and a request, may cost more among MANY
+RUNAWAY = 2_000_000  # instructions in one round: it is not counted further
 
 
 class Runaway(Exception):
-    """A turn has no end in sight."""
+    """A decision round has no end in sight."""
 
 
 class Meter:
@@ -69,11 +69,11 @@
 
 
 class Play:
-    """Requests at one of many fronts, among engines of which some are hung, cold, draining or silent."""
+    """Requests at one of many nodes, among engines of which some are hung, cold, draining or silent."""
 
     def __init__(self, engines: int, hung: float, answered: float, cold: float, effect: int) -> None:
         self.chance = Random(7)
-        self.front = Router(settings(node_count=FRONTS, engine_roles=("read", "write")), 1)
+        self.router = Router(settings(node_count=NODES, engine_roles=("read", "write")), 1)
         self.hung, self.answered, self.effect = hung, answered, effect
         self.engines = [Engine(b"%d" % at, at + 1) for at in range(engines)]
         self.line: list[tuple[float, int, Callable[[], Event | None]]] = []
@@ -140,7 +140,7 @@
             event = make()
             if event is None:
                 continue
-            actions = meter.run(lambda now=now, event=event: self.front.decide(now, [event]))
+            actions = meter.run(lambda now=now, event=event: self.router.decide(now, [event]))
             self.costs.setdefault(type(event).__name__, []).append(meter.count)
             for action in actions:
                 self.carry_out(action, now)
--- a/tests/test_engine_index.py
+++ b/tests/test_engine_index.py
@@ -1,4 +1,4 @@
-"""Ranking by hash, bounded searches in turn, and slow-start credit among many engines."""
+"""Rendezvous ranking, bounded round-robin searches, and slow-start credit among many engines."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     return found
 
 
-def test_one_bucket_is_ranked_as_a_whole() -> None:
+def test_engines_of_one_leaf_are_ranked_together() -> None:
     few = engines(LEAF_ENGINES, heavy=20)
     ranked = RankedEngines(few)
     for key in KEYS[:50]:
@@ -61,45 +61,45 @@
     assert moved / others < 0.1
 
 
-def test_search_in_turn_goes_on_where_a_vain_one_stopped() -> None:
+def test_round_robin_search_goes_on_where_one_in_vain_stopped() -> None:
     many = engines(4 * MAX_TURN_LOOKS)
     for at, engine in enumerate(many):
         engine.last_turn = float(at)
-    circle, last, looks = RoundRobin(many), many[-1], 0
+    round_robin, last, looks = RoundRobin(many), many[-1], 0
 
     def fits(engine: Engine) -> bool:
         nonlocal looks
         looks += 1
         return engine is last
 
-    found = [circle.first(NOW + at, fits) for at in range(4)]
+    found = [round_robin.first(NOW + at, fits) for at in range(4)]
     assert found == [None, None, None, last]
     assert looks == len(many)
 
 
-def test_search_in_turn_begins_anew_a_while_after_a_vain_one() -> None:
+def test_round_robin_search_begins_again_a_while_after_one_in_vain() -> None:
     many = engines(2 * MAX_TURN_LOOKS)
     for at, engine in enumerate(many):
         engine.last_turn = float(at)
-    circle = RoundRobin(many)
-    assert circle.first(NOW, lambda engine: False) is None
-    assert circle.first(NOW + 5000, lambda engine: True) is many[0]
+    round_robin = RoundRobin(many)
+    assert round_robin.first(NOW, lambda engine: False) is None
+    assert round_robin.first(NOW + 5000, lambda engine: True) is many[0]
 
 
 def test_engine_that_had_its_turn_comes_last() -> None:
     many = engines(3)
     for at, engine in enumerate(many):
         engine.last_turn = float(at)
-    circle = RoundRobin(many)
-    circle.record_turn(many[0])
-    assert [circle.first(NOW, lambda engine, tried=one: engine is not tried) for one in many] == [
+    round_robin = RoundRobin(many)
+    round_robin.record_turn(many[0])
+    assert [round_robin.first(NOW, lambda engine, tried=one: engine is not tried) for one in many] == [
         many[1],
         many[2],
         many[1],
     ]
 
 
-def test_credit_reckoned_when_asked_for_is_what_was_earned_one_by_one() -> None:
+def test_credit_computed_on_demand_is_what_was_earned_one_by_one() -> None:
     rules = settings()
     budget = rules.slow_start_share * rules.overload_multiple * BUDGET_SHARE
     slow, cold = SlowStart(rules), engines(40)
--- a/tests/test_policy_retry.py
+++ b/tests/test_policy_retry.py
@@ -1,9 +1,12 @@
 """Whether and where a request may be sent again."""
 
-from helpers import NOW, PAIR, TWO_DECODE_ENGINES, ended, fleet, kinds, prefill, request
+from helpers import NOW, PAIR, TWO_DECODE_ENGINES, ended, fleet, kinds, prefill, request, settings
 
+from worksmux.policy.context import PolicyContext
 from worksmux.policy.events import TimerFired
-from worksmux.policy.state import Outcome
+from worksmux.policy.retry import RetryPolicy
+from worksmux.policy.round_robin import ANYWHERE
+from worksmux.policy.state import Attempt, Engine, Outcome
 
 
 def test_timeout_at_the_deadline_is_answered_at_once():
@@ -63,3 +66,11 @@
     actions = ended(router, one.attempts[2], Outcome.FULL, note=1)
     assert prefill_engine.zone != one.attempts[1].engine.zone and len(one.attempts) == 3
     assert kinds(actions) == ["ReleaseKvCache", "AbortRequest", "ReleaseKvCache"]
+
+
+def test_retry_policy_needs_no_router():
+    context = PolicyContext(settings(max_attempts=2), 1)
+    retry, one = RetryPolicy(context), request(request_class=1)
+    assert retry.attempts_left(one) == 2 and retry.scope(one) is ANYWHERE and retry.may_reject(one)
+    one.attempts.append(Attempt(one, Engine(b"e", 1), 0, NOW, outcome=Outcome.RESET))
+    assert retry.attempts_left(one) == 1 and retry.scope(one) is None and not retry.may_reject(one)
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -1,6 +1,6 @@
-"""Who is refused, with the module between simulated engines: long prompts against the rest of their class,
-and sessions against chance, over drawn classes and sizes.  Engines read one prompt after the other and answer
-at once; all times are milliseconds."""
+"""Who is rejected, with the router between simulated engines: long prompts against the rest of their class,
+and sessions against chance, over drawn classes and sizes.  Engines prefill one prompt after the other and
+decode at once; all times are milliseconds."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 from worksmux.policy.settings import RequestClassSettings
 from worksmux.policy.state import Engine, Outcome, Request
 
-READERS, WRITERS = 3, 4
-PER_TOKEN = 0.06  # of reading
+PREFILL_ENGINES, DECODE_ENGINES = 3, 4
+PER_TOKEN = 0.06  # of a prefill
 FIRST, REST = 20.0, 300.0  # of an answer's first token, and of the others
 REQUESTS = 1500  # 75 in the tenth of each of two classes: fewer would be chance
 
@@ -48,7 +48,7 @@
 
 @dataclass
 class Day:
-    """Requests between a module and engines; `answered` and `all` by request."""
+    """Requests between a router and engines; `answered` and `all` by request."""
 
     classes: list[Traffic]
     load: float
@@ -78,15 +78,15 @@
             )
             for one in self.classes
         )
-        front = Router(plain(node_count=1, request_classes=request_classes), self.seed)
-        engines = [Engine(bytes([at]), at + 1) for at in range(READERS + WRITERS)]
-        front.decide(
+        router = Router(plain(node_count=1, request_classes=request_classes), self.seed)
+        engines = [Engine(bytes([at]), at + 1) for at in range(PREFILL_ENGINES + DECODE_ENGINES)]
+        router.decide(
             0.0,
             [
                 EndpointListUpdate(
                     "full",
                     [
-                        EndpointEntry(engine, "ready", 0.0, 0, at % 2, int(at >= READERS), 1.0)
+                        EndpointEntry(engine, "ready", 0.0, 0, at % 2, int(at >= PREFILL_ENGINES), 1.0)
                         for at, engine in enumerate(engines)
                     ],
                 )
@@ -94,7 +94,7 @@
         )
         self.free = dict.fromkeys(engines, 0.0)
         mean = sum(one.prompt for one in self.classes) / len(self.classes)
-        gap, now = mean * PER_TOKEN / READERS / self.load, 1000.0
+        gap, now = mean * PER_TOKEN / PREFILL_ENGINES / self.load, 1000.0
         for number in range(1, REQUESTS + 1):
             now += rng.expovariate(1 / gap)
             at = rng.randrange(len(self.classes))
@@ -120,7 +120,7 @@
                 continue
             if isinstance(event, AttemptEnded) and event.outcome is Outcome.SERVED:
                 self.answered.add(event.attempt.request)
-            for action in front.decide(now, [event]):
+            for action in router.decide(now, [event]):
                 self._carry_out(now, action)
         return self
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec and the door, without a bench."""
+"""The codec of the bench's wire, without a bench."""
 
 import io
 import struct
@@ -30,6 +30,6 @@
 
 
 def test_adapter_needs_nothing_but_the_standard_library():
-    """Guards against a bench that cannot start it: there no library is installed."""
+    """The bench starts the adapter where no library is installed."""
     done = subprocess.run([sys.executable, "-S", "-c", "import worksmux.bench_adapter.instance"], check=False)
     assert done.returncode == 0
