--- a/tests/test_policy_admission.py
+++ b/tests/test_policy_admission.py
@@ -22,7 +22,7 @@
     assert not router.admission.latency_target_unreachable(
         lucky
     ) and router.admission.latency_target_unreachable(unlucky)
-    lucky.repeat = True
+    lucky.is_retry = True
     assert router.admission.latency_target_unreachable(lucky)
 
 
@@ -41,7 +41,10 @@
     one = request()
     router.decide(NOW, [RequestArrived(one)])
     ended(router, one.attempts[0], Outcome.FULL)
-    assert one.ended and router.estimates.prefill_per_token.mean(router.context.now) * one.prompt == 1000.0
+    assert (
+        one.ended
+        and router.estimates.prefill_per_token.mean(router.context.now) * one.prompt_tokens == 1000.0
+    )
     trial = request(2, now=router.context.now)
     trial.latency_target_at, trial.random_draw = router.context.now + 1000, 0.01
     assert not router.admission.latency_target_unreachable(trial)
@@ -58,7 +61,7 @@
         router.estimates.prefill_per_token.add(NOW, 3743.0, 5405.0)
         router.estimates.uncached_prefill_per_token.add(NOW, 400.0, 4700.0)
         one = request()
-        one.prompt, one.random_draw = 4900.0, 0.9
+        one.prompt_tokens, one.random_draw = 4900.0, 0.9
         one.latency_target_at = NOW + 1600.0
         router.context.now, router.probing.enabled = NOW, node_count == 200
         router.estimates.best_prefill_per_token = router.estimates.uncached_prefill_per_token.least(NOW)
@@ -106,10 +109,10 @@
         )
         router.slow_start.prefill_credit = 1.0
         for engine in engines:
-            engine.credit = 1.0
+            engine.slow_start_credit = 1.0
         router._send(request(1), engines[0], prefill=True)
         late = request(2, now=NOW + 900.0)
-        late.prompt, late.session = 900.0, 2
+        late.prompt_tokens, late.session = 900.0, 2
         router.decide(NOW + 900.0, [])
         router.slow_start.prefill_credit = 1.0
         actions = router.decide(NOW + 900.0, [RequestArrived(late)])
--- a/tests/test_policy_prefill_probing.py
+++ b/tests/test_policy_prefill_probing.py
@@ -77,6 +77,6 @@
     other = request(2, session=77)
     for known in router.index.prefill_engines:
         if known is not prefill_engine:
-            known.reported = NOW + 1
+            known.health_check_answered_at = NOW + 1
     router.decide(NOW + 1, [RequestArrived(other)])
     assert other.attempts or other.checked_engines
--- a/tests/test_policy_slow_start.py
+++ b/tests/test_policy_slow_start.py
@@ -11,13 +11,13 @@
 def test_cold_engine_is_sent_what_serves_of_its_role_have_earned():
     router, (prefill_engine, warm, cold) = fleet(*TWO_DECODE_ENGINES)
     router.decide(NOW, [EndpointListUpdate("delta", [EndpointEntry(cold, "ready", NOW - 1, 0, 0, 1, 1.0)])])
-    cold.credit = 0.6
+    cold.slow_start_credit = 0.6
     requests = [request(number) for number in range(1, 4)]
     router.decide(NOW, [RequestArrived(requests[0]), RequestArrived(requests[1])])
     assert {one.decode_engine for one in requests[:2]} == {warm}
     ended(router, requests[0].attempts[0], Outcome.PREFILLED)
     router.decide(NOW + 60, [FirstToken(requests[0].attempts[1], 10.0), RequestArrived(requests[2])])
-    assert requests[2].decode_engine is cold and cold.credit < 0.1
+    assert requests[2].decode_engine is cold and cold.slow_start_credit < 0.1
 
 
 @pytest.mark.parametrize(
@@ -31,9 +31,9 @@
     router, engines = fleet(*TWO_DECODE_ENGINES)
     entries = [EndpointEntry(engines[at], "ready", NOW - 1, 0, 0, 1, 1.0) for at in cold]
     router.decide(NOW, [EndpointListUpdate("delta", entries)])
-    before = engines[2].credit = 0.1
+    before = engines[2].slow_start_credit = 0.1
     one = request(1)
-    one.repeat = repeat
+    one.is_retry = repeat
     router.decide(NOW + 1, [RequestArrived(one)])
     rules = router.settings
     earned = rules.slow_start_share * rules.overload_multiple * BUDGET_SHARE * share * engines[2].role_share
@@ -87,5 +87,5 @@
         router.decide(
             NOW, [EndpointListUpdate("delta", [EndpointEntry(decode_engine, "ready", NOW - 1, 0, 0, 1, 1.0)])]
         )
-        credits.append(decode_engine.credit)
+        credits.append(decode_engine.slow_start_credit)
     assert max(credits) < 1 and max(credits) - min(credits) > 0.3
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -144,7 +144,7 @@
     def shares(self, at: int) -> tuple[float, float]:
         """Of a class: the share answered of the tenth with the longest prompts, and of all."""
         of_class = sorted(
-            (one for one in self.requests if one.request_class == at), key=lambda one: one.prompt
+            (one for one in self.requests if one.request_class == at), key=lambda one: one.prompt_tokens
         )
         longest = of_class[-(len(of_class) // 10) :]
         return (
--- a/worksmux/failover/watcher.py
+++ b/worksmux/failover/watcher.py
@@ -150,7 +150,7 @@
         request_class = self.settings.request_classes[request.request_class]
         self.open[request] = (
             request_class.latency_target_ms
-            + request_class.latency_target_per_1000_tokens_ms * request.prompt / 1000
+            + request_class.latency_target_per_1000_tokens_ms * request.prompt_tokens / 1000
         )
 
     def _listed(self, scope: str, entries: list[EndpointEntry]) -> None:
--- a/worksmux/forwarding/request_lifecycle.py
+++ b/worksmux/forwarding/request_lifecycle.py
@@ -201,7 +201,7 @@
             answer=case.answered,
             ms=round(now - case.request.arrived, 1),
             first_ms=round(first, 1) if first is not None else None,
-            prompt=round(case.request.prompt),
+            prompt=round(case.request.prompt_tokens),
             kept=case.kept,
             why=case.why,
             **self._ended_with(case),
--- a/worksmux/gateway/chat_engine_client.py
+++ b/worksmux/gateway/chat_engine_client.py
@@ -52,7 +52,7 @@
             float(asked.most),
             arrived,
             arrived + left,
-            repeat=asked.repeat,
+            is_retry=asked.repeat,
         )
         case = Case(request, asked, client_side, f"{self.name}.{request.id}", asked.name)
         asked.label = asked.label or case.key
@@ -62,7 +62,7 @@
         """The prompt of a job that went on by a bound is counted; its beginning counts until its first
         trip."""
         request, asked = case.request, case.asked
-        request.prompt = asked.prompt
+        request.prompt_tokens = asked.prompt
         if not request.attempts:
             request.prefix, request.prefix_tokens = asked.prefix, asked.prefix_tokens
 
@@ -142,7 +142,7 @@
             if answered and reading is not None and reading.outcome is None and reading in case.out:
                 self.tell(SlotReserved(reading, engine, held))
 
-        body = chat.ENCODE.encode(calls.Place(case.key, request.prompt, reader))
+        body = chat.ENCODE.encode(calls.Place(case.key, request.prompt_tokens, reader))
         self._small(engine, "POST", calls.PLACE, body, ended)
 
     def _release(self, request: Request) -> None:
--- a/worksmux/node/core.py
+++ b/worksmux/node/core.py
@@ -73,7 +73,7 @@
             asked.most,
             arrived,
             arrived + max(0.0, asked.time_left - MARGIN),
-            repeat=asked.repeat,
+            is_retry=asked.repeat,
             resumed=asked.resumed,
         )
         case = Case(request, asked, client_side, asked.key, self.request_classes[asked.request_class])
@@ -150,7 +150,7 @@
         unseen = outcome in NOT_SEEN and not attempt.first_token_at
         held.outcome(now, not unseen or attempt_call.pool.answered >= attempt_call.written_at)
         if outcome is Outcome.PREFILLED:
-            self.read_times.append((case.request.prompt, now - attempt_call.written_at))
+            self.read_times.append((case.request.prompt_tokens, now - attempt_call.written_at))
         if unseen:
             held.ended_unseen(attempt.engine, now, self._work_left(case, attempt_call, now))
         elif attempt.is_prefill and outcome is not Outcome.FULL:
@@ -168,7 +168,7 @@
         ends = attempt_call.expires + ENGINE_LATE
         longest = max((time for _, time in self.read_times), default=0.0)
         most = max((tokens for tokens, _ in self.read_times), default=0.0)
-        unknown = case.request.prompt > most or now - attempt_call.written_at > longest
+        unknown = case.request.prompt_tokens > most or now - attempt_call.written_at > longest
         takes = ends - attempt_call.written_at if unknown else SLOWER * longest
         return max(self.releases.within, ends - now, takes)
 
--- a/worksmux/policy/admission.py
+++ b/worksmux/policy/admission.py
@@ -61,7 +61,7 @@
         best_per_token = self._estimates.best_prefill_per_token
         if self._probing.enabled and not self._probing.unanswered(request):
             # Engines tell of their queues themselves; the few prefills of this node tell little.
-            need_ms = first_ms + best_per_token * request.prompt
+            need_ms = first_ms + best_per_token * request.prompt_tokens
         else:
             need_ms = self._need_ms(request, first_ms, prefill_per_token, best_per_token)
         earliest = self._context.now + max(need_ms, 2 * self._context.round_interval_ms)
@@ -71,9 +71,13 @@
         self, request: Request, first_ms: float, prefill_per_token: float, best_per_token: float
     ) -> float:
         """Queueing counts once for an average prompt: it lasts as long for a short prompt as for a long."""
-        margin = 1 + EARLY_REJECTION_SPREAD * request.random_draw + REPEAT_SURCHARGE * request.repeat
+        margin = 1 + EARLY_REJECTION_SPREAD * request.random_draw + REPEAT_SURCHARGE * request.is_retry
         per_token = max(prefill_per_token, self._estimates.in_flight_prefill_per_token)
         best = min(per_token, best_per_token)
-        average_tokens = self._estimates.prefill_sizes.mean(self._context.now, request.prompt)
+        average_tokens = self._estimates.prefill_sizes.mean(self._context.now, request.prompt_tokens)
         queue_ms = (per_token - best) * average_tokens
-        return (first_ms + queue_ms + best * request.prompt) * margin * (request.random_draw > TRIAL_SHARE)
+        return (
+            (first_ms + queue_ms + best * request.prompt_tokens)
+            * margin
+            * (request.random_draw > TRIAL_SHARE)
+        )
--- a/worksmux/policy/decode_window.py
+++ b/worksmux/policy/decode_window.py
@@ -79,11 +79,11 @@
             return False
         settings = self._context.settings
         memory_tokens = settings.kind_memory_tokens
-        held = sum(attempt.request.prompt for attempt in engine.attempts) + sum(
-            paired.prompt for paired in engine.reserved
+        held = sum(attempt.request.prompt_tokens for attempt in engine.attempts) + sum(
+            paired.prompt_tokens for paired in engine.reserved
         )
         share = memory_tokens[engine.kind] / settings.node_count if engine.kind < len(memory_tokens) else inf
-        return bool(held + request.random_draw * request.prompt > (1 + WINDOW_MARGIN) * share)
+        return bool(held + request.random_draw * request.prompt_tokens > (1 + WINDOW_MARGIN) * share)
 
     def shrink(self, engine: Engine) -> None:
         """The engine answered "full"."""
--- a/worksmux/policy/outlier_detection.py
+++ b/worksmux/policy/outlier_detection.py
@@ -191,7 +191,7 @@
     def record_health_check(self, engine: Engine, outcome: Outcome) -> list[Attempt]:
         """The attempts at a suspected engine that had better run elsewhere."""
         if outcome is Outcome.SERVED:
-            engine.reported = self._context.now
+            engine.health_check_answered_at = self._context.now
         if not engine.health_check_pending:  # it was only checked before a prefill
             return []
         engine.health_check_pending = False
--- a/worksmux/policy/placement.py
+++ b/worksmux/policy/placement.py
@@ -63,7 +63,7 @@
         for engine, overflow_tokens in self._order.candidates(request, scope):
             if (
                 idle_only
-                and engine.reported < answered_since
+                and engine.health_check_answered_at < answered_since
                 and engine.role == ROLE_PREFILL
                 and engine not in exempt
             ):
--- a/worksmux/policy/prefill_order.py
+++ b/worksmux/policy/prefill_order.py
@@ -89,7 +89,7 @@
         """The first engines come a second time, with a queue, before the prefix is computed elsewhere."""
         return [
             *((engine, 0.0) for engine in first),
-            *((engine, request.prompt) for engine in first),
+            *((engine, request.prompt_tokens) for engine in first),
             *((engine, 0.0) for engine in others),
         ]
 
--- a/worksmux/policy/prefill_probing.py
+++ b/worksmux/policy/prefill_probing.py
@@ -95,7 +95,7 @@
         return (
             not self.enabled
             or self._slow_start.is_cold(engine, now)
-            or now - engine.reported <= self.answer_within_ms
+            or now - engine.health_check_answered_at <= self.answer_within_ms
         )
 
     def _may_probe(self, request: Request) -> bool:
--- a/worksmux/policy/router.py
+++ b/worksmux/policy/router.py
@@ -165,7 +165,7 @@
         request.latency_target_at = (
             context.now
             + request_class.latency_target_ms
-            + request_class.latency_target_per_1000_tokens_ms * request.prompt / 1000
+            + request_class.latency_target_per_1000_tokens_ms * request.prompt_tokens / 1000
         )
         request.random_draw = context.random_source.share()
         if rejection := self.admission.shed(request):
@@ -174,8 +174,8 @@
             return
         self.waiting[request] = None
         for role in (ROLE_PREFILL, ROLE_DECODE, ROLE_COMBINED):
-            self.slow_start.earn(role, REPEAT_CREDIT if request.repeat else ARRIVAL_CREDIT)
-        if not request.repeat and context.index.all_decode_engines_cold(context.now):
+            self.slow_start.earn(role, REPEAT_CREDIT if request.is_retry else ARRIVAL_CREDIT)
+        if not request.is_retry and context.index.all_decode_engines_cold(context.now):
             # A node that meets few requests has no serve to earn by.
             self.slow_start.earn(ROLE_DECODE, ARRIVAL_CREDIT)
 
@@ -291,7 +291,7 @@
             len(request.attempts),
             self.context.now,
             prefill,
-            prefill_tokens=0.0 if request.kv_holder else request.prompt,
+            prefill_tokens=0.0 if request.kv_holder else request.prompt_tokens,
         )
         request.attempts.append(attempt)
         self.in_flight.start(attempt)
--- a/worksmux/policy/slow_start.py
+++ b/worksmux/policy/slow_start.py
@@ -40,7 +40,7 @@
     def begin(self, engine: Engine, credit: float) -> None:
         """An engine has started."""
         self._counted.pop(engine, None)
-        engine.credit = credit
+        engine.slow_start_credit = credit
 
     def leave(self, engine: Engine) -> None:
         """The engine's share or role may change; the next endpoint list tells whether it is cold still."""
@@ -54,7 +54,9 @@
             return
         earned = self._earned[engine.role]
         if earned != counted:
-            engine.credit = min(REQUEST_CREDIT, engine.credit + (earned - counted) * engine.role_share)
+            engine.slow_start_credit = min(
+                REQUEST_CREDIT, engine.slow_start_credit + (earned - counted) * engine.role_share
+            )
             self._counted[engine] = earned
 
     def settle_all(self) -> None:
@@ -80,7 +82,7 @@
         if engine.role == ROLE_PREFILL:
             return self.prefill_credit
         self.settle(engine)
-        return engine.credit
+        return engine.slow_start_credit
 
     def may_prefill(self) -> bool:
         return self.prefill_credit >= REQUEST_CREDIT
@@ -91,4 +93,4 @@
     def spend(self, engine: Engine) -> None:
         """A decode or combined engine is sent a request."""
         self.settle(engine)
-        engine.credit -= REQUEST_CREDIT
+        engine.slow_start_credit -= REQUEST_CREDIT
--- a/worksmux/policy/state.py
+++ b/worksmux/policy/state.py
@@ -54,7 +54,7 @@
     key_hash: int = 0
     role_share: float = 0.0  # of the size of all engines of its role
     weight: float = 1.0  # in the rendezvous hash
-    credit: float = 0.0  # in slow start: requests that it may be sent, unless it only prefills
+    slow_start_credit: float = 0.0  # in slow start: requests that it may be sent, unless it only prefills
     silent_since: float = 0.0  # first send since the last sign of life; 0: no answer is awaited
     ejected_until: dict[int, float] = field(default_factory=dict)  # by request class
     last_success: dict[int, float] = field(default_factory=dict)  # by request class
@@ -62,7 +62,7 @@
     failures: SlidingWindow = EMPTY_WINDOW
     first_token_delays: SlidingWindow = EMPTY_WINDOW
     report: dict[str, float] = field(default_factory=dict)  # of its load
-    reported: float = 0.0  # when it last answered a health check
+    health_check_answered_at: float = 0.0  # when it last answered a health check
 
     @property
     def unanswered(self) -> list[Attempt]:
@@ -78,14 +78,14 @@
     request_class: int
     session: int
     prefix: int  # that it shares with other sessions; 0: none
-    prompt: float  # tokens
+    prompt_tokens: float  # tokens
     prefix_tokens: float
-    max_answer: float  # tokens
+    max_tokens: float  # tokens
     arrived: float
     deadline: float  # when this try's client disconnects
     hint: float = 0.0  # a guess at the answer's tokens; 0: none
-    party: int = 0  # tenant
-    repeat: bool = False  # a client's retry
+    tenant: int = 0  # tenant
+    is_retry: bool = False  # a client's retry
     resumed: bool = False
     latency_target_at: float = 0.0  # set by the router, as are all that follow
     attempts: list[Attempt] = field(default_factory=list)
--- a/worksmux/simulation/front.py
+++ b/worksmux/simulation/front.py
@@ -273,7 +273,7 @@
             float(asked.most),
             now,
             now + left,
-            repeat=asked.repeat,
+            is_retry=asked.repeat,
         )
         case = Case(request, f"{self.start}.{self.number}", asked)
         case.guard = self.sim.after(left + self.settings.answer_slack_ms, self._overdue, case)
@@ -473,7 +473,9 @@
             if reading is not None and reading.outcome is None:
                 self.tell(SlotReserved(reading, engine, held))
 
-        self.sim.after(self.hop, target.place, case.key, request.prompt * 1.2, reader, self.name, reply)
+        self.sim.after(
+            self.hop, target.place, case.key, request.prompt_tokens * 1.2, reader, self.name, reply
+        )
 
     def _release(self, request: Request) -> None:
         case = self.cases.get(request)
