--- a/tests/test_policy_admission.py
+++ b/tests/test_policy_admission.py
@@ -15,7 +15,7 @@
 
 def test_random_draw_rejects_some_requests_early():
     router, _ = fleet((0, 0, 0))
-    router.estimates.first_token_waits.add(NOW, 600.0)
+    router.estimates.first_token_waits_ms.add(NOW, 600.0)
     router.context.now, lucky, unlucky = NOW, request(1), request(2)
     lucky.latency_target_at = unlucky.latency_target_at = NOW + 1000
     lucky.random_draw, unlucky.random_draw = 0.1, 0.9
@@ -28,11 +28,11 @@
 
 def test_slowdown_that_is_over_is_forgotten():
     router, _ = fleet((0, 0, 0))
-    router.estimates.first_token_waits.add(NOW - 10_000, 2000.0)
+    router.estimates.first_token_waits_ms.add(NOW - 10_000, 2000.0)
     router.context.now, one = NOW, request()
     one.latency_target_at, one.random_draw = NOW + 1000, 0.5
     assert router.admission.latency_target_unreachable(one)
-    router.estimates.first_token_waits.add(NOW, 20.0)
+    router.estimates.first_token_waits_ms.add(NOW, 20.0)
     assert not router.admission.latency_target_unreachable(one)
 
 
@@ -43,7 +43,7 @@
     ended(router, one.attempts[0], Outcome.FULL)
     assert (
         one.ended
-        and router.estimates.prefill_per_token.mean(router.context.now) * one.prompt_tokens == 1000.0
+        and router.estimates.prefill_ms_per_token.mean(router.context.now) * one.prompt_tokens == 1000.0
     )
     trial = request(2, now=router.context.now)
     trial.latency_target_at, trial.random_draw = router.context.now + 1000, 0.01
@@ -57,14 +57,14 @@
     """
     for node_count, refused in ((200, False), (2, True)):
         router, _ = fleet(*THREE_PREFILL_ENGINES, node_count=node_count)
-        router.estimates.first_token_waits.add(NOW, 50.0)
-        router.estimates.prefill_per_token.add(NOW, 3743.0, 5405.0)
-        router.estimates.uncached_prefill_per_token.add(NOW, 400.0, 4700.0)
+        router.estimates.first_token_waits_ms.add(NOW, 50.0)
+        router.estimates.prefill_ms_per_token.add(NOW, 3743.0, 5405.0)
+        router.estimates.uncached_prefill_ms_per_token.add(NOW, 400.0, 4700.0)
         one = request()
         one.prompt_tokens, one.random_draw = 4900.0, 0.9
         one.latency_target_at = NOW + 1600.0
         router.context.now, router.probing.enabled = NOW, node_count == 200
-        router.estimates.best_prefill_per_token = router.estimates.uncached_prefill_per_token.least(NOW)
+        router.estimates.best_prefill_ms_per_token = router.estimates.uncached_prefill_ms_per_token.least(NOW)
         assert router.admission.latency_target_unreachable(one) is refused
         checked = router.index.prefill_engines[0]
         one.checked_engines[checked] = NOW - 400.0  # it has not answered: there are queues
@@ -82,7 +82,7 @@
     ended(router, one.attempts[0], Outcome.CANCELLED, after=900.0)
     assert (
         router.admission.latency_target_unreachable(request(2, now=NOW + 900))
-        and router.estimates.prefill_queue_waits.mean(NOW + 900) == 900.0
+        and router.estimates.prefill_queue_waits_ms.mean(NOW + 900) == 900.0
     )
 
 
--- a/tests/test_policy_decode_window.py
+++ b/tests/test_policy_decode_window.py
@@ -58,7 +58,7 @@
     router.in_flight.decode_requests, router.context.now, router.probing.enabled = 4, NOW, True
     one = request(9)
     one.random_draw = 0.9
-    router.estimates.first_token_waits.add(NOW, 40.0)
+    router.estimates.first_token_waits_ms.add(NOW, 40.0)
     assert router.window.has_capacity(decode_engine, one)
-    router.estimates.first_token_waits.add(NOW, 4000.0)  # KV cache waits for memory somewhere
+    router.estimates.first_token_waits_ms.add(NOW, 4000.0)  # KV cache waits for memory somewhere
     assert not router.window.has_capacity(decode_engine, one)
--- a/tests/test_policy_load_estimates.py
+++ b/tests/test_policy_load_estimates.py
@@ -19,14 +19,14 @@
         attempt = Attempt(request(number), prefill_engine, 0, NOW, True, prefill_tokens=1000.0)
         router._learn(AttemptEnded(attempt, Outcome.PREFILLED, time, False, kept))
     router.decide(NOW, [])
-    assert router.estimates.best_prefill_per_token == 0.1  # 80 ms for 800 tokens
+    assert router.estimates.best_prefill_ms_per_token == 0.1  # 80 ms for 800 tokens
     uncached = Attempt(request(4), prefill_engine, 0, NOW, True, prefill_tokens=1000.0)
     assert router.estimates.allowed_prefill_ms(uncached) == 4.0 * 100.0
 
 
 def test_prefill_pace_is_that_of_the_settings_until_one_is_seen():
     router, _ = fleet(*PAIR)
-    assert router.estimates.best_prefill_per_token == 0.0
+    assert router.estimates.best_prefill_ms_per_token == 0.0
     changed = tuple(
         replace(request_class, latency_target_per_1000_tokens_ms=85.0)
         for request_class in settings().request_classes
@@ -34,4 +34,4 @@
     router, _ = fleet(*PAIR, request_classes=changed)
     router.probing.enabled = True
     router.decide(NOW, [])
-    assert router.estimates.best_prefill_per_token == 0.085
+    assert router.estimates.best_prefill_ms_per_token == 0.085
--- a/tests/test_policy_outlier_detection.py
+++ b/tests/test_policy_outlier_detection.py
@@ -54,7 +54,7 @@
     stays where it is until it is late also for a slow fleet.
     """
     router, (prefill_engine, _) = fleet(*PAIR)
-    router.estimates.prefill_queue_waits.add(NOW, 400.0)
+    router.estimates.prefill_queue_waits_ms.add(NOW, 400.0)
     one = request()
     router.decide(NOW, [RequestArrived(one)])
     prefill_engine.health_check_pending = True  # else the check's answer ejects nobody
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -262,14 +262,14 @@
     assert (
         not front.estimates.is_failing(0)
         and not engine.ejected_until
-        and not front.estimates.first_token_waits.count(50.0)
+        and not front.estimates.first_token_waits_ms.count(50.0)
     )
     assert (
-        front.estimates.prefill_per_token.least(50.0) == 2.0
-        and front.estimates.prefill_per_token.count(50.0) <= 0.5
+        front.estimates.prefill_ms_per_token.least(50.0) == 2.0
+        and front.estimates.prefill_ms_per_token.count(50.0) <= 0.5
     )
     ancient, _ = told_after(30 * 24 * 3.6e6)
-    assert ancient.estimates.prefill_per_token.least(50.0) == 0.0
+    assert ancient.estimates.prefill_ms_per_token.least(50.0) == 0.0
 
 
 def test_clock_that_ran_backwards_makes_no_mark_last() -> None:
--- a/worksmux/policy/admission.py
+++ b/worksmux/policy/admission.py
@@ -14,6 +14,7 @@
 
 EARLY_REJECTION_SPREAD = 1.0  # times the usual need that a request is rejected early, by its random draw
 REPEAT_SURCHARGE = 4.0  # the same for a client's retry, part of whose latency target is spent
+MIN_NEED_ROUNDS = 2  # decision rounds that a request needs in any case
 TRIAL_SHARE = 0.05  # of the requests go ahead whatever the usual need: else nothing would show its fall
 
 
@@ -57,24 +58,24 @@
 
         The random draw rejects some requests earlier, so that a growing queue is cut by degrees.
         """
-        first_ms, prefill_per_token = self._typical or self._estimates.typical()
-        best_per_token = self._estimates.best_prefill_per_token
+        first_ms, prefill_ms_per_token = self._typical or self._estimates.typical()
+        best_per_token = self._estimates.best_prefill_ms_per_token
         if self._probing.enabled and not self._probing.unanswered(request):
             # Engines tell of their queues themselves; the few prefills of this node tell little.
             need_ms = first_ms + best_per_token * request.prompt_tokens
         else:
-            need_ms = self._need_ms(request, first_ms, prefill_per_token, best_per_token)
-        earliest = self._context.now + max(need_ms, 2 * self._context.round_interval_ms)
+            need_ms = self._need_ms(request, first_ms, prefill_ms_per_token, best_per_token)
+        earliest = self._context.now + max(need_ms, MIN_NEED_ROUNDS * self._context.round_interval_ms)
         return earliest > min(request.latency_target_at, request.deadline)
 
     def _need_ms(
-        self, request: Request, first_ms: float, prefill_per_token: float, best_per_token: float
+        self, request: Request, first_ms: float, prefill_ms_per_token: float, best_per_token: float
     ) -> float:
         """Queueing counts once for an average prompt: it lasts as long for a short prompt as for a long."""
         margin = 1 + EARLY_REJECTION_SPREAD * request.random_draw + REPEAT_SURCHARGE * request.is_retry
-        per_token = max(prefill_per_token, self._estimates.in_flight_prefill_per_token)
+        per_token = max(prefill_ms_per_token, self._estimates.in_flight_prefill_ms_per_token)
         best = min(per_token, best_per_token)
-        average_tokens = self._estimates.prefill_sizes.mean(self._context.now, request.prompt_tokens)
+        average_tokens = self._estimates.prefill_tokens_seen.mean(self._context.now, request.prompt_tokens)
         queue_ms = (per_token - best) * average_tokens
         return (
             (first_ms + queue_ms + best * request.prompt_tokens)
--- a/worksmux/policy/decode_window.py
+++ b/worksmux/policy/decode_window.py
@@ -53,7 +53,7 @@
         wait_ms = max(
             engine.first_token_delays.mean(self._context.now), self._estimates.oldest_wait_ms(engine)
         )
-        slowdown = min(1.0, self._estimates.harmless_first_token_wait / max(wait_ms, 1.0))
+        slowdown = min(1.0, self._estimates.harmless_first_token_wait_ms / max(wait_ms, 1.0))
         return outstanding < self.size(engine, request.random_draw) * slowdown
 
     def size(self, engine: Engine, random_draw: float = 0.0) -> float:
@@ -70,11 +70,11 @@
         at once of late no KV cache waits for memory, and a node with more than its share of the traffic need
         not hold back.
         """
-        first_tokens = self._estimates.first_token_waits
+        first_tokens = self._estimates.first_token_waits_ms
         if (
             self._probing.enabled
             and first_tokens.mean(self._context.now, inf, RECENT_BUCKETS)
-            <= self._estimates.harmless_first_token_wait
+            <= self._estimates.harmless_first_token_wait_ms
         ):
             return False
         settings = self._context.settings
--- a/worksmux/policy/endpoint_table.py
+++ b/worksmux/policy/endpoint_table.py
@@ -16,6 +16,7 @@
 from .state import Engine
 
 LIST_RETRY_MS = 1_000.0  # on average, after an endpoint list that could not be fetched
+MIN_LIST_RETRY = 0.5  # of that; the rest is spread by chance
 FIRST_TOKEN_HISTORY_MS = 1_000.0  # over which one engine's first tokens are averaged
 LIST_TIMER = 1  # token of the timer that asks for the endpoint list
 
@@ -37,7 +38,7 @@
         """Whether the list was applied; a list that failed is fetched again later."""
         if event.scope == "failed":
             if self._context.settings.polls_endpoint_list:
-                delay_ms = LIST_RETRY_MS * (0.5 + self._context.random_source.share())
+                delay_ms = LIST_RETRY_MS * (MIN_LIST_RETRY + self._context.random_source.share())
                 self._context.actions.append(SetTimer(delay_ms, LIST_TIMER))
             return False
         if event.scope != "delta":
--- a/worksmux/policy/load_estimates.py
+++ b/worksmux/policy/load_estimates.py
@@ -17,10 +17,10 @@
 HISTORY_MS = 16_000.0  # what is remembered of failures, successes and usual times
 BUCKETS = 10  # of each sliding window
 RECENT_BUCKETS = 3  # the newest of them: a slowdown that is over is forgotten
-TOLERATED_WAIT = 0.15  # of the shortest latency target: a wait for the first token without overload
+TOLERATED_WAIT_SHARE = 0.15  # of the shortest latency target: a wait for the first token without overload
 SLOW_FACTOR = 4.0  # times the usual: a first token or prefill that takes longer is slow
-SUSPECT_AFTER = 0.5  # of the shortest latency target: an engine silent for less is never suspected
-FAILING_RATE = 0.25  # of a request class's attempts: above it, engines known to serve the class come first
+SUSPECT_AFTER_SHARE = 0.5  # of the shortest latency target: an engine silent for less is never suspected
+FAILING_SHARE = 0.25  # of a request class's attempts: above it, engines known to serve the class come first
 
 
 class LoadEstimates:
@@ -28,36 +28,36 @@
 
     def __init__(self, context: PolicyContext, in_flight: InFlight) -> None:
         self._context, self._in_flight = context, in_flight
-        self.prefill_per_token = SlidingWindow(HISTORY_MS, BUCKETS)
+        self.prefill_ms_per_token = SlidingWindow(HISTORY_MS, BUCKETS)
         # Only tokens without a prefix cache hit.
-        self.uncached_prefill_per_token = SlidingWindow(HISTORY_MS, BUCKETS)
-        self.prefill_sizes = SlidingWindow(HISTORY_MS, BUCKETS)  # tokens
-        self.first_token_waits = SlidingWindow(HISTORY_MS, BUCKETS)
-        self.prefill_queue_waits = SlidingWindow(HISTORY_MS, BUCKETS)
+        self.uncached_prefill_ms_per_token = SlidingWindow(HISTORY_MS, BUCKETS)
+        self.prefill_tokens_seen = SlidingWindow(HISTORY_MS, BUCKETS)  # tokens
+        self.first_token_waits_ms = SlidingWindow(HISTORY_MS, BUCKETS)
+        self.prefill_queue_waits_ms = SlidingWindow(HISTORY_MS, BUCKETS)
         # By request class: 1 for each failure, 0 for each success.
         self.failures = [SlidingWindow(HISTORY_MS, BUCKETS) for _ in context.request_classes]
         self._target_per_token_ms: float = (
             max(request_class.latency_target_per_1000_tokens_ms for request_class in context.request_classes)
             / 1000
         )
-        self.best_prefill_per_token = 0.0  # of the fastest stretch of the window
-        self.harmless_first_token_wait = 0.0  # up to which no decode window shrinks
-        self.in_flight_prefill_per_token = 0.0  # shown by prefills that have not ended
+        self.best_prefill_ms_per_token = 0.0  # of the fastest stretch of the window
+        self.harmless_first_token_wait_ms = 0.0  # up to which no decode window shrinks
+        self.in_flight_prefill_ms_per_token = 0.0  # shown by prefills that have not ended
 
     def begin_round(self, sparse_traffic: bool) -> None:
         """With sparse traffic most prefills seen had a cache hit, so only uncached tokens tell the pace."""
         now, target = self._context.now, self._context.shortest_target_ms
-        self.best_prefill_per_token = (
-            sparse_traffic and (self.uncached_prefill_per_token.least(now) or self._target_per_token_ms)
-        ) or self.prefill_per_token.least(now)
-        self.harmless_first_token_wait = max(
-            TOLERATED_WAIT * target,
-            min(SLOW_FACTOR * self.first_token_waits.least(now), SUSPECT_AFTER * target / 2),
+        self.best_prefill_ms_per_token = (
+            sparse_traffic and (self.uncached_prefill_ms_per_token.least(now) or self._target_per_token_ms)
+        ) or self.prefill_ms_per_token.least(now)
+        self.harmless_first_token_wait_ms = max(
+            TOLERATED_WAIT_SHARE * target,
+            min(SLOW_FACTOR * self.first_token_waits_ms.least(now), SUSPECT_AFTER_SHARE * target / 2),
         )
 
     def allowed_prefill_ms(self, attempt: Attempt) -> float:
         """Time that the prefill of an attempt may take without being slow."""
-        return SLOW_FACTOR * self.best_prefill_per_token * attempt.prefill_tokens
+        return SLOW_FACTOR * self.best_prefill_ms_per_token * attempt.prefill_tokens
 
     def oldest_wait_ms(self, engine: Engine) -> float:
         """Time that the oldest attempt without a first token has waited beyond its prefill."""
@@ -70,7 +70,7 @@
         now = self._context.now
         first, prefill = (
             min(window.mean(now), window.mean(now, inf, RECENT_BUCKETS))
-            for window in (self.first_token_waits, self.prefill_per_token)
+            for window in (self.first_token_waits_ms, self.prefill_ms_per_token)
         )
         return first, prefill
 
@@ -79,7 +79,7 @@
 
         What ended before tells of engines that have gone, and a backlog at cold ones shows late in what ends.
         """
-        self.in_flight_prefill_per_token = 0.0
+        self.in_flight_prefill_ms_per_token = 0.0
         index, now = self._context.index, self._context.now
         if not index.most_prefill_engines_cold(now):
             return
@@ -89,7 +89,7 @@
             if engine in index.prefill_engine_set
             for attempt in engine.unanswered
         ]
-        self.in_flight_prefill_per_token = sum(now - attempt.sent_at for attempt in waiting) / max(
+        self.in_flight_prefill_ms_per_token = sum(now - attempt.sent_at for attempt in waiting) / max(
             1.0, sum(attempt.prefill_tokens for attempt in waiting)
         )
 
@@ -98,11 +98,11 @@
         return sum(window.count(self._context.now) for window in self.failures)
 
     def is_failing(self, request_class: int) -> bool:
-        return self.failures[request_class].mean(self._context.now) > FAILING_RATE
+        return self.failures[request_class].mean(self._context.now) > FAILING_SHARE
 
     def record_first_token(self, attempt: Attempt, elapsed_ms: float) -> None:
         wait = max(0.0, elapsed_ms - self.allowed_prefill_ms(attempt))
-        self.first_token_waits.add(self._context.now, wait)
+        self.first_token_waits_ms.add(self._context.now, wait)
         attempt.engine.first_token_delays.add(self._context.now, wait)
 
     def record_ended(self, event: AttemptEnded) -> None:
@@ -114,22 +114,22 @@
         attempt, outcome, now = event.attempt, event.outcome, self._context.now
         tokens = max(1.0, attempt.prefill_tokens)
         if attempt.is_prefill and outcome in (Outcome.PREFILLED, Outcome.CANCELLED, Outcome.TIMED_OUT):
-            self.prefill_queue_waits.add(now, max(0.0, event.elapsed - self.allowed_prefill_ms(attempt)))
-            self.prefill_per_token.add(now, event.elapsed, tokens)
-            self.prefill_sizes.add(now, tokens)
+            self.prefill_queue_waits_ms.add(now, max(0.0, event.elapsed - self.allowed_prefill_ms(attempt)))
+            self.prefill_ms_per_token.add(now, event.elapsed, tokens)
+            self.prefill_tokens_seen.add(now, tokens)
         if outcome is Outcome.PREFILLED and 2 * event.note < attempt.prefill_tokens:
-            self.uncached_prefill_per_token.add(
+            self.uncached_prefill_ms_per_token.add(
                 now, event.elapsed, max(1.0, attempt.prefill_tokens - event.note)
             )
         if outcome is Outcome.FULL and event.note != 1:
             if attempt.is_prefill:
-                self.prefill_sizes.add(now, tokens)
-                self.prefill_per_token.add(now, self._context.shortest_target_ms, tokens)
+                self.prefill_tokens_seen.add(now, tokens)
+                self.prefill_ms_per_token.add(now, self._context.shortest_target_ms, tokens)
             else:
-                self.first_token_waits.add(now, self._context.shortest_target_ms)
+                self.first_token_waits_ms.add(now, self._context.shortest_target_ms)
 
     def restore(self, event: StateRestored) -> None:
-        windows = (self.first_token_waits, self.prefill_per_token, *self.failures)
+        windows = (self.first_token_waits_ms, self.prefill_ms_per_token, *self.failures)
         for window, (total, count) in zip(windows, event.window_totals, strict=True):
             if count:
                 window.add(self._context.now, total, count)
--- a/worksmux/policy/outlier_detection.py
+++ b/worksmux/policy/outlier_detection.py
@@ -12,13 +12,14 @@
 
 from .context import PolicyContext
 from .events import AttemptEnded, StateRestored
-from .load_estimates import HISTORY_MS, SLOW_FACTOR, SUSPECT_AFTER, LoadEstimates
+from .load_estimates import HISTORY_MS, SLOW_FACTOR, SUSPECT_AFTER_SHARE, LoadEstimates
 from .settings import ROLE_PREFILL
 from .slow_start import REQUEST_CREDIT, SlowStart
 from .state import ALL_REQUEST_CLASSES, Attempt, Engine, Outcome
 
 EJECTION_MS = 1_000.0  # after a first failure
 MAX_EJECTION_DOUBLINGS = 2
+MIN_EJECTION, EJECTION_SPREAD = 0.75, 0.5  # of the time: nodes must not come back all at once
 OUTLIER_FACTOR = 1.5  # times the failures of its peers: an engine with fewer is no outlier
 
 
@@ -132,8 +133,8 @@
             EJECTION_MS * 2 ** min(engine.failures.count(now) - 1, MAX_EJECTION_DOUBLINGS),
             HISTORY_MS * min(1.0, len(self._context.engines) / max(1, 2 * self._estimates.attempts_seen())),
         )
-        jitter = 0.75 + 0.5 * self._context.random_source.share()
-        engine.ejected_until[request_class] = now + ejection_ms * jitter
+        spread = MIN_EJECTION + EJECTION_SPREAD * self._context.random_source.share()
+        engine.ejected_until[request_class] = now + ejection_ms * spread
 
     def _is_outlier(self, engine: Engine) -> bool:
         """Whether an engine fails more than its peers.
@@ -169,9 +170,9 @@
         """
         estimates = self._estimates
         prefill = engine.role == ROLE_PREFILL
-        waits = estimates.prefill_queue_waits if prefill else estimates.first_token_waits
+        waits = estimates.prefill_queue_waits_ms if prefill else estimates.first_token_waits_ms
         return (
-            SUSPECT_AFTER * self._context.shortest_target_ms
+            SUSPECT_AFTER_SHARE * self._context.shortest_target_ms
             + SLOW_FACTOR * waits.mean(self._context.now)
             + sum(estimates.allowed_prefill_ms(attempt) for attempt in engine.unanswered)
         )
--- a/worksmux/policy/placement.py
+++ b/worksmux/policy/placement.py
@@ -11,7 +11,7 @@
 from .decode_selection import DecodeSelection, Searched
 from .decode_window import DecodeWindow
 from .in_flight import InFlight
-from .load_estimates import SLOW_FACTOR, TOLERATED_WAIT, LoadEstimates
+from .load_estimates import SLOW_FACTOR, TOLERATED_WAIT_SHARE, LoadEstimates
 from .outlier_detection import OutlierDetection
 from .prefill_order import PrefillOrder
 from .prefill_probing import PrefillProbing
@@ -122,6 +122,6 @@
             outstanding <= (1 + PREFILL_MARGIN) * even_share + overflow_tokens
             and self._outliers.is_usable(engine, request.request_class)
             and estimates.oldest_wait_ms(engine)
-            <= TOLERATED_WAIT * self._context.shortest_target_ms
-            + SLOW_FACTOR * estimates.best_prefill_per_token * overflow_tokens
+            <= TOLERATED_WAIT_SHARE * self._context.shortest_target_ms
+            + SLOW_FACTOR * estimates.best_prefill_ms_per_token * overflow_tokens
         )
--- a/worksmux/policy/prefill_probing.py
+++ b/worksmux/policy/prefill_probing.py
@@ -11,13 +11,13 @@
 
 from .actions import CheckHealth
 from .context import PolicyContext
-from .load_estimates import TOLERATED_WAIT, LoadEstimates
+from .load_estimates import TOLERATED_WAIT_SHARE, LoadEstimates
 from .outlier_detection import OutlierDetection
 from .slow_start import SlowStart
 from .state import Engine, Request
 
 SPARSE_TRAFFIC_SHARE = 0.1  # of all traffic: a node with less sees little of what the others send
-PROBE_ANSWER_WITHIN = 0.02  # of the shortest latency target: an engine that takes longer has a queue
+PROBE_ANSWER_SHARE = 0.02  # of the shortest latency target: an engine that takes longer has a queue
 MAX_PROBES = 3  # engines checked for one request
 NO_ENGINES: dict[Engine, None] = {}
 
@@ -35,7 +35,7 @@
         self._context, self._estimates = context, estimates
         self._slow_start, self._outliers = slow_start, outliers
         self.enabled = False
-        self.answer_within_ms = PROBE_ANSWER_WITHIN * context.shortest_target_ms
+        self.answer_within_ms = PROBE_ANSWER_SHARE * context.shortest_target_ms
         self._no_engine_healthy: dict[int, bool] = {}  # by request class, until something changes
 
     def update(self) -> None:
@@ -88,7 +88,7 @@
     def unanswered(self, request: Request) -> bool:
         """Whether engines were checked and none has answered for long: all of them have queues."""
         oldest = min(request.checked_engines.values(), default=inf)
-        return self._context.now - oldest > TOLERATED_WAIT * self._context.shortest_target_ms
+        return self._context.now - oldest > TOLERATED_WAIT_SHARE * self._context.shortest_target_ms
 
     def _known_idle(self, engine: Engine) -> bool:
         now = self._context.now
--- a/worksmux/policy/router.py
+++ b/worksmux/policy/router.py
@@ -45,7 +45,7 @@
 )
 from .in_flight import InFlight
 from .kv_transfer import HeldKvCaches
-from .load_estimates import SUSPECT_AFTER, LoadEstimates
+from .load_estimates import SUSPECT_AFTER_SHARE, LoadEstimates
 from .outlier_detection import OutlierDetection
 from .placement import Placement, Placer
 from .prefill_order import PrefillOrder
@@ -55,6 +55,7 @@
 from .slow_start import SlowStart
 from .state import Attempt, Engine, Outcome, Request
 
+ROUNDS_PER_SUSPICION = 4  # decision rounds in the time after which a silent engine is suspected
 ROUND_TIMER = 0  # token of the timer of decision rounds
 PREFILL_TIMEOUT_SHARE = 0.5  # of the time to the deadline: the rest is for the decode attempt
 # Slow-start credit earned by an arrival, in serves: some, so that a fleet all cold is not left alone; the
@@ -122,7 +123,7 @@
     def _set_timer(self) -> None:
         """A node with nothing to watch sets none."""
         target_ms = self.context.shortest_target_ms
-        delay_ms = SUSPECT_AFTER * target_ms / 4 if self.outliers.awaited else inf
+        delay_ms = SUSPECT_AFTER_SHARE * target_ms / ROUNDS_PER_SUSPICION if self.outliers.awaited else inf
         if self.waiting or self.kv_caches.requests:
             delay_ms = self.context.round_interval_ms
         if any(request.checked_engines for request in self.waiting):
