--- a/worksmux/policy/actions.py
+++ b/worksmux/policy/actions.py
@@ -21,12 +21,16 @@
 
 @dataclass(slots=True)
 class StartAttempt:
+    """Send the attempt to its engine."""
+
     attempt: Attempt
     timeout_ms: float = 0.0  # 0: until the deadline
 
 
 @dataclass(slots=True)
 class RejectRequest:
+    """Answer that the client may send the request again."""
+
     request: Request
     retry_after_ms: float = 0.0  # 0: not told
     reason: EndReason = EndReason.UNSPECIFIED
@@ -34,54 +38,72 @@
 
 @dataclass(slots=True)
 class AbortRequest:
+    """Answer that the request failed and was possibly executed."""
+
     request: Request
     reason: EndReason = EndReason.UNSPECIFIED
 
 
 @dataclass(slots=True)
 class CancelAttempt:
+    """Withdraw an attempt that has no first token yet."""
+
     attempt: Attempt
 
 
 @dataclass(slots=True)
 class SetTimer:
+    """Tell a TimerFired with the token after the delay."""
+
     delay_ms: float
     token: int
 
 
 @dataclass(slots=True)
 class CheckHealth:
+    """Check the health of an engine; ends in a HealthCheckEnded."""
+
     engine: Engine
 
 
 @dataclass(slots=True)
 class ReserveSlot:
+    """Reserve a decode slot for a request in prefill."""
+
     request: Request
     engine: Engine
 
 
 @dataclass(slots=True)
 class ReleaseKvCache:
+    """Release all KV cache and reserved slots that the request may have."""
+
     request: Request
 
 
 @dataclass(slots=True)
 class WatchEndpoints:
+    """Start or stop watching the endpoint list."""
+
     on: bool
 
 
 @dataclass(slots=True)
 class FetchEndpointList:
-    pass
+    """Fetch the endpoint list once."""
 
 
 @dataclass(slots=True)
 class CloseConnections:
+    """Close idle connections to the engine."""
+
     engine: Engine
 
 
 @dataclass(slots=True)
 class WriteLog:
+    """Write a line to the log."""
+
     text: str
 
 
--- a/worksmux/policy/events.py
+++ b/worksmux/policy/events.py
@@ -24,23 +24,31 @@
 
 @dataclass(slots=True)
 class EndpointListUpdate:
+    """A list of endpoints was fetched, or changes to it were pushed."""
+
     scope: str  # "delta", "full", "cached" or "failed"
     entries: list[EndpointEntry]
 
 
 @dataclass(slots=True)
 class RequestArrived:
+    """A client sent a request."""
+
     request: Request
 
 
 @dataclass(slots=True)
 class FirstToken:
+    """An attempt brought its first token, `elapsed` after it was sent."""
+
     attempt: Attempt
     elapsed: float
 
 
 @dataclass(slots=True)
 class AttemptEnded:
+    """An attempt ended, `elapsed` after it was sent; told once for each StartAttempt."""
+
     attempt: Attempt
     outcome: Outcome
     elapsed: float
@@ -56,16 +64,22 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
+    """The client wants no answer any more."""
+
     request: Request
 
 
 @dataclass(slots=True)
 class TimerFired:
+    """The timer with this token fired."""
+
     token: int
 
 
 @dataclass(slots=True)
 class HealthCheckEnded:
+    """A health check ended, `elapsed` after it was sent."""
+
     engine: Engine
     outcome: Outcome
     elapsed: float
@@ -74,6 +88,8 @@
 
 @dataclass(slots=True)
 class SlotReserved:
+    """A decode engine answered whether it holds a slot; the router takes no notice of it."""
+
     attempt: Attempt
     engine: Engine
     held: bool
