--- a/worksmux/baselines/plain.py
+++ b/worksmux/baselines/plain.py
@@ -28,7 +28,7 @@
 )
 from ..policy.random_source import RandomSource
 from ..policy.settings import IDEMPOTENT, ROLE_COMBINED, ROLE_DECODE, ROLE_PREFILL, PolicySettings
-from ..policy.state import Attempt, Engine, Outcome, Request
+from ..policy.state import GONE, READY, Attempt, Engine, Outcome, Request
 
 ROUNDS_PER_RELEASE = 6  # decision rounds, while a request waits, within the limit for held KV cache
 ROUND_TIMER = 0
@@ -81,7 +81,7 @@
             return
         if event.scope != "delta":
             for engine in self.engines.keys() - {entry.engine for entry in event.entries}:
-                engine.state = "gone"
+                engine.state = GONE
         for entry in event.entries:
             engine = entry.engine
             self.engines[engine] = None
@@ -147,7 +147,7 @@
         return [
             engine
             for engine in self.engines
-            if engine.state == "ready"
+            if engine.state == READY
             and engine.role in roles
             and (not engine.started or self.now >= engine.started + self.settings.slow_start_ms)
         ]
--- a/worksmux/policy/endpoint_index.py
+++ b/worksmux/policy/endpoint_index.py
@@ -16,7 +16,7 @@
 from .rendezvous import RankedEngines, Ranking
 from .round_robin import ANYWHERE, RoundRobin, Scope
 from .settings import ROLE_COMBINED, ROLE_DECODE, ROLE_PREFILL, PolicySettings
-from .state import Engine, Request
+from .state import READY, Engine, Request
 
 MAX_RANKINGS = 128  # kept, of the keys seen last
 
@@ -29,7 +29,7 @@
     ) -> None:
         """`now`, milliseconds, decides which engines are cold."""
         known = list(engines)
-        listed = [engine for engine in known if engine.state == "ready"]
+        listed = [engine for engine in known if engine.state == READY]
         self.ready_by_role = Counter(engine.role for engine in listed)
         ready, self.excluded_by_plan = self._by_plan(known, listed, plan)
         by_role: dict[str, list[Engine]] = defaultdict(list)
--- a/worksmux/policy/endpoint_table.py
+++ b/worksmux/policy/endpoint_table.py
@@ -13,7 +13,7 @@
 from .settings import ROLE_PREFILL
 from .sliding_window import SlidingWindow
 from .slow_start import SlowStart
-from .state import Engine
+from .state import GONE, READY, Engine
 
 LIST_RETRY_MS = 1_000.0  # on average, after an endpoint list that could not be fetched
 MIN_LIST_RETRY = 0.5  # of that; the rest is spread by chance
@@ -43,8 +43,8 @@
             return False
         if event.scope != "delta":
             for engine in self._context.engines.keys() - {entry.engine for entry in event.entries}:
-                engine.gone_since = engine.gone_since if engine.state == "gone" else self._context.now
-                engine.state = "gone"
+                engine.gone_since = engine.gone_since if engine.state == GONE else self._context.now
+                engine.state = GONE
         for entry in event.entries:
             self._enter(entry)
         self._forget_gone()
@@ -61,9 +61,9 @@
             )
             engine.last_turn = self._context.random_source.share() - 1.0  # nodes' rounds start differently
         self._slow_start.leave(engine)
-        if entry.state == "ready" and (entry.started != engine.started or engine.state == "gone"):
+        if entry.state == READY and (entry.started != engine.started or engine.state == GONE):
             self._restarted(engine)
-        if entry.state == "gone" and engine.state != "gone":
+        if entry.state == GONE and engine.state != GONE:
             engine.gone_since = self._context.now
         engine.state, engine.started, engine.size = entry.state, entry.started, entry.size
         engine.zone, engine.cell, engine.kind = entry.zone, entry.cell, entry.kind
@@ -83,7 +83,7 @@
         for engine in [
             engine
             for engine in self._context.engines
-            if engine.state == "gone"
+            if engine.state == GONE
             and not engine.attempts
             and not engine.reserved
             and engine not in missed
--- a/worksmux/policy/id_map.py
+++ b/worksmux/policy/id_map.py
@@ -13,7 +13,7 @@
 from .events import AttemptEnded, ClientDisconnected, Event, RequestArrived
 from .router import Router
 from .settings import PolicySettings
-from .state import Attempt, Engine, Request
+from .state import GONE, Attempt, Engine, Request
 
 
 class Policy(Protocol):
@@ -64,7 +64,7 @@
 
     def forget(self, engine: Engine) -> bool:
         """Forgets an engine that is gone, once the policy has; whether it did."""
-        if engine.state != "gone" or engine.attempts or engine in getattr(self.module, "engines", ()):
+        if engine.state != GONE or engine.attempts or engine in getattr(self.module, "engines", ()):
             return False
         self.engines.pop(engine.id, None)
         return True
--- a/worksmux/policy/outlier_detection.py
+++ b/worksmux/policy/outlier_detection.py
@@ -15,7 +15,7 @@
 from .load_estimates import HISTORY_MS, SLOW_FACTOR, SUSPECT_AFTER_SHARE, LoadEstimates
 from .settings import ROLE_PREFILL
 from .slow_start import REQUEST_CREDIT, SlowStart
-from .state import ALL_REQUEST_CLASSES, Attempt, Engine, Outcome
+from .state import ALL_REQUEST_CLASSES, READY, Attempt, Engine, Outcome
 
 EJECTION_MS = 1_000.0  # after a first failure
 MAX_EJECTION_DOUBLINGS = 2
@@ -40,7 +40,7 @@
 
     def is_healthy(self, engine: Engine, request_class: int) -> bool:
         """Ready, not suspected, not ejected; after an ejection one attempt at a time until it answers."""
-        if engine.state != "ready" or engine.health_check_pending:
+        if engine.state != READY or engine.health_check_pending:
             return False
         now, ejected_until = self._context.now, engine.ejected_until
         if not ejected_until:
@@ -157,7 +157,7 @@
         for engine in list(self.failed):
             if not (count := engine.failures.count(now)):
                 del self.failed[engine]
-            elif engine.state == "ready":
+            elif engine.state == READY:
                 self._role_failures[engine.role] += count
 
     # Silence and health checks.
--- a/worksmux/policy/placement.py
+++ b/worksmux/policy/placement.py
@@ -18,7 +18,7 @@
 from .retry import RetryPolicy
 from .round_robin import ANYWHERE
 from .settings import ROLE_COMBINED, ROLE_PREFILL
-from .state import ALL_REQUEST_CLASSES, Engine, Request
+from .state import ALL_REQUEST_CLASSES, READY, Engine, Request
 
 PREFILL_MARGIN = 0.25  # of the even share of this node's prompt tokens that may be exceeded
 
@@ -68,7 +68,7 @@
                 and engine not in exempt
             ):
                 continue
-            if engine.state != "ready" and request.possibly_executed:
+            if engine.state != READY and request.possibly_executed:
                 continue
             if engine.role == ROLE_COMBINED:
                 if not found and self._combined_is_open(engine, request):
--- a/worksmux/policy/retry.py
+++ b/worksmux/policy/retry.py
@@ -9,7 +9,7 @@
 from .context import PolicyContext
 from .round_robin import ANYWHERE, Scope
 from .settings import DEDUPLICATED, IDEMPOTENT, NON_IDEMPOTENT, SCOPE_ALL, SCOPE_ZONE
-from .state import Engine, Request
+from .state import READY, Engine, Request
 
 
 class RetryPolicy:
@@ -46,7 +46,7 @@
 
     def may_send(self, request: Request, engine: Engine) -> bool:
         scope = self.scope(request)
-        return scope is not None and engine.state == "ready" and scope.has(engine)
+        return scope is not None and engine.state == READY and scope.has(engine)
 
     def may_retry(self, request: Request) -> bool:
         """Whether an engine that may answer lies in the request's scope."""
--- a/worksmux/policy/router.py
+++ b/worksmux/policy/router.py
@@ -53,7 +53,7 @@
 from .retry import RetryPolicy
 from .settings import ROLE_COMBINED, ROLE_DECODE, ROLE_PREFILL, PolicySettings
 from .slow_start import SlowStart
-from .state import Attempt, Engine, Outcome, Request
+from .state import READY, Attempt, Engine, Outcome, Request
 
 ROUNDS_PER_SUSPICION = 4  # decision rounds in the time after which a silent engine is suspected
 ROUND_TIMER = 0  # token of the timer of decision rounds
@@ -340,7 +340,7 @@
 
     def _check_silent_engines(self) -> None:
         for engine in self.outliers.newly_suspected():
-            if self.settings.may_check_health and engine.state == "ready":
+            if self.settings.may_check_health and engine.state == READY:
                 self._do(CheckHealth(engine))
             else:
                 self._cancel_replaceable(self.outliers.record_health_check(engine, Outcome.TIMED_OUT))
--- a/worksmux/policy/state.py
+++ b/worksmux/policy/state.py
@@ -11,6 +11,7 @@
 
 from .sliding_window import SlidingWindow
 
+READY, DRAINING, GONE = "ready", "draining", "gone"  # states of an engine
 ALL_REQUEST_CLASSES = -1  # as a key of `ejected_until`: the engine is ejected for every class
 EMPTY_WINDOW = SlidingWindow(1.0, 1)  # until the engine enters the endpoint table
 
@@ -42,7 +43,7 @@
     cell: int = 0
     kind: int = 0
     size: float = 1.0
-    state: str = "gone"  # ready, draining or gone
+    state: str = GONE  # READY, DRAINING or GONE
     started: float = 0.0  # 0: long ago
     gone_since: float = 0.0
     role: str = ""  # ROLE_PREFILL, ROLE_DECODE or ROLE_COMBINED
