--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,13 +1,18 @@
 """Builds the small states that the tests start from."""
 
 from worksmux.policy.actions import SetTimer
-from worksmux.policy.events import AttemptEnded, EndpointEntry, EndpointListUpdate
+from worksmux.policy.events import AttemptEnded, EndpointEntry, EndpointListUpdate, RequestArrived
 from worksmux.policy.router import Router
 from worksmux.policy.settings import PolicySettings, RequestClassSettings
-from worksmux.policy.state import Engine, Request
+from worksmux.policy.state import Engine, Outcome, Request
 
 NOW = 100_000.0
 
+# Engines of a fleet: kind, zone and cell.
+PAIR = ((0, 0, 0), (1, 0, 0))
+TWO_DECODE_ENGINES = (*PAIR, (1, 0, 0))
+THREE_PREFILL_ENGINES = ((0, 0, 0), (0, 0, 0), (0, 0, 0), (1, 0, 0))
+
 
 def settings(**changes):
     plain = {
@@ -39,24 +44,29 @@
 
 
 def fleet(*places, seed=1, **changes):
-    """A front that knows an engine for each (kind, zone, cell), and those engines."""
-    front = Router(settings(**changes), seed)
+    """A router that knows an engine for each (kind, zone, cell), and those engines."""
+    router = Router(settings(**changes), seed)
     engines = [Engine(bytes([at]), at + 1) for at in range(len(places))]
     entries = [
         EndpointEntry(engine, "ready", 0.0, zone, cell, kind, 1.0)
         for engine, (kind, zone, cell) in zip(engines, places, strict=True)
     ]
-    front.decide(NOW, [EndpointListUpdate("full", entries)])
-    return front, engines
+    router.decide(NOW, [EndpointListUpdate("full", entries)])
+    return router, engines
 
 
 def request(number=1, request_class=0, now=NOW, left=4000.0, session=0):
     return Request(number, request_class, session or number, 0, 1000.0, 0.0, 300.0, now, now + left)
 
 
-def ended(front, attempt, outcome, after=50.0, closed=False, note=0):
-    return front.decide(attempt.sent_at + after, [AttemptEnded(attempt, outcome, after, closed, note)])
+def ended(router, attempt, outcome, after=50.0, closed=False, note=0):
+    return router.decide(attempt.sent_at + after, [AttemptEnded(attempt, outcome, after, closed, note)])
 
 
 def kinds(actions):
     return [type(action).__name__ for action in actions if not isinstance(action, SetTimer)]
+
+
+def prefill(router, one, now=NOW):
+    router.decide(now, [RequestArrived(one)])
+    return ended(router, one.attempts[0], Outcome.PREFILLED)
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -12,7 +12,7 @@
 from worksmux.consensus.outputs import Output
 from worksmux.consensus.raft import Raft
 from worksmux.consensus.voter import RaftTiming, Role
-from worksmux.policy.measure import Chance
+from worksmux.policy.random_source import RandomSource
 from worksmux.simulation.consensus import CouncilWorld, InvariantViolationError, Make, SeatInTime, storm
 
 STORMS = 60
@@ -179,7 +179,7 @@
     Each of their processes freezes for up to `pause` milliseconds, runs for a while, and so on.
     """
     world = CouncilWorld(3, seed)
-    old, chance = world.led(), Chance(seed + 5)
+    old, chance = world.led(), RandomSource(seed + 5)
     others = [seat for seat in world.seats.values() if seat is not old]
     world.run(500.0)
     world.wire.cut([old.name], [seat.name for seat in others])
--- a/tests/test_consensus_replica.py
+++ b/tests/test_consensus_replica.py
@@ -18,14 +18,14 @@
 from worksmux.consensus.replication_messages import ChangeNotice, PullReply, PullRequest
 from worksmux.consensus.replication_tree import parent_of
 from worksmux.consensus.state_machine import VersionedValue
-from worksmux.policy.measure import Chance
+from worksmux.policy.random_source import RandomSource
 from worksmux.simulation.followers import LEASE, Following
 
 
 def storm(make: type[Replica], seed: int) -> Following:
     """Partitions, frozen nodes, slow links and loss while values go on changing."""
     fleet = Following(12, seed, make, loss=0.1)
-    chance = Chance(seed)
+    chance = RandomSource(seed)
     fleet.run(3000.0)
     for _ in range(40):
         fleet.run(600.0 * chance.share())
--- a/tests/test_cost_by_fleet_size.py
+++ b/tests/test_cost_by_fleet_size.py
@@ -1,7 +1,7 @@
 """What an event costs among 3,200 engines and among 200, counted in instructions of the interpreter.
 
-Incident c5f349: one turn took seconds among thousands of engines, as the search for engines looked at all of
-them, for each of them, again and again.
+Incident c5f349: one decision round took seconds among thousands of engines, as the search for engines looked
+at all of them, for each of them, again and again.
 """
 
 from __future__ import annotations
@@ -37,13 +37,13 @@
 
 FEW, MANY = 200, 3200
 REQUESTS, PAUSE = 6, 150.0  # milliseconds between two requests
-FRONTS = 200
-TIMES = 4.0  # what an event, and a request, may cost more among so many
-RUNAWAY = 2_000_000  # instructions in one turn: it is not counted further
+NODES = 200
+TIMES = 4.0  # what an event, and a request, may cost more among MANY
+RUNAWAY = 2_000_000  # instructions in one round: it is not counted further
 
 
 class Runaway(Exception):
-    """A turn has no end in sight."""
+    """A decision round has no end in sight."""
 
 
 class Meter:
@@ -69,11 +69,11 @@
 
 
 class Play:
-    """Requests at one of many fronts, among engines of which some are hung, cold, draining or silent."""
+    """Requests at one of many nodes, among engines of which some are hung, cold, draining or silent."""
 
     def __init__(self, engines: int, hung: float, answered: float, cold: float, effect: int) -> None:
         self.chance = Random(7)
-        self.front = Router(settings(node_count=FRONTS, engine_roles=("read", "write")), 1)
+        self.router = Router(settings(node_count=NODES, engine_roles=("read", "write")), 1)
         self.hung, self.answered, self.effect = hung, answered, effect
         self.engines = [Engine(b"%d" % at, at + 1) for at in range(engines)]
         self.line: list[tuple[float, int, Callable[[], Event | None]]] = []
@@ -109,7 +109,7 @@
             if attempt.outcome is not None:
                 return None
             return AttemptEnded(
-                attempt, outcome, at - attempt.sent_at, attempt.request.ended or outcome is Outcome.DELIVERED
+                attempt, outcome, at - attempt.sent_at, attempt.request.ended or outcome is Outcome.SERVED
             )
 
         self.tell(at, ended)
@@ -118,16 +118,16 @@
         if attempt.engine.key % 100 < 100 * self.hung:
             return self.outcome(attempt, Outcome.TIMED_OUT, attempt.request.deadline)
         if attempt.is_prefill:
-            return self.outcome(attempt, Outcome.READ, now + 60)
+            return self.outcome(attempt, Outcome.PREFILLED, now + 60)
         self.tell(now + 30, lambda: FirstToken(attempt, 30.0) if attempt.outcome is None else None)
-        self.outcome(attempt, Outcome.DELIVERED, now + 400)
+        self.outcome(attempt, Outcome.SERVED, now + 400)
 
     def carry_out(self, action: Action, now: float) -> None:
         match action:
             case SetTimer(after, token):
                 self.tell(now + after, lambda: TimerFired(token))
             case CheckHealth(engine) if self.chance.random() < self.answered:
-                self.tell(now + 10, lambda: HealthCheckEnded(engine, Outcome.DELIVERED, 10.0))
+                self.tell(now + 10, lambda: HealthCheckEnded(engine, Outcome.SERVED, 10.0))
             case StartAttempt(attempt):
                 self.send(attempt, now)
             case CancelAttempt(attempt):
@@ -140,7 +140,7 @@
             event = make()
             if event is None:
                 continue
-            actions = meter.run(lambda now=now, event=event: self.front.decide(now, [event]))
+            actions = meter.run(lambda now=now, event=event: self.router.decide(now, [event]))
             self.costs.setdefault(type(event).__name__, []).append(meter.count)
             for action in actions:
                 self.carry_out(action, now)
--- a/tests/test_failover_policy.py
+++ b/tests/test_failover_policy.py
@@ -20,7 +20,7 @@
     for one in requests:
         front.decide(NOW, [RequestArrived(one)])
         for attempt in one.attempts:
-            front.decide(NOW, [AttemptEnded(attempt, Outcome.READ, 5.0, False)])
+            front.decide(NOW, [AttemptEnded(attempt, Outcome.PREFILLED, 5.0, False)])
     return requests
 
 
@@ -59,7 +59,7 @@
     hint, mark = request(1), request(2, request_class=1)
     actions = front.decide(NOW, [RequestArrived(hint), RequestArrived(mark)])
     rejections = [action for action in actions if isinstance(action, RejectRequest)]
-    assert [one.request for one in rejections] == [hint] and 400.0 <= rejections[0].stay_away <= 800.0
+    assert [one.request for one in rejections] == [hint] and 400.0 <= rejections[0].retry_after_ms <= 800.0
     assert hint.ended and not hint.attempts and mark.attempts
 
 
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -26,7 +26,7 @@
 from worksmux.consensus.entries import HardState, Snapshot, StorageWrite
 from worksmux.experiment.book import Book
 from worksmux.gateway.endpoint_cache import read_learned
-from worksmux.gateway.fleet.consensus_disk import CouncilDisk
+from worksmux.gateway.fleet.consensus_disk import ConsensusDisk
 from worksmux.load import trace
 from worksmux.storage.database import open_store
 
@@ -139,17 +139,21 @@
     monkeypatch.setattr(secrets, "token_hex", lambda size: "5ca1ab1e"[: 2 * size])
     (tmp_path / "old").mkdir()
     copied("council.db", tmp_path / "old")
-    old = CouncilDisk(tmp_path / "old", lambda call, *args: call(*args))
+    old = ConsensusDisk(tmp_path / "old", lambda call, *args: call(*args))
     old.close()
-    assert not old.notes and old.own.mark == "5ca1ab1e" and old.own.life == int(WRITTEN_AT_S) + 1
+    assert (
+        not old.notes
+        and old.identity.disk_id == "5ca1ab1e"
+        and old.identity.generation == int(WRITTEN_AT_S) + 1
+    )
     assert (old.saved.term, old.saved.voted_for) == (3, "front-1#5ca1ab1e")
     pinned = {one["key"]: one["content"] for one in CONTENTS["council.db"]["records"]}
     assert plain(old.saved.snapshot) == pinned["base"]
     assert [plain(entry) for entry in old.saved.entries] == [
         pinned[f"e{index:015d}"] for index in (2, 3, 4, 5)
     ]
-    new = CouncilDisk(tmp_path / "new", lambda call, *args: call(*args))
-    new.found(msgspec.convert(pinned["base"], Snapshot))
+    new = ConsensusDisk(tmp_path / "new", lambda call, *args: call(*args))
+    new.bootstrap(msgspec.convert(pinned["base"], Snapshot))
     written: queue.SimpleQueue[int] = queue.SimpleQueue()
     new.put(StorageWrite(1, HardState(3, "front-1#5ca1ab1e"), entries=tuple(old.saved.entries)), written.put)
     assert written.get(timeout=10.0) == 1
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -10,7 +10,7 @@
 
 from worksmux.gossip.members import AppliedUpdate, MemberList, MembershipUpdate, MemberState
 from worksmux.gossip.outputs import Superseded
-from worksmux.policy.measure import Chance
+from worksmux.policy.random_source import RandomSource
 from worksmux.simulation.peers import Peer, World
 from worksmux.simulation.wire import Weather
 
@@ -254,7 +254,7 @@
 
 def storm(seed: int) -> World:
     """Crashes, restarts, frozen processes, partitions and loss at random; then runs until all agree."""
-    chance = Chance(seed)
+    chance = RandomSource(seed)
     found = World(seed, PERIOD, Weather((0.3, 80.0 * chance.share()), 0.2 * chance.share(), 0.1))
     names = [f"f{at}" for at in range(7)]
     lives = dict.fromkeys(names, 1)
--- a/tests/test_learned_state.py
+++ b/tests/test_learned_state.py
@@ -27,9 +27,9 @@
 def recorder_with_outcomes(faults: int, good: int) -> LearnedStateRecorder:
     recorder, engine = LearnedStateRecorder(["a", "b"]), Engine(b"e", 1)
     for at in range(faults + good):
-        outcome = Outcome.ERROR if at < faults else Outcome.DELIVERED
+        outcome = Outcome.ERROR if at < faults else Outcome.SERVED
         recorder.observe(1000.0 + at, AttemptEnded(attempt_at(engine), outcome, 50.0, False))
-    recorder.observe(1100.0, AttemptEnded(attempt_at(engine), Outcome.READ, 200.0, False))
+    recorder.observe(1100.0, AttemptEnded(attempt_at(engine), Outcome.PREFILLED, 200.0, False))
     recorder.observe(1200.0, FirstToken(attempt_at(engine), 900.0))
     return recorder
 
@@ -95,14 +95,14 @@
     assert (
         not router.estimates.is_failing(0)
         and not engine.ejected_until
-        and not router.estimates.first_token_waits.count(50.0)
+        and not router.estimates.first_token_waits_ms.count(50.0)
     )
     assert (
-        router.estimates.prefill_per_token.least(50.0) == 2.0
-        and router.estimates.prefill_per_token.count(50.0) <= 0.5
+        router.estimates.prefill_ms_per_token.least(50.0) == 2.0
+        and router.estimates.prefill_ms_per_token.count(50.0) <= 0.5
     )
     ancient, _ = restored_after(30 * 24 * 3.6e6)
-    assert ancient.estimates.prefill_per_token.least(50.0) == 0.0
+    assert ancient.estimates.prefill_ms_per_token.least(50.0) == 0.0
 
 
 def test_clock_set_back_makes_no_mark_last() -> None:
--- a/tests/test_node_config.py
+++ b/tests/test_node_config.py
@@ -13,7 +13,7 @@
 from worksmux.node.endpoint_list import Endpoint, HostList, convert
 from worksmux.node.errors import ConfigError
 from worksmux.policy.events import AttemptEnded, EndpointEntry, EndpointListUpdate, TimerFired
-from worksmux.policy.id_map import Door
+from worksmux.policy.id_map import IdMap
 from worksmux.policy.state import Engine, Outcome, Request
 
 
@@ -79,7 +79,7 @@
         except ConfigError as error:
             assert str(error).startswith("c.json: $.settings"), (place, error)
             continue
-        door = Door(told_to.settings, 1)
+        door = IdMap(told_to.settings, 1)
         engines = [door.engine(name, at + 1) for at, name in enumerate((b"r", b"w"))]
         entries = [
             EndpointEntry(engine, "ready", 0.0, 0, 0, kind, 1.0)
@@ -90,7 +90,7 @@
         door.decide(1000.0, [EndpointListUpdate("full", entries), door.arrived(request)])
         for at in range(1, 8):
             ends = [
-                AttemptEnded(attempt, Outcome.READ if attempt.is_prefill else Outcome.RESET, 5.0, False)
+                AttemptEnded(attempt, Outcome.PREFILLED if attempt.is_prefill else Outcome.RESET, 5.0, False)
                 for attempt in request.in_flight
             ]
             door.decide(1000.0 + 600 * at, [*ends, TimerFired(0)])
--- a/tests/test_node_ends.py
+++ b/tests/test_node_ends.py
@@ -126,7 +126,7 @@
         one = PrefillAttempt(Clock(), None, attempt, listener, 100.0, 50.0, 300)  # type: ignore[arg-type]
         one.call = Call(written)  # type: ignore[assignment]
         getattr(one, end)()
-        assert ends == [outcome if written else Outcome.MOOT]
+        assert ends == [outcome if written else Outcome.NOT_SENT]
         assert one.call.abandoned  # type: ignore[union-attr]
 
 
--- a/tests/test_node_requests.py
+++ b/tests/test_node_requests.py
@@ -76,7 +76,7 @@
     one.head(202, {})
     one.done()
     later.pop()()
-    assert ends == [Outcome.READ]
+    assert ends == [Outcome.PREFILLED]
 
 
 def test_rejection_waits_for_the_end_of_a_cancelled_attempt() -> None:
--- a/tests/test_node_startup.py
+++ b/tests/test_node_startup.py
@@ -21,7 +21,7 @@
     rig.start()
     door = rig.node.core.door
     rig.until(lambda: door.module.engines)
-    assert [engine.id.decode() for engine in door.module.index.cold] == [young.name] != [old.name]
+    assert [engine.id.decode() for engine in door.module.index.cold_engines] == [young.name] != [old.name]
 
 
 def test_shutdown_answers_open_requests_and_closes_idle_connections() -> None:
--- a/tests/test_zone_watcher.py
+++ b/tests/test_zone_watcher.py
@@ -39,7 +39,7 @@
     watcher, (prefill, decode, other, _) = new_watcher()
     end_attempt(watcher, prefill, NOW + 500)
     end_attempt(watcher, decode, NOW + 600)
-    end_attempt(watcher, other, NOW + 600, Outcome.READ)
+    end_attempt(watcher, other, NOW + 600, Outcome.PREFILLED)
     report = watcher.report(NOW + 900)
     assert report.zones["north"].failed_votes == 1 and report.zones["south"].failed_votes == 0
     assert watcher.report(NOW + 3000).zones["north"].failed_votes == 1
@@ -52,18 +52,18 @@
     A node that waited for it to fail too would not vote, and no plan would be made.
     """
     watcher, (prefill, decode, *_) = new_watcher()
-    end_attempt(watcher, decode, NOW + 300, Outcome.DELIVERED)
+    end_attempt(watcher, decode, NOW + 300, Outcome.SERVED)
     end_attempt(watcher, prefill, NOW + 500)
     report = watcher.report(NOW + 900).zones["north"]
     assert report.failed_votes == 1 and report.voters == 1
-    end_attempt(watcher, decode, NOW + 950, Outcome.DELIVERED)
+    end_attempt(watcher, decode, NOW + 950, Outcome.SERVED)
     assert watcher.report(NOW + 1500).zones["north"].failed_votes == 0
 
 
 def test_one_faulty_engine_of_many_gets_no_failed_vote() -> None:
     watcher, (prefill, decode, *_) = new_watcher()
     end_attempt(watcher, prefill, NOW + 500)
-    end_attempt(watcher, decode, NOW + 600, Outcome.READ)
+    end_attempt(watcher, decode, NOW + 600, Outcome.PREFILLED)
     assert watcher.report(NOW + 900).zones["north"].failed_votes == 0
 
 
--- a/worksmux/consensus/replica.py
+++ b/worksmux/consensus/replica.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from ..policy.measure import Chance
+from ..policy.random_source import RandomSource
 from .inputs import Tick
 from .replication_messages import ChangeNotice, Message, PullReply, PullRequest
 from .replication_tree import parent_of, place_of
@@ -116,7 +116,12 @@
         now: float,
         build_report: Callable[[list[bytes]], bytes] = lambda _: b"",
     ) -> None:
-        self.node, self.lease_ms, self.random, self.build_report = node, lease_ms, Chance(seed), build_report
+        self.node, self.lease_ms, self.random, self.build_report = (
+            node,
+            lease_ms,
+            RandomSource(seed),
+            build_report,
+        )
         self.pull_interval_ms = lease_ms / PULLS_PER_LEASE
         self.index, self.state_hash = 0, 0
         self.values: dict[str, VersionedValue] = {}
--- a/worksmux/consensus/replication_tree.py
+++ b/worksmux/consensus/replication_tree.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Iterable
 
-from ..policy.measure import mix
+from ..policy.hashing import mix
 
 CHILDREN_PER_NODE = 8
 ORDER_SALT = 5
--- a/worksmux/consensus/voter.py
+++ b/worksmux/consensus/voter.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from math import inf
 
-from ..policy.measure import Chance
+from ..policy.random_source import RandomSource
 from .entries import Entry, HardState, Log, PersistentState, Snapshot, StorageWrite
 from .outputs import EntriesCommitted, LeaderChanged, Output, Rejected
 
@@ -72,7 +72,7 @@
     def __init__(
         self, server_id: str, saved: PersistentState, timing: RaftTiming, seed: int, now: float
     ) -> None:
-        self.server_id, self.timing, self.random = server_id, timing, Chance(seed)
+        self.server_id, self.timing, self.random = server_id, timing, RandomSource(seed)
         self.term, self.voted_for = saved.term, saved.voted_for
         self.log = Log(saved.snapshot, list(saved.entries))
         self.configuration_index, self.configuration = self.log.latest_configuration()
--- a/worksmux/endpoints/learned_state.py
+++ b/worksmux/endpoints/learned_state.py
@@ -20,7 +20,7 @@
 
 from ..policy.events import AttemptEnded, Event, FirstToken, StateRestored
 from ..policy.load_estimates import BUCKETS, HISTORY_MS, SLOW_FACTOR
-from ..policy.measure import Ring
+from ..policy.sliding_window import SlidingWindow
 from ..policy.state import ALL_REQUEST_CLASSES, Engine, Outcome
 from .staleness import MIN_USEFUL_CONFIDENCE, Turnover
 
@@ -29,7 +29,7 @@
 FLEET_KEY = ""  # the key of what holds for all engines
 ALL_CLASSES = ""  # in stored records, in place of a request class
 FAULTS = frozenset({Outcome.ERROR, Outcome.UNREACHABLE, Outcome.RESET, Outcome.TIMED_OUT})
-SUCCESSES = frozenset({Outcome.READ, Outcome.DELIVERED})
+SUCCESSES = frozenset({Outcome.PREFILLED, Outcome.SERVED})
 
 
 class SampleSum(msgspec.Struct, array_like=True):
@@ -73,9 +73,9 @@
 
     def __init__(self, request_classes: list[str]) -> None:
         self.request_classes = request_classes
-        self._first_token_wait = Ring(HISTORY_MS, BUCKETS)
-        self._prefill_per_token = Ring(HISTORY_MS, BUCKETS)
-        self._faults = [Ring(HISTORY_MS, BUCKETS) for _ in request_classes]
+        self._first_token_wait = SlidingWindow(HISTORY_MS, BUCKETS)
+        self._prefill_per_token = SlidingWindow(HISTORY_MS, BUCKETS)
+        self._faults = [SlidingWindow(HISTORY_MS, BUCKETS) for _ in request_classes]
         self._fastest_per_token_ms = self._fastest_seen_at_ms = 0.0
         self._saved: dict[str, FleetTimings | EngineMarks] = {}
 
@@ -85,7 +85,7 @@
             prefill_ms = SLOW_FACTOR * self._prefill_per_token.least(now_ms) * event.attempt.prefill_tokens
             self._first_token_wait.add(now_ms, max(0.0, event.elapsed - prefill_ms))
         elif isinstance(event, AttemptEnded):
-            if event.outcome is Outcome.READ:
+            if event.outcome is Outcome.PREFILLED:
                 self._prefill_per_token.add(now_ms, event.elapsed, max(1.0, event.attempt.prefill_tokens))
             if event.outcome in FAULTS or event.outcome in SUCCESSES:
                 faults = self._faults[event.attempt.request.request_class]
@@ -217,18 +217,18 @@
     for name, until_ms in marks.ejected_until_ms.items():
         left_ms = min(until_ms - wall_ms, HISTORY_MS - age_ms)
         if left_ms > 0 and name in class_index:
-            event.unwell.append((engine, class_index[name], left_ms))
+            event.ejections.append((engine, class_index[name], left_ms))
     for name, success_ms in marks.last_success_ms.items():
         if (
             0 <= wall_ms - success_ms < HISTORY_MS
             and class_index.get(name, ALL_REQUEST_CLASSES) != ALL_REQUEST_CLASSES
         ):
-            event.good.append((engine, class_index[name], wall_ms - success_ms))
+            event.last_successes.append((engine, class_index[name], wall_ms - success_ms))
     if marks.window_reduction > 0:
-        event.narrowed.append((engine, marks.window_reduction * (1 - age_ms / HISTORY_MS)))
+        event.window_reductions.append((engine, marks.window_reduction * (1 - age_ms / HISTORY_MS)))
 
 
-def _sample_sum(ring: Ring, now_ms: float) -> SampleSum:
+def _sample_sum(ring: SlidingWindow, now_ms: float) -> SampleSum:
     count = ring.count(now_ms)
     return SampleSum(ring.mean(now_ms) * count, count)
 
--- a/worksmux/endpoints/staleness.py
+++ b/worksmux/endpoints/staleness.py
@@ -26,7 +26,7 @@
 import msgspec
 
 from ..api.listing import Line
-from ..policy.measure import Chance
+from ..policy.random_source import RandomSource
 from ..policy.state import Outcome
 
 FRESH_CONFIDENCE = 0.95  # from here on an endpoint is used as it is
@@ -151,7 +151,7 @@
         self.endpoints: dict[str, CachedEndpoint] = {}
         self.due_probes: list[DueProbe] = []  # a heap
         self.superseded = False  # the registry has sent a list
-        self._random = Chance(seed)
+        self._random = RandomSource(seed)
         self._probe_period_ms = 1000 * nodes / probe_rate  # in which all nodes probe one engine once
         self._order = count()
         for one in stored:
@@ -236,7 +236,7 @@
         """What an attempt shows of its engine."""
         if outcome is Outcome.UNREACHABLE:
             return self.unreachable(name, now_ms)
-        return self.served(name) if outcome in (Outcome.READ, Outcome.DELIVERED) else CacheUpdate()
+        return self.served(name) if outcome in (Outcome.PREFILLED, Outcome.SERVED) else CacheUpdate()
 
     def served(self, name: str) -> CacheUpdate:
         """Confirms an endpoint that was used and served an attempt."""
--- a/worksmux/failover/watcher.py
+++ b/worksmux/failover/watcher.py
@@ -10,8 +10,8 @@
 from typing import NamedTuple
 
 from ..policy.events import AttemptEnded, EndpointEntry, EndpointListUpdate, Event, FirstToken, RequestArrived
-from ..policy.measure import Ring
 from ..policy.settings import PolicySettings
+from ..policy.sliding_window import SlidingWindow
 from ..policy.state import Engine, Outcome, Request
 from .tally import Tally, ZoneTally
 
@@ -25,7 +25,7 @@
 DEGRADED_FAULT_SHARE = 0.25  # of attempts that failed: the zone is degraded
 DEGRADED_WAIT = 0.9  # mean wait, in latency targets: the zone is degraded
 FAULTS = frozenset({Outcome.ERROR, Outcome.UNREACHABLE, Outcome.RESET, Outcome.TIMED_OUT})
-SUCCESSES = frozenset({Outcome.READ, Outcome.DELIVERED})
+SUCCESSES = frozenset({Outcome.PREFILLED, Outcome.SERVED})
 STAGES = ("read", "write")  # as the roles of engines have them
 BOTH_STAGES = "both"
 ANY_ZONE = -1  # of requests that have no attempt yet
@@ -60,17 +60,17 @@
         return Waiting(self.count + count, self.wait + wait)
 
 
-def _window() -> Ring:
-    return Ring(WINDOW_MS, WINDOW_BUCKETS)
+def _window() -> SlidingWindow:
+    return SlidingWindow(WINDOW_MS, WINDOW_BUCKETS)
 
 
 @dataclass(eq=False)
 class ZoneRecord:
     """What was lately seen of one zone."""
 
-    successes: Ring = field(default_factory=_window)
-    faults: Ring = field(default_factory=_window)
-    waits: Ring = field(default_factory=_window)  # of answers that began, in latency targets
+    successes: SlidingWindow = field(default_factory=_window)
+    faults: SlidingWindow = field(default_factory=_window)
+    waits: SlidingWindow = field(default_factory=_window)  # of answers that began, in latency targets
     last_success_ms: float = 0.0
     full_size: float = 0.0  # the most that was listed as ready, slowly forgotten
     sized_at_ms: float = 0.0
@@ -176,7 +176,7 @@
         request_class = self._settings.request_classes[request.request_class]
         self._latency_targets_ms[request] = (
             request_class.latency_target_ms
-            + request_class.latency_target_per_1000_tokens_ms * request.prompt / 1000
+            + request_class.latency_target_per_1000_tokens_ms * request.prompt_tokens / 1000
         )
 
     def _list_updated(self, scope: str, entries: list[EndpointEntry]) -> None:
--- a/worksmux/forwarding/attempt.py
+++ b/worksmux/forwarding/attempt.py
@@ -80,7 +80,7 @@
         """Ends the attempt only if it was not sent, that is while its last byte has not left."""
         if not self._sent:
             self.end_reason = self.end_reason or "withdrawn before it was sent"
-            self._end(Outcome.MOOT)
+            self._end(Outcome.NOT_SENT)
 
     @property
     def _sent(self) -> bool:
@@ -88,7 +88,7 @@
         return bool(self.status) or self.call is not None and self.call.written
 
     def _outcome_if_sent(self, outcome: Outcome) -> Outcome:
-        return outcome if self._sent else Outcome.MOOT
+        return outcome if self._sent else Outcome.NOT_SENT
 
     def _time_is_up(self) -> None:
         self.end_reason = "timed out"
@@ -100,7 +100,7 @@
         self.over = True
         if self.timer.active():
             self.timer.cancel()
-        if self.call is not None and outcome is not Outcome.DELIVERED:
+        if self.call is not None and outcome is not Outcome.SERVED:
             self.call.abandon()
         self.listener.on_attempt_end(self.attempt, outcome, note, self._load_report(), result)
 
--- a/worksmux/forwarding/decision_loop.py
+++ b/worksmux/forwarding/decision_loop.py
@@ -16,7 +16,7 @@
 from ..net.loop import Reactor
 from ..policy.actions import Action
 from ..policy.events import Event
-from ..policy.id_map import Door
+from ..policy.id_map import IdMap
 from .counters import Counters
 
 LOG = structlog.get_logger()
@@ -26,7 +26,7 @@
 class DecisionLoop:
     """Collects events and runs decision rounds; a subclass executes the actions and keeps the requests."""
 
-    def __init__(self, door: Door, reactor: Reactor, metrics: Counters) -> None:
+    def __init__(self, door: IdMap, reactor: Reactor, metrics: Counters) -> None:
         self.door, self.reactor, self.metrics = door, reactor, metrics
         self.failed = False  # the module raised an exception: it is not called again
         self.on_event: Callable[[float, Event], None] | None = None  # with the time, before each round
--- a/worksmux/forwarding/engine_client.py
+++ b/worksmux/forwarding/engine_client.py
@@ -7,7 +7,7 @@
 from ..net import client, clock
 from ..net.loop import Reactor
 from ..policy.events import EndpointListUpdate, Event, HealthCheckEnded
-from ..policy.id_map import Door
+from ..policy.id_map import IdMap
 from ..policy.state import Engine, Outcome
 from .attempt import outcome_of
 from .control_call import ControlCall, OutgoingCall, UnreachableCall
@@ -18,7 +18,7 @@
 class EngineClient(DecisionLoop):
     """A decision loop with a connection pool for each engine; a protocol says what its calls look like."""
 
-    def __init__(self, door: Door, reactor: Reactor, metrics: Counters) -> None:
+    def __init__(self, door: IdMap, reactor: Reactor, metrics: Counters) -> None:
         super().__init__(door, reactor, metrics)
         self.pools: dict[Engine, client.Pool] = {}
 
--- a/worksmux/forwarding/open_requests.py
+++ b/worksmux/forwarding/open_requests.py
@@ -11,7 +11,7 @@
 from ..net.loop import Reactor
 from ..net.time_out import TimeOut
 from ..policy.events import AttemptEnded, ClientDisconnected
-from ..policy.id_map import Door
+from ..policy.id_map import IdMap
 from ..policy.state import Request
 from .counters import Counters
 from .engine_client import EngineClient
@@ -28,7 +28,7 @@
 class OpenRequests(EngineClient):
     """Keeps the context of each request from its arrival until it is answered and nothing is in flight."""
 
-    def __init__(self, door: Door, reactor: Reactor, metrics: Counters) -> None:
+    def __init__(self, door: IdMap, reactor: Reactor, metrics: Counters) -> None:
         super().__init__(door, reactor, metrics)
         self.module_settings = door.settings
         self.open_requests: dict[Request, RequestContext] = {}
--- a/worksmux/forwarding/request_lifecycle.py
+++ b/worksmux/forwarding/request_lifecycle.py
@@ -31,7 +31,7 @@
     WriteLog,
 )
 from ..policy.events import AttemptEnded, FirstToken, TimerFired
-from ..policy.id_map import Door
+from ..policy.id_map import IdMap
 from ..policy.state import Attempt, Engine, Outcome, Request
 from .counters import Counters
 from .open_requests import OpenRequests
@@ -43,7 +43,7 @@
 class RequestLifecycle(OpenRequests):
     """Carries the attempts of all open requests of a daemon."""
 
-    def __init__(self, door: Door, reactor: Reactor, metrics: Counters) -> None:
+    def __init__(self, door: IdMap, reactor: Reactor, metrics: Counters) -> None:
         super().__init__(door, reactor, metrics)
         self.engine_list: Any = None  # the source of the endpoint list, set by who builds both
         self.acts_on: Callable[[], str] | None = None  # gives the version of the fleet's plan, for attempts
@@ -122,17 +122,17 @@
         self, context: RequestContext, attempt: Attempt, outcome: Outcome, call: Any
     ) -> None:
         """Notes that the engine may hold KV cache now, also where the reply to its prefill was lost."""
-        if attempt.is_prefill and outcome not in (Outcome.FULL, Outcome.UNREACHABLE, Outcome.MOOT):
+        if attempt.is_prefill and outcome not in (Outcome.FULL, Outcome.UNREACHABLE, Outcome.NOT_SENT):
             context.holding_engines[attempt.engine] = None
 
     def _apply_outcome(
         self, context: RequestContext, attempt: Attempt, outcome: Outcome, note: int, result: Any
     ) -> None:
         if attempt.is_prefill:
-            if outcome is Outcome.READ:
+            if outcome is Outcome.PREFILLED:
                 context.kv_handle = result
                 context.cached_tokens += note
-        elif outcome is Outcome.DELIVERED:
+        elif outcome is Outcome.SERVED:
             context.result = result
             self._finish(context, FinalAnswer.SERVED, result=result)
         elif attempt.first_token_at:
@@ -197,13 +197,13 @@
         if context is None or self._is_moot(context, left_ms):
             self.metrics.attempt("moot")
             ended = context is None or bool(context.final_answer)
-            self.tell(AttemptEnded(attempt, Outcome.MOOT, 0.0, ended))
+            self.tell(AttemptEnded(attempt, Outcome.NOT_SENT, 0.0, ended))
             return
         if attempt.engine not in self.pools:
             raise LookupError(f"the policy sends to an engine without an address: {attempt.engine.id!r}")
         if self.on_decision:
             self.on_decision(context.key, attempt.number)
-        timeout_ms = min(action.time_out, left_ms) if action.time_out else left_ms
+        timeout_ms = min(action.timeout_ms, left_ms) if action.timeout_ms else left_ms
         pool = self.pools[attempt.engine]
         context.in_flight[attempt] = self._open_attempt(context, attempt, pool, timeout_ms)
         self.metrics.attempt("read" if attempt.is_prefill else "write")
--- a/worksmux/forwarding/request_log.py
+++ b/worksmux/forwarding/request_log.py
@@ -18,7 +18,7 @@
         "answer": context.final_answer.value if context.final_answer else "",
         "duration_ms": round(now - request.arrived, 1),
         "first_token_ms": round(first_token_ms, 1) if first_token_ms is not None else None,
-        "prompt_tokens": round(request.prompt),
+        "prompt_tokens": round(request.prompt_tokens),
         "cached_tokens": context.cached_tokens,
         "reason": context.answer_reason,
         "attempts": [_attempt_fields(context, attempt) for attempt in request.attempts],
--- a/worksmux/gateway/chat_engine_client.py
+++ b/worksmux/gateway/chat_engine_client.py
@@ -12,7 +12,7 @@
 from ..net import client, clock
 from ..net.loop import Reactor
 from ..policy.events import EndpointListUpdate, SlotReserved
-from ..policy.id_map import Door
+from ..policy.id_map import IdMap
 from ..policy.state import Attempt, Engine, Outcome, Request
 from ..settings.front import FrontSettings
 from . import attempts as carriers
@@ -25,7 +25,7 @@
     metrics: Metrics
 
     def __init__(
-        self, settings: FrontSettings, door: Door, reactor: Reactor, metrics: Metrics, name: str
+        self, settings: FrontSettings, door: IdMap, reactor: Reactor, metrics: Metrics, name: str
     ) -> None:
         super().__init__(door, reactor, metrics)
         self.settings = settings
@@ -52,7 +52,7 @@
             float(asked.most),
             arrived,
             arrived + left,
-            repeat=asked.repeat,
+            is_retry=asked.repeat,
         )
         case = RequestContext(request, asked, client_side, f"{self.name}.{request.id}", asked.name)
         asked.label = asked.label or case.key
@@ -62,7 +62,7 @@
         """The prompt of a job that went on by a bound is counted; its beginning counts until its first
         trip."""
         request, asked = case.request, case.client_request
-        request.prompt = asked.prompt
+        request.prompt_tokens = asked.prompt_tokens
         if not request.attempts:
             request.prefix, request.prefix_tokens = asked.prefix, asked.prefix_tokens
 
@@ -118,7 +118,7 @@
     ) -> tuple[Outcome, dict[str, float] | None]:
         if status != 200:
             return carriers.refusal(status, reply)[0], None
-        return Outcome.DELIVERED, calls.load_report(headers.get(calls.LOAD))
+        return Outcome.SERVED, calls.load_report(headers.get(calls.LOAD))
 
     def _reserve_slot(self, request: Request, engine: Engine) -> None:
         case = self.open_requests.get(request)
@@ -150,7 +150,7 @@
             if answered and reading is not None and reading.outcome is None and reading in case.in_flight:
                 self.tell(SlotReserved(reading, engine, held))
 
-        body = chat.ENCODE.encode(calls.Place(case.key, request.prompt, reader))
+        body = chat.ENCODE.encode(calls.Place(case.key, request.prompt_tokens, reader))
         self.control_call(engine, "POST", calls.PLACE, body, ended)
 
     def _release_kv_cache(self, request: Request) -> None:
--- a/worksmux/gateway/fleet/consensus_voter.py
+++ b/worksmux/gateway/fleet/consensus_voter.py
@@ -21,7 +21,7 @@
 from ...consensus.voter import RaftTiming
 from ...net import clock
 from ...net.loop import Reactor
-from ...policy.measure import mix
+from ...policy.hashing import mix
 from ...settings.fleet import FleetSettings
 from .consensus_disk import ConsensusDisk
 from .core_timers import CoreTimers
--- a/worksmux/gateway/fleet/fleet_membership.py
+++ b/worksmux/gateway/fleet/fleet_membership.py
@@ -12,7 +12,7 @@
 from ...gossip.members import MembershipUpdate, MemberState
 from ...gossip.swim import Swim
 from ...net import clock
-from ...policy.measure import mix
+from ...policy.hashing import mix
 from ...settings.fleet import FleetSettings
 from ...settings.front import FrontSettings
 from .core_timers import CoreTimers
--- a/worksmux/gateway/fleet/peering.py
+++ b/worksmux/gateway/fleet/peering.py
@@ -25,7 +25,7 @@
 from ...net import clock
 from ...net.loop import Reactor
 from ...policy.events import Event
-from ...policy.measure import mix
+from ...policy.hashing import mix
 from ...settings.front import FrontSettings
 from ..active_versions import Holding
 from ..chat_engine_client import PublishedCore
--- a/worksmux/gossip/probing.py
+++ b/worksmux/gossip/probing.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass, field
 
-from ..policy.measure import Chance
+from ..policy.random_source import RandomSource
 from .inputs import MessageReceived
 from .members import Member, MemberState
 from .membership import Membership
@@ -42,7 +42,7 @@
 
 
 class FailureDetector:
-    def __init__(self, membership: Membership, period_ms: float, random: Chance, now: float) -> None:
+    def __init__(self, membership: Membership, period_ms: float, random: RandomSource, now: float) -> None:
         self.membership, self.period_ms, self.random = membership, period_ms, random
         self.last_number = 0
         self.probe: Probe | None = None
--- a/worksmux/gossip/state_sync.py
+++ b/worksmux/gossip/state_sync.py
@@ -11,7 +11,7 @@
 from math import inf
 from operator import xor
 
-from ..policy.measure import Chance
+from ..policy.random_source import RandomSource
 from .inputs import MessageReceived
 from .members import DIGEST_BUCKETS, MembershipUpdate, MemberState, bucket_of
 from .membership import Membership
@@ -30,7 +30,7 @@
         membership: Membership,
         seeds: Iterable[str],
         period_ms: float,
-        random: Chance,
+        random: RandomSource,
         now: float,
     ) -> None:
         """`seeds` are addresses of nodes to join by."""
--- a/worksmux/gossip/swim.py
+++ b/worksmux/gossip/swim.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from ..policy.measure import Chance
+from ..policy.random_source import RandomSource
 from . import suspicion
 from .health import LocalHealth
 from .inputs import Input, Leave, MessageReceived, MetadataChanged, Tick
@@ -44,7 +44,7 @@
         self, me: MembershipUpdate, seeds: Iterable[str], period_ms: float, seed: int, now: float
     ) -> None:
         """`me` is this node at its start; `seeds` are addresses of nodes to join by."""
-        self.period_ms, self.random = period_ms, Chance(seed)
+        self.period_ms, self.random = period_ms, RandomSource(seed)
         self.health = LocalHealth()
         self.membership = Membership(me, self.health)
         self.detector = FailureDetector(self.membership, period_ms, self.random, now)
--- a/worksmux/node/attempts.py
+++ b/worksmux/node/attempts.py
@@ -88,7 +88,7 @@
         """The reply is whole."""
         if self.status != 202:
             return super().done()
-        self._end(Outcome.READ, engine_reply.cached_tokens(bytes(self.body)))
+        self._end(Outcome.PREFILLED, engine_reply.cached_tokens(bytes(self.body)))
 
 
 class DecodeAttempt(StreamingAttempt, NodeAttempt):
@@ -111,7 +111,7 @@
 
     def _on_stream_end(self) -> None:
         if self.last_piece_at and not self.stream.is_cut and self.headers.get("transfer-encoding"):
-            self._end(Outcome.DELIVERED, self.stream.cached_tokens, ())
+            self._end(Outcome.SERVED, self.stream.cached_tokens, ())
         else:
             self._end(Outcome.ERROR)
 
--- a/worksmux/node/core.py
+++ b/worksmux/node/core.py
@@ -7,7 +7,7 @@
 from ..net import client, clock
 from ..net.loop import Reactor
 from ..net.time_out import TimeOut
-from ..policy.id_map import Door
+from ..policy.id_map import IdMap
 from ..policy.state import Attempt, Engine, Outcome, Request
 from . import engine_reply, protocol
 from .attempts import DecodeAttempt, NodeAttempt, PrefillAttempt
@@ -43,7 +43,7 @@
     metrics: NodeCounts
 
     def __init__(
-        self, door: Door, reactor: Reactor, counts: NodeCounts, request_classes: list[str], share: Shares
+        self, door: IdMap, reactor: Reactor, counts: NodeCounts, request_classes: list[str], share: Shares
     ) -> None:
         super().__init__(door, reactor, counts)
         self.request_classes = request_classes
@@ -77,7 +77,7 @@
             client_request.max_answer_tokens,
             arrived,
             arrived + max(0.0, client_request.time_left_ms - CLIENT_RTT_ALLOWANCE_MS),
-            repeat=client_request.retried,
+            is_retry=client_request.retried,
             resumed=client_request.resumed,
         )
         class_name = self.request_classes[client_request.request_class]
@@ -147,15 +147,15 @@
     def _record_kv_cache(
         self, context: RequestContext, attempt: Attempt, outcome: Outcome, call: NodeAttempt
     ) -> None:
-        if call is None or outcome in (Outcome.UNREACHABLE, Outcome.MOOT):
+        if call is None or outcome in (Outcome.UNREACHABLE, Outcome.NOT_SENT):
             return  # it never arrived: the time limit of the release runs on
         now = clock.now()
         claims = self.kv_claims[context.request]
         self.releaser.stop_beside(claims)
         unseen = outcome in OUTCOMES_UNSEEN_BY_ENGINE and not attempt.first_token_at
         claims.attempt_ended(now, not unseen or call.pool.answered >= call.written_at)
-        if outcome is Outcome.READ:
-            self.prefill_work.record(context.request.prompt, now - call.written_at)
+        if outcome is Outcome.PREFILLED:
+            self.prefill_work.record(context.request.prompt_tokens, now - call.written_at)
         if unseen:
             claims.add_possible(attempt.engine, now, self._work_left_ms(context, call, now))
         elif attempt.is_prefill and outcome is not Outcome.FULL:
@@ -167,7 +167,9 @@
         """How long an engine that runs may go on with an attempt that this side has given up."""
         if not call.reading:
             return 0.0  # a decode engine that waits for KV cache stops at once
-        return self.prefill_work.work_left_ms(context.request.prompt, call.written_at, call.expires_at, now)
+        return self.prefill_work.work_left_ms(
+            context.request.prompt_tokens, call.written_at, call.expires_at, now
+        )
 
     def _on_answer_begun(self, context: RequestContext) -> None:
         """The decode engine has taken one KV cache; what other prefills left is released at the end."""
@@ -260,7 +262,7 @@
         if status != 200:
             return engine_reply.rejection(status, headers)[0], None
         text = headers.get(protocol.LOAD) or reply[:1000].decode("latin-1")
-        return Outcome.DELIVERED, engine_reply.parse_load_report(
+        return Outcome.SERVED, engine_reply.parse_load_report(
             text, list(self.module_settings.load_report_fields)
         )
 
--- a/worksmux/policy/decode_window.py
+++ b/worksmux/policy/decode_window.py
@@ -13,9 +13,9 @@
 from .events import StateRestored
 from .in_flight import InFlight
 from .load_estimates import BUCKETS, RECENT_BUCKETS, LoadEstimates
-from .measure import Ring
 from .outlier_detection import OutlierDetection
 from .prefill_probing import PrefillProbing
+from .sliding_window import SlidingWindow
 from .state import Engine, Request
 
 WINDOW_MARGIN = 0.25  # of the even share, also of the memory share, that may be exceeded
@@ -36,7 +36,7 @@
     ) -> None:
         self._context, self._estimates, self._in_flight = context, estimates, in_flight
         self._outliers, self._probing = outliers, probing
-        self._in_flight_history = Ring(IN_FLIGHT_HISTORY_MS, BUCKETS)
+        self._in_flight_history = SlidingWindow(IN_FLIGHT_HISTORY_MS, BUCKETS)
 
     def begin_placement(self) -> None:
         self._in_flight_history.add(self._context.now, self._in_flight.decode_requests)
@@ -53,13 +53,13 @@
         wait_ms = max(
             engine.first_token_delays.mean(self._context.now), self._estimates.oldest_wait_ms(engine)
         )
-        slowdown = min(1.0, self._estimates.harmless_first_token_wait / max(wait_ms, 1.0))
+        slowdown = min(1.0, self._estimates.harmless_first_token_wait_ms / max(wait_ms, 1.0))
         return outstanding < self.size(engine, request.random_draw) * slowdown
 
     def size(self, engine: Engine, random_draw: float = 0.0) -> float:
         """Requests that may be in flight at the engine, at least 1."""
         total = max(self._in_flight.decode_requests, self._in_flight_history.mean(self._context.now))
-        share = total / max(1, len(self._context.index.answering))
+        share = total / max(1, len(self._context.index.decode_capable))
         burst = float(share**0.5)
         return max(1.0, share * (1 + WINDOW_MARGIN) + burst - engine.window_reduction + random_draw)
 
@@ -70,20 +70,20 @@
         at once of late no KV cache waits for memory, and a node with more than its share of the traffic need
         not hold back.
         """
-        first_tokens = self._estimates.first_token_waits
+        first_tokens = self._estimates.first_token_waits_ms
         if (
             self._probing.enabled
             and first_tokens.mean(self._context.now, inf, RECENT_BUCKETS)
-            <= self._estimates.harmless_first_token_wait
+            <= self._estimates.harmless_first_token_wait_ms
         ):
             return False
         settings = self._context.settings
         memory_tokens = settings.kind_memory_tokens
-        held = sum(attempt.request.prompt for attempt in engine.attempts) + sum(
-            paired.prompt for paired in engine.reserved
+        held = sum(attempt.request.prompt_tokens for attempt in engine.attempts) + sum(
+            paired.prompt_tokens for paired in engine.reserved
         )
         share = memory_tokens[engine.kind] / settings.node_count if engine.kind < len(memory_tokens) else inf
-        return bool(held + request.random_draw * request.prompt > (1 + WINDOW_MARGIN) * share)
+        return bool(held + request.random_draw * request.prompt_tokens > (1 + WINDOW_MARGIN) * share)
 
     def shrink(self, engine: Engine) -> None:
         """The engine answered "full"."""
@@ -97,5 +97,5 @@
 
     @staticmethod
     def restore(event: StateRestored) -> None:
-        for engine, requests in event.narrowed:
+        for engine, requests in event.window_reductions:
             engine.window_reduction = requests
--- a/worksmux/policy/endpoint_table.py
+++ b/worksmux/policy/endpoint_table.py
@@ -6,15 +6,17 @@
 from .context import PolicyContext
 from .endpoint_index import EngineIndex
 from .events import EndpointEntry, EndpointListUpdate
+from .hashing import mix
 from .in_flight import InFlight
 from .load_estimates import BUCKETS, HISTORY_MS
-from .measure import Ring, mix
 from .outlier_detection import OutlierDetection
 from .settings import ROLE_PREFILL
+from .sliding_window import SlidingWindow
 from .slow_start import SlowStart
-from .state import Engine
+from .state import GONE, READY, Engine
 
 LIST_RETRY_MS = 1_000.0  # on average, after an endpoint list that could not be fetched
+MIN_LIST_RETRY = 0.5  # of that; the rest is spread by chance
 FIRST_TOKEN_HISTORY_MS = 1_000.0  # over which one engine's first tokens are averaged
 LIST_TIMER = 1  # token of the timer that asks for the endpoint list
 
@@ -36,13 +38,13 @@
         """Whether the list was applied; a list that failed is fetched again later."""
         if event.scope == "failed":
             if self._context.settings.polls_endpoint_list:
-                delay_ms = LIST_RETRY_MS * (0.5 + self._context.random_source.share())
+                delay_ms = LIST_RETRY_MS * (MIN_LIST_RETRY + self._context.random_source.share())
                 self._context.actions.append(SetTimer(delay_ms, LIST_TIMER))
             return False
         if event.scope != "delta":
             for engine in self._context.engines.keys() - {entry.engine for entry in event.entries}:
-                engine.gone_since = engine.gone_since if engine.state == "gone" else self._context.now
-                engine.state = "gone"
+                engine.gone_since = engine.gone_since if engine.state == GONE else self._context.now
+                engine.state = GONE
         for entry in event.entries:
             self._enter(entry)
         self._forget_gone()
@@ -54,14 +56,14 @@
             self._context.engines[engine] = None
             engine.key_hash = mix(engine.key, 0)
             engine.failures, engine.first_token_delays = (
-                Ring(HISTORY_MS, BUCKETS),
-                Ring(FIRST_TOKEN_HISTORY_MS, BUCKETS),
+                SlidingWindow(HISTORY_MS, BUCKETS),
+                SlidingWindow(FIRST_TOKEN_HISTORY_MS, BUCKETS),
             )
             engine.last_turn = self._context.random_source.share() - 1.0  # nodes' rounds start differently
         self._slow_start.leave(engine)
-        if entry.state == "ready" and (entry.started != engine.started or engine.state == "gone"):
+        if entry.state == READY and (entry.started != engine.started or engine.state == GONE):
             self._restarted(engine)
-        if entry.state == "gone" and engine.state != "gone":
+        if entry.state == GONE and engine.state != GONE:
             engine.gone_since = self._context.now
         engine.state, engine.started, engine.size = entry.state, entry.started, entry.size
         engine.zone, engine.cell, engine.kind = entry.zone, entry.cell, entry.kind
@@ -77,11 +79,11 @@
 
     def _forget_gone(self) -> None:
         """Guards against memory growing without end where the fleet is replaced all day."""
-        now, missed = self._context.now, self._context.index.missed
+        now, missed = self._context.now, self._context.index.excluded_by_plan
         for engine in [
             engine
             for engine in self._context.engines
-            if engine.state == "gone"
+            if engine.state == GONE
             and not engine.attempts
             and not engine.reserved
             and engine not in missed
@@ -94,8 +96,8 @@
         """Due after each list and plan."""
         context = self._context
         self._slow_start.settle_all()
-        before = context.index.cold
+        before = context.index.cold_engines
         context.index = EngineIndex(context.engines, context.plan, context.settings, context.now)
         if not any(engine.role == ROLE_PREFILL for engine in before):
-            self._slow_start.read_credit = context.random_source.share()
-        self._slow_start.cold_are(context.index.cold)
+            self._slow_start.prefill_credit = context.random_source.share()
+        self._slow_start.set_cold(context.index.cold_engines)
--- a/worksmux/policy/outlier_detection.py
+++ b/worksmux/policy/outlier_detection.py
@@ -12,13 +12,14 @@
 
 from .context import PolicyContext
 from .events import AttemptEnded, StateRestored
-from .load_estimates import HISTORY_MS, SLOW_FACTOR, SUSPECT_AFTER, LoadEstimates
+from .load_estimates import HISTORY_MS, SLOW_FACTOR, SUSPECT_AFTER_SHARE, LoadEstimates
 from .settings import ROLE_PREFILL
-from .slow_start import SlowStart
-from .state import ALL_REQUEST_CLASSES, Attempt, Engine, Outcome
+from .slow_start import REQUEST_CREDIT, SlowStart
+from .state import ALL_REQUEST_CLASSES, READY, Attempt, Engine, Outcome
 
 EJECTION_MS = 1_000.0  # after a first failure
 MAX_EJECTION_DOUBLINGS = 2
+MIN_EJECTION, EJECTION_SPREAD = 0.75, 0.5  # of the time: nodes must not come back all at once
 OUTLIER_FACTOR = 1.5  # times the failures of its peers: an engine with fewer is no outlier
 
 
@@ -39,7 +40,7 @@
 
     def is_healthy(self, engine: Engine, request_class: int) -> bool:
         """Ready, not suspected, not ejected; after an ejection one attempt at a time until it answers."""
-        if engine.state != "ready" or engine.health_check_pending:
+        if engine.state != READY or engine.health_check_pending:
             return False
         now, ejected_until = self._context.now, engine.ejected_until
         if not ejected_until:
@@ -55,8 +56,8 @@
             engine.skipped_until <= context.now
             and self.is_healthy(engine, request_class)
             and (
-                engine not in context.index.cold
-                or self._slow_start.credit(engine) >= 1.0
+                engine not in context.index.cold_engines
+                or self._slow_start.credit(engine) >= REQUEST_CREDIT
                 or not self._slow_start.is_cold(engine, context.now)
             )
         )
@@ -112,7 +113,7 @@
         if not engine.attempts or event.outcome not in (
             Outcome.TIMED_OUT,
             Outcome.CANCELLED,
-            Outcome.MOOT,
+            Outcome.NOT_SENT,
         ):
             self.record_sign_of_life(engine)
 
@@ -132,8 +133,8 @@
             EJECTION_MS * 2 ** min(engine.failures.count(now) - 1, MAX_EJECTION_DOUBLINGS),
             HISTORY_MS * min(1.0, len(self._context.engines) / max(1, 2 * self._estimates.attempts_seen())),
         )
-        jitter = 0.75 + 0.5 * self._context.random_source.share()
-        engine.ejected_until[request_class] = now + ejection_ms * jitter
+        spread = MIN_EJECTION + EJECTION_SPREAD * self._context.random_source.share()
+        engine.ejected_until[request_class] = now + ejection_ms * spread
 
     def _is_outlier(self, engine: Engine) -> bool:
         """Whether an engine fails more than its peers.
@@ -156,7 +157,7 @@
         for engine in list(self.failed):
             if not (count := engine.failures.count(now)):
                 del self.failed[engine]
-            elif engine.state == "ready":
+            elif engine.state == READY:
                 self._role_failures[engine.role] += count
 
     # Silence and health checks.
@@ -169,9 +170,9 @@
         """
         estimates = self._estimates
         prefill = engine.role == ROLE_PREFILL
-        waits = estimates.prefill_queue_waits if prefill else estimates.first_token_waits
+        waits = estimates.prefill_queue_waits_ms if prefill else estimates.first_token_waits_ms
         return (
-            SUSPECT_AFTER * self._context.shortest_target_ms
+            SUSPECT_AFTER_SHARE * self._context.shortest_target_ms
             + SLOW_FACTOR * waits.mean(self._context.now)
             + sum(estimates.allowed_prefill_ms(attempt) for attempt in engine.unanswered)
         )
@@ -190,12 +191,12 @@
 
     def record_health_check(self, engine: Engine, outcome: Outcome) -> list[Attempt]:
         """The attempts at a suspected engine that had better run elsewhere."""
-        if outcome is Outcome.DELIVERED:
-            engine.reported = self._context.now
+        if outcome is Outcome.SERVED:
+            engine.health_check_answered_at = self._context.now
         if not engine.health_check_pending:  # it was only checked before a prefill
             return []
         engine.health_check_pending = False
-        if outcome not in (Outcome.DELIVERED, Outcome.FULL):
+        if outcome not in (Outcome.SERVED, Outcome.FULL):
             self.eject(engine)
             return list(engine.attempts)
         late = self._overdue(engine)
@@ -226,8 +227,8 @@
 
     def restore(self, event: StateRestored) -> None:
         now = self._context.now
-        for engine, request_class, left in event.unwell:
+        for engine, request_class, left in event.ejections:
             engine.ejected_until[request_class] = now + left
-        for engine, request_class, ago in sorted(event.good, key=lambda entry: -entry[2]):
+        for engine, request_class, ago in sorted(event.last_successes, key=lambda entry: -entry[2]):
             engine.last_success[request_class] = now - ago
             self.known_good[request_class][engine] = None
--- a/worksmux/policy/prefill_probing.py
+++ b/worksmux/policy/prefill_probing.py
@@ -11,13 +11,13 @@
 
 from .actions import CheckHealth
 from .context import PolicyContext
-from .load_estimates import TOLERATED_WAIT, LoadEstimates
+from .load_estimates import TOLERATED_WAIT_SHARE, LoadEstimates
 from .outlier_detection import OutlierDetection
 from .slow_start import SlowStart
 from .state import Engine, Request
 
 SPARSE_TRAFFIC_SHARE = 0.1  # of all traffic: a node with less sees little of what the others send
-PROBE_ANSWER_WITHIN = 0.02  # of the shortest latency target: an engine that takes longer has a queue
+PROBE_ANSWER_SHARE = 0.02  # of the shortest latency target: an engine that takes longer has a queue
 MAX_PROBES = 3  # engines checked for one request
 NO_ENGINES: dict[Engine, None] = {}
 
@@ -35,7 +35,7 @@
         self._context, self._estimates = context, estimates
         self._slow_start, self._outliers = slow_start, outliers
         self.enabled = False
-        self.answer_within_ms = PROBE_ANSWER_WITHIN * context.shortest_target_ms
+        self.answer_within_ms = PROBE_ANSWER_SHARE * context.shortest_target_ms
         self._no_engine_healthy: dict[int, bool] = {}  # by request class, until something changes
 
     def update(self) -> None:
@@ -54,7 +54,8 @@
     def no_engine_healthy(self, request_class: int) -> bool:
         if request_class not in self._no_engine_healthy:
             self._no_engine_healthy[request_class] = not any(
-                self._outliers.is_healthy(engine, request_class) for engine in self._context.index.readers
+                self._outliers.is_healthy(engine, request_class)
+                for engine in self._context.index.prefill_engines
             )
         return self._no_engine_healthy[request_class]
 
@@ -73,24 +74,28 @@
 
     def exempt(self, request: Request) -> dict[Engine, None]:
         """Engines that are not checked before a prefill."""
-        exempt = self._slow_start.read_credit >= 1.0 or self.no_engine_healthy(request.request_class)
-        return self._context.index.cold if exempt else NO_ENGINES
+        exempt = self._slow_start.may_prefill() or self.no_engine_healthy(request.request_class)
+        return self._context.index.cold_engines if exempt else NO_ENGINES
 
     def only_known_idle(self, request: Request) -> bool:
         """Whether of all engines only those will do that have answered just now."""
-        return self.needs_known_idle(request) and not self._context.index.mixed and not self.exempt(request)
+        return (
+            self.needs_known_idle(request)
+            and not self._context.index.combined_engines
+            and not self.exempt(request)
+        )
 
     def unanswered(self, request: Request) -> bool:
         """Whether engines were checked and none has answered for long: all of them have queues."""
         oldest = min(request.checked_engines.values(), default=inf)
-        return self._context.now - oldest > TOLERATED_WAIT * self._context.shortest_target_ms
+        return self._context.now - oldest > TOLERATED_WAIT_SHARE * self._context.shortest_target_ms
 
     def _known_idle(self, engine: Engine) -> bool:
         now = self._context.now
         return (
             not self.enabled
             or self._slow_start.is_cold(engine, now)
-            or now - engine.reported <= self.answer_within_ms
+            or now - engine.health_check_answered_at <= self.answer_within_ms
         )
 
     def _may_probe(self, request: Request) -> bool:
--- a/worksmux/policy/router.py
+++ b/worksmux/policy/router.py
@@ -45,7 +45,7 @@
 )
 from .in_flight import InFlight
 from .kv_transfer import HeldKvCaches
-from .load_estimates import SUSPECT_AFTER, LoadEstimates
+from .load_estimates import SUSPECT_AFTER_SHARE, LoadEstimates
 from .outlier_detection import OutlierDetection
 from .placement import Placement, Placer
 from .prefill_order import PrefillOrder
@@ -53,8 +53,9 @@
 from .retry import RetryPolicy
 from .settings import ROLE_COMBINED, ROLE_DECODE, ROLE_PREFILL, PolicySettings
 from .slow_start import SlowStart
-from .state import Attempt, Engine, Outcome, Request
+from .state import READY, Attempt, Engine, Outcome, Request
 
+ROUNDS_PER_SUSPICION = 4  # decision rounds in the time after which a silent engine is suspected
 ROUND_TIMER = 0  # token of the timer of decision rounds
 PREFILL_TIMEOUT_SHARE = 0.5  # of the time to the deadline: the rest is for the decode attempt
 # Slow-start credit earned by an arrival, in serves: some, so that a fleet all cold is not left alone; the
@@ -122,7 +123,7 @@
     def _set_timer(self) -> None:
         """A node with nothing to watch sets none."""
         target_ms = self.context.shortest_target_ms
-        delay_ms = SUSPECT_AFTER * target_ms / 4 if self.outliers.awaited else inf
+        delay_ms = SUSPECT_AFTER_SHARE * target_ms / ROUNDS_PER_SUSPICION if self.outliers.awaited else inf
         if self.waiting or self.kv_caches.requests:
             delay_ms = self.context.round_interval_ms
         if any(request.checked_engines for request in self.waiting):
@@ -165,7 +166,7 @@
         request.latency_target_at = (
             context.now
             + request_class.latency_target_ms
-            + request_class.latency_target_per_1000_tokens_ms * request.prompt / 1000
+            + request_class.latency_target_per_1000_tokens_ms * request.prompt_tokens / 1000
         )
         request.random_draw = context.random_source.share()
         if rejection := self.admission.shed(request):
@@ -174,8 +175,8 @@
             return
         self.waiting[request] = None
         for role in (ROLE_PREFILL, ROLE_DECODE, ROLE_COMBINED):
-            self.slow_start.earn(role, REPEAT_CREDIT if request.repeat else ARRIVAL_CREDIT)
-        if not request.repeat and context.index.all_writers_cold(context.now):
+            self.slow_start.earn(role, REPEAT_CREDIT if request.is_retry else ARRIVAL_CREDIT)
+        if not request.is_retry and context.index.all_decode_engines_cold(context.now):
             # A node that meets few requests has no serve to earn by.
             self.slow_start.earn(ROLE_DECODE, ARRIVAL_CREDIT)
 
@@ -220,10 +221,10 @@
             request.ended = True
             self.in_flight.release(request)
         if request.ended:
-            if outcome is not Outcome.DELIVERED:
+            if outcome is not Outcome.SERVED:
                 # Guards against KV cache held for a request that has its final answer.
                 self._do(ReleaseKvCache(request))
-        elif outcome is Outcome.READ and not self.retry.is_exhausted(request):
+        elif outcome is Outcome.PREFILLED and not self.retry.is_exhausted(request):
             self.kv_caches.hold(request, attempt.engine)
         elif (
             request.kv_holder
@@ -239,9 +240,9 @@
         """What an attempt's end tells of its engine and of the load."""
         attempt, outcome = event.attempt, event.outcome
         self.estimates.record_ended(event)
-        if outcome is Outcome.READ:
+        if outcome is Outcome.PREFILLED:
             self.outliers.record_success(attempt)
-        elif outcome is Outcome.DELIVERED:
+        elif outcome is Outcome.SERVED:
             self.window.grow(attempt.engine)
         elif outcome is Outcome.FULL:
             if not event.kv_cache_lost:  # which is no fault of the decode engine
@@ -277,7 +278,7 @@
             self._send(request, decode_engine, prefill=False)
             return
         if self.slow_start.is_cold(prefill_engine, self.context.now):
-            self.slow_start.spend_read()
+            self.slow_start.spend_prefill()
         self.in_flight.reserve(request, decode_engine)
         timeout_ms = (request.deadline - self.context.now) * PREFILL_TIMEOUT_SHARE
         self._send(request, prefill_engine, prefill=True, timeout_ms=timeout_ms)
@@ -291,7 +292,7 @@
             len(request.attempts),
             self.context.now,
             prefill,
-            prefill_tokens=0.0 if request.kv_holder else request.prompt,
+            prefill_tokens=0.0 if request.kv_holder else request.prompt_tokens,
         )
         request.attempts.append(attempt)
         self.in_flight.start(attempt)
@@ -339,7 +340,7 @@
 
     def _check_silent_engines(self) -> None:
         for engine in self.outliers.newly_suspected():
-            if self.settings.may_check_health and engine.state == "ready":
+            if self.settings.may_check_health and engine.state == READY:
                 self._do(CheckHealth(engine))
             else:
                 self._cancel_replaceable(self.outliers.record_health_check(engine, Outcome.TIMED_OUT))
--- a/worksmux/simulation/day.py
+++ b/worksmux/simulation/day.py
@@ -26,7 +26,7 @@
 )
 from ..endpoints.staleness import CachedEndpointList, StoredEndpoint, Turnover
 from ..errors import WorksmuxError
-from ..policy.id_map import Maker
+from ..policy.id_map import PolicyFactory
 from ..scenarios.engines import spec_of, struck, struck_fronts
 from ..scenarios.scenario import OF_CLIENTS, OF_FRONTS, OF_THE_LIST, Place, Scenario, Trouble
 from .clients import Clients
@@ -137,7 +137,7 @@
     def __init__(
         self,
         day: Scenario,
-        make: Maker | None = None,
+        make: PolicyFactory | None = None,
         journal: bool = True,
         remembered: Callable[[int], Remembered] | None = None,
         built: Callable[[Model], None] | None = None,
--- a/worksmux/simulation/front.py
+++ b/worksmux/simulation/front.py
@@ -35,7 +35,7 @@
     SlotReserved,
     TimerFired,
 )
-from ..policy.id_map import Door, Maker
+from ..policy.id_map import IdMap, PolicyFactory
 from ..policy.settings import PolicySettings
 from ..policy.state import Attempt, Engine, Outcome, Request
 from .engine import Call, ModelEngine, Note
@@ -98,7 +98,7 @@
         settings: PolicySettings,
         zones: list[str],
         kinds: list[str],
-        make: Maker,
+        make: PolicyFactory,
         seed: int,
         note: Note,
         hop: float,
@@ -106,7 +106,7 @@
         margin: float = 30.0,
     ) -> None:
         self.sim, self.engines, self.name, self.settings, self.note = sim, engines, name, settings, note
-        self.door = Door(settings, seed, make)
+        self.door = IdMap(settings, seed, make)
         self.roster = EndpointList(kinds, zones, self._engine, doubt, max(doubt, settings.slow_start_ms))
         self.hop, self.margin, self.turn = hop, margin, float(settings.tick_ms)
         self.cases: dict[Request, Case] = {}
@@ -273,7 +273,7 @@
             float(asked.most),
             now,
             now + left,
-            repeat=asked.repeat,
+            is_retry=asked.repeat,
         )
         case = Case(request, f"{self.start}.{self.number}", asked)
         case.guard = self.sim.after(left + self.settings.answer_slack_ms, self._overdue, case)
@@ -334,11 +334,11 @@
             self.counts.unreachable += 1
             self.counts.stale_last = self.sim.now
         if attempt.is_prefill:
-            if outcome is Outcome.READ:
+            if outcome is Outcome.PREFILLED:
                 case.holder = self.engines.get(attempt.engine.id.decode())
-            if outcome not in (Outcome.FULL, Outcome.UNREACHABLE, Outcome.MOOT):
+            if outcome not in (Outcome.FULL, Outcome.UNREACHABLE, Outcome.NOT_SENT):
                 case.held[attempt.engine] = None
-        elif outcome is Outcome.DELIVERED:
+        elif outcome is Outcome.SERVED:
             self._answer(case, "delivered")
         elif attempt.first_token_at:
             self._answer(case, "broken off")
@@ -389,7 +389,7 @@
         case = self.cases.get(request)
         left = request.deadline - self.sim.now
         if case is None or case.over or request.streaming or left <= 0:
-            self.tell(AttemptEnded(attempt, Outcome.MOOT, 0.0, case is None or bool(case.over)))
+            self.tell(AttemptEnded(attempt, Outcome.NOT_SENT, 0.0, case is None or bool(case.over)))
             return
         self.counts.attempts += 1
         if case.place not in (None, attempt.engine) and not attempt.is_prefill:
@@ -427,7 +427,7 @@
             return
         case.out[attempt] = call, engine
         self.sim.after(self.hop, engine.got, call)
-        time_out = min(action.time_out, left) if action.time_out else left
+        time_out = min(action.timeout_ms, left) if action.timeout_ms else left
         self.sim.after(time_out, self._late, attempt)
 
     def _late(self, attempt: Attempt) -> None:
@@ -445,7 +445,7 @@
                 self.tell(HealthCheckEnded(engine, outcome, self.sim.now - sent))
 
         def heard(answered: bool, _: ModelEngine) -> None:
-            end(Outcome.DELIVERED if answered else Outcome.UNREACHABLE)
+            end(Outcome.SERVED if answered else Outcome.UNREACHABLE)
 
         if target is None:
             self.sim.after(2 * self.hop, end, Outcome.UNREACHABLE)
@@ -473,7 +473,9 @@
             if reading is not None and reading.outcome is None:
                 self.tell(SlotReserved(reading, engine, held))
 
-        self.sim.after(self.hop, target.place, case.key, request.prompt * 1.2, reader, self.name, reply)
+        self.sim.after(
+            self.hop, target.place, case.key, request.prompt_tokens * 1.2, reader, self.name, reply
+        )
 
     def _release(self, request: Request) -> None:
         case = self.cases.get(request)
--- a/worksmux/simulation/peers.py
+++ b/worksmux/simulation/peers.py
@@ -8,7 +8,7 @@
 from ..gossip.messages import Message
 from ..gossip.outputs import Event, MemberChanged, Superseded
 from ..gossip.swim import Swim
-from ..policy.measure import mix
+from ..policy.hashing import mix
 from ..scenarios.engines import hash_of
 from .sim import Sim, Timer
 from .wire import Weather, Wire
