--- a/benchmarks/front_against_relay.py
+++ b/benchmarks/front_against_relay.py
@@ -88,7 +88,7 @@
     def done(self) -> None:
         self.exchange.end()
 
-    def failed(self, trouble: client.Trouble) -> None:
+    def failed(self, trouble: client.CallError) -> None:
         self.exchange.cut()
 
 
@@ -132,7 +132,7 @@
     def ask(self) -> None:
         sent, loader = clock.now(), self
 
-        class One(client.Whole):
+        class One(client.BufferedResponse):
             def piece(self, data: bytes) -> None:
                 loader.first += not self.body
                 super().piece(data)
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -83,7 +83,7 @@
 
     def done(self) -> None: ...
 
-    def failed(self, trouble: client.Trouble) -> None:
+    def failed(self, trouble: client.CallError) -> None:
         self.trouble = str(trouble)
 
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -570,7 +570,9 @@
 
     def look(path: str) -> None:
         pool.call(
-            "GET", path, client.Whole(2**20, lambda status, _, body, __: heard.update({path: (status, body)}))
+            "GET",
+            path,
+            client.BufferedResponse(2**20, lambda status, _, body, __: heard.update({path: (status, body)})),
         )
 
     look("/health")
--- a/tests/test_held.py
+++ b/tests/test_held.py
@@ -192,7 +192,7 @@
 
         return SimpleNamespace(connected=engine not in self.unconnected, end=drop)
 
-    def end(self, engine: Engine, status: int, trouble: client.Trouble | None = None) -> None:
+    def end(self, engine: Engine, status: int, trouble: client.CallError | None = None) -> None:
         on_end = self.out.pop(engine, None)
         if on_end is not None:
             on_end(status, {}, b"", trouble)
@@ -260,7 +260,7 @@
 
 def test_refusals_lead_to_another_engine_at_once_and_never_round_in_circles(monkeypatch: Any) -> None:
     script = Script(monkeypatch, engines_of(5)).start()
-    refused = client.Unsent("refused")
+    refused = client.NotSentError("refused")
     for _ in range(50):
         for engine in list(script.out):
             script.end(engine, 0, refused)
@@ -274,7 +274,7 @@
     script = Script(monkeypatch, engines_of(3)).start()
     for engine in script.engines:
         engine.state = "gone"
-    script.end(script.engines[0], 0, client.Unsent("refused"))
+    script.end(script.engines[0], 0, client.NotSentError("refused"))
     script.run(2 * WITHIN)
     assert script.releases.running
     script.engines[2].state = "ready"
--- a/tests/test_wire_forms.py
+++ b/tests/test_wire_forms.py
@@ -37,7 +37,7 @@
     def done(self) -> None:
         self.end = "done"
 
-    def failed(self, trouble: client.Trouble) -> None:
+    def failed(self, trouble: client.CallError) -> None:
         self.end = type(trouble).__name__
 
 
@@ -78,7 +78,7 @@
     connection, heard = client.Connection(pool), Heard()
     pool.open[connection] = None
     connection.makeConnection(wire)
-    connection.send(client.request("POST", "/x", "h:1", [("A", "b")], b"{}"), heard)
+    connection.send(client.encode_request("POST", "/x", "h:1", [("A", "b")], b"{}"), heard)
     return heard, connection
 
 
@@ -115,23 +115,23 @@
 @pytest.mark.parametrize(
     ("reply", "end"),
     [
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel", "Broken"),
-        (CHUNKED[:-9], "Broken"),
-        (b"", "Broken"),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n", "Malformed"),
-        (b"ICY 200\r\n\r\n", "Malformed"),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", "Malformed"),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", "Malformed"),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", "Malformed"),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n", "Malformed"),
-        (b"HTTP/1.1 200 OK\r\n" + b"A: " + b"x" * 3000 + b"\r\n\r\n", "Malformed"),
-        (b"HTTP/1.1 200 OK\r\n" + b"A: xxxxxxxxxxxxxxxxxxxx\r\n" * 200, "Malformed"),
-        (b"HTTP/1.1 101 Switching\r\n\r\n", "Malformed"),
-        (b"HTTP/1.1 200 OK\r\n: x\r\n\r\n", "Malformed"),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel", "ConnectionBrokenError"),
+        (CHUNKED[:-9], "ConnectionBrokenError"),
+        (b"", "ConnectionBrokenError"),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n", "MalformedResponseError"),
+        (b"ICY 200\r\n\r\n", "MalformedResponseError"),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", "MalformedResponseError"),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", "MalformedResponseError"),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", "MalformedResponseError"),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n", "MalformedResponseError"),
+        (b"HTTP/1.1 200 OK\r\n" + b"A: " + b"x" * 3000 + b"\r\n\r\n", "MalformedResponseError"),
+        (b"HTTP/1.1 200 OK\r\n" + b"A: xxxxxxxxxxxxxxxxxxxx\r\n" * 200, "MalformedResponseError"),
+        (b"HTTP/1.1 101 Switching\r\n\r\n", "MalformedResponseError"),
+        (b"HTTP/1.1 200 OK\r\n: x\r\n\r\n", "MalformedResponseError"),
     ],
 )
 def test_bad_reply_is_told_apart_from_a_broken_one(reply: bytes, end: str) -> None:
-    heard, connection, _ = talk(reply, closes=end == "Broken")
+    heard, connection, _ = talk(reply, closes=end == "ConnectionBrokenError")
     assert heard.end == end and connection not in connection.pool.idle
 
 
@@ -153,17 +153,17 @@
 def test_call_that_still_lies_in_the_buffer_never_ran() -> None:
     heard, connection = asked_by(Buffer())
     connection.connectionLost()
-    assert heard.end == "Unsent"
+    assert heard.end == "NotSentError"
     wire = Buffer()
     heard, connection = asked_by(wire)
     wire.producer.resumeProducing()  # the buffer is empty: the last byte has left
     connection.connectionLost()
-    assert heard.end == "Broken"
+    assert heard.end == "ConnectionBrokenError"
 
 
 def test_heads_of_1xx_do_not_go_on_for_ever() -> None:
     heard, _, _ = talk(b"HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n" * 2000)
-    assert heard.end == "Malformed"
+    assert heard.end == "MalformedResponseError"
 
 
 @given(
@@ -313,12 +313,12 @@
 @pytest.mark.parametrize(
     ("trouble", "outcome"),
     [
-        (client.Unsent(""), Outcome.UNREACHABLE),
-        (client.Broken(""), Outcome.RESET),
-        (client.Malformed(""), Outcome.ERROR),
+        (client.NotSentError(""), Outcome.UNREACHABLE),
+        (client.ConnectionBrokenError(""), Outcome.RESET),
+        (client.MalformedResponseError(""), Outcome.ERROR),
     ],
 )
-def test_trouble_of_the_connection_is_an_outcome(trouble: client.Trouble, outcome: Outcome) -> None:
+def test_trouble_of_the_connection_is_an_outcome(trouble: client.CallError, outcome: Outcome) -> None:
     one, listener = carrier(Reading)
     one.failed(trouble)
     one.cancel()
--- a/worksmux/fakes/clients.py
+++ b/worksmux/fakes/clients.py
@@ -213,11 +213,11 @@
         for at in wrong:
             self.owner.journal.note("wrong text", try_id=self.name, got=at, wanted=len(inputs))
 
-    def failed(self, trouble: client.Trouble) -> None:
+    def failed(self, trouble: client.CallError) -> None:
         if self.code:
             self._end(self.code)
         else:
-            self._end("unreachable" if isinstance(trouble, client.Unsent) else "reset")
+            self._end("unreachable" if isinstance(trouble, client.NotSentError) else "reset")
 
     def give_up(self) -> None:
         """The client's time is up before a first token."""
--- a/worksmux/fakes/engine.py
+++ b/worksmux/fakes/engine.py
@@ -399,13 +399,17 @@
             self.pools[host, port] = client.Pool(self.reactor, host, port, 1_000.0, 5_000.0, 16, 65_536)
         return self.pools[host, port]
 
-    def _ask(self, handle: dict[str, Any], request: str, ahead: bool, on_end: client.OnEnd) -> None:
+    def _ask(
+        self, handle: dict[str, Any], request: str, ahead: bool, on_end: client.ResponseCallback
+    ) -> None:
         pool = self._pool(str(handle.get("remote_host", "127.0.0.1")), int(handle.get("remote_port") or 0))
         body = msgspec.json.encode(Pull(request, self.spec.id, self.spec.zone, self.spec.cell, ahead))
-        pool.call("POST", calls.PULL, client.Whole(BOUND, on_end), (), body)
+        pool.call("POST", calls.PULL, client.BufferedResponse(BOUND, on_end), (), body)
 
     def _fetch(self, work: Work) -> None:
-        def ended(status: int, headers: dict[str, str], body: bytes, trouble: client.Trouble | None) -> None:
+        def ended(
+            status: int, headers: dict[str, str], body: bytes, trouble: client.CallError | None
+        ) -> None:
             if work not in self.model.fetching:
                 return
             if trouble is None and status == 200:
@@ -477,7 +481,9 @@
         """The state comes as soon as it is read; a trip that arrives meanwhile waits for it."""
         self.model.places[request].pulling = True
 
-        def pulled(status: int, headers: dict[str, str], body: bytes, trouble: client.Trouble | None) -> None:
+        def pulled(
+            status: int, headers: dict[str, str], body: bytes, trouble: client.CallError | None
+        ) -> None:
             here = trouble is None and status == 200
             place, work = self.model.places.get(request), self.model.attached.pop(request, None)
             if place:
--- a/worksmux/fault_trial/fleet.py
+++ b/worksmux/fault_trial/fleet.py
@@ -320,7 +320,9 @@
         call = pool.call(
             "GET",
             path,
-            client.Whole(2**22, lambda status, headers, body, trouble: found.append((status, body))),
+            client.BufferedResponse(
+                2**22, lambda status, headers, body, trouble: found.append((status, body))
+            ),
         )
         end = clock.now() + within
         while not found and clock.now() < end:
--- a/worksmux/fault_trial/runner.py
+++ b/worksmux/fault_trial/runner.py
@@ -188,7 +188,11 @@
     def _control(self, handle: EngineHandle, fault: Fault) -> None:
         if handle.pool and handle.child and handle.child.alive:
             handle.pool.call(
-                "POST", calls.CONTROL, client.Whole(65_536, lambda *_: None), (), msgspec.json.encode(fault)
+                "POST",
+                calls.CONTROL,
+                client.BufferedResponse(65_536, lambda *_: None),
+                (),
+                msgspec.json.encode(fault),
             )
 
     # Fronts.
--- a/worksmux/fault_trial/small.py
+++ b/worksmux/fault_trial/small.py
@@ -192,7 +192,7 @@
     def fault(self, engine: EngineProcess, name: str, on: bool = True, **more: Any) -> None:
         pool = client.Pool(self.reactor, "127.0.0.1", engine.port, 500.0, 100.0, 0, 65_536)
         body = msgspec.json.encode(Fault(name, on, **more))
-        pool.call("POST", calls.CONTROL, client.Whole(65_536, lambda *_: None), (), body)
+        pool.call("POST", calls.CONTROL, client.BufferedResponse(65_536, lambda *_: None), (), body)
 
     def at(self, ms: float, call: Callable[..., Any], *args: Any) -> None:
         """Runs `call` that long after the clients' start."""
@@ -260,4 +260,4 @@
         front = self.fronts[0]
         pool = client.Pool(self.reactor, "127.0.0.1", front.port, 500.0, 100.0, 0, 65_536)
         named = [(name.replace("_", "-"), value) for name, value in headers.items()]
-        return pool.call(method, path, client.Whole(2**20, on_end), named, body)
+        return pool.call(method, path, client.BufferedResponse(2**20, on_end), named, body)
--- a/worksmux/forwarding/attempt.py
+++ b/worksmux/forwarding/attempt.py
@@ -25,11 +25,11 @@
     ) -> None: ...
 
 
-def outcome_of(trouble: client.Trouble) -> Outcome:
+def outcome_of(trouble: client.CallError) -> Outcome:
     """How a call without a whole reply ended."""
-    if isinstance(trouble, client.Unsent):
+    if isinstance(trouble, client.NotSentError):
         return Outcome.UNREACHABLE
-    return Outcome.RESET if isinstance(trouble, client.Broken) else Outcome.ERROR
+    return Outcome.RESET if isinstance(trouble, client.ConnectionBrokenError) else Outcome.ERROR
 
 
 class Carriage:
@@ -110,7 +110,7 @@
         self.why = f"status {self.status}"
         self._end(*self._refusal())
 
-    def failed(self, trouble: client.Trouble) -> None:
+    def failed(self, trouble: client.CallError) -> None:
         self.why = str(trouble)
         self._end(outcome_of(trouble))
 
--- a/worksmux/forwarding/control_call.py
+++ b/worksmux/forwarding/control_call.py
@@ -25,8 +25,8 @@
 
     connected = False
 
-    def __init__(self, reactor: Reactor, on_end: client.OnEnd) -> None:
-        trouble = client.Unsent("no address is known")
+    def __init__(self, reactor: Reactor, on_end: client.ResponseCallback) -> None:
+        trouble = client.NotSentError("no address is known")
         self._timer: Timer = reactor.callLater(0, on_end, 0, {}, b"", trouble)
 
     def end(self) -> None:
@@ -53,12 +53,12 @@
         body: bytes,
         bound: int,
         time_out: float,
-        on_end: client.OnEnd,
+        on_end: client.ResponseCallback,
     ) -> None:
         """`bound`: bytes of the answer's body."""
         self._reactor, self._time_out, self._on_end = reactor, time_out, on_end
         self._timer = TimeOut(reactor, time_out / 1000, self._time_is_up)
-        self._call = pool.call(method, path, client.Whole(bound, self._ended), headers, body)
+        self._call = pool.call(method, path, client.BufferedResponse(bound, self._ended), headers, body)
         self._call.on_up = self._came_up
         self.connected = self._call.up
 
@@ -77,7 +77,7 @@
         self._on_end(0, {}, b"", None)
 
     def _ended(
-        self, status: int, headers: dict[str, str], reply: bytes, trouble: client.Trouble | None
+        self, status: int, headers: dict[str, str], reply: bytes, trouble: client.CallError | None
     ) -> None:
         self._stop_timer()
         self._on_end(status, headers, reply, trouble)
--- a/worksmux/forwarding/request_lifecycle.py
+++ b/worksmux/forwarding/request_lifecycle.py
@@ -355,7 +355,7 @@
     # Small calls.
 
     def _small(
-        self, engine: Engine, method: str, path: str, body: bytes, on_end: client.OnEnd
+        self, engine: Engine, method: str, path: str, body: bytes, on_end: client.ResponseCallback
     ) -> OutgoingCall:
         """A call beside the jobs, with its own time-out.  One to an engine never listed is unreachable."""
         if engine not in self.pools:
@@ -369,7 +369,9 @@
         """Asks an engine how it does; `tell` gets the answer."""
         sent = clock.now()
 
-        def ended(status: int, headers: dict[str, str], reply: bytes, trouble: client.Trouble | None) -> None:
+        def ended(
+            status: int, headers: dict[str, str], reply: bytes, trouble: client.CallError | None
+        ) -> None:
             report = None
             if trouble is not None:
                 outcome = outcome_of(trouble)
--- a/worksmux/gateway/chat_engine_client.py
+++ b/worksmux/gateway/chat_engine_client.py
@@ -128,7 +128,9 @@
         case.place = engine
         case.held[engine] = None
 
-        def ended(status: int, headers: dict[str, str], reply: bytes, trouble: client.Trouble | None) -> None:
+        def ended(
+            status: int, headers: dict[str, str], reply: bytes, trouble: client.CallError | None
+        ) -> None:
             answered = trouble is None and status == 200
             held = answered and reply.replace(b" ", b"") == b'{"held":true}'
             if (held or not answered) and (case.answered or case.first_at or case.place is not engine):
@@ -166,7 +168,9 @@
         until it has been heard or the engine has left the list."""
         sent = clock.now()
 
-        def ended(status: int, headers: dict[str, str], reply: bytes, trouble: client.Trouble | None) -> None:
+        def ended(
+            status: int, headers: dict[str, str], reply: bytes, trouble: client.CallError | None
+        ) -> None:
             most, within = self.settings.transport.release_tries, self.settings.module["release_within"]
             if status == 200 or engine.state == "gone" or tries >= PATIENT * most:
                 return
--- a/worksmux/gateway/endpoint_cache.py
+++ b/worksmux/gateway/endpoint_cache.py
@@ -189,7 +189,9 @@
     def _probe(self, line: Line) -> None:
         engine = self.engine_list.engine(line.id)
 
-        def ended(status: int, headers: dict[str, str], reply: bytes, trouble: client.Trouble | None) -> None:
+        def ended(
+            status: int, headers: dict[str, str], reply: bytes, trouble: client.CallError | None
+        ) -> None:
             if self.beliefs is None:
                 return
             try:
--- a/worksmux/gateway/fleet/peers_link.py
+++ b/worksmux/gateway/fleet/peers_link.py
@@ -142,7 +142,7 @@
 
         timer = self.reactor.callLater(self.settings.period / 1000, late)
         call = self.pools[address].call(
-            "POST", PATH, client.Whole(HEAD, over), (("Content-Type", KIND),), body
+            "POST", PATH, client.BufferedResponse(HEAD, over), (("Content-Type", KIND),), body
         )
 
     def forget(self, address: str) -> None:
--- a/worksmux/gateway/serve.py
+++ b/worksmux/gateway/serve.py
@@ -313,11 +313,11 @@
         ):
             server.body_bound, server.head_bound = bound, fresh.transport.head
         for pool in self.core.pools.values():
-            pool.connect_time_out, pool.keep_alive = (
+            pool.connect_timeout_ms, pool.keep_alive_ms = (
                 fresh.transport.connect_time_out,
                 fresh.transport.keep_alive,
             )
-            pool.most_idle, pool.head_bound = fresh.transport.idle_connections, fresh.transport.head
+            pool.max_idle, pool.max_head_bytes = fresh.transport.idle_connections, fresh.transport.head
         LOG.info("settings reloaded")
 
 
--- a/worksmux/load/worker.py
+++ b/worksmux/load/worker.py
@@ -137,7 +137,7 @@
 
 
 class Try:
-    """One try on the wire; see `client.Receiver`."""
+    """One try on the wire; see `client.ResponseReceiver`."""
 
     def __init__(self, worker: Worker, request: Request, sent: float) -> None:
         self.worker, self.request, self.sent = worker, request, sent
@@ -173,8 +173,8 @@
             self.code = errors.code_of(bytes(self.body)) or f"status {self.status}"
         self._end(self.code or ("delivered" if self.finished else "cut"))
 
-    def failed(self, trouble: client.Trouble) -> None:
-        self._end(self.code or ("unreachable" if isinstance(trouble, client.Unsent) else "reset"))
+    def failed(self, trouble: client.CallError) -> None:
+        self._end(self.code or ("unreachable" if isinstance(trouble, client.NotSentError) else "reset"))
 
     def late(self) -> None:
         if not self.over and not self.first:
--- a/worksmux/node/attempts.py
+++ b/worksmux/node/attempts.py
@@ -40,7 +40,7 @@
     def came_up(self) -> None:
         """Its connection has come up: the engine is told the time that is left now."""
         if self.call is not None and clock.now() - self.made_at > TOLD_EARLY:
-            self.call.data = client.request(
+            self.call.data = client.encode_request(
                 "POST", self.asked.path, self.pool.name, self._headers(), self.asked.body
             )
 
@@ -61,7 +61,7 @@
     def last_sign(self) -> float:
         """When its engine was last known to run: as the newest call that it answered began, or as the latest
         piece of this one's stream came."""
-        return max(self.pool.answered, self.last)
+        return max(self.pool.latest_answered_start_ms, self.last)
 
     def _refusal(self) -> tuple[Outcome, int]:
         return protocol.refusal(self.status, self.headers)
--- a/worksmux/node/core.py
+++ b/worksmux/node/core.py
@@ -148,7 +148,7 @@
         now = clock.now()
         self.releases.stop_beside(held)
         unseen = outcome in NOT_SEEN and not attempt.began
-        held.outcome(now, not unseen or attempt_call.pool.answered >= attempt_call.written_at)
+        held.outcome(now, not unseen or attempt_call.pool.latest_answered_start_ms >= attempt_call.written_at)
         if outcome is Outcome.READ:
             self.read_times.append((case.request.prompt, now - attempt_call.written_at))
         if unseen:
--- a/worksmux/node/discovery.py
+++ b/worksmux/node/discovery.py
@@ -97,7 +97,7 @@
     def done(self) -> None:
         self.end("it ended")
 
-    def failed(self, trouble: client.Trouble) -> None:
+    def failed(self, trouble: client.CallError) -> None:
         self.end(str(trouble))
 
     def end(self, why: str) -> None:
--- a/worksmux/node/kv_release.py
+++ b/worksmux/node/kv_release.py
@@ -46,7 +46,7 @@
     """Sends one small call."""
 
     def __call__(
-        self, engine: Engine, method: str, path: str, body: bytes, on_end: client.OnEnd, /
+        self, engine: Engine, method: str, path: str, body: bytes, on_end: client.ResponseCallback, /
     ) -> OutgoingCall: ...
 
 
@@ -194,7 +194,9 @@
         pause = min(longest, self.releases.step * 2.0**tries)
         self._not_before[engine] = begun + pause
 
-        def ended(status: int, headers: dict[str, str], reply: bytes, trouble: client.Trouble | None) -> None:
+        def ended(
+            status: int, headers: dict[str, str], reply: bytes, trouble: client.CallError | None
+        ) -> None:
             if asked not in self._out:
                 return
             self._out.remove(asked)
@@ -204,7 +206,7 @@
                 self._tries.pop(engine, None)
                 self._heard(engine, begun)
                 return
-            if isinstance(trouble, client.Refused):
+            if isinstance(trouble, client.ConnectRefusedError):
                 self.held.refused(engine, begun, DEAD * self.releases.within)
                 if not self.held.claims:
                     return self.releases.forget(self)
