--- a/benchmarks/front_against_relay.py
+++ b/benchmarks/front_against_relay.py
@@ -64,8 +64,8 @@
             )
         exchange.begin("text/event-stream")
         if slow:
-            return exchange.more(event(chat.chunk("c", "hint", "w0 ")))
-        exchange.more(CHUNKS + END)
+            return exchange.send_piece(event(chat.chunk("c", "hint", "w0 ")))
+        exchange.send_piece(CHUNKS + END)
         exchange.end()
 
     _, port = listen(reactor, ("127.0.0.1", 0), Server(answer, 2**20, 65_536, 120_000.0, reactor))
@@ -83,13 +83,13 @@
         self.exchange.begin(headers.get("content-type", ""))
 
     def piece(self, data: bytes) -> None:
-        self.exchange.more(data)
+        self.exchange.send_piece(data)
 
     def done(self) -> None:
         self.exchange.end()
 
     def failed(self, trouble: client.CallError) -> None:
-        self.exchange.cut()
+        self.exchange.truncate()
 
 
 def relay(port: int) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -196,7 +196,7 @@
     rig = scene.rig
     client = socket.create_connection(("127.0.0.1", rig.node.port))
     client.sendall(b"GET /up HTTP/1.1\r\n\r\n")
-    rig.until(lambda: [one for one in rig.node.server.channels if one.asked])
+    rig.until(lambda: [one for one in rig.node.server.channels if one.has_answered])
     client.sendall(ask())
     rig.node.stop()
     scene.turns()
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -29,7 +29,7 @@
     _, port = listen(reactor, ("127.0.0.1", 0), server)
     waiting = [socket.create_connection(("127.0.0.1", port)) for _ in range(BURST)]
     taken = [0]
-    server.channel_hook = lambda channel: taken.append(taken.pop() + 1)
+    server.on_connection = lambda channel: taken.append(taken.pop() + 1)
     most = 0
     while (before := sum(taken)) < BURST:
         reactor.iterate(0.01)
@@ -45,10 +45,10 @@
     looks = 0
 
     def __init__(self, rank: int, since: float) -> None:
-        self._rank, self.since, self.aborted = rank, since, False
+        self._rank, self.since_ms, self.aborted = rank, since, False
         self.transport = self
 
-    def rank(self) -> int:
+    def eviction_rank(self) -> int:
         Resting.looks += 1
         return self._rank
 
@@ -61,11 +61,11 @@
     server = Server(lambda exchange: None, 1, 1, 2000.0, None, 0.0, 560)
     resting = [Resting(2, float(at)) for at in range(560)]
     for one in resting:
-        server.made(one)
+        server.connection_made(one)
     Resting.looks = 0
     new = [Resting(3, 1000.0 + at) for at in range(400)]
     for one in new:
-        server.made(one)
+        server.connection_made(one)
     assert len(server.channels) == 560 and Resting.looks < 10 * len(new)
     assert resting[0].aborted and sum(one.aborted for one in (*resting, *new)) == len(new)
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -22,7 +22,7 @@
 from worksmux.forwarding.request_lifecycle import Core
 from worksmux.forwarding.stream_relay import StreamSide
 from worksmux.net import clock
-from worksmux.net.loop import steady
+from worksmux.net.loop import use_monotonic_clock
 from worksmux.policy.actions import (
     AbortRequest,
     Action,
@@ -606,7 +606,7 @@
     wall = [time.time()]
     monkeypatch.setattr(ReactorBase, "seconds", staticmethod(lambda: wall[0]))
     reactor: Any = EPollReactor()  # type: ignore[no-untyped-call]
-    steady(reactor)
+    use_monotonic_clock(reactor)
     rung: list[bool] = []
     reactor.callLater(0.001, rung.append, True)
     wall[0] -= 90.0
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -496,7 +496,7 @@
 
 def test_half_a_request_and_silence_end_within_their_time() -> None:
     rig = rig_of_two()
-    rig.node.server.patience, rig.node.server.keep_alive = 200.0, 150.0
+    rig.node.server.request_timeout_ms, rig.node.server.keep_alive_ms = 200.0, 150.0
     half, silent = rig.client(ask()[:200]), rig.client()
     rig.until(lambda: half.ended and silent.ended, 2.0)
     assert half.got[9:12] == b"408" and not silent.got and not rig.node.core.cases
@@ -506,13 +506,13 @@
     rig = rig_of_two(lambda _: b"", sockets=64)
     asking = rig.client(ask())
     rig.until(lambda: rig.engines[1].asked)
-    silent = [rig.client() for _ in range(rig.node.server.most + 10)]
+    silent = [rig.client() for _ in range(rig.node.server.max_connections + 10)]
     late = [rig.client(ask(f"b{at}")) for at in range(3)]
     rig.until(lambda: rig.node.core.number == 4)
     assert not asking.ended and not any(peer.ended for peer in late) and any(peer.ended for peer in silent)
-    for at in range(rig.node.server.most):  # nobody is silent any more: the idle go, not the new
+    for at in range(rig.node.server.max_connections):  # nobody is silent any more: the idle go, not the new
         assert rig.answered(rig.client(b"GET /up HTTP/1.1\r\n\r\n")) == b"200", at
-    assert len(rig.node.server.channels) <= rig.node.server.most
+    assert len(rig.node.server.channels) <= rig.node.server.max_connections
 
 
 # Start, end, discovery.
--- a/tests/test_node_ends.py
+++ b/tests/test_node_ends.py
@@ -13,9 +13,9 @@
 from twisted.internet.error import ConnectionDone
 from twisted.internet.task import Clock
 
-from worksmux.net import server
+from worksmux.net import channel
 from worksmux.net.loop import listen
-from worksmux.net.server import BEHIND, Server
+from worksmux.net.server import Server
 from worksmux.node import serve
 from worksmux.node.attempts import PrefillAttempt
 from worksmux.policy.actions import StartAttempt
@@ -287,7 +287,7 @@
     rig.until(lambda: rig.engines[1].asked)
     client.setblocking(False)
     sent = 0
-    while sent < 4 * BEHIND:
+    while sent < 4 * channel.MAX_BYTES_BEHIND:
         try:
             sent += client.send(ask("a2") * 20)
         except BlockingIOError:
@@ -321,13 +321,13 @@
     that a close over unread bytes would be."""
     rig = rig_of_two()
     client = raw(rig, b"GET /up HTTP/1.1\r\n\r\n")
-    rig.until(lambda: any(one.asked for one in rig.node.server.channels))
+    rig.until(lambda: any(one.has_answered for one in rig.node.server.channels))
     client.sendall(ask("a2"))  # not read yet
     if why == "SIGTERM":
         rig.node.server.close_idle()
     else:
-        rig.node.server.keep_alive = 0.0
-        rig.node.server._look_round()
+        rig.node.server.keep_alive_ms = 0.0
+        rig.node.server._sweep()
     client.settimeout(0.0)
     got = b""
     for _ in range(1000):
@@ -367,18 +367,18 @@
 
 def test_answer_is_not_cut_off_for_a_client_that_reads_slowly(monkeypatch: Any) -> None:
     """Guards against the bound on a client's end running while its answer still waits to be sent."""
-    monkeypatch.setattr(server, "LINGER", 5.0)
+    monkeypatch.setattr(channel, "CLOSE_TIMEOUT_MS", 5.0)
     rig, body = Rig(), b"x" * 12_000_000  # more than the sockets of both sides hold
 
     def answer(exchange: Any) -> None:
-        exchange.last()
+        exchange.close_after_answer()
         exchange.answer(200, body)
 
     one_server = Server(answer, 1000, 1000, 2000.0, rig.reactor, 2600.0)
     _, port = listen(rig.reactor, ("127.0.0.1", 0), one_server)
     client = socket.create_connection(("127.0.0.1", port))
     client.sendall(b"GET / HTTP/1.1\r\n\r\n")
-    rig.until(lambda: any(channel.closing for channel in one_server.channels))
+    rig.until(lambda: any(one.closing for one in one_server.channels))
     some_time(rig, 60)  # the client's time is over several times
     client.setblocking(False)
     got = 0
@@ -400,7 +400,7 @@
     """A connection as the server's count sees it."""
 
     def __init__(self, rank: int, since: float) -> None:
-        self.rank, self.since, self.aborted = lambda: rank, since, 0
+        self.eviction_rank, self.since_ms, self.aborted = lambda: rank, since, 0
         self.transport = self
 
     def abortConnection(self) -> None:
@@ -414,15 +414,15 @@
     busy = [Stub(0, at) for at in range(4)]
     resting = [Stub(2, 100.0 - at) for at in range(6)]
     for one in (*busy, *resting):
-        one_server.made(one)
+        one_server.connection_made(one)
     new = [Stub(3, 200.0) for _ in range(5)]
     for one in new:
-        one_server.made(one)
+        one_server.connection_made(one)
     assert len(one_server.channels) == 10 and not any(one.aborted for one in busy)
     assert [one.aborted for one in resting] == [0, 0, 0, 0, 0, 1] and sum(one.aborted for one in new) == 4
     spoken = [Stub(2, 300.0) for _ in range(3)]
     for one in spoken:
-        one_server.made(one)
+        one_server.connection_made(one)
     assert [one.aborted for one in resting] == [0, 0, 0, 1, 1, 1] and all(one.aborted for one in new)
     assert max(one.aborted for one in (*new, *spoken)) == 1
 
--- a/worksmux/fakes/engine.py
+++ b/worksmux/fakes/engine.py
@@ -74,7 +74,7 @@
         self.link_free = {"near": 0.0, "far": 0.0}
         self.reports: list[tuple[float, dict[str, float]]] = []
         self.server = Server(self._taken, BOUND, 65_536, 120_000.0, reactor)
-        self.server.channel_hook = self._connected
+        self.server.on_connection = self._connected
         self.vectors = Vectors(self, lambda how, **facts: self.journal.note("end", how=how, **facts))
         self.port_object: Any = None
         self.port = 0
@@ -150,7 +150,7 @@
         if path == calls.CHAT:
             facts = self._facts(exchange, msgspec.json.decode(exchange.body(), type=Request))
             self.journal.note("got", **facts)
-            exchange.on_gone = lambda: self.journal.note("end", how="hung", **facts)
+            exchange.on_disconnect = lambda: self.journal.note("end", how="hung", **facts)
         elif path == calls.RELEASE:
             self.journal.note("release", job=msgspec.json.decode(exchange.body(), type=calls.Release).request)
         elif path == calls.PLACE:
@@ -221,7 +221,7 @@
             return exchange.answer(500, errors.error("an injected fault", "server_error"))
         fault = self.faults.get("silence")
         if fault and fault.request_class in ("", request.model) and self.chance.random() < fault.share:
-            exchange.on_gone = lambda: self.journal.note("end", how="silent", **facts)
+            exchange.on_disconnect = lambda: self.journal.note("end", how="silent", **facts)
             return None
         if "drain" in self.faults:
             return self._refuse(exchange, facts, calls.DRAINING)
@@ -231,7 +231,7 @@
         if not self.model.offer(work, now):
             return self._refuse(exchange, facts, calls.FULL)
         self.works[exchange] = work
-        exchange.on_gone = lambda: self._gone(exchange)
+        exchange.on_disconnect = lambda: self._gone(exchange)
         self._tick_on()
 
     def _work(self, exchange: Exchange, request: Request, facts: dict[str, Any]) -> Work:
@@ -275,7 +275,7 @@
         facts = {key: value for key, value in work.facts.items() if key != "parts"}
         self.journal.note("end", how=how, made=work.sent, **facts)
         self.works.pop(work.door, None)
-        work.door.on_gone = None
+        work.door.on_disconnect = None
         self.model.drop(work)
 
     def _refuse(self, exchange: Exchange, facts: dict[str, Any], code: str) -> None:
@@ -374,17 +374,17 @@
             exchange.abort()
             return
         if "garbage" in self.faults:
-            exchange.more(b"data: {not json\n\n")
+            exchange.send_piece(b"data: {not json\n\n")
         target = min(int(work.made), work.answer)
         while work.sent < target:
             words.append(f"w{work.sent} ")
             work.sent += 1
-        exchange.more(event(chat.chunk(work.request, work.request_class, "".join(words))))
+        exchange.send_piece(event(chat.chunk(work.request, work.request_class, "".join(words))))
         if work.sent >= work.answer:
             usage = chat.Usage(
                 int(work.prompt), work.sent, int(work.prompt) + work.sent, {"cached_tokens": int(work.cached)}
             )
-            exchange.more(
+            exchange.send_piece(
                 event(chat.chunk(work.request, work.request_class, finish="stop"))
                 + event(chat.chunk(work.request, work.request_class, usage=usage))
                 + DONE
@@ -420,7 +420,7 @@
                 facts = {key: value for key, value in work.facts.items() if key != "parts"}
                 self.works.pop(exchange, None)
                 self.model.drop(work)
-                exchange.on_gone = None
+                exchange.on_disconnect = None
                 self._refuse(exchange, facts, calls.STATE_LOST)
 
         self._ask(work.state, work.request, False, ended)
--- a/worksmux/fakes/vectors.py
+++ b/worksmux/fakes/vectors.py
@@ -76,12 +76,12 @@
 
         def done() -> None:
             if not over["gone"]:
-                exchange.on_gone = None
+                exchange.on_disconnect = None
                 self.tokens += cost
                 self.end("done", made=1, **facts)
                 exchange.answer(200, self._answer(asked))
 
-        exchange.on_gone = gone
+        exchange.on_disconnect = gone
         process.reactor.callLater((self.free_at - now) / 1000, done)
 
     def _refuse(self, exchange: Exchange, facts: dict[str, Any], code: str) -> None:
--- a/worksmux/forwarding/stream_relay.py
+++ b/worksmux/forwarding/stream_relay.py
@@ -17,7 +17,7 @@
 
     def gone(self) -> bool:
         """Whether the client has hung up."""
-        return self.exchange.gone()
+        return self.exchange.client_is_gone()
 
     def _begin(self, headers: tuple[tuple[str, str], ...] = ()) -> bool:
         """Begins the answer before its first piece; whether this was it."""
--- a/worksmux/gateway/clients.py
+++ b/worksmux/gateway/clients.py
@@ -48,7 +48,9 @@
             self.parts.append(content)
             return
         first = self._begin(self._tags)
-        self.exchange.more(event(chat.chunk(self.asked.answer_id, self.asked.name, content, first=first)))
+        self.exchange.send_piece(
+            event(chat.chunk(self.asked.answer_id, self.asked.name, content, first=first))
+        )
 
     def delivered(self, finish: str, usage: Usage) -> None:
         if not self.asked.stream:
@@ -61,7 +63,7 @@
         last = event(chat.chunk(number, name, finish=finish))
         if self.asked.usage:
             last += event(chat.chunk(number, name, usage=usage))
-        self.exchange.more(last + DONE)
+        self.exchange.send_piece(last + DONE)
         self.exchange.end()
 
     def deferred(self, stay_away: float) -> None:
@@ -79,7 +81,7 @@
         body = errors.error(message, "server_error", code=code)
         if self.begun:
             self._unlink()
-            self.exchange.cut(event(body))
+            self.exchange.truncate(event(body))
         else:
             self.exchange.answer(
                 status, body, headers=(*headers, (ANSWER, code.replace("_", "-")), *self._tags)
@@ -162,7 +164,7 @@
             self.on_request()
         side = ChatClient(exchange, asked)
         case = side.case = self.core.arrived(asked, side, arrived)
-        exchange.on_gone = lambda: self.core.left(case)
+        exchange.on_disconnect = lambda: self.core.left(case)
         return case
 
 
@@ -186,7 +188,7 @@
             request_class.promised_time if asked.time_left is None else asked.time_left,
         )
         self.side.counting[self] = None
-        self.exchange.on_gone = self._gone
+        self.exchange.on_disconnect = self._gone
         self.prompt = self.tokens.count(
             asked.parts, asked.request_class, request_class.most_prompt, promised, asked.session, self._result
         )
--- a/worksmux/gateway/serve.py
+++ b/worksmux/gateway/serve.py
@@ -311,7 +311,7 @@
             (self.client_server, fresh.transport.body),
             (self.watch_server, fresh.transport.head),
         ):
-            server.body_bound, server.head_bound = bound, fresh.transport.head
+            server.max_body_bytes, server.max_head_bytes = bound, fresh.transport.head
         for pool in self.core.pools.values():
             pool.connect_timeout_ms, pool.keep_alive_ms = (
                 fresh.transport.connect_time_out,
--- a/worksmux/gateway/vectors.py
+++ b/worksmux/gateway/vectors.py
@@ -291,7 +291,7 @@
         self.core.metrics.arrived(one.request_class.name)
         slack = float(self.core.settings.module["answer_slack"])
         one.guard = self.core.reactor.callLater((left + slack) / 1000, self._overdue, one)
-        one.exchange.on_gone = lambda: self._gone(one)
+        one.exchange.on_disconnect = lambda: self._gone(one)
         self._gate(self.gate.arrived(clock.now(), one.gate))
 
     def _gone(self, one: One) -> None:
--- a/worksmux/net/clock.py
+++ b/worksmux/net/clock.py
@@ -1,7 +1,4 @@
-"""The clock of the running program: milliseconds with fractions that only ever advance.
-
-On one machine all processes share it, so records of several processes can be laid side by side.
-"""
+"""Clocks of the running program, in milliseconds with fractions."""
 
 from __future__ import annotations
 
@@ -9,9 +6,10 @@
 
 
 def now() -> float:
+    """Monotonic milliseconds.  All processes of one machine share this clock, so their records compare."""
     return time.monotonic() * 1000
 
 
 def wall() -> float:
-    """Milliseconds since 1970, for what is exchanged with other machines."""
+    """Milliseconds since 1970, for what is exchanged with other machines; it may be set back."""
     return time.time() * 1000
--- a/worksmux/net/eviction.py
+++ b/worksmux/net/eviction.py
@@ -1,78 +1,90 @@
-"""Which connection is closed first where there are too many: found without a look at all of them."""
+"""Finds the connection to close where there are too many, without a search through all of them."""
 
 from __future__ import annotations
 
 import heapq
 from collections.abc import Collection
 from itertools import count
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
-STALE = 4  # entries for each connection, beyond which those that no longer hold are dropped
-SPARE = 64
+MAX_ENTRIES_PER_CONNECTION = 4  # beyond it, and the spare ones, outdated entries are removed
+SPARE_ENTRIES = 64
 
 
 class Evictable(Protocol):
-    """A connection; `since` is when its present state began, milliseconds."""
+    """A connection; `since_ms` is when its present state began."""
 
-    since: float
+    since_ms: float
 
-    def rank(self) -> int:
+    def eviction_rank(self) -> int:
         """How well it can be spared; 0: not at all."""
 
 
+class _Entry(NamedTuple):
+    """Sorted by the highest rank, then by the longest time in it, then by age."""
+
+    negative_rank: int
+    since_ms: float
+    number: int
+    connection: Evictable
+
+
 class EvictionQueue:
     """Connections by rank, the highest first, and within a rank by how long they have been in it.
 
-    `members` are the connections there are, as their owner keeps them.  One is filed whenever its rank or
-    `since` may have changed; older entries of it are skipped, and those of what is no member any more.
-    Guards against a search through all connections for each new one: in a burst of hundreds that took longer
-    than the burst.
+    `members` are the open connections, as their owner keeps them.  `update` is called whenever the rank or
+    `since_ms` of one may have changed; its older entries are skipped, as are those of closed connections.
+    Failure: a search through all connections for each new one takes longer than the time between two new ones
+    in a burst of hundreds, so the server falls behind.
     """
 
     def __init__(self, members: Collection[Evictable]) -> None:
-        self._entries: list[tuple[int, float, int, Evictable]] = []
+        self._entries: list[_Entry] = []
         self._members = members
         self._numbers = count()
 
     def take(self, newest: Evictable) -> Evictable:
-        """The one to close; `newest` only where nothing else can be spared, as it has had no time to
-        speak."""
+        """The connection to close; `newest`, which had no time to send anything, only as the last resort."""
         passed_over = []
         chosen = newest
         while self._entries:
             entry = heapq.heappop(self._entries)
-            rank, since, _, connection = entry
-            if not self._holds(-rank, since, connection):
+            if not self._is_current(entry):
                 continue
-            if connection is not newest:
-                chosen = connection
+            if entry.connection is not newest:
+                chosen = entry.connection
                 break
             passed_over.append(entry)
         for entry in passed_over:
             heapq.heappush(self._entries, entry)
         return chosen
 
-    def _holds(self, rank: int, since: float, connection: Evictable) -> bool:
-        """Whether an entry still tells the truth; a connection whose rank has changed by itself is filed
-        anew."""
-        if connection not in self._members:
-            return False
-        if connection.rank() == rank and connection.since == since:
-            return rank > 0
-        if connection.rank() != rank and connection.since == since:
-            self.file(connection)
-        return False
-
-    def file(self, connection: Evictable) -> None:
-        """A connection is new, or its rank or `since` may have changed."""
-        rank = connection.rank()
+    def update(self, connection: Evictable) -> None:
+        """A connection is new, or its rank or `since_ms` may have changed."""
+        rank = connection.eviction_rank()
         if rank <= 0 or connection not in self._members:
             return
-        heapq.heappush(self._entries, (-rank, connection.since, next(self._numbers), connection))
-        if len(self._entries) > STALE * len(self._members) + SPARE:
-            self._entries = [
-                entry
-                for entry in self._entries
-                if entry[3] in self._members and entry[3].rank() == -entry[0] and entry[3].since == entry[1]
-            ]
-            heapq.heapify(self._entries)
+        heapq.heappush(self._entries, _Entry(-rank, connection.since_ms, next(self._numbers), connection))
+        if len(self._entries) > MAX_ENTRIES_PER_CONNECTION * len(self._members) + SPARE_ENTRIES:
+            self._remove_outdated()
+
+    def _is_current(self, entry: _Entry) -> bool:
+        """Whether an entry still holds; a connection whose rank changed without `update` is added anew."""
+        connection = entry.connection
+        if connection not in self._members or connection.since_ms != entry.since_ms:
+            return False
+        rank = connection.eviction_rank()
+        if rank != -entry.negative_rank:
+            self.update(connection)
+            return False
+        return rank > 0
+
+    def _remove_outdated(self) -> None:
+        self._entries = [
+            entry
+            for entry in self._entries
+            if entry.connection in self._members
+            and entry.connection.eviction_rank() == -entry.negative_rank
+            and entry.connection.since_ms == entry.since_ms
+        ]
+        heapq.heapify(self._entries)
--- a/worksmux/net/lateness.py
+++ b/worksmux/net/lateness.py
@@ -1,4 +1,4 @@
-"""By how much the reactor is late: how old what it reads now may be."""
+"""Measures by how much the reactor is late, and so how old the data may be that it reads now."""
 
 from __future__ import annotations
 
@@ -8,48 +8,48 @@
 from .loop import Reactor, Timer
 
 LOG = structlog.get_logger()
-TICK = 40.0  # milliseconds between two looks at the clock
-VERY_LATE = 250.0  # milliseconds: such a reactor is told in the log
-USUAL = 2.0  # milliseconds that a timer is late in a reactor that keeps up
+TICK_INTERVAL_MS = 40.0
+LOGGED_LATENESS_MS = 250.0
+USUAL_TIMER_DELAY_MS = 2.0  # by which a timer is late in a reactor that keeps up
 
 
 class Lateness:
-    """Guards against time that is given twice: a request that waited in a socket while the reactor was busy
-    counts from when it may have come, not from when it was read.
+    """Called, it returns the milliseconds by which data read now may be older; 0 in a reactor that keeps up.
 
-    A timer that is late by some time tells that nothing was read meanwhile; what is read in the same turn may
-    have come at any moment of it.
+    Failure: a request waits in a socket while the reactor is busy.  If its deadline counted from when it is
+    read, it would be given that time twice, and its client would time out first.  A late timer proves that
+    nothing was read meanwhile, so what this iteration reads may have come at any moment of that time.
     """
 
     def __init__(self, reactor: Reactor) -> None:
         self._reactor = reactor
-        self._late = 0.0
-        self._due = clock.now()
+        self._lateness_ms = 0.0
+        self._tick_due_ms = clock.now()
         self._timer: Timer | None = None
 
     def start(self) -> None:
-        self._next()
+        self._schedule_tick()
 
     def stop(self) -> None:
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
     def __call__(self) -> float:
-        """Milliseconds by which what is read in this turn may be older; 0 in a reactor that keeps up."""
-        return self._late
+        return self._lateness_ms
 
-    def _next(self) -> None:
-        self._due = clock.now() + TICK
-        self._timer = self._reactor.callLater(TICK / 1000, self._tick)
+    def _schedule_tick(self) -> None:
+        self._tick_due_ms = clock.now() + TICK_INTERVAL_MS
+        self._timer = self._reactor.callLater(TICK_INTERVAL_MS / 1000, self._tick)
 
     def _tick(self) -> None:
-        late = clock.now() - self._due
-        if late > USUAL:
-            self._late = late
-            if late > VERY_LATE:
-                LOG.warning("the reactor was late", ms=round(late))
-            self._reactor.callLater(0, self._turn_over)
-        self._next()
-
-    def _turn_over(self) -> None:
-        self._late = 0.0
+        late_ms = clock.now() - self._tick_due_ms
+        if late_ms > USUAL_TIMER_DELAY_MS:
+            self._lateness_ms = late_ms
+            if late_ms > LOGGED_LATENESS_MS:
+                LOG.warning("the reactor was late", ms=round(late_ms))
+            self._reactor.callLater(0, self._sockets_read)
+        self._schedule_tick()
+
+    def _sockets_read(self) -> None:
+        """The next iteration: what was late has been read."""
+        self._lateness_ms = 0.0
--- a/worksmux/net/loop.py
+++ b/worksmux/net/loop.py
@@ -1,4 +1,5 @@
-"""What the program asks of Twisted's reactor and transports, as plain types (its interfaces carry none)."""
+"""Types for the parts of Twisted's reactor and transports that are used, as its interfaces carry none; and
+guards around the reactor's clock and its accepting of connections."""
 
 from __future__ import annotations
 
@@ -9,8 +10,8 @@
 from twisted.internet.interfaces import IReactorFDSet
 from twisted.internet.tcp import Port
 
-BACKLOG = 1024  # connections that wait to be accepted
-ACCEPTED_IN_A_TURN = 16
+LISTEN_BACKLOG = 1024  # connections that wait to be accepted
+MAX_ACCEPTS_PER_ITERATION = 16
 
 
 class Timer(Protocol):
@@ -52,43 +53,45 @@
 
 
 def the_reactor() -> Reactor:
-    """The process's reactor; imported late, as importing installs it."""
+    """The process's reactor, on the monotonic clock; imported here, as importing installs it."""
     from twisted.internet import reactor
 
-    steady(reactor)
+    use_monotonic_clock(reactor)
     return reactor
 
 
-def steady(reactor: Any) -> None:
-    """Guards against a machine's clock that is put back: Twisted's timers go by the wall clock, and all of
-    them would wait for as long as it was put back."""
+def use_monotonic_clock(reactor: Any) -> None:
+    """Makes the reactor's timers go by the monotonic clock.
+
+    Failure: Twisted's timers go by the wall clock; where that is set back, every timer waits that much
+    longer.
+    """
     reactor.seconds = time.monotonic
 
 
 class _FairPort(Port):
-    """A listening port that takes few connections in a turn of the reactor.
+    """A listening port that accepts few connections in an iteration of the reactor.
 
-    Guards against a burst of connections that keeps everything else waiting: Twisted's port takes a hundred
-    at a time, more with each full turn, and what is due elsewhere, such as a connection that has come up, is
-    not read before all of them are made.
+    Failure: Twisted's port accepts a hundred at a time, and more after each full iteration.  In a burst of
+    connections everything else waits until all of them are made, and connects to engines time out.
     """
 
     @property
     def numberAccepts(self) -> int:
-        return ACCEPTED_IN_A_TURN
+        return MAX_ACCEPTS_PER_ITERATION
 
     @numberAccepts.setter
     def numberAccepts(self, number: int) -> None:
-        """Twisted adapts the number to the traffic; here it is fixed."""
+        """Ignored: Twisted would adapt the number to the traffic."""
 
 
 def listen(reactor: Reactor, address: tuple[str, int], factory: Any) -> tuple[Any, int]:
-    """Listens and returns the port object and its number, chosen by the system for port 0."""
+    """Listens; returns the port object and its number, which the system chooses for port 0."""
     host, number = address
     port: Any
     if IReactorFDSet.providedBy(reactor):
-        port = _FairPort(number, factory, BACKLOG, host, reactor)
+        port = _FairPort(number, factory, LISTEN_BACKLOG, host, reactor)
         port.startListening()
     else:
-        port = reactor.listenTCP(number, factory, backlog=BACKLOG, interface=host)
+        port = reactor.listenTCP(number, factory, backlog=LISTEN_BACKLOG, interface=host)
     return port, int(port.getHost().port)
--- a/worksmux/net/time_out.py
+++ b/worksmux/net/time_out.py
@@ -1,4 +1,4 @@
-"""A time-out that a late reactor does not call too soon."""
+"""A timeout that does not fire before a late reactor has read what has come meanwhile."""
 
 from __future__ import annotations
 
@@ -8,15 +8,18 @@
 
 
 class TimeOut:
-    """Calls `call` when a time is over, after `turns` more turns of the reactor; a timer by its methods.
+    """Calls `call` after `seconds` and `iterations` more reactor iterations; has a `Timer`'s methods.
 
-    Guards against a reactor that is late: it runs timers before it reads, so what has come up meanwhile would
-    be taken for missing.  Where each turn takes longer than a connection may, none would come up at all.
+    Failure: a reactor that is late runs its timers before it reads, so a connection that has come up
+    meanwhile is taken for missing.  Where each iteration takes longer than the connect timeout, none would
+    ever come up.  One more iteration reads the sockets first.
     """
 
-    def __init__(self, reactor: Reactor, seconds: float, call: Callable[[], None], turns: int = 1) -> None:
-        self._reactor, self._call, self._turns = reactor, call, turns
-        self._timer = reactor.callLater(seconds, self._look)
+    def __init__(
+        self, reactor: Reactor, seconds: float, call: Callable[[], None], iterations: int = 1
+    ) -> None:
+        self._reactor, self._call, self._iterations_left = reactor, call, iterations
+        self._timer = reactor.callLater(seconds, self._elapsed)
 
     def active(self) -> bool:
         return self._timer.active()
@@ -24,9 +27,9 @@
     def cancel(self) -> None:
         self._timer.cancel()
 
-    def _look(self) -> None:
-        if self._turns:
-            self._turns -= 1
-            self._timer = self._reactor.callLater(0, self._look)
+    def _elapsed(self) -> None:
+        if self._iterations_left:
+            self._iterations_left -= 1
+            self._timer = self._reactor.callLater(0, self._elapsed)
         else:
             self._call()
--- a/worksmux/node/clients.py
+++ b/worksmux/node/clients.py
@@ -16,7 +16,7 @@
 
     def text(self, content: bytes) -> None:
         self._begin()
-        self.exchange.more(content)
+        self.exchange.send_piece(content)
 
     def delivered(self, *result: object) -> None:
         self._unlink()
@@ -32,7 +32,7 @@
     def _refused(self, status: int, message: str, headers: tuple[tuple[str, str], ...] = ()) -> None:
         if self.begun:
             self._unlink()
-            self.exchange.cut()  # without the last chunk
+            self.exchange.truncate()  # without the last chunk
         else:
             self.exchange.answer(status, errors.error(message, "server_error"), headers=headers)
 
@@ -61,17 +61,17 @@
     def _no(self, exchange: Exchange, status: int, message: str) -> None:
         """An error for what is no job; its connection is not trusted further."""
         self.core.metrics.turned_away(str(status))
-        exchange.last()
+        exchange.close_after_answer()
         exchange.answer(status, errors.error(message, "invalid_request_error"))
 
     def _chat(self, exchange: Exchange) -> None:
         try:
             asked = protocol.asked(
-                exchange.values, exchange.uri.decode("latin-1"), exchange.body(), self.request_classes
+                exchange.header_values, exchange.uri.decode("latin-1"), exchange.body(), self.request_classes
             )
         except protocol.Refused as fault:
             return self._no(exchange, fault.status, fault.why)
-        asked.headers = protocol.forwarded(exchange.fields())
+        asked.headers = protocol.forwarded(exchange.header_fields())
         if asked.key in self.core.keys:
             return self._no(exchange, 409, "a job with this id is open")
         side = StreamClient(exchange)
@@ -81,5 +81,5 @@
         if len(self.core.cases) >= self.core.share.requests:
             self.core.metrics.turned_away("too many open")
             return side.deferred(0.0)
-        case = side.case = self.core.arrived(asked, side, exchange.came())
-        exchange.on_gone = lambda: self.core.left(case)
+        case = side.case = self.core.arrived(asked, side, exchange.earliest_arrival_ms())
+        exchange.on_disconnect = lambda: self.core.left(case)
