--- /dev/null
+++ b/tests/test_attempt_calls.py
@@ -0,0 +1,122 @@
+"""Calls of one attempt: the outcome of each response and of each connection error."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+import pytest
+
+from worksmux.api import chat
+from worksmux.api.events import DONE, event
+from worksmux.gateway import attempts as carriers
+from worksmux.gateway.attempts import Reading, Writing
+from worksmux.net import client, clock
+from worksmux.policy.state import Attempt, Engine, Outcome, Request
+
+
+class RecordingListener:
+    """Records an attempt's events; also a reactor whose timers never fire."""
+
+    def __init__(self) -> None:
+        self.events: list[Any] = []
+
+    def callLater(self, delay: float, call: Any, *args: Any) -> Any:
+        timer = type("Timer", (), {"cancel": lambda self: None, "active": lambda self: False})()
+        self.later = call
+        return timer
+
+    def began(self, attempt: Attempt) -> None:
+        attempt.began = 1.0
+        self.events.append("began")
+
+    def text(self, attempt: Attempt, content: str) -> None:
+        self.events.append(content)
+
+    def ended(self, attempt: Attempt, outcome: Outcome, note: int, report: Any, result: Any) -> None:
+        self.events.append((outcome, note))
+
+
+def attempt_call(kind: type[carriers.Carrier]) -> tuple[Any, RecordingListener]:
+    listener = RecordingListener()
+    request = Request(1, 0, 0, 0, 1.0, 0.0, 1.0, 0.0, 1.0)
+    return kind(
+        listener, None, Attempt(request, Engine(b"e", 1), 0, 0.0), listener, 100.0, 50.0, 300
+    ), listener  # type: ignore[arg-type]
+
+
+CHUNK = event(chat.chunk("c", "hint", "word "))
+LAST = event(chat.chunk("c", "hint", finish="stop"))
+
+
+@pytest.mark.parametrize(
+    ("status", "pieces", "outcome", "note"),
+    [
+        (200, [CHUNK, LAST, DONE], Outcome.DELIVERED, 0),
+        (200, [CHUNK, LAST, DONE, b"data: {junk\n\n"], Outcome.DELIVERED, 0),
+        (200, [CHUNK, LAST], Outcome.ERROR, 0),
+        (200, [DONE], Outcome.ERROR, 0),
+        (200, [LAST, DONE], Outcome.ERROR, 0),
+        (200, [b"data: {\n\n"], Outcome.ERROR, 0),
+        (200, [CHUNK, b'data: {"error": {"message": "x"}}\n\n'], Outcome.ERROR, 0),
+        (200, [b"data: " + b"x" * 400], Outcome.ERROR, 0),
+        (500, [b"{}"], Outcome.ERROR, 0),
+        (429, [b'{"error":{"message":"","type":"","code":"state_lost"}}'], Outcome.FULL, 1),
+        (429, [b"{}"], Outcome.FULL, 0),
+        (503, [b"x" * 400], Outcome.ERROR, 0),
+        (204, [], Outcome.ERROR, 0),
+    ],
+)
+def test_outcome_follows_from_status_and_body(
+    status: int, pieces: list[bytes], outcome: Outcome, note: int
+) -> None:
+    one, listener = attempt_call(Writing)
+    one.head(status, {"content-type": "text/event-stream" if status == 200 else "application/json"})
+    for data in pieces:
+        one.piece(data)
+    one.done()
+    assert (
+        listener.events[-1] == (outcome, note)
+        and sum(isinstance(event, tuple) for event in listener.events) == 1
+    )
+
+
+@pytest.mark.parametrize(
+    ("error", "outcome"),
+    [
+        (client.NotSentError(""), Outcome.UNREACHABLE),
+        (client.ConnectionBrokenError(""), Outcome.RESET),
+        (client.MalformedResponseError(""), Outcome.ERROR),
+    ],
+)
+def test_outcome_follows_from_connection_error(error: client.CallError, outcome: Outcome) -> None:
+    one, listener = attempt_call(Reading)
+    one.failed(error)
+    one.cancel()
+    assert listener.events == [(outcome, 0)]
+
+
+def test_prefill_returns_handle_and_cached_tokens() -> None:
+    one, listener = attempt_call(Reading)
+    one.head(200, {})
+    one.piece(
+        msgspec.json.encode(
+            chat.ReadReply(chat.KvParams("e", "h", 1), chat.Usage(9, 1, 10, {"cached_tokens": 4}))
+        )
+    )
+    one.done()
+    assert listener.events == [(Outcome.READ, 4)]
+    two, listener = attempt_call(Reading)
+    two.head(200, {})
+    two.piece(b'{"choices": []}')  # an answer without a handle is none
+    two.done()
+    assert listener.events == [(Outcome.ERROR, 0)]
+
+
+def test_stalled_stream_times_out() -> None:
+    one, listener = attempt_call(Writing)
+    one.head(200, {"content-type": "text/event-stream"})
+    one.piece(CHUNK)
+    one.last = clock.now() - 60
+    one._listen()
+    assert listener.events == ["began", "word ", (Outcome.TIMED_OUT, 0)]
