--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -16,8 +16,15 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from worksmux.admission.controller import Asked, Gate, GateSettings, Share, Step
-from worksmux.admission.fair_queue import Lines
+from worksmux.admission.controller import (
+    AdmissionController,
+    AdmissionRequest,
+    AdmissionResult,
+    AdmissionSettings,
+    ClassSettings,
+    RequestState,
+)
+from worksmux.admission.fair_queue import FairQueue
 from worksmux.simulation.sim import Sim
 
 STATIONS, SERVICE, COST, CALLERS = 20, 50.0, 100.0, 1000
@@ -25,22 +32,22 @@
 PROMISED, LENGTH = 1000.0, 20_000.0
 
 
-def settings(ratio: float = 0.1) -> GateSettings:
-    share = Share("v", 1.0, 1.0, 4 * COST, 1e6, 10_000, PROMISED, "v")
-    return GateSettings([share], ratio, 20.0 if ratio < 1 else 1e9, 100.0, 10_000.0, 200.0, 2000.0)
+def settings(ratio: float = 0.1) -> AdmissionSettings:
+    share = ClassSettings("v", 1.0, 1.0, 4 * COST, 1e6, 10_000, PROMISED, "v")
+    return AdmissionSettings([share], ratio, 20.0 if ratio < 1 else 1e9, 100.0, 10_000.0, 200.0, 2000.0)
 
 
 class Fifo:
     """No limits: each call is sent as it comes."""
 
-    def arrived(self, now: float, asked: Asked) -> Step:
-        return Step(go=[asked])
+    def arrived(self, now: float, asked: AdmissionRequest) -> AdmissionResult:
+        return AdmissionResult(admitted=[asked])
 
-    def ended(self, now: float, asked: Asked, elapsed: float, good: bool) -> Step:
-        return Step()
+    def ended(self, now: float, asked: AdmissionRequest, elapsed: float, good: bool) -> AdmissionResult:
+        return AdmissionResult()
 
-    def tick(self, now: float) -> Step:
-        return Step()
+    def tick(self, now: float) -> AdmissionResult:
+        return AdmissionResult()
 
 
 class Bucket(Fifo):
@@ -49,13 +56,13 @@
     def __init__(self) -> None:
         self.tokens, self.at = CAPACITY * 1000, 0.0
 
-    def arrived(self, now: float, asked: Asked) -> Step:
+    def arrived(self, now: float, asked: AdmissionRequest) -> AdmissionResult:
         self.tokens = min(CAPACITY * 1000, self.tokens + (now - self.at) * CAPACITY)
         self.at = now
         if self.tokens < 1:
-            return Step(refused=[None])  # type: ignore[list-item]
+            return AdmissionResult(rejected=[None])  # type: ignore[list-item]
         self.tokens -= 1
-        return Step(go=[asked])
+        return AdmissionResult(admitted=[asked])
 
 
 @dataclass
@@ -75,9 +82,9 @@
 
     def __post_init__(self) -> None:
         self.sim, self.chance = Sim(), random.Random(1)
-        self.line: deque[Asked] = deque()
+        self.line: deque[AdmissionRequest] = deque()
         self.busy = 0
-        self.sent: dict[Asked, float] = {}  # past the gate
+        self.sent: dict[AdmissionRequest, float] = {}  # past the gate
 
     def run(self) -> Day:
         self._arrive()
@@ -97,38 +104,40 @@
 
     def _ask(self, caller: int, tries: int, body: int) -> None:
         now = self.sim.now
-        asked = Asked(0, caller, COST, now, now + PROMISED, now + 2 * PROMISED, tries > 0, body, (tries,))
+        asked = AdmissionRequest(
+            0, caller, COST, now, now + PROMISED, now + 2 * PROMISED, tries > 0, body, (tries,)
+        )
         self.sim.after(2 * PROMISED, self._gives_up, asked)
         step = self.gate.arrived(now, asked)
         self._take(step)
-        if not step.go and step.refused and asked.state != "waiting":
+        if not step.admitted and step.rejected and asked.state is not RequestState.QUEUED:
             self._refused(asked)
 
-    def _take(self, step: Step) -> None:
-        for refused in step.refused:
-            if refused is not None and refused.asked.item:
-                self._refused(refused.asked)
-        for asked in step.go:
+    def _take(self, step: AdmissionResult) -> None:
+        for refused in step.rejected:
+            if refused is not None and refused.request.item:
+                self._refused(refused.request)
+        for asked in step.admitted:
             self.line.append(asked)
             self.sent[asked] = self.sim.now
         self._serve()
 
-    def _refused(self, asked: Asked) -> None:
+    def _refused(self, asked: AdmissionRequest) -> None:
         if asked.item:
             tries, asked.item = asked.item[0], None
             self.ends["refused"] += 1
             self._again(asked, tries)
 
-    def _gives_up(self, asked: Asked) -> None:
+    def _gives_up(self, asked: AdmissionRequest) -> None:
         if asked.item:
             tries, asked.item = asked.item[0], None
             self.ends["left"] += 1
             self._again(asked, tries)
 
-    def _again(self, asked: Asked, tries: int) -> None:
+    def _again(self, asked: AdmissionRequest, tries: int) -> None:
         wait = self.retry(tries)
         if wait is not None:
-            self.sim.after(wait, self._ask, asked.caller, tries + 1, asked.body)
+            self.sim.after(wait, self._ask, asked.caller, tries + 1, asked.content_hash)
 
     def _serve(self) -> None:
         while self.line and self.busy < STATIONS:
@@ -138,10 +147,10 @@
             service = SERVICE * (factor if start <= self.sim.now < end else 1.0)
             self.sim.after(service * self.chance.uniform(0.8, 1.2), self._served, asked, self.sim.now)
 
-    def _served(self, asked: Asked, since: float) -> None:
+    def _served(self, asked: AdmissionRequest, since: float) -> None:
         now = self.sim.now
         self.busy -= 1
-        if asked.item and now <= asked.promised_at:
+        if asked.item and now <= asked.latency_target_at:
             self.got[asked.caller] += 1  # type: ignore[index]
             self.seconds[int(now / 1000)] += 1
             self.ends["served"] += 1
@@ -174,7 +183,11 @@
 def curves() -> None:
     print("load  policy         goodput  Jain  worst twentieth of callers")
     for load in (0.5, 0.8, 1.0, 1.5, 2.0, 3.0, 4.0):
-        for name, gate in (("gate", Gate(settings(), 1)), ("FIFO", Fifo()), ("token bucket", Bucket())):
+        for name, gate in (
+            ("gate", AdmissionController(settings(), 1)),
+            ("FIFO", Fifo()),
+            ("token bucket", Bucket()),
+        ):
             goodput, jain, worst = Day(gate, load).run().figures()
             print(f"{load:4.1f}  {name:13}  {goodput:7.2f}  {jain:4.2f}  {worst:.2f}", flush=True)
 
@@ -182,8 +195,8 @@
 def storm() -> None:
     """Clients repeat after 50 ms, up to 20 times; the cause lasts from the 5th to the 15th second."""
     for name, gate in (
-        ("gate with budget", Gate(settings(), 1)),
-        ("gate without budget", Gate(settings(1.0), 1)),
+        ("gate with budget", AdmissionController(settings(), 1)),
+        ("gate without budget", AdmissionController(settings(1.0), 1)),
         ("FIFO", Fifo()),
         ("token bucket", Bucket()),
     ):
@@ -222,7 +235,7 @@
 
 def costs() -> None:
     for callers in (10, 100, 1000):
-        lines: Lines[int] = Lines(400.0, 1e9, 10**9)
+        lines: FairQueue[int] = FairQueue(400.0, 1e9, 10**9)
         scan = Scan()
         for at in range(20 * callers):
             lines.put(at % callers, at, COST)
@@ -230,7 +243,7 @@
         count = 5 * callers
         start = time.perf_counter()
         for at in range(count):
-            lines.next(lambda cost: True)
+            lines.pop_if(lambda cost: True)
             lines.put(at % callers, at, COST)
         ours = (time.perf_counter() - start) / count * 1e6
         start = time.perf_counter()
@@ -238,13 +251,15 @@
             scan.next()
             scan.put(at % callers, COST)
         plain = (time.perf_counter() - start) / count * 1e6
-        gate, now = Gate(settings(), 1), 0.0
-        calls = [Asked(0, at % callers, COST, 0.0, 1000.0, 2000.0, False, at) for at in range(count)]
+        gate, now = AdmissionController(settings(), 1), 0.0
+        calls = [
+            AdmissionRequest(0, at % callers, COST, 0.0, 1000.0, 2000.0, False, at) for at in range(count)
+        ]
         start = time.perf_counter()
         for asked in calls:
             now += 0.01
-            asked.promised_at = now + 1000.0
-            for one in gate.arrived(now, asked).go:
+            asked.latency_target_at = now + 1000.0
+            for one in gate.arrived(now, asked).admitted:
                 gate.ended(now + 1.0, one, 1.0, True)
         whole = (time.perf_counter() - start) / count * 1e6
         print(
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -18,8 +18,7 @@
 from pathlib import Path
 from typing import Any
 
-from worksmux.admission.controller import Asked, Gate, Step
-from worksmux.admission.controller import Gate as RealGate
+from worksmux.admission.controller import AdmissionController, AdmissionRequest, AdmissionResult, RequestState
 from worksmux.api import embeddings
 from worksmux.checker.report import summary
 from worksmux.fault_trial.small import FIGURES, SETTINGS, Rig
@@ -51,21 +50,21 @@
 )
 
 
-class NoGate(RealGate):
+class NoGate(AdmissionController):
     """Lets every call in as it comes."""
 
-    def arrived(self, now: float, asked: Asked) -> Step:
-        asked.state = "out"
-        return Step(go=[asked])
+    def arrived(self, now: float, asked: AdmissionRequest) -> AdmissionResult:
+        asked.state = RequestState.ADMITTED
+        return AdmissionResult(admitted=[asked])
 
-    def ended(self, now: float, asked: Asked, elapsed: float, good: bool) -> Step:
-        asked.state = "over"
-        return Step()
+    def ended(self, now: float, asked: AdmissionRequest, elapsed: float, good: bool) -> AdmissionResult:
+        asked.state = RequestState.ENDED
+        return AdmissionResult()
 
 
-def play(seconds: float, flood: float, gate: type[Gate]) -> dict[str, Any]:
+def play(seconds: float, flood: float, gate: type[AdmissionController]) -> dict[str, Any]:
     """`flood` in times the embeddings engines' capacity."""
-    serve.Gate = gate  # type: ignore[misc]
+    serve.AdmissionController = gate  # type: ignore[misc]
     with tempfile.TemporaryDirectory() as name, contextlib.redirect_stdout(io.StringIO()):
         rig = Rig(Path(name), FLEET, text=TEXT)
         for engine in rig.engines[3:]:
@@ -113,11 +112,11 @@
 
 def main() -> None:
     seconds = float([*sys.argv[1:], "6"][0])
-    quiet = play(seconds, 0.0, Gate)
+    quiet = play(seconds, 0.0, AdmissionController)
     print(f"{seconds:g} s; chat alone: {quiet}", flush=True)
     for name, flood, gate in (
-        ("half of capacity", 0.5, Gate),
-        ("10 times, with the gate", 10.0, Gate),
+        ("half of capacity", 0.5, AdmissionController),
+        ("10 times, with the gate", 10.0, AdmissionController),
         ("10 times, no gate", 10.0, NoGate),
     ):
         found = play(seconds, flood, gate)
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -338,7 +338,7 @@
     def late() -> None:
         now = clock.now()
         for step in range(40):  # as if each look had come far too late
-            watchman.gate.pressed(now + 20_000.0 * step, Pressure(lag=3.0))
+            watchman.gate.update_pressure(now + 20_000.0 * step, Pressure(lag=3.0))
         for at in range(20):
             asker.embed(at, f"text {at}")
         asker.ask(
@@ -351,9 +351,9 @@
     embedded = [asker.replies[at] for at in range(20)]
     assert {reply[0] for reply in embedded} == {429}
     assert "short" in embedded[0][2]["error"]["message"] and "retry-after" in embedded[0][1]
-    watchman.gate.pressed(clock.now() + 1e9, Pressure())
-    watchman.gate.pressed(clock.now() + 2e9, Pressure())
-    assert watchman.gate.brownout.level == 0.0
+    watchman.gate.update_pressure(clock.now() + 1e9, Pressure())
+    watchman.gate.update_pressure(clock.now() + 2e9, Pressure())
+    assert watchman.gate.shedder.level == 0.0
 
 
 def test_front_that_stops_finishes_its_calls_first(tmp_path: Path) -> None:
--- a/worksmux/admission/concurrency_limit.py
+++ b/worksmux/admission/concurrency_limit.py
@@ -1,95 +1,123 @@
-"""How much may be out at once for one offering, found from how long it takes.
-
-The limit follows the ratio of the shortest time a token took lately to the usual one now (the idea of TCP
-Vegas, and of concurrency limits in service meshes): as long as the two are near each other the limit grows by
-its square root (by half of that once it has been too high), when work queues at the engines it shrinks in
-proportion.  A trip that was turned away shrinks it too; one that came late for having waited before does not.
-Now and then it is cut for a moment, so that the shortest time is measured anew (as BBR does): else, with work
-always queued, the queue's own time would come to count as the shortest.  It is one front's own: fronts that
-share engines each see the time that all of them make.
+"""A gradient concurrency limit: how much work of a request class may be in flight, found from its latency.
+
+The limit follows the ratio of the shortest recent time per unit of cost to the usual one now (the idea of TCP
+Vegas, and of the concurrency limits of service meshes).  While the two are near each other it grows by its
+square root, by half of that once it has been too high; when work queues at the engines it shrinks in
+proportion.  A rejected attempt shrinks it too; one that came late as it had waited before does not.
+
+From time to time a probe lowers it for a moment, so that the shortest time is measured anew (as BBR does):
+with work always queued, the queue's own time would come to count as the shortest.  Each gateway has limits of
+its own; gateways that share engines all see the latency that they cause together.
+
+Costs are in any unit that adds up, such as tokens; times are milliseconds.
 """
 
 from __future__ import annotations
 
 from ..policy.measure import Ring
 
-TOLERATED = 2.0  # times the shortest: a token may take so long before the limit shrinks
-SHRINK = 0.9  # at a trip turned away, once in a step
-DRAIN = 0.8  # of what would just keep the engines busy: let out while looking
-LEAST_RATIO = 0.5  # by which the limit shrinks at most in one step
-USED = 0.5  # of the limit must have been out, for it to grow
-SPAN = 16  # times the promised time over which times are seen
-BUCKETS = 8
-LOOK = 0.5  # of the span between two looks at the shortest time
-LOOK_FOR = 0.5  # of the promised time that a look takes
-
-
-class Limit:
-    """`unit` is a small item's cost, `first` the limit to begin with; milliseconds."""
-
-    def __init__(self, unit: float, first: float, promised: float) -> None:
-        self.unit, self.limit = unit, max(unit, first)
-        self.promised = promised
-        self.least = unit
-        self.times = Ring(SPAN * promised, SPAN * 4)  # elapsed by cost; fine enough to show a look
-        self.lately = Ring(promised / 4, BUCKETS)  # short: what acts on old times swings
-        self.gain = 1.0
-        self.served = Ring(2 * promised, BUCKETS)  # cost
-        self.out = self.most_out = 0.0
-        self.next_step = 0.0
-        self.shrunk_until = 0.0
-        self.since = -1.0
-        self.look_at = self.look_until = 0.0
-        self.cut = 1.0  # of the limit that is used while looking
-
-    def fits(self, cost: float) -> bool:
-        """An item larger than the limit goes when nothing else is out."""
-        return not self.out or self.out + cost <= self.limit * self.cut
+TOLERATED_SLOWDOWN = 2.0  # times the shortest time, before the limit shrinks
+REJECTION_FACTOR = 0.9  # on the limit at a rejected attempt, once in a step
+MIN_STEP_FACTOR = 0.5  # on the limit at most in one step
+MIN_USED_SHARE = 0.5  # of the limit must have been in flight, for it to grow
+GAIN_AFTER_OVERSHOOT = 0.5
+HISTORY_TARGETS = 16  # times the latency target over which latencies are kept
+HISTORY_BUCKETS_PER_TARGET = 4  # fine enough that a probe fills a bucket of its own
+RECENT_TARGETS = 0.25  # short: a limit that follows old latencies swings
+RECENT_BUCKETS = 8
+SERVED_TARGETS = 2
+STEPS_PER_TARGET = 8
+PROBE_INTERVAL_TARGETS = 8
+PROBE_LENGTH_TARGETS = 0.5
+PROBE_SHARE = 0.8  # of what would just keep the engines busy
+
+
+class ConcurrencyLimit:
+    """The cost that may be in flight at once."""
+
+    def __init__(self, small_item_cost: float, initial_limit: float, latency_target_ms: float) -> None:
+        target_ms = latency_target_ms
+        self.small_item_cost = small_item_cost
+        self.limit = max(small_item_cost, initial_limit)
+        self.min_limit = small_item_cost
+        self.latency_target_ms = target_ms
+        self._history = Ring(HISTORY_TARGETS * target_ms, HISTORY_TARGETS * HISTORY_BUCKETS_PER_TARGET)
+        self._recent = Ring(RECENT_TARGETS * target_ms, RECENT_BUCKETS)
+        self._served = Ring(SERVED_TARGETS * target_ms, RECENT_BUCKETS)
+        self._gain = 1.0
+        self._in_flight = self._peak_in_flight = 0.0
+        self._first_sent_at: float | None = None
+        self._next_step_at = 0.0
+        self._growth_paused_until = 0.0
+        self._next_probe_at = self._probe_ends_at = 0.0
+        self._probe_factor = 1.0  # on the limit; below 1 while a probe runs
+
+    def allows(self, cost: float) -> bool:
+        """Whether an item may be sent now; one larger than the limit only when nothing is in flight."""
+        return not self._in_flight or self._in_flight + cost <= self.limit * self._probe_factor
 
     def sent(self, now: float, cost: float) -> None:
-        if self.since < 0:
-            self.since = now
-            self.look_at = now + LOOK * SPAN * self.promised
-        self.out += cost
-        self.most_out = max(self.most_out, self.out)
-
-    def ended(self, now: float, cost: float, elapsed: float, good: bool) -> None:
-        """`good` is false for what the engines turned away."""
-        self.out = max(0.0, self.out - cost)
-        if good:
-            self.times.add(now, elapsed, cost + self.unit)
-            self.lately.add(now, elapsed, cost + self.unit)
-            self.served.add(now, cost, 1.0)
-        elif now >= self.shrunk_until:
-            self.limit = max(self.least, self.limit * SHRINK)
-            self.shrunk_until = now + self.promised / BUCKETS
-        if now >= self.next_step:
+        if self._first_sent_at is None:
+            self._first_sent_at = now
+            self._next_probe_at = now + PROBE_INTERVAL_TARGETS * self.latency_target_ms
+        self._in_flight += cost
+        self._peak_in_flight = max(self._peak_in_flight, self._in_flight)
+
+    def ended(self, now: float, cost: float, elapsed_ms: float, accepted: bool) -> None:
+        """An item that was sent has ended; `accepted` is false where the engines rejected it."""
+        self._in_flight = max(0.0, self._in_flight - cost)
+        if accepted:
+            self._history.add(now, elapsed_ms, cost + self.small_item_cost)
+            self._recent.add(now, elapsed_ms, cost + self.small_item_cost)
+            self._served.add(now, cost, 1.0)
+        elif now >= self._growth_paused_until:
+            self.limit = max(self.min_limit, self.limit * REJECTION_FACTOR)
+            self._growth_paused_until = now + self.latency_target_ms / STEPS_PER_TARGET
+        if now >= self._next_step_at:
             self._step(now)
 
+    def expected_latency_ms(self, now: float, cost: float) -> float:
+        """The usual time that an item of this cost takes now; 0 while that is unknown."""
+        return self._recent.mean(now) * (cost + self.small_item_cost)
+
+    def throughput(self, now: float) -> float:
+        """Recent cost served per millisecond; 0 while that is unknown."""
+        count = self._served.count(now)
+        if not count:
+            return 0.0
+        # The newest bucket is half full in the mean.
+        whole_span_ms = SERVED_TARGETS * self.latency_target_ms * (1 - 0.5 / RECENT_BUCKETS)
+        since_first_ms = now - self._first_sent_at if self._first_sent_at is not None else 0.0
+        span_ms = min(whole_span_ms, since_first_ms)
+        return self._served.mean(now) * count / max(span_ms, self.latency_target_ms / RECENT_BUCKETS)
+
     def _step(self, now: float) -> None:
-        self.next_step = now + self.promised / BUCKETS
-        usual, shortest = self.lately.mean(now), self.times.least(now)
-        if self.cut < 1.0:
-            if now >= self.look_until:
-                self.cut = 1.0
+        self._next_step_at = now + self.latency_target_ms / STEPS_PER_TARGET
+        usual, shortest = self._recent.mean(now), self._history.least(now)
+        if self._probe_factor < 1.0:
+            if now >= self._probe_ends_at:
+                self._probe_factor = 1.0
             return
-        if now >= self.look_at and usual > 0:
-            self.cut = DRAIN * min(1.0, shortest / usual)
-            self.look_until, self.look_at = now + LOOK_FOR * self.promised, now + LOOK * SPAN * self.promised
+        if now >= self._next_probe_at and usual > 0:
+            self._start_probe(now, shortest / usual)
             return
         if usual > 0 and shortest > 0:
-            ratio = max(LEAST_RATIO, min(1.0, TOLERATED * shortest / usual))
-            if ratio < 1.0:
-                self.gain = 0.5
-                room = float((self.unit * self.limit) ** 0.5) * self.gain
-                self.limit = max(self.least, (self.limit + room) * ratio)
-            elif self.most_out >= USED * self.limit and now >= self.shrunk_until:
-                self.limit += float((self.unit * self.limit) ** 0.5) * self.gain
-        self.most_out = self.out
-
-    def rate(self, now: float) -> float:
-        """Cost served a millisecond, of late; 0 while nothing is known."""
-        whole = 2 * self.promised * (1 - 0.5 / BUCKETS)  # the newest bucket is half full, in the mean
-        span = min(whole, now - self.since) if self.since >= 0 else 0.0
-        count = self.served.count(now)
-        return self.served.mean(now) * count / max(span, self.promised / BUCKETS) if count else 0.0
+            self._adjust(now, shortest / usual)
+        self._peak_in_flight = self._in_flight
+
+    def _start_probe(self, now: float, latency_ratio: float) -> None:
+        self._probe_factor = PROBE_SHARE * min(1.0, latency_ratio)
+        self._probe_ends_at = now + PROBE_LENGTH_TARGETS * self.latency_target_ms
+        self._next_probe_at = now + PROBE_INTERVAL_TARGETS * self.latency_target_ms
+
+    def _adjust(self, now: float, latency_ratio: float) -> None:
+        """Moves the limit by the ratio of the shortest latency to the usual one."""
+        factor = max(MIN_STEP_FACTOR, min(1.0, TOLERATED_SLOWDOWN * latency_ratio))
+        if factor < 1.0:
+            self._gain = GAIN_AFTER_OVERSHOOT
+            self.limit = max(self.min_limit, (self.limit + self._growth()) * factor)
+        elif self._peak_in_flight >= MIN_USED_SHARE * self.limit and now >= self._growth_paused_until:
+            self.limit += self._growth()
+
+    def _growth(self) -> float:
+        return float((self.small_item_cost * self.limit) ** 0.5) * self._gain
--- a/worksmux/admission/controller.py
+++ b/worksmux/admission/controller.py
@@ -1,10 +1,13 @@
-"""The gate: takes, lets wait or turns away each call of a one-stage offering, and tells when it may go.
+"""The admission controller: admits, queues or rejects each request of a single-stage request class.
 
-Order of the checks, each for a failure of its own: brown-out (the front itself is short), repeats over their
-budget (storms), a wait that would not end in time (early refusal: nothing is spent on what comes too late),
-the bound of the line (at the expense of who has most waiting).  What waits goes by deficit round robin, first
-over offerings by credit, then over callers, as far as the offering's limit lets it.  A call that waited too
-long after all is turned away when its time has passed, never sent.
+The checks in their order, each against a failure of its own: load shedding (the gateway itself is short),
+the retry budget (retry storms), a wait that would not end in time (early rejection: nothing is spent on what
+comes too late), and the bound of the queue (at the expense of the caller with the most waiting).  Queued
+requests are admitted by deficit round robin, first over request classes by weight, then over callers, as far
+as the concurrency limit of their engines allows.  One that has waited too long after all is rejected, never
+sent.
+
+Costs are in tokens, times in milliseconds.
 """
 
 from __future__ import annotations
@@ -12,245 +15,310 @@
 import heapq
 from collections.abc import Hashable
 from dataclasses import dataclass, field
-from enum import Enum
+from enum import Enum, auto
 from typing import Any
 
 from ..policy.measure import Chance
-from .concurrency_limit import Limit
-from .fair_queue import Lines, Shared, Waiting
-from .overload import Brownout, Pressure
-from .retry_budget import Advice, Budget, Repeats
+from .concurrency_limit import ConcurrencyLimit
+from .fair_queue import DeficitRoundRobin, FairQueue, QueuedItem
+from .overload import LoadShedder, Pressure
+from .retry_budget import RejectionHistory, RetryAfterSchedule, RetryBudget
+
+MAX_SHARE_OF_TIME_LEFT = 0.8  # a request expected to take more of it is rejected
+SMALL_ITEM_SHARE = 1 / 4  # of the largest part's cost
+MAX_REMEMBERED_REJECTIONS = 100_000  # in a generation
 
-SAFE = 0.8  # of the time left: what is expected to take more is turned away
-UNIT = 1 / 4  # of the largest part: what counts as a small item
 
+class RejectReason(Enum):
+    """Why a request was rejected; the values stand in answers and metrics."""
 
-class Why(Enum):
-    """Why a call was turned away."""
+    GATEWAY_OVERLOADED = "the front itself is short"
+    RETRY_BUDGET_EMPTY = "too many repeats"
+    TOO_LATE = "it could not be served in time"
+    QUEUE_FULL = "the line is full"
+    DISPLACED = "others were served before it"
 
-    SHORT = "the front itself is short"
-    REPEATS = "too many repeats"
-    LATE = "it could not be served in time"
-    LINE = "the line is full"
-    CROWDED = "others were served before it"
 
+class RequestState(Enum):
+    NEW = auto()
+    QUEUED = auto()
+    ADMITTED = auto()
+    ENDED = auto()
 
-@dataclass(frozen=True)
-class Share:
-    """One offering at the gate; cost in tokens, times in milliseconds."""
+
+@dataclass(frozen=True, slots=True)
+class ClassSettings:
+    """One request class, as far as admission goes."""
 
     name: str
-    credit: float  # for a call of usual size
-    weight: float  # its share among offerings
-    largest: float  # the cost of the largest part
-    line: float  # cost that may wait
-    calls: int  # that may wait
-    promised: float
-    pool: str = ""  # offerings of one pool are carried by the same engines
-
-
-@dataclass(frozen=True)
-class GateSettings:
-    shares: list[Share]
-    repeat_ratio: float
-    repeat_burst: float
-    least_away: float
-    most_away: float
-    rise: float  # see Brownout
-    fall: float
+    value: float  # the credit for a request of usual size
+    weight: float  # its share of its pool
+    max_part_cost: float
+    max_queued_cost: float
+    max_queued_requests: int
+    latency_target_ms: float
+    pool: str = ""  # request classes of one pool are served by the same engines
+
+
+@dataclass(frozen=True, slots=True)
+class AdmissionSettings:
+    request_classes: list[ClassSettings]
+    retry_ratio: float  # retries per first attempt
+    retry_burst: float  # retries beyond the ratio
+    min_retry_after_ms: float
+    max_retry_after_ms: float
+    shed_rise_ms: float  # see LoadShedder
+    shed_fall_ms: float
 
 
 @dataclass(eq=False, slots=True)
-class Asked:
-    """One call at the gate."""
+class AdmissionRequest:
+    """One request; `item` is the caller's own and not looked at."""
 
     request_class: int
     caller: Hashable
     cost: float
-    arrived: float
-    promised_at: float
-    give_up_at: float
-    repeat: bool = False
-    body: int = 0  # a hash of who asks what
+    arrived_at: float
+    latency_target_at: float
+    deadline: float
+    is_retry: bool = False
+    content_hash: int = 0  # of the caller and the body
     item: Any = None
-    place: Waiting[Asked] | None = None
-    state: str = "new"  # waiting, out or over
+    queued: QueuedItem[AdmissionRequest] | None = None
+    state: RequestState = RequestState.NEW
 
     @property
-    def due(self) -> float:
+    def serve_by(self) -> float:
         """When it must be served, to be of use."""
-        return min(self.promised_at, self.give_up_at)
+        return min(self.latency_target_at, self.deadline)
 
 
-@dataclass(eq=False, slots=True)
-class Refused:
-    asked: Asked
-    why: Why
-    stay_away: float
+@dataclass(frozen=True, eq=False, slots=True)
+class Rejection:
+    request: AdmissionRequest
+    reason: RejectReason
+    retry_after_ms: float
 
 
 @dataclass(slots=True)
-class Step:
-    """What follows: calls that may go now, and calls turned away."""
+class AdmissionResult:
+    """What follows from an event: requests to send now, and requests to reject."""
 
-    go: list[Asked] = field(default_factory=list)
-    refused: list[Refused] = field(default_factory=list)
+    admitted: list[AdmissionRequest] = field(default_factory=list)
+    rejected: list[Rejection] = field(default_factory=list)
 
 
-class Pool:
-    """Offerings that are carried by the same engines: one limit, and turns among their lines."""
+class EnginePool:
+    """Request classes served by the same engines: one concurrency limit, shared among their queues."""
 
-    def __init__(self, request_classes: list[int], gate: Gate) -> None:
+    def __init__(
+        self,
+        request_classes: list[int],
+        settings: list[ClassSettings],
+        queues: list[FairQueue[AdmissionRequest]],
+    ) -> None:
+        """`settings` and `queues` are those of all request classes, `request_classes` the pool's own."""
         self.request_classes = request_classes
-        shares = [gate.shares[at] for at in request_classes]
-        largest = max(share.largest for share in shares)
-        self.limit = Limit(UNIT * largest, 2 * largest, min(share.promised for share in shares))
-        self.turns = Shared(
-            [gate.lines[at] for at in request_classes],
-            [share.weight for share in shares],
-            largest / min(share.weight for share in shares),
+        own = [settings[request_class] for request_class in request_classes]
+        largest = max(one.max_part_cost for one in own)
+        self.limit = ConcurrencyLimit(
+            SMALL_ITEM_SHARE * largest, 2 * largest, min(one.latency_target_ms for one in own)
         )
+        self._queue_of = {request_class: queues[request_class] for request_class in request_classes}
+        self._weight_of = {request_class: settings[request_class].weight for request_class in request_classes}
+        self._scheduler = DeficitRoundRobin(
+            [queues[request_class] for request_class in request_classes],
+            [one.weight for one in own],
+            largest / min(one.weight for one in own),
+        )
+
+    def queued_cost(self) -> float:
+        return sum(queue.cost for queue in self._scheduler.queues)
 
-    def waits(self) -> float:
-        return sum(line.cost for line in self.turns.lines)
+    def is_idle_for(self, cost: float) -> bool:
+        """Whether nothing waits and a request of this cost could be sent at once."""
+        return not self.queued_cost() and self.limit.allows(cost)
 
-    def ahead(self, gate: Gate, asked: Asked) -> float:
-        """About what is served before it: its own line's part, in the proportion of the lines' weights."""
-        own = gate.lines[asked.request_class].ahead(asked.caller, asked.cost)
-        busy = sum(
-            weight
-            for line, weight in zip(self.turns.lines, self.turns.weights, strict=True)
-            if line.count or line is gate.lines[asked.request_class]
+    def next_request(self) -> AdmissionRequest | None:
+        return self._scheduler.pop_if(self.limit.allows)
+
+    def expected_wait_ms(self, now: float, request: AdmissionRequest) -> float:
+        """Time in the queue and at the engine, by recent throughput; 0 while that is unknown."""
+        throughput = self.limit.throughput(now)
+        if throughput <= 0 or not self.queued_cost():
+            return 0.0
+        return self._cost_ahead(request) / throughput + self.limit.expected_latency_ms(now, request.cost)
+
+    def _cost_ahead(self, request: AdmissionRequest) -> float:
+        """About the cost served before it: its own queue's, in proportion to the weights of busy queues."""
+        own_queue = self._queue_of[request.request_class]
+        own_cost = own_queue.cost_ahead(request.caller, request.cost)
+        busy_weight = sum(
+            self._weight_of[request_class]
+            for request_class, queue in self._queue_of.items()
+            if queue.count or queue is own_queue
         )
-        return min(self.waits() + asked.cost, own * busy / gate.shares[asked.request_class].weight)
+        own_weight = self._weight_of[request.request_class]
+        return min(self.queued_cost() + request.cost, own_cost * busy_weight / own_weight)
 
 
-class Gate:
-    def __init__(self, settings: GateSettings, seed: int) -> None:
-        self.settings, self.chance = settings, Chance(seed)
-        self.shares = settings.shares
-        self.lines: list[Lines[Asked]] = [
-            Lines(share.largest, share.line, share.calls) for share in self.shares
+class AdmissionController:
+    """Takes events with their time, and returns what follows.
+
+    Request classes are numbered in the order of the settings.
+    """
+
+    def __init__(self, settings: AdmissionSettings, seed: int) -> None:
+        classes = settings.request_classes
+        self._random = Chance(seed)
+        self.queues: list[FairQueue[AdmissionRequest]] = [
+            FairQueue(one.max_part_cost, one.max_queued_cost, one.max_queued_requests) for one in classes
         ]
-        self.pools = [
-            Pool([at for at, share in enumerate(self.shares) if share.pool == name], self)
-            for name in dict.fromkeys(share.pool for share in self.shares)
+        pools = self._make_pools(classes)
+        self._pools = pools
+        self._pool_of = {number: pool for pool in pools for number in pool.request_classes}
+        self._retry_after = [
+            RetryAfterSchedule(settings.min_retry_after_ms, settings.max_retry_after_ms, seed + number + 1)
+            for number in range(len(classes))
         ]
-        self.pool_of = {at: pool for pool in self.pools for at in pool.request_classes}
-        self.advice = [
-            Advice(settings.least_away, settings.most_away, seed + at + 1) for at in range(len(self.shares))
+        self._budgets = [RetryBudget(settings.retry_ratio, settings.retry_burst) for _ in classes]
+        self.rejections = RejectionHistory(2 * settings.max_retry_after_ms, MAX_REMEMBERED_REJECTIONS)
+        self.shedder = LoadShedder(
+            [one.value for one in classes], settings.shed_rise_ms, settings.shed_fall_ms
+        )
+        self._expiries: list[tuple[float, int, AdmissionRequest]] = []  # a heap by `serve_by`
+        self._expiry_number = 0
+
+    def _make_pools(self, classes: list[ClassSettings]) -> list[EnginePool]:
+        names = dict.fromkeys(one.pool for one in classes)
+        return [
+            EnginePool(
+                [number for number, one in enumerate(classes) if one.pool == name], classes, self.queues
+            )
+            for name in names
         ]
-        self.budgets = [Budget(settings.repeat_ratio, settings.repeat_burst) for _ in self.shares]
-        self.repeats = Repeats(2 * settings.most_away, 100_000)
-        self.brownout = Brownout([share.credit for share in self.shares], settings.rise, settings.fall)
-        self.due: list[tuple[float, int, Asked]] = []  # when what waits is too late
-        self.order = 0
-
-    # What happens.
-
-    def arrived(self, now: float, asked: Asked) -> Step:
-        step, at = Step(), asked.request_class
-        line = self.lines[at]
-        if self.brownout.sheds(at, self.chance.share()):
-            return self._refuse(now, asked, Why.SHORT, step)
-        asked.repeat = asked.repeat or self.repeats.known(now, asked.body)
-        if not asked.repeat:
-            self.budgets[at].first()
-        elif not self._idle(asked) and not self.budgets[at].repeat():
-            return self._refuse(now, asked, Why.REPEATS, step)
-        if self._expected(now, asked) > SAFE * (asked.due - now):
-            return self._refuse(now, asked, Why.LATE, step)
-        place, pushed = line.put(asked.caller, asked, asked.cost)
-        for other in pushed:
-            self._refuse(now, other, Why.CROWDED, step)
-        if place is None:
-            return self._refuse(now, asked, Why.LINE, step)
-        asked.place, asked.state = place, "waiting"
-        self.order += 1
-        heapq.heappush(self.due, (asked.due, self.order, asked))
-        self._let_go(now, step, self.pool_of[at])
-        return step
-
-    def ended(self, now: float, asked: Asked, elapsed: float, good: bool) -> Step:
-        """What was let go has its final answer, or its client has left."""
-        step = Step()
-        if asked.state == "out":
-            asked.state = "over"
-            pool = self.pool_of[asked.request_class]
-            pool.limit.ended(now, asked.cost, elapsed, good)
-            self._let_go(now, step, pool)
-        return step
-
-    def left(self, asked: Asked) -> None:
-        """A client that waits hangs up."""
-        if asked.state == "waiting" and asked.place is not None:
-            self.lines[asked.request_class].drop(asked.caller, asked.place)
-            asked.state = "over"
-
-    def again(self, request_class: int) -> bool:
-        """Whether a part that failed may be sent again: it counts as a repeat like any other."""
-        pool = self.pool_of[request_class]
-        return not pool.waits() and pool.limit.fits(0.0) or self.budgets[request_class].repeat()
-
-    def is_short(self, request_class: int) -> bool:
-        """Whether the front's own shortage turns away a call that does not pass the gate otherwise: chat."""
-        return self.brownout.sheds(request_class, self.chance.share())
-
-    def pressed(self, now: float, pressure: Pressure) -> None:
-        self.brownout.note(now, pressure)
-
-    def tick(self, now: float) -> Step:
-        """Turns away what has waited too long."""
-        step = Step()
-        while self.due and (self.due[0][0] <= now or self.due[0][2].state != "waiting"):
-            asked = heapq.heappop(self.due)[2]
-            if asked.state == "waiting" and asked.place is not None:
-                self.lines[asked.request_class].drop(asked.caller, asked.place)
-                self._refuse(now, asked, Why.LATE, step)
-        for pool in self.pools:
-            self._let_go(now, step, pool)
-        return step
-
-    def next_time(self) -> float | None:
-        while self.due and self.due[0][2].state != "waiting":
-            heapq.heappop(self.due)
-        return self.due[0][0] if self.due else None
-
-    # What is decided.
-
-    def _idle(self, asked: Asked) -> bool:
-        """Whether it could go at once.  Guards against engines that stand idle while those who were turned
-        away once are turned away again and again: a repeat does harm only where others wait."""
-        pool = self.pool_of[asked.request_class]
-        return not pool.waits() and pool.limit.fits(asked.cost)
-
-    def _expected(self, now: float, asked: Asked) -> float:
-        """The wait in the line and the trip after it, by what is served of late; 0 while that is unknown."""
-        pool = self.pool_of[asked.request_class]
-        rate = pool.limit.rate(now)
-        if rate <= 0 or not pool.waits():
-            return 0.0
-        return pool.ahead(self, asked) / rate + self._attempt(now, asked)
 
-    def _attempt(self, now: float, asked: Asked) -> float:
-        """The usual time past the gate."""
-        limit = self.pool_of[asked.request_class].limit
-        return limit.lately.mean(now) * (asked.cost + limit.unit)
+    def arrived(self, now: float, request: AdmissionRequest) -> AdmissionResult:
+        """A request has come: it is admitted, queued or rejected, and may displace others."""
+        result = AdmissionResult()
+        reason = self._reason_to_reject(now, request)
+        if reason is not None:
+            self._reject(now, request, reason, result)
+            return result
+        queue = self.queues[request.request_class]
+        queued, displaced = queue.put(request.caller, request, request.cost)
+        for other in displaced:
+            self._reject(now, other, RejectReason.DISPLACED, result)
+        if queued is None:
+            self._reject(now, request, RejectReason.QUEUE_FULL, result)
+            return result
+        request.queued, request.state = queued, RequestState.QUEUED
+        self._expiry_number += 1
+        heapq.heappush(self._expiries, (request.serve_by, self._expiry_number, request))
+        self._admit(now, result, self._pool_of[request.request_class])
+        return result
+
+    def ended(
+        self, now: float, request: AdmissionRequest, elapsed_ms: float, accepted: bool
+    ) -> AdmissionResult:
+        """An admitted request has its final answer, or its client has disconnected.
+
+        `elapsed_ms` is the time since its admission; `accepted` is false where the engines rejected it.
+        """
+        result = AdmissionResult()
+        if request.state is RequestState.ADMITTED:
+            request.state = RequestState.ENDED
+            pool = self._pool_of[request.request_class]
+            pool.limit.ended(now, request.cost, elapsed_ms, accepted)
+            self._admit(now, result, pool)
+        return result
+
+    def client_disconnected(self, request: AdmissionRequest) -> None:
+        """Removes a request from its queue, if it waits there."""
+        if request.state is RequestState.QUEUED:
+            self._dequeue(request)
+            request.state = RequestState.ENDED
+
+    def may_retry(self, request_class: int) -> bool:
+        """Whether a failed part may be sent again: it takes from the retry budget like any other retry."""
+        is_idle = self._pool_of[request_class].is_idle_for(0.0)
+        return is_idle or self._budgets[request_class].try_retry()
+
+    def sheds(self, request_class: int) -> bool:
+        """Whether the gateway's own shortage rejects a request that is not queued here otherwise: chat."""
+        return self.shedder.sheds(request_class, self._random.share())
+
+    def update_pressure(self, now: float, pressure: Pressure) -> None:
+        """To be called regularly; see `LoadShedder.update`."""
+        self.shedder.update(now, pressure)
+
+    def tick(self, now: float) -> AdmissionResult:
+        """Rejects what has waited too long, and admits what may go by now."""
+        result = AdmissionResult()
+        while self._expiries and (self._expiries[0][0] <= now or not self._first_expiry_is_queued()):
+            request = heapq.heappop(self._expiries)[2]
+            if request.state is RequestState.QUEUED:
+                self._dequeue(request)
+                self._reject(now, request, RejectReason.TOO_LATE, result)
+        for pool in self._pools:
+            self._admit(now, result, pool)
+        return result
 
-    def _let_go(self, now: float, step: Step, pool: Pool) -> None:
-        while (asked := pool.turns.next(pool.limit.fits)) is not None:
-            if now + self._attempt(now, asked) / SAFE > asked.due:
-                self._refuse(now, asked, Why.LATE, step)  # guards against work that comes too late
+    def next_time(self) -> float | None:
+        """When `tick` should be called next."""
+        while self._expiries and not self._first_expiry_is_queued():
+            heapq.heappop(self._expiries)
+        return self._expiries[0][0] if self._expiries else None
+
+    def _first_expiry_is_queued(self) -> bool:
+        return self._expiries[0][2].state is RequestState.QUEUED
+
+    def _reason_to_reject(self, now: float, request: AdmissionRequest) -> RejectReason | None:
+        """The first check that a new request does not pass."""
+        if self.sheds(request.request_class):
+            return RejectReason.GATEWAY_OVERLOADED
+        request.is_retry = request.is_retry or self.rejections.contains(now, request.content_hash)
+        if not self._within_retry_budget(request):
+            return RejectReason.RETRY_BUDGET_EMPTY
+        pool = self._pool_of[request.request_class]
+        if pool.expected_wait_ms(now, request) > MAX_SHARE_OF_TIME_LEFT * (request.serve_by - now):
+            return RejectReason.TOO_LATE
+        return None
+
+    def _within_retry_budget(self, request: AdmissionRequest) -> bool:
+        """Whether a retry has a token, or needs none.
+
+        Failure: engines stand idle while callers that were rejected once are rejected again and again.  A
+        retry does harm only where others wait, so one that could be sent at once needs no token.
+        """
+        budget = self._budgets[request.request_class]
+        if not request.is_retry:
+            budget.first_attempt()
+            return True
+        return self._pool_of[request.request_class].is_idle_for(request.cost) or budget.try_retry()
+
+    def _admit(self, now: float, result: AdmissionResult, pool: EnginePool) -> None:
+        """Admits queued requests as far as the limit allows, and rejects those that would end too late."""
+        while (request := pool.next_request()) is not None:
+            expected_ms = pool.limit.expected_latency_ms(now, request.cost)
+            if now + expected_ms / MAX_SHARE_OF_TIME_LEFT > request.serve_by:
+                self._reject(now, request, RejectReason.TOO_LATE, result)
                 continue
-            asked.state = "out"
-            pool.limit.sent(now, asked.cost)
-            step.go.append(asked)
-
-    def _refuse(self, now: float, asked: Asked, why: Why, step: Step) -> Step:
-        asked.state = "over"
-        at = asked.request_class
-        self.repeats.refused(now, asked.body)
-        pool = self.pool_of[at]
-        away = self.advice[at].stay_away(now, asked.cost, pool.limit.rate(now), pool.waits())
-        step.refused.append(Refused(asked, why, away))
-        return step
+            request.state = RequestState.ADMITTED
+            pool.limit.sent(now, request.cost)
+            result.admitted.append(request)
+
+    def _dequeue(self, request: AdmissionRequest) -> None:
+        if request.queued is not None:
+            self.queues[request.request_class].remove(request.caller, request.queued)
+
+    def _reject(
+        self, now: float, request: AdmissionRequest, reason: RejectReason, result: AdmissionResult
+    ) -> None:
+        request.state = RequestState.ENDED
+        self.rejections.record(now, request.content_hash)
+        pool = self._pool_of[request.request_class]
+        retry_after_ms = self._retry_after[request.request_class].retry_after_ms(
+            now, request.cost, pool.limit.throughput(now), pool.queued_cost()
+        )
+        result.rejected.append(Rejection(request, reason, retry_after_ms))
--- a/worksmux/admission/fair_queue.py
+++ b/worksmux/admission/fair_queue.py
@@ -1,12 +1,12 @@
-"""Lines that are served by deficit round robin, so that each flow gets its share by cost.
+"""Fair queues served by deficit round robin: each flow gets its share of the service by cost.
 
-Source: Shreedhar and Varghese, "Efficient Fair Queuing using Deficit Round Robin" (1995).  A flow that waits
-gets a quantum each round, times its weight, and sends while its deficit pays.  No flow's service ever falls
-behind its ideal share by more than one quantum and one largest item.  Taking the next costs O(1): quanta are
-at least the largest item, so that each visit sends something.
+Source: Shreedhar and Varghese, "Efficient Fair Queuing using Deficit Round Robin" (1995).  A flow with items
+gets a quantum in each round, times its weight, and is served while its deficit pays.  No flow's service falls
+behind its ideal share by more than one quantum and one largest item.  Taking the next item costs O(1), as the
+quantum is at least the largest item, so that each visit serves one.
 
-The bound on what waits is kept at the expense of whoever has most waiting, so that a flood pushes its own
-items out and nobody else's.
+A full queue makes room at the expense of the flow with the most waiting, so a flood displaces its own items
+and nobody else's.
 """
 
 from __future__ import annotations
@@ -15,188 +15,215 @@
 from collections import OrderedDict, deque
 from collections.abc import Callable, Hashable
 from dataclasses import dataclass, field
-from typing import Generic, TypeVar
+from typing import Generic, NamedTuple, TypeVar
 
 T = TypeVar("T")
 
+MAX_HEAP_ENTRIES_PER_FLOW = 4  # beyond it, and the spare ones, the heap is built anew
+SPARE_HEAP_ENTRIES = 64
+RELATIVE_TOLERANCE = 1e-9  # of sums of fractions
+
 
 @dataclass(eq=False, slots=True)
-class Waiting(Generic[T]):
-    """One thing that waits; `cost` in whatever the shares are counted in."""
+class QueuedItem(Generic[T]):
+    """An item and its cost; `removed` once it was taken or removed, and is to be passed over."""
 
     item: T
     cost: float
-    out: bool = False  # it was dropped: passed over when its turn comes
+    removed: bool = False
+
+
+class PutResult(NamedTuple, Generic[T]):
+    """`queued` is None where the item was rejected; `displaced` are items that were removed for it."""
+
+    queued: QueuedItem[T] | None
+    displaced: list[T]
 
 
 @dataclass(eq=False, slots=True)
 class Flow(Generic[T]):
+    """The items of one key, in the order of their arrival."""
+
     key: Hashable
     weight: float = 1.0
     deficit: float = 0.0
-    waits: deque[Waiting[T]] = field(default_factory=deque)
-    cost: float = 0.0  # of all that waits and is not out
-    count: int = 0
-    fresh: bool = True  # its turn has just come: it has not had its quantum
-
-
-class Lines(Generic[T]):
-    """Lines of many flows.  `bound` is the most cost that may wait, `most` the most items."""
-
-    def __init__(self, quantum: float, bound: float, most: int) -> None:
-        self.quantum, self.bound, self.most = quantum, bound, most
-        self.flows: dict[Hashable, Flow[T]] = {}  # those with something waiting
-        self.round: OrderedDict[Hashable, None] = OrderedDict()
-        self.longest: list[tuple[float, int, Hashable]] = []  # by cost, the most first; checked at use
-        self.order = 0
+    items: deque[QueuedItem[T]] = field(default_factory=deque)
+    cost: float = 0.0  # of the items that are not removed
+    count: int = 0  # of the items that are not removed
+    gets_quantum: bool = True  # at its next visit: its last one is over
+
+    @property
+    def weighted_cost(self) -> float:
+        return self.cost / self.weight
+
+    def drop_removed_head(self) -> QueuedItem[T]:
+        """The first item that is not removed; there must be one."""
+        while self.items[0].removed:
+            self.items.popleft()
+        return self.items[0]
+
+    def drop_removed_tail(self) -> QueuedItem[T]:
+        """The last item that is not removed; there must be one."""
+        while self.items[-1].removed:
+            self.items.pop()
+        return self.items[-1]
+
+
+class FairQueue(Generic[T]):
+    """A queue of many flows, bounded by the cost and the count of what waits."""
+
+    def __init__(self, quantum: float, max_cost: float, max_items: int) -> None:
+        self.quantum, self.max_cost, self.max_items = quantum, max_cost, max_items
+        self.flows: dict[Hashable, Flow[T]] = {}  # those with items
         self.cost, self.count = 0.0, 0
+        self._round: OrderedDict[Hashable, None] = OrderedDict()  # the flow that is served comes first
+        self._heaviest_heap: list[tuple[float, int, Hashable]] = []  # entries are checked when used
+        self._heap_number = 0
 
-    def put(
-        self, key: Hashable, item: T, cost: float, weight: float = 1.0
-    ) -> tuple[Waiting[T] | None, list[T]]:
-        """The item's place, or None where it is turned away, and the items pushed out for it."""
-        pushed: list[T] = []
+    def put(self, key: Hashable, item: T, cost: float, weight: float = 1.0) -> PutResult[T]:
+        """Adds an item to the flow of `key`; rejects it where that flow itself has the most waiting."""
+        displaced: list[T] = []
         own = self.flows.get(key)
-        while self.cost + cost > self.bound or self.count >= self.most:
-            worst = self._heaviest()
-            if (
-                worst is None
-                or worst is own
-                or worst.cost / worst.weight <= ((own.cost if own else 0.0) + cost) / weight
-            ):
-                return None, pushed  # who has most waiting is the one who comes
-            last = worst.waits[-1]
-            while last.out:
-                worst.waits.pop()
-                last = worst.waits[-1]
-            self.drop(worst.key, last)
-            pushed.append(last.item)
+        while self.cost + cost > self.max_cost or self.count >= self.max_items:
+            heaviest = self._heaviest_flow()
+            own_weighted_cost = ((own.cost if own else 0.0) + cost) / weight
+            if heaviest is None or heaviest is own or heaviest.weighted_cost <= own_weighted_cost:
+                return PutResult(None, displaced)
+            last = heaviest.drop_removed_tail()
+            self.remove(heaviest.key, last)
+            displaced.append(last.item)
         if own is None or key not in self.flows:
             own = self.flows[key] = Flow(key)
-            self.round[key] = None
+            self._round[key] = None
         own.weight = weight
-        waiting = Waiting(item, cost)
-        own.waits.append(waiting)
+        queued = QueuedItem(item, cost)
+        own.items.append(queued)
         self._add(own, cost, 1)
-        return waiting, pushed
-
-    def _add(self, flow: Flow[T], cost: float, count: int) -> None:
-        flow.cost, flow.count = max(0.0, flow.cost + cost), flow.count + count
-        self.cost, self.count = max(0.0, self.cost + cost), self.count + count
-        if cost > 0:
-            self.order += 1
-            heapq.heappush(self.longest, (-flow.cost / flow.weight, self.order, flow.key))
-            if len(self.longest) > 64 and len(self.longest) > 4 * len(self.flows):
-                self._rebuild()
-        if not flow.count:
-            self.flows.pop(flow.key, None)
-            self.round.pop(flow.key, None)
-        if not self.count:  # sums of fractions start anew
-            self.cost = 0.0
+        return PutResult(queued, displaced)
 
-    def _rebuild(self) -> None:
-        self.longest = [
-            (-flow.cost / flow.weight, at, key) for at, (key, flow) in enumerate(self.flows.items())
-        ]
-        heapq.heapify(self.longest)
-
-    def _heaviest(self) -> Flow[T] | None:
-        """The flow with most waiting for its weight; entries that no longer hold are put right on the way."""
-        while self.longest:
-            noted, _, key = self.longest[0]
-            flow = self.flows.get(key)
-            if flow is not None and abs(-noted - flow.cost / flow.weight) <= 1e-9 * (1 - noted):
-                return flow
-            heapq.heappop(self.longest)
-            if flow is not None and -noted > flow.cost / flow.weight:
-                self.order += 1
-                heapq.heappush(self.longest, (-flow.cost / flow.weight, self.order, key))
-        return None
-
-    def drop(self, key: Hashable, waiting: Waiting[T]) -> None:
-        """Takes an item out of the line, wherever it stands."""
+    def remove(self, key: Hashable, queued: QueuedItem[T]) -> None:
+        """Removes an item, wherever it stands."""
         flow = self.flows.get(key)
-        if flow is not None and not waiting.out:
-            waiting.out = True
-            self._add(flow, -waiting.cost, -1)
+        if flow is not None and not queued.removed:
+            queued.removed = True
+            self._add(flow, -queued.cost, -1)
 
-    def next(self, fits: Callable[[float], bool]) -> T | None:
-        """The next item by turn, out of the line; None where nothing waits or what is next does not fit.
+    def pop_if(self, allows: Callable[[float], bool]) -> T | None:
+        """Takes the next item if `allows` its cost; None where nothing waits or it may not go yet.
 
-        What does not fit keeps its turn: else large items would starve behind small ones.
+        The next item keeps its turn where it may not go: else large items would starve behind small ones.
         """
         head = self.peek()
-        return self.take() if head is not None and fits(head.cost) else None
+        return self.pop() if head is not None and allows(head.cost) else None
 
-    def peek(self) -> Waiting[T] | None:
-        """Whose turn it is; the same until it is taken or dropped, or another flow's turn comes by that."""
-        while self.round:
-            key = next(iter(self.round))
+    def peek(self) -> QueuedItem[T] | None:
+        """The next item; it stays the next until it is taken or removed."""
+        while self._round:
+            key = next(iter(self._round))
             flow = self.flows[key]
-            if flow.fresh:
+            if flow.gets_quantum:
                 flow.deficit += self.quantum * flow.weight
-                flow.fresh = False
-            while flow.waits and flow.waits[0].out:
-                flow.waits.popleft()
-            head = flow.waits[0]
+                flow.gets_quantum = False
+            head = flow.drop_removed_head()
             if head.cost <= flow.deficit:
                 return head
-            flow.fresh = True  # its turn is over; what it saved, it keeps
-            self.round.move_to_end(key)
+            flow.gets_quantum = True  # the visit is over; the flow keeps its deficit
+            self._round.move_to_end(key)
         return None
 
-    def take(self) -> T | None:
-        """Takes the item whose turn it is."""
+    def pop(self) -> T | None:
+        """Takes the next item."""
         head = self.peek()
         if head is None:
             return None
-        flow = self.flows[next(iter(self.round))]
-        flow.waits.popleft()
-        head.out = True
+        flow = self.flows[next(iter(self._round))]
+        flow.items.popleft()
+        head.removed = True
         flow.deficit -= head.cost
         self._add(flow, -head.cost, -1)
         return head.item
 
-    def ahead(self, key: Hashable, cost: float, weight: float = 1.0) -> float:
-        """About how much is served before an item that comes now: each flow gets its share until then."""
+    def cost_ahead(self, key: Hashable, cost: float, weight: float = 1.0) -> float:
+        """About the cost served until an item that is put now has gone, with its own."""
         own = self.flows.get(key)
-        wanted = (own.cost if own else 0.0) + cost
-        return min(self.cost + cost, wanted / weight * max(1, len(self.flows) + (own is None)))
+        own_cost = (own.cost if own else 0.0) + cost
+        flow_count = max(1, len(self.flows) + (own is None))
+        return min(self.cost + cost, own_cost / weight * flow_count)
+
+    def _add(self, flow: Flow[T], cost: float, count: int) -> None:
+        """Adds to the sums of a flow and of the queue; negative for what leaves."""
+        flow.cost, flow.count = max(0.0, flow.cost + cost), flow.count + count
+        self.cost, self.count = max(0.0, self.cost + cost), self.count + count
+        if cost > 0:
+            self._push_heavy(flow)
+            if len(self._heaviest_heap) > max(
+                SPARE_HEAP_ENTRIES, MAX_HEAP_ENTRIES_PER_FLOW * len(self.flows)
+            ):
+                self._rebuild_heap()
+        if not flow.count:
+            self.flows.pop(flow.key, None)
+            self._round.pop(flow.key, None)
+        if not self.count:  # no rounding error is carried on
+            self.cost = 0.0
+
+    def _push_heavy(self, flow: Flow[T]) -> None:
+        self._heap_number += 1
+        heapq.heappush(self._heaviest_heap, (-flow.weighted_cost, self._heap_number, flow.key))
+
+    def _rebuild_heap(self) -> None:
+        self._heaviest_heap = [
+            (-flow.weighted_cost, number, key) for number, (key, flow) in enumerate(self.flows.items())
+        ]
+        heapq.heapify(self._heaviest_heap)
+
+    def _heaviest_flow(self) -> Flow[T] | None:
+        """The flow with the most waiting for its weight; outdated heap entries are corrected on the way."""
+        while self._heaviest_heap:
+            negative_cost, _, key = self._heaviest_heap[0]
+            noted = -negative_cost
+            flow = self.flows.get(key)
+            if flow is not None and abs(noted - flow.weighted_cost) <= RELATIVE_TOLERANCE * (1 + noted):
+                return flow
+            heapq.heappop(self._heaviest_heap)
+            if flow is not None and noted > flow.weighted_cost:
+                self._push_heavy(flow)
+        return None
 
 
-class Shared(Generic[T]):
-    """Several lines served from one capacity, by deficit round robin among them; see `Lines`."""
+class DeficitRoundRobin(Generic[T]):
+    """Several fair queues served from one capacity, in shares by their weights; see `FairQueue`."""
 
-    def __init__(self, lines: list[Lines[T]], weights: list[float], quantum: float) -> None:
-        self.lines, self.quantum = lines, quantum
-        self.weights = weights
-        self.deficits = [0.0] * len(lines)
-        self.at, self.fresh = 0, True
+    def __init__(self, queues: list[FairQueue[T]], weights: list[float], quantum: float) -> None:
+        self.queues, self.weights, self.quantum = queues, weights, quantum
+        self._deficits = [0.0] * len(queues)
+        self._current = 0
+        self._gets_quantum = True
 
-    def next(self, fits: Callable[[float], bool]) -> T | None:
-        """The next item of all lines, out of its line; None where nothing waits or the next does not fit."""
-        for _ in range(len(self.lines) * self._most_rounds()):
-            line = self.lines[self.at]
-            head = line.peek()
+    def pop_if(self, allows: Callable[[float], bool]) -> T | None:
+        """Takes the next item of all queues; None where nothing waits or the next may not go yet."""
+        for _ in range(len(self.queues) * self._max_rounds()):
+            queue, current = self.queues[self._current], self._current
+            head = queue.peek()
             if head is None:
-                self.deficits[self.at] = 0.0  # who asks for nothing saves nothing
+                self._deficits[current] = 0.0  # an empty queue saves nothing
             else:
-                if self.fresh:
-                    self.deficits[self.at] += self.quantum * self.weights[self.at]
-                    self.fresh = False
-                if head.cost <= self.deficits[self.at]:
-                    if not fits(head.cost):
+                if self._gets_quantum:
+                    self._deficits[current] += self.quantum * self.weights[current]
+                    self._gets_quantum = False
+                if head.cost <= self._deficits[current]:
+                    if not allows(head.cost):
                         return None
-                    self.deficits[self.at] -= head.cost
-                    return line.take()
-            self.at, self.fresh = (self.at + 1) % len(self.lines), True
+                    self._deficits[current] -= head.cost
+                    return queue.pop()
+            self._current = (current + 1) % len(self.queues)
+            self._gets_quantum = True
         return None
 
-    def _most_rounds(self) -> int:
-        """Rounds after which even the lightest line has saved up for its head."""
+    def _max_rounds(self) -> int:
+        """Rounds after which even the queue of the least weight has saved up for its next item."""
         heads = [
             head.cost / weight
-            for line, weight in zip(self.lines, self.weights, strict=True)
-            if (head := line.peek()) is not None
+            for queue, weight in zip(self.queues, self.weights, strict=True)
+            if (head := queue.peek()) is not None
         ]
         return 2 + int(max(heads, default=0.0) / self.quantum)
--- a/worksmux/admission/overload.py
+++ b/worksmux/admission/overload.py
@@ -1,25 +1,24 @@
-"""The front's own shortage: when its loop lags or its sockets or memory run out, it sheds what is worth
-least.
+"""Load shedding by the gateway's own shortage: a lagging event loop, or too many sockets or too much memory.
 
-Pressure is the worst of three ratios to their bounds.  A level rises while pressure is over one and falls,
-more slowly, once it is well under it; the level counts how many classes are shed, the cheapest first and each
-by degrees, and the dearest never wholly.  Rising is as fast as the loop's lag can do harm, falling so slow
-that what was shed does not come back all at once.
+Pressure is the worst of three ratios to their bounds.  The shedding level rises while pressure is over 1
+and falls, more slowly, once it is well under it.  The level counts the request classes that are shed: those
+of the least value first, each by degrees, and the most valuable one never wholly.  It rises as fast as a
+lagging loop does harm, and falls so slowly that what was shed does not come back all at once.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-OVER = 1.0  # pressure above which the level rises
-UNDER = 0.7  # and below which it falls
-DEAREST = 0.5  # of the dearest class is shed at most
-STEEP = 4.0  # a pressure so far over counts no more
+RAISE_ABOVE = 1.0  # pressure
+LOWER_BELOW = 0.7  # pressure
+MAX_EXCESS = 4.0  # pressure above the bound that still speeds up the rise
+MAX_SHED_OF_MOST_VALUABLE = 0.5  # share of its requests
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class Pressure:
-    """Each as a ratio to its bound."""
+    """The gateway's use of its resources, each as a ratio to its bound."""
 
     lag: float = 0.0
     sockets: float = 0.0
@@ -30,32 +29,38 @@
         return max(self.lag, self.sockets, self.memory)
 
 
-class Brownout:
-    """`worth` is the credit for a unit of cost of each class; `rise` and `fall` are the milliseconds in which
-    one class is shed wholly, at twice the bound, and let back in."""
+class LoadShedder:
+    """Decides which share of each request class is shed.
 
-    def __init__(self, worth: list[float], rise: float, fall: float) -> None:
-        order = sorted(range(len(worth)), key=lambda at: worth[at])
-        self.rank = {at: place for place, at in enumerate(order)}
-        self.most = len(worth) - 1 + DEAREST
-        self.rise, self.fall = rise, fall
-        self.level = 0.0
-        self.at: float | None = None
+    Args:
+        values: the credit for a unit of cost, by request class.
+        rise_ms: the time in which one class comes to be shed wholly, at twice the bound.
+        fall_ms: the time in which it is accepted again.
+    """
 
-    def note(self, now: float, pressure: Pressure) -> None:
-        """What was measured; to be told regularly."""
-        passed = 0.0 if self.at is None else max(0.0, now - self.at)
-        self.at = now
+    def __init__(self, values: list[float], rise_ms: float, fall_ms: float) -> None:
+        by_value = sorted(range(len(values)), key=lambda request_class: values[request_class])
+        self._rank = {request_class: rank for rank, request_class in enumerate(by_value)}
+        self._max_level = len(values) - 1 + MAX_SHED_OF_MOST_VALUABLE
+        self._rise_ms, self._fall_ms = rise_ms, fall_ms
+        self._updated_at: float | None = None
+        self.level = 0.0  # request classes that are shed, with fractions
+
+    def update(self, now: float, pressure: Pressure) -> None:
+        """Moves the level by the time since the last call; to be called regularly."""
+        elapsed_ms = 0.0 if self._updated_at is None else max(0.0, now - self._updated_at)
+        self._updated_at = now
         worst = pressure.worst
-        if worst > OVER:
-            self.level = min(self.most, self.level + passed / self.rise * min(STEEP, worst - OVER))
-        elif worst < UNDER:
-            self.level = max(0.0, self.level - passed / self.fall)
-
-    def shed_share(self, at: int) -> float:
-        """The part of a class that is turned away."""
-        return min(1.0, max(0.0, self.level - self.rank[at]))
-
-    def sheds(self, at: int, luck: float) -> bool:
-        """`luck` is a draw from 0 to 1."""
-        return self.level > 0 and luck < self.shed_share(at)
+        if worst > RAISE_ABOVE:
+            excess = min(MAX_EXCESS, worst - RAISE_ABOVE)
+            self.level = min(self._max_level, self.level + elapsed_ms / self._rise_ms * excess)
+        elif worst < LOWER_BELOW:
+            self.level = max(0.0, self.level - elapsed_ms / self._fall_ms)
+
+    def shed_share(self, request_class: int) -> float:
+        """The share of the class's requests that is shed, 0 to 1."""
+        return min(1.0, max(0.0, self.level - self._rank[request_class]))
+
+    def sheds(self, request_class: int, draw: float) -> bool:
+        """Whether one request is shed; `draw` is a random number from 0 to 1."""
+        return self.level > 0 and draw < self.shed_share(request_class)
--- a/worksmux/admission/retry_budget.py
+++ b/worksmux/admission/retry_budget.py
@@ -1,78 +1,94 @@
-"""Attempts that are made again: known as such, kept to a ratio of first ones, and told when to come back.
+"""Retries: recognized, kept to a ratio of first attempts, and spread by the Retry-After they are given.
 
-Guards against retry storms: clients and fronts that repeat what failed add load when there is too much of it,
-and keep a fleet down after the cause has gone.  A repeat pays from what first attempts have earned; who finds
-nothing earned is told a time to come back at, taken from a schedule that fills at the rate at which work is
-really done, so that those turned away together do not come back together.
+Failure: a retry storm.  Clients and gateways that repeat what failed add load when there is too much of it,
+and keep the fleet down after the cause has gone.  A retry pays from what first attempts have earned.  Those
+that are rejected get a Retry-After from a schedule that fills at the rate at which work is really served, so
+those rejected together do not return together.
 """
 
 from __future__ import annotations
 
 from ..policy.measure import Chance
 
-SPREAD = 0.5  # of the wait that chance adds
+JITTER_SHARE = 0.5  # of the wait that is added at random
+MAX_FACTOR_AT_UNKNOWN_RATE = 3  # times the least wait
 
 
-class Repeats:
-    """Knows an attempt by the hash of who asks what, over the last `span` milliseconds, in two generations of
-    at most `most` each."""
+class RejectionHistory:
+    """Recognizes a retry by the hash of caller and body, whatever its client says about it.
 
-    def __init__(self, span: float, most: int) -> None:
-        self.span, self.most = span, most
-        self.young: set[int] = set()
-        self.old: set[int] = set()
-        self.turned_at = 0.0
+    Kept in two generations of `generation_ms` and at most `max_keys` each: a key is known for at least one
+    generation's time after its rejection, unless many follow.
+    """
 
-    def _turn(self, now: float) -> None:
-        if now >= self.turned_at + self.span or len(self.young) >= self.most:
-            self.old = self.young if now < self.turned_at + 2 * self.span else set()
-            self.young, self.turned_at = set(), now
+    def __init__(self, generation_ms: float, max_keys: int) -> None:
+        self._generation_ms, self._max_keys = generation_ms, max_keys
+        self._current: set[int] = set()
+        self._previous: set[int] = set()
+        self._current_since = 0.0
 
-    def refused(self, now: float, key: int) -> None:
-        self._turn(now)
-        self.young.add(key)
+    def __len__(self) -> int:
+        return len(self._current) + len(self._previous)
 
-    def known(self, now: float, key: int) -> bool:
-        """Whether it was refused before, whatever its client says."""
-        self._turn(now)
-        return key in self.young or key in self.old
+    def record(self, now: float, key: int) -> None:
+        """A request was rejected."""
+        self._start_generation_if_due(now)
+        self._current.add(key)
 
+    def contains(self, now: float, key: int) -> bool:
+        """Whether the same request was rejected before."""
+        self._start_generation_if_due(now)
+        return key in self._current or key in self._previous
 
-class Budget:
-    """First attempts earn `ratio` of one repeat each, up to `most`; a repeat spends one.  In any span the
-    repeats are no more than `ratio` of the first ones, and `most`."""
+    def _start_generation_if_due(self, now: float) -> None:
+        if now < self._current_since + self._generation_ms and len(self._current) < self._max_keys:
+            return
+        is_recent = now < self._current_since + 2 * self._generation_ms
+        self._previous = self._current if is_recent else set()
+        self._current, self._current_since = set(), now
 
-    def __init__(self, ratio: float, most: float) -> None:
-        self.ratio, self.most = ratio, most
-        self.earned = most
 
-    def first(self) -> None:
-        self.earned = min(self.most, self.earned + self.ratio)
+class RetryBudget:
+    """A token bucket that first attempts fill and retries empty.
 
-    def repeat(self) -> bool:
-        if self.earned < 1.0:
+    In any span of time there are no more retries than `ratio` times the first attempts, plus `max_tokens`.
+    """
+
+    def __init__(self, ratio: float, max_tokens: float) -> None:
+        self._ratio, self._max_tokens = ratio, max_tokens
+        self._tokens = max_tokens
+
+    def first_attempt(self) -> None:
+        self._tokens = min(self._max_tokens, self._tokens + self._ratio)
+
+    def try_retry(self) -> bool:
+        """Takes a token; False where there is none."""
+        if self._tokens < 1.0:
             return False
-        self.earned -= 1.0
+        self._tokens -= 1.0
         return True
 
 
-class Advice:
-    """When those turned away should come back.  `longest` milliseconds at most, `least` at the least."""
-
-    def __init__(self, least: float, longest: float, seed: int) -> None:
-        self.least, self.longest = least, longest
-        self.chance = Chance(seed)
-        self.free_at = 0.0  # until then the schedule is taken
-
-    def stay_away(self, now: float, cost: float, rate: float, backlog: float) -> float:
-        """Milliseconds.  `rate` is what is served in a millisecond, `backlog` what waits already; without a
-        rate, chance alone spreads the returns."""
-        if rate <= 0:
-            return self.least * (1 + 2 * self.chance.share())
-        drained = now + backlog / rate
-        self.free_at = max(self.free_at, drained) + cost / rate
-        if self.free_at > now + self.longest:  # more than comes back in time: over the whole of it
-            self.free_at = now + self.longest
-            return self.least + (self.longest - self.least) * self.chance.share()
-        wait = self.free_at - now
-        return min(self.longest, max(self.least, wait) * (1 + SPREAD * self.chance.share()))
+class RetryAfterSchedule:
+    """Tells rejected requests when to return, between `min_ms` and `max_ms` from now."""
+
+    def __init__(self, min_ms: float, max_ms: float, seed: int) -> None:
+        self._min_ms, self._max_ms = min_ms, max_ms
+        self._random = Chance(seed)
+        self._booked_until = 0.0
+
+    def retry_after_ms(self, now: float, cost: float, throughput: float, backlog: float) -> float:
+        """Books a place in the schedule and returns the wait until it.
+
+        `throughput` is the cost served per millisecond, `backlog` the cost that waits already; while the
+        throughput is unknown, the returns are spread at random alone.
+        """
+        if throughput <= 0:
+            return self._min_ms * (1 + (MAX_FACTOR_AT_UNKNOWN_RATE - 1) * self._random.share())
+        backlog_served_at = now + backlog / throughput
+        self._booked_until = max(self._booked_until, backlog_served_at) + cost / throughput
+        if self._booked_until > now + self._max_ms:  # the schedule is full: anywhere in it
+            self._booked_until = now + self._max_ms
+            return self._min_ms + (self._max_ms - self._min_ms) * self._random.share()
+        wait_ms = max(self._min_ms, self._booked_until - now)
+        return min(self._max_ms, wait_ms * (1 + JITTER_SHARE * self._random.share()))
--- a/worksmux/gateway/clients.py
+++ b/worksmux/gateway/clients.py
@@ -148,7 +148,7 @@
             self.core.metrics.turned_away("bad job")
             exchange.answer(bad.status, bad.body)
             return
-        if self.vectors is not None and self.vectors.gate.is_short(asked.request_class):
+        if self.vectors is not None and self.vectors.gate.sheds(asked.request_class):
             self.core.metrics.turned_away("the front itself is short")
             return self._no(
                 exchange, 503, "the front itself is short; come back later", "server_error", "deferred", away
--- a/worksmux/gateway/load_monitor.py
+++ b/worksmux/gateway/load_monitor.py
@@ -7,7 +7,7 @@
 
 import structlog
 
-from ..admission.controller import Gate
+from ..admission.controller import AdmissionController
 from ..admission.overload import Pressure
 from ..net import clock
 from ..net.loop import Reactor
@@ -32,7 +32,12 @@
     """`sockets` counts what is open."""
 
     def __init__(
-        self, reactor: Reactor, gate: Gate, bounds: Admission, metrics: Metrics, sockets: Callable[[], int]
+        self,
+        reactor: Reactor,
+        gate: AdmissionController,
+        bounds: Admission,
+        metrics: Metrics,
+        sockets: Callable[[], int],
     ) -> None:
         self.reactor, self.gate, self.bounds, self.metrics, self.sockets = (
             reactor,
@@ -63,8 +68,8 @@
             self.sockets() / self.bounds.sockets,
             resident() / self.bounds.memory,
         )
-        self.gate.pressed(now, pressure)
-        level = self.gate.brownout.level
+        self.gate.update_pressure(now, pressure)
+        level = self.gate.shedder.level
         self.metrics.brownout(level, self.lag)
         if (level > 0) != self.shedding:
             self.shedding = level > 0
--- a/worksmux/gateway/serve.py
+++ b/worksmux/gateway/serve.py
@@ -9,7 +9,7 @@
 import msgspec
 import structlog
 
-from ..admission.controller import Gate, GateSettings, Share
+from ..admission.controller import AdmissionController, AdmissionSettings, ClassSettings
 from ..api import chat
 from ..baselines import POLICIES
 from ..forwarding.log_setup import Writer, set_up
@@ -54,14 +54,16 @@
     ]
 
 
-def gate_settings(settings: FrontSettings, bounds: Admission) -> GateSettings:
+def gate_settings(settings: FrontSettings, bounds: Admission) -> AdmissionSettings:
     """The gate's shares: those of chat come first, for the front's own shortage alone."""
     shares = [
-        Share(one.name, one.credit, one.share, float(bounds.load_tokens), 0.0, 0, one.promised_time, "chat")
+        ClassSettings(
+            one.name, one.credit, one.share, float(bounds.load_tokens), 0.0, 0, one.promised_time, "chat"
+        )
         for one in settings.request_classes
     ]
     shares += [
-        Share(
+        ClassSettings(
             one.name,
             one.credit,
             one.share,
@@ -74,7 +76,7 @@
         for lane in settings.lanes
         for one in lane.request_classes
     ]
-    return GateSettings(
+    return AdmissionSettings(
         shares,
         bounds.repeat_ratio,
         bounds.repeat_burst,
@@ -136,7 +138,7 @@
             for at, one in enumerate(settings.lanes)
         }
         self.core.lanes = list(lanes.values())
-        gate = Gate(gate_settings(settings, bounds), seed)
+        gate = AdmissionController(gate_settings(settings, bounds), seed)
         self.clients.vectors = VectorSide(
             self.core, lanes, gate, bounds, len(settings.request_classes), self.tokens
         )
--- a/worksmux/gateway/vectors.py
+++ b/worksmux/gateway/vectors.py
@@ -13,8 +13,13 @@
 import structlog
 import xxhash
 
-from ..admission.controller import Asked, Gate, Refused
-from ..admission.controller import Step as GateStep
+from ..admission.controller import (
+    AdmissionController,
+    AdmissionRequest,
+    AdmissionResult,
+    Rejection,
+    RequestState,
+)
 from ..api import chat, embeddings, errors, rerank
 from ..batching.planner import Bounds, Call, Done, How, Load, Planner
 from ..batching.planner import Step as PlanStep
@@ -94,7 +99,7 @@
         self.sent = self.arrived  # past the gate
         self.request_id = exchange.header(chat.REQUEST_ID) or ""
         self.tokens = 0.0
-        self.gate: Asked | None = None
+        self.gate: AdmissionRequest | None = None
         self.call: Call | None = None
         self.guard: Any = None
         self.prompt: Prompt | None = None  # while its length is counted
@@ -171,7 +176,7 @@
         self,
         core: PublishedCore,
         lanes: dict[str, Lane],
-        gate: Gate,
+        gate: AdmissionController,
         bounds: Admission,
         first: int,
         tokens: TokenService | None = None,
@@ -184,7 +189,7 @@
             for at, one in enumerate(lane.settings.request_classes):
                 self.request_classes[lane.settings.call, one.name] = first, at, one
                 first += 1
-        self.planner = Planner(lambda call: gate.again(call.item.gate.request_class))
+        self.planner = Planner(lambda call: gate.may_retry(call.item.gate.request_class))
         self.loads = {
             "embeddings": Bounds(bounds.load_tokens, bounds.load_inputs),
             "rerank": Bounds(bounds.load_tokens, bounds.load_inputs, join=False),
@@ -251,7 +256,7 @@
         promised = now + request_class.promised_time + request_class.promised_per_k * cost / 1000
         who = xxhash.xxh3_64_intdigest(f"{call}\0{caller}\0".encode("utf-8", "surrogatepass") + body)
         repeats = exchange.header(chat.REPEAT) or ""
-        one.gate = Asked(
+        one.gate = AdmissionRequest(
             number,
             caller,
             cost,
@@ -259,8 +264,8 @@
             promised,
             promised,
             item=one,
-            body=who,
-            repeat=repeats.isdigit() and int(repeats) > 0,
+            content_hash=who,
+            is_retry=repeats.isdigit() and int(repeats) > 0,
         )
         one.call = Call(
             asked.costs,
@@ -285,8 +290,10 @@
 
     def _take(self, one: One, left: float) -> None:
         assert one.gate is not None and one.call is not None
-        one.gate.give_up_at = one.call.give_up_at = one.arrived + left
-        one.call.promised_at = one.gate.promised_at = min(one.gate.promised_at, one.arrived + left)
+        one.gate.deadline = one.call.give_up_at = one.arrived + left
+        one.call.promised_at = one.gate.latency_target_at = min(
+            one.gate.latency_target_at, one.arrived + left
+        )
         self.open[one] = None
         self.core.metrics.arrived(one.request_class.name)
         slack = float(self.core.settings.module["answer_slack"])
@@ -304,10 +311,10 @@
 
     # What follows from gate and planner.
 
-    def _gate(self, step: GateStep) -> None:
-        for refused in step.refused:
+    def _gate(self, step: AdmissionResult) -> None:
+        for refused in step.rejected:
             self._refused(refused)
-        for asked in step.go:
+        for asked in step.admitted:
             one: One = asked.item
             if not one.how:
                 one.sent = clock.now()
@@ -418,16 +425,16 @@
         )
         self._final(one, "broken off")
 
-    def _refused(self, refused: Refused) -> None:
-        one: One = refused.asked.item
+    def _refused(self, refused: Rejection) -> None:
+        one: One = refused.request.item
         if not one.how:
-            self.core.metrics.turned_away(refused.why.value)
+            self.core.metrics.turned_away(refused.reason.value)
             self._busy(
                 one.exchange,
                 429,
-                f"turned away: {refused.why.value}; come back later",
+                f"turned away: {refused.reason.value}; come back later",
                 "deferred",
-                refused.stay_away,
+                refused.retry_after_ms,
                 one.tags,
             )
             self._final(one, "deferred")
@@ -465,8 +472,8 @@
         if not one.call.over:
             self._plan(self.planner.left(one.call))
         good = how in ("delivered", "left", "bad input")
-        if one.gate.state == "waiting":
-            self.gate.left(one.gate)
+        if one.gate.state is RequestState.QUEUED:
+            self.gate.client_disconnected(one.gate)
         else:
             self._gate(self.gate.ended(now, one.gate, now - one.sent, good))
         LOG.info(
