--- a/tests/test_attempt_calls.py
+++ b/tests/test_attempt_calls.py
@@ -9,8 +9,7 @@
 
 from worksmux.api import chat
 from worksmux.api.events import DONE, event
-from worksmux.gateway import attempts as carriers
-from worksmux.gateway.attempts import Reading, Writing
+from worksmux.gateway.attempts import DecodeCall, EngineCall, PrefillCall
 from worksmux.net import client, clock
 from worksmux.policy.state import Attempt, Engine, Outcome, Request
 
@@ -37,7 +36,7 @@
         self.events.append((outcome, note))
 
 
-def attempt_call(kind: type[carriers.Carrier]) -> tuple[Any, RecordingListener]:
+def attempt_call(kind: type[EngineCall]) -> tuple[Any, RecordingListener]:
     listener = RecordingListener()
     request = Request(1, 0, 0, 0, 1.0, 0.0, 1.0, 0.0, 1.0)
     return kind(
@@ -70,7 +69,7 @@
 def test_outcome_follows_from_status_and_body(
     status: int, pieces: list[bytes], outcome: Outcome, note: int
 ) -> None:
-    one, listener = attempt_call(Writing)
+    one, listener = attempt_call(DecodeCall)
     one.head(status, {"content-type": "text/event-stream" if status == 200 else "application/json"})
     for data in pieces:
         one.piece(data)
@@ -90,14 +89,14 @@
     ],
 )
 def test_outcome_follows_from_connection_error(error: client.CallError, outcome: Outcome) -> None:
-    one, listener = attempt_call(Reading)
+    one, listener = attempt_call(PrefillCall)
     one.failed(error)
     one.cancel()
     assert listener.events == [(outcome, 0)]
 
 
 def test_prefill_returns_handle_and_cached_tokens() -> None:
-    one, listener = attempt_call(Reading)
+    one, listener = attempt_call(PrefillCall)
     one.head(200, {})
     one.piece(
         msgspec.json.encode(
@@ -106,7 +105,7 @@
     )
     one.done()
     assert listener.events == [(Outcome.READ, 4)]
-    two, listener = attempt_call(Reading)
+    two, listener = attempt_call(PrefillCall)
     two.head(200, {})
     two.piece(b'{"choices": []}')  # an answer without a handle is none
     two.done()
@@ -114,7 +113,7 @@
 
 
 def test_stalled_stream_times_out() -> None:
-    one, listener = attempt_call(Writing)
+    one, listener = attempt_call(DecodeCall)
     one.head(200, {"content-type": "text/event-stream"})
     one.piece(CHUNK)
     one.last = clock.now() - 60
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -332,13 +332,13 @@
 
 def test_front_whose_loop_lags_sheds_the_cheapest_and_says_so(tmp_path: Path) -> None:
     rig, asker = rigged(tmp_path)
-    watchman = rig.fronts[0].watchman
-    assert watchman is not None
+    monitor = rig.fronts[0].load_monitor
+    assert monitor is not None
 
     def late() -> None:
         now = clock.now()
         for step in range(40):  # as if each look had come far too late
-            watchman.gate.update_pressure(now + 20_000.0 * step, Pressure(lag=3.0))
+            monitor.admission.update_pressure(now + 20_000.0 * step, Pressure(lag=3.0))
         for at in range(20):
             asker.embed(at, f"text {at}")
         asker.ask(
@@ -351,9 +351,9 @@
     embedded = [asker.replies[at] for at in range(20)]
     assert {reply[0] for reply in embedded} == {429}
     assert "short" in embedded[0][2]["error"]["message"] and "retry-after" in embedded[0][1]
-    watchman.gate.update_pressure(clock.now() + 1e9, Pressure())
-    watchman.gate.update_pressure(clock.now() + 2e9, Pressure())
-    assert watchman.gate.shedder.level == 0.0
+    monitor.admission.update_pressure(clock.now() + 1e9, Pressure())
+    monitor.admission.update_pressure(clock.now() + 2e9, Pressure())
+    assert monitor.admission.shedder.level == 0.0
 
 
 def test_front_that_stops_finishes_its_calls_first(tmp_path: Path) -> None:
--- a/worksmux/gateway/attempts.py
+++ b/worksmux/gateway/attempts.py
@@ -1,7 +1,7 @@
-"""Carries one trip over a connection and reports how it went.  `docs/outcomes.md` has the table of outcomes.
+"""The calls of one attempt at an engine: prefill and decode over HTTP, and the outcome of each.
 
-Each outcome comes about in exactly one way; whatever an engine sends that makes no sense is an error of that
-trip.
+`docs/outcomes.md` has the table of outcomes.  Each comes about in exactly one way; a response that makes no
+sense is an error of that attempt.
 """
 
 from __future__ import annotations
@@ -18,70 +18,84 @@
 from ..net import client
 from ..policy.state import Outcome
 
+OK = 200
+TOO_MANY_REQUESTS = 429
+STREAM_END = b"[DONE]"
+DECODE_ERRORS = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
 
-def refusal(status: int, body: bytes) -> tuple[Outcome, int]:
-    """How a whole reply without an answer ended: 429 is full, told apart by its code; all else is an
-    error."""
-    if status != 429:
+
+def rejection_outcome(status: int, body: bytes) -> tuple[Outcome, int]:
+    """The outcome of a whole response that is no answer, and a note: 1 where the engine lost its KV cache.
+
+    429 means that the engine is full; any other status is an error.
+    """
+    if status != TOO_MANY_REQUESTS:
         return Outcome.ERROR, 0
     return Outcome.FULL, int(code_of(body) == calls.STATE_LOST)
 
 
-class Carrier(Carriage):
+class EngineCall(Carriage):
+    """One HTTP request to an engine."""
+
     def send(self, headers: client.Headers, body: bytes) -> None:
         self.call = self.pool.call("POST", calls.CHAT, self, headers, body)
 
     def _refusal(self) -> tuple[Outcome, int]:
-        return refusal(self.status, bytes(self.body))
+        return rejection_outcome(self.status, bytes(self.body))
 
     def _report(self) -> dict[str, float] | None:
         return calls.load_report(self.headers.get(calls.LOAD))
 
 
-class Reading(Carrier):
-    """A trip to a reader: ends as READ with the handle of the state, and the tokens that were found kept."""
+class PrefillCall(EngineCall):
+    """Ends as READ with the handle of the KV cache, and the count of tokens that were found cached."""
 
     def done(self) -> None:
-        if self.status != 200:
+        if self.status != OK:
             return super().done()
         try:
             reply = READ_REPLY.decode(bytes(self.body))
-        except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
+        except DECODE_ERRORS:
             return self._end(Outcome.ERROR)
-        self._end(Outcome.READ, reply.usage.cached if reply.usage else 0, reply.kv_transfer_params)
+        cached_tokens = reply.usage.cached if reply.usage else 0
+        self._end(Outcome.READ, cached_tokens, reply.kv_transfer_params)
 
 
-class Writing(Streaming, Carrier):
-    """A trip to what answers: a stream of events that ends with a finish reason and [DONE]."""
+class DecodeCall(Streaming, EngineCall):
+    """A stream of events that ends with a finish reason and `[DONE]`."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self.events = Events(self.bound)
-        self.finish = ""
-        self.usage = Usage()
+        self._events = Events(self.bound)
+        self._finish_reason = ""
+        self._usage = Usage()
 
     def _stream(self, data: bytes) -> None:
         try:
-            for event in self.events.feed(data):
+            for event in self._events.feed(data):
                 self._event(event)
                 if self.over:
                     return
-        except (TooLong, msgspec.DecodeError, UnicodeDecodeError, RecursionError):
+        except (TooLong, *DECODE_ERRORS):
             self._end(Outcome.ERROR)
 
     def _event(self, data: bytes) -> None:
-        if data == b"[DONE]":
-            if not (self.finish and self.attempt.began):
-                return self._end(Outcome.ERROR)  # an end without an answer
-            return self._end(Outcome.DELIVERED, self.usage.cached, (self.finish, self.usage))
+        if data == STREAM_END:
+            return self._end_of_stream()
         chunk = READ_CHUNK.decode(data)
         if chunk.usage is not None:
-            self.usage = chunk.usage
+            self._usage = chunk.usage
         for choice in chunk.choices:
             content = choice.delta.content if choice.delta else None
             if content:
                 self._pass_on(content)
-            self.finish = choice.finish_reason or self.finish
+            self._finish_reason = choice.finish_reason or self._finish_reason
+
+    def _end_of_stream(self) -> None:
+        if self._finish_reason and self.attempt.began:
+            self._end(Outcome.DELIVERED, self._usage.cached, (self._finish_reason, self._usage))
+        else:
+            self._end(Outcome.ERROR)  # an end without an answer
 
     def _stream_over(self) -> None:
-        self._end(Outcome.ERROR)  # the reply ended cleanly, yet without [DONE]
+        self._end(Outcome.ERROR)  # the response ended without [DONE]
--- a/worksmux/gateway/chat_engine_client.py
+++ b/worksmux/gateway/chat_engine_client.py
@@ -15,7 +15,7 @@
 from ..policy.id_map import Door
 from ..policy.state import Attempt, Engine, Outcome, Request
 from ..settings.front import FrontSettings
-from . import attempts as carriers
+from .attempts import DecodeCall, EngineCall, PrefillCall, rejection_outcome
 from .metrics import Metrics
 
 PATIENT = 20  # times the tries that a release has: what lies cut off for longer ends by its lease
@@ -71,11 +71,11 @@
 
     # Trips.
 
-    def _carry(self, case: Case, attempt: Attempt, pool: client.Pool, time_out: float) -> carriers.Carrier:
+    def _carry(self, case: Case, attempt: Attempt, pool: client.Pool, time_out: float) -> EngineCall:
         if case.place is not None and case.place is not attempt.engine and not attempt.reading:
             self._let_go(case, case.place)  # a send to another writer gives the place up
         transport, asked = self.settings.transport, case.asked
-        make = carriers.Reading if attempt.reading else carriers.Writing
+        make = PrefillCall if attempt.reading else DecodeCall
         carrier = make(self.reactor, pool, attempt, self, time_out, transport.stream_silence, transport.reply)
         headers = [
             ("Content-Type", "application/json"),
@@ -111,7 +111,7 @@
         self, status: int, headers: dict[str, str], reply: bytes
     ) -> tuple[Outcome, dict[str, float] | None]:
         if status != 200:
-            return carriers.refusal(status, reply)[0], None
+            return rejection_outcome(status, reply)[0], None
         return Outcome.DELIVERED, calls.load_report(headers.get(calls.LOAD))
 
     def _hold(self, request: Request, engine: Engine) -> None:
--- a/worksmux/gateway/load_monitor.py
+++ b/worksmux/gateway/load_monitor.py
@@ -1,4 +1,4 @@
-"""Watches the front itself: how late its loop is, its sockets and its memory, told to the gate regularly."""
+"""Measures the gateway's own load and reports it to the admission controller at regular intervals."""
 
 from __future__ import annotations
 
@@ -15,70 +15,79 @@
 from .metrics import Metrics
 
 LOG = structlog.get_logger()
-EVERY = 100.0  # milliseconds
-PAGE = os.sysconf("SC_PAGE_SIZE")
+SAMPLE_INTERVAL_MS = 100.0
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
-def resident() -> int:
-    """Bytes of memory that the process holds; 0 where the system does not tell."""
+def resident_bytes() -> int:
+    """Memory that the process holds; 0 where the system has no /proc."""
     try:
         with open("/proc/self/statm", encoding="ascii") as file:
-            return int(file.read().split()[1]) * PAGE
+            return int(file.read().split()[1]) * PAGE_BYTES
     except (OSError, ValueError, IndexError):
         return 0
 
 
-class Watchman:
-    """`sockets` counts what is open."""
+class LoadMonitor:
+    """Samples the event loop's lag, the open sockets and the memory.
+
+    Args:
+        bounds: the values at which the gateway counts as short.
+        open_sockets: counts the sockets of clients and engines.
+    """
 
     def __init__(
         self,
         reactor: Reactor,
-        gate: AdmissionController,
+        admission: AdmissionController,
         bounds: Admission,
         metrics: Metrics,
-        sockets: Callable[[], int],
+        open_sockets: Callable[[], int],
     ) -> None:
-        self.reactor, self.gate, self.bounds, self.metrics, self.sockets = (
-            reactor,
-            gate,
-            bounds,
-            metrics,
-            sockets,
-        )
-        self.due = 0.0
-        self.lag = 0.0
-        self.shedding = False
-        self.ended = False
+        self.admission = admission
+        self._reactor = reactor
+        self._bounds = bounds
+        self._metrics = metrics
+        self._open_sockets = open_sockets
+        self._sample_due_ms = 0.0
+        self._is_shedding = False
+        self._stopped = False
 
     def start(self) -> None:
-        self.due = clock.now() + EVERY
-        self.reactor.callLater(EVERY / 1000, self._look)
+        self._schedule_sample(clock.now())
 
     def stop(self) -> None:
-        self.ended = True
+        self._stopped = True
+
+    def _schedule_sample(self, now: float) -> None:
+        self._sample_due_ms = now + SAMPLE_INTERVAL_MS
+        self._reactor.callLater(SAMPLE_INTERVAL_MS / 1000, self._sample)
 
-    def _look(self) -> None:
-        if self.ended:
+    def _sample(self) -> None:
+        if self._stopped:
             return
         now = clock.now()
-        self.lag = max(0.0, now - self.due)
+        lag_ms = max(0.0, now - self._sample_due_ms)
         pressure = Pressure(
-            self.lag / self.bounds.loop_lag,
-            self.sockets() / self.bounds.sockets,
-            resident() / self.bounds.memory,
+            lag_ms / self._bounds.loop_lag,
+            self._open_sockets() / self._bounds.sockets,
+            resident_bytes() / self._bounds.memory,
+        )
+        self.admission.update_pressure(now, pressure)
+        level = self.admission.shedder.level
+        self._metrics.brownout(level, lag_ms)
+        if (level > 0) != self._is_shedding:
+            self._is_shedding = level > 0
+            self._log_change(pressure, lag_ms)
+        self._schedule_sample(now)
+
+    def _log_change(self, pressure: Pressure, lag_ms: float) -> None:
+        LOG.warning(
+            "the front is short and sheds the cheapest calls"
+            if self._is_shedding
+            else "the front is no longer short",
+            lag_ms=round(lag_ms),
+            lag=round(pressure.lag, 2),
+            sockets=round(pressure.sockets, 2),
+            memory=round(pressure.memory, 2),
         )
-        self.gate.update_pressure(now, pressure)
-        level = self.gate.shedder.level
-        self.metrics.brownout(level, self.lag)
-        if (level > 0) != self.shedding:
-            self.shedding = level > 0
-            LOG.warning(
-                "the front is short and sheds the cheapest calls"
-                if self.shedding
-                else "the front is no longer short",
-                lag_ms=round(self.lag),
-                **{name: round(getattr(pressure, name), 2) for name in ("lag", "sockets", "memory")},
-            )
-        self.due = now + EVERY
-        self.reactor.callLater(EVERY / 1000, self._look)
--- a/worksmux/gateway/serve.py
+++ b/worksmux/gateway/serve.py
@@ -26,9 +26,9 @@
 from .clients import ClientSide
 from .endpoint_cache import Memory
 from .engine_list import EngineList
-from .load_monitor import Watchman
+from .load_monitor import LoadMonitor
 from .metrics import Metrics
-from .stage import Lane
+from .stage import StageDispatcher
 from .vectors import VectorSide
 
 if TYPE_CHECKING:
@@ -115,7 +115,7 @@
 
             self.peering = Peering(settings, self.core, reactor, seed)
             self.peering.on_outlived = self.stop
-        self.watchman: Watchman | None = None
+        self.load_monitor: LoadMonitor | None = None
         if settings.admission:
             self._one_stage(settings.admission, seed, make)
         transport = settings.transport
@@ -134,7 +134,7 @@
         """Embeddings and rerank: a lane for each, one gate before them."""
         settings = self.settings
         lanes = {
-            one.call: Lane(one, self.core, seed + at + 1, make or POLICIES[settings.policy])
+            one.call: StageDispatcher(one, self.core, seed + at + 1, make or POLICIES[settings.policy])
             for at, one in enumerate(settings.lanes)
         }
         self.core.lanes = list(lanes.values())
@@ -145,7 +145,7 @@
         self.clients.models = chat.models(
             [*(one.name for one in settings.request_classes), *self.clients.vectors.names()]
         )
-        self.watchman = Watchman(self.reactor, gate, bounds, self.metrics, self._sockets)
+        self.load_monitor = LoadMonitor(self.reactor, gate, bounds, self.metrics, self._sockets)
 
     def _sockets(self) -> int:
         return len(self.client_server.channels) + sum(len(pool.open) for pool in self.core.pools.values())
@@ -164,8 +164,8 @@
         if self.peering:
             self.peering.start()
         self.engine_list.start()
-        if self.watchman:
-            self.watchman.start()
+        if self.load_monitor:
+            self.load_monitor.start()
         LOG.info("serving", port=self.port, watch=self.watch_port, policy=self.settings.policy)
 
     def _watch(self, exchange: Exchange) -> None:
@@ -244,8 +244,8 @@
 
     def close(self) -> None:
         self.engine_list.stop()
-        if self.watchman:
-            self.watchman.stop()
+        if self.load_monitor:
+            self.load_monitor.stop()
         if self.tokens:
             self.tokens.stop()
         if self.memory:
--- a/worksmux/gateway/stage.py
+++ b/worksmux/gateway/stage.py
@@ -1,8 +1,9 @@
-"""Carries jobs of one stage: a decision module of its own, engines of its own kinds, whole replies.
+"""Dispatches single-stage requests, such as embeddings and rerank, to engines that answer them whole.
 
-Each call of one stage has its lane, so that what floods one reaches neither the windows nor the engines of
-the others.  The module is the same as for chat; its engines all read and answer.  A lane carries out the
-module's actions and tells it what happened, and decides nothing.
+Each path has a dispatcher with a policy and engines of its own, so that a flood of one path reaches neither
+the in-flight limits nor the engines of another.  The policy is the same as for chat; here every engine both
+prefills and answers.  A dispatcher carries out the policy's actions, reports events to it and decides
+nothing.
 """
 
 from __future__ import annotations
@@ -28,193 +29,207 @@
 from ..policy.events import AttemptEnded, ClientDisconnected, FirstToken, TimerFired
 from ..policy.id_map import Door, Maker
 from ..policy.state import Attempt, Outcome, Request
-from ..settings.front import Lane as LaneSettings
-from . import attempts as carriers
+from ..settings.front import Lane as StageSettings
+from .attempts import OK, EngineCall
 from .chat_engine_client import PublishedCore
 
 LOG = structlog.get_logger()
-BAD_INPUT = frozenset({400, 413, 422})  # the engine finds fault with what it is asked
+BAD_INPUT_STATUSES = frozenset({400, 413, 422})  # the engine finds fault with the client's input
 
 
-class Errand(Protocol):
-    """One load as its sender has it."""
+class Batch(Protocol):
+    """What is sent to an engine in one request, and who hears of its end.
+
+    It gets exactly one of `delivered`, `rejected_input` and `failed`, unless it is dropped.
+    """
 
     def path(self) -> str: ...
 
     def body(self) -> bytes:
-        """What the next trip asks for."""
+        """The body of the next attempt: what earlier ones did not bring."""
 
-    def replied(self, body: bytes) -> bool:
-        """Takes a whole reply; false where something of it is missing."""
+    def take_response(self, body: bytes) -> bool:
+        """Takes the body of a 200 response; returns whether nothing is missing any more."""
 
     def delivered(self) -> None: ...
 
-    def refused(self, message: str) -> None: ...
+    def rejected_input(self, message: str) -> None:
+        """The engine finds fault with the input."""
 
-    def failed(self, deferred: bool) -> None: ...
+    def failed(self, deferred: bool) -> None:
+        """`deferred`: it has had no effect; otherwise its attempts or its time ran out."""
 
 
-class Whole(carriers.Carrier):
-    """A trip whose answer is one reply."""
+class BatchCall(EngineCall):
+    """An attempt whose answer is one whole response."""
 
-    def __init__(self, *args: Any, errand: Errand) -> None:
+    def __init__(self, *args: Any, batch: Batch) -> None:
         super().__init__(*args)
-        self.errand = errand
+        self._batch = batch
 
     def send(self, headers: client.Headers, body: bytes) -> None:
-        self.call = self.pool.call("POST", self.errand.path(), self, headers, body)
+        self.call = self.pool.call("POST", self._batch.path(), self, headers, body)
 
     def done(self) -> None:
         if self.over:
             return
-        if self.status == 200:
-            complete = self.errand.replied(bytes(self.body))
-            self._end(Outcome.DELIVERED if complete else Outcome.ERROR, 0, "")
-        elif self.status in BAD_INPUT:
+        if self.status == OK:
+            is_complete = self._batch.take_response(bytes(self.body))
+            self._end(Outcome.DELIVERED if is_complete else Outcome.ERROR, 0, "")
+        elif self.status in BAD_INPUT_STATUSES:
             self._end(Outcome.DELIVERED, 0, errors.message_of(bytes(self.body)) or "bad input")
         else:
             super().done()
 
 
-class Work:
-    """A job of the lane: its errand and the trips that are out."""
+class BatchContext:
+    """A batch with the request that the policy knows it by, and its calls that are out."""
 
-    __slots__ = ("request", "errand", "key", "out", "over")
+    __slots__ = ("request", "batch", "key", "calls", "over")
 
-    def __init__(self, request: Request, errand: Errand, key: str) -> None:
-        self.request, self.errand, self.key = request, errand, key
-        self.out: dict[Attempt, Whole] = {}
+    def __init__(self, request: Request, batch: Batch, key: str) -> None:
+        self.request, self.batch, self.key = request, batch, key
+        self.calls: dict[Attempt, BatchCall] = {}
         self.over = False
 
 
-class Lane(Turns):
-    def __init__(self, settings: LaneSettings, core: PublishedCore, seed: int, make: Maker) -> None:
-        super().__init__(Door(settings.module, seed, make), core.reactor, core.metrics)
-        self.settings, self.core = settings, core
-        self.works: dict[Request, Work] = {}
-        self.number = 0
-
-    def _called(self) -> str:
-        return self.settings.call
-
-    def _break_off(self) -> None:
-        for work in list(self.works.values()):
-            self._final(work, deferred=False)
-        if self.core.on_fault:
-            self.core.on_fault()
+class StageDispatcher(Turns):
+    """Sends the batches of one path."""
 
-    # Jobs.
-
-    def take(self, request_class: int, errand: Errand, cost: float, give_up_at: float, session: int) -> Work:
-        """From here on the errand is owed one end: delivered, refused or failed."""
-        self.number += 1
-        now = clock.now()
-        request = Request(self.number, request_class, session, 0, max(1.0, cost), 0.0, 0.0, now, give_up_at)
-        work = Work(request, errand, f"{self.core.name}.{self.settings.call}.{self.number}")
-        self.works[request] = work
+    def __init__(self, settings: StageSettings, core: PublishedCore, seed: int, make: Maker) -> None:
+        super().__init__(Door(settings.module, seed, make), core.reactor, core.metrics)
+        self.settings = settings
+        self._core = core
+        self._contexts: dict[Request, BatchContext] = {}
+        self._last_number = 0
+
+    def submit(
+        self, request_class: int, batch: Batch, cost: float, deadline: float, session: int
+    ) -> BatchContext:
+        """Takes a batch, which from here on is owed one end.
+
+        `cost` is in tokens, `deadline` in milliseconds of the clock; `session` is a hash.
+        """
+        self._last_number += 1
+        number, now = self._last_number, clock.now()
+        request = Request(number, request_class, session, 0, max(1.0, cost), 0.0, 0.0, now, deadline)
+        context = BatchContext(request, batch, f"{self._core.name}.{self.settings.call}.{number}")
+        self._contexts[request] = context
         self.tell(self.door.arrived(request))
-        return work
-
-    def drop(self, work: Work) -> None:
-        """Nobody wants it any more."""
-        if not work.over:
-            work.over = True
-            self.tell(ClientDisconnected(work.request))
-            for carrier in list(work.out.values()):
-                carrier.cancel()
-            self._close(work)
-
-    def _close(self, work: Work) -> None:
-        if work.over and not work.out:
-            self.works.pop(work.request, None)
-
-    def _final(self, work: Work | None, deferred: bool) -> None:
-        if work is not None and not work.over:
-            work.over = True
-            for carrier in list(work.out.values()):
-                carrier.cancel()
-            self._close(work)
-            work.errand.failed(deferred)
-
-    # What the carriers tell.
+        return context
+
+    def drop(self, context: BatchContext) -> None:
+        """Cancels a batch that nobody waits for any more; it is not told of its end."""
+        if not context.over:
+            context.over = True
+            self.tell(ClientDisconnected(context.request))
+            self._cancel_calls(context)
+            self._forget_if_done(context)
 
     def began(self, attempt: Attempt) -> None:
-        """A whole reply has no beginning of its own."""
+        """See `Listener`: a whole response has no beginning of its own."""
 
     def text(self, attempt: Attempt, content: str) -> None:
-        """Nor any text before its end."""
+        """See `Listener`: nor has it any text before its end."""
 
     def ended(
         self, attempt: Attempt, outcome: Outcome, note: int, report: dict[str, float] | None, result: Any
     ) -> None:
-        work = self.works.get(attempt.request)
-        if work is None:
+        """See `Listener`; `result` is the engine's message where it finds fault with the input."""
+        context = self._contexts.get(attempt.request)
+        if context is None:
             return
-        work.out.pop(attempt, None)
-        if self.core.on_attempt:
-            self.core.on_attempt(attempt.engine, outcome)
+        context.calls.pop(attempt, None)
+        if self._core.on_attempt:
+            self._core.on_attempt(attempt.engine, outcome)
         now = clock.now()
-        closed = work.over
-        if outcome is Outcome.DELIVERED and not work.over:
-            closed = work.over = True
+        is_closed = context.over
+        if outcome is Outcome.DELIVERED and not context.over:
+            is_closed = context.over = True
             attempt.began, attempt.request.began = now, True
-            self.tell(FirstToken(attempt, now - attempt.sent))  # so that the module sees the time it took
-        self.tell(AttemptEnded(attempt, outcome, now - attempt.sent, closed, note, report))
-        self._close(work)
-        if outcome is Outcome.DELIVERED and closed:
+            self.tell(FirstToken(attempt, now - attempt.sent))  # so that the policy learns the latency
+        self.tell(AttemptEnded(attempt, outcome, now - attempt.sent, is_closed, note, report))
+        self._forget_if_done(context)
+        if outcome is Outcome.DELIVERED and is_closed:
             if result:
-                work.errand.refused(result)
+                context.batch.rejected_input(result)
             else:
-                work.errand.delivered()
+                context.batch.delivered()
 
-    # Actions.
+    def _called(self) -> str:
+        return self.settings.call
+
+    def _break_off(self) -> None:
+        for context in list(self._contexts.values()):
+            self._fail(context, deferred=False)
+        if self._core.on_fault:
+            self._core.on_fault()
 
     def _carry_out(self, action: Action) -> None:
         match action:
             case StartAttempt():
-                self._send(action)
+                self._start_attempt(action)
             case RejectRequest(request, _):
-                self._final(self.works.get(request), deferred=True)
+                self._fail(self._contexts.get(request), deferred=True)
             case AbortRequest(request):
-                self._final(self.works.get(request), deferred=False)
+                self._fail(self._contexts.get(request), deferred=False)
             case CancelAttempt(attempt):
-                work = self.works.get(attempt.request)
-                if work is not None and attempt in work.out:
-                    work.out[attempt].cancel()
+                context = self._contexts.get(attempt.request)
+                if context is not None and attempt in context.calls:
+                    context.calls[attempt].cancel()
             case SetTimer(after, token):
                 self.reactor.callLater(max(0.0, after) / 1000, self.tell, TimerFired(token))
             case CheckHealth(engine):
-                self.core.probe(engine, self.tell)
+                self._core.probe(engine, self.tell)
             case WriteLog(text):
                 LOG.info("module", text=text)
             case _:
-                pass  # one stage holds no state; the list comes by the core
+                pass  # a single stage holds no KV cache, and the chat core fetches the endpoint list
 
-    def _send(self, action: StartAttempt) -> None:
+    def _start_attempt(self, action: StartAttempt) -> None:
         attempt, request = action.attempt, action.attempt.request
-        work, now = self.works.get(request), clock.now()
-        left = request.give_up_at - now
-        if work is None or work.over or left <= 0 or attempt.engine not in self.core.pools:
+        context, left_ms = self._contexts.get(request), request.give_up_at - clock.now()
+        if context is None or context.over or left_ms <= 0 or attempt.engine not in self._core.pools:
             self.metrics.attempt("moot")
-            self.tell(AttemptEnded(attempt, Outcome.MOOT, 0.0, work is None or work.over))
+            self.tell(AttemptEnded(attempt, Outcome.MOOT, 0.0, context is None or context.over))
             return
-        transport = self.core.settings.transport
-        carrier = Whole(
+        call = self._make_call(attempt, context.batch, action.time_out, left_ms)
+        context.calls[attempt] = call
+        headers = [
+            ("Content-Type", "application/json"),
+            (chat.REQUEST_ID, f"{context.key}.{attempt.number}"),
+            (calls.REQUEST, context.key),
+            (calls.FRONT, self._core.settings.name),
+        ]
+        call.send(headers, context.batch.body())
+        self.metrics.attempt(self.settings.call)
+
+    def _make_call(self, attempt: Attempt, batch: Batch, timeout_ms: float, left_ms: float) -> BatchCall:
+        """`timeout_ms` is the policy's, 0 for none; the time left bounds it."""
+        transport = self._core.settings.transport
+        return BatchCall(
             self.reactor,
-            self.core.pools[attempt.engine],
+            self._core.pools[attempt.engine],
             attempt,
             self,
-            min(action.time_out, left) if action.time_out else left,
+            min(timeout_ms, left_ms) if timeout_ms else left_ms,
             transport.stream_silence,
             transport.reply,
-            errand=work.errand,
+            batch=batch,
         )
-        work.out[attempt] = carrier
-        headers = [
-            ("Content-Type", "application/json"),
-            (chat.REQUEST_ID, f"{work.key}.{attempt.number}"),
-            (calls.REQUEST, work.key),
-            (calls.FRONT, self.core.settings.name),
-        ]
-        carrier.send(headers, work.errand.body())
-        self.metrics.attempt(self.settings.call)
+
+    def _fail(self, context: BatchContext | None, deferred: bool) -> None:
+        if context is not None and not context.over:
+            context.over = True
+            self._cancel_calls(context)
+            self._forget_if_done(context)
+            context.batch.failed(deferred)
+
+    @staticmethod
+    def _cancel_calls(context: BatchContext) -> None:
+        for call in list(context.calls.values()):
+            call.cancel()
+
+    def _forget_if_done(self, context: BatchContext) -> None:
+        if context.over and not context.calls:
+            self._contexts.pop(context.request, None)
--- a/worksmux/gateway/vectors.py
+++ b/worksmux/gateway/vectors.py
@@ -29,7 +29,7 @@
 from ..settings.shared import RequestClass
 from ..tokenization.service import Prompt, Result, TokenService
 from .chat_engine_client import PublishedCore
-from .stage import Lane, Work
+from .stage import BatchContext, StageDispatcher
 
 LOG = structlog.get_logger()
 ANSWER = "x-worksmux-answer"
@@ -40,11 +40,11 @@
 class Attempt:
     """One load on its way: see `lane.Errand`."""
 
-    def __init__(self, side: VectorSide, load: Load, lane: Lane) -> None:
+    def __init__(self, side: VectorSide, load: Load, lane: StageDispatcher) -> None:
         self.side, self.load, self.lane = side, load, lane
         self.asked: list[tuple[Call, int]] = []
         self.results: dict[int, Any] = {}
-        self.work: Work | None = None
+        self.work: BatchContext | None = None
         first = load.wanted[0][0].item
         self.first: One = first
 
@@ -56,7 +56,7 @@
         self.results = {}
         return self.first.engine_body([(call.item, at) for call, at in self.asked])
 
-    def replied(self, body: bytes) -> bool:
+    def take_response(self, body: bytes) -> bool:
         try:
             self.results, usage = self.first.read(body, len(self.asked))
         except ValueError as error:
@@ -80,7 +80,7 @@
     def delivered(self) -> None:
         self.side.over(self, self.side.planner.delivered(self.load, self.asked, self.results))
 
-    def refused(self, message: str) -> None:
+    def rejected_input(self, message: str) -> None:
         self.side.over(self, self.side.planner.refused(self.load, message))
 
     def failed(self, deferred: bool) -> None:
@@ -175,7 +175,7 @@
     def __init__(
         self,
         core: PublishedCore,
-        lanes: dict[str, Lane],
+        lanes: dict[str, StageDispatcher],
         gate: AdmissionController,
         bounds: Admission,
         first: int,
@@ -369,7 +369,7 @@
         lane = self.lanes[PATHS[first.path]]
         attempt = self.attempts[load] = Attempt(self, load, lane)
         session = xxhash.xxh3_64_intdigest(str(load.number).encode())
-        attempt.work = lane.take(first.at, attempt, load.cost, load.give_up_at, session)
+        attempt.work = lane.submit(first.at, attempt, load.cost, load.give_up_at, session)
 
     def over(self, attempt: Attempt, step: PlanStep) -> None:
         """A load has ended."""
