--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -205,7 +205,7 @@
     play(rig, ask)
     assert {reply[0] for reply in asker.replies.values()} == {200}
     vectors = rig.fronts[0].clients.vectors
-    assert vectors and not vectors.open and not vectors.attempts and not vectors.planner.out
+    assert vectors and not vectors.open and not vectors.batches and not vectors.planner.out
 
 
 def test_flood_is_turned_away_early_and_chat_goes_on(tmp_path: Path) -> None:
--- a/worksmux/gateway/clients.py
+++ b/worksmux/gateway/clients.py
@@ -23,7 +23,8 @@
 from ..tokenization.desk import Verdict
 from ..tokenization.service import Prompt, Result, TokenService
 from .chat_engine_client import PublishedCore
-from .vectors import PATHS, VectorSide
+from .vector_requests import PATHS
+from .vectors import VectorService
 
 LOG = structlog.get_logger()
 MODELS = "/v1/models"
@@ -101,7 +102,7 @@
         self.on_request: Callable[[], None] | None = None
         self.counting: dict[Counting, None] = {}  # their prompts are being counted
         self.stopping = False
-        self.vectors: VectorSide | None = None  # set by who builds both
+        self.vectors: VectorService | None = None  # set by who builds both
 
     def __call__(self, exchange: Exchange) -> None:
         path, method = exchange.path.decode("latin-1"), exchange.method.decode("latin-1")
@@ -148,7 +149,7 @@
             self.core.metrics.turned_away("bad job")
             exchange.answer(bad.status, bad.body)
             return
-        if self.vectors is not None and self.vectors.gate.sheds(asked.request_class):
+        if self.vectors is not None and self.vectors.admission.sheds(asked.request_class):
             self.core.metrics.turned_away("the front itself is short")
             return self._no(
                 exchange, 503, "the front itself is short; come back later", "server_error", "deferred", away
--- a/worksmux/gateway/serve.py
+++ b/worksmux/gateway/serve.py
@@ -29,7 +29,7 @@
 from .load_monitor import LoadMonitor
 from .metrics import Metrics
 from .stage import StageDispatcher
-from .vectors import VectorSide
+from .vectors import VectorService
 
 if TYPE_CHECKING:
     from .fleet.audit_log_keeper import AccountKeeper
@@ -139,7 +139,7 @@
         }
         self.core.lanes = list(lanes.values())
         gate = AdmissionController(gate_settings(settings, bounds), seed)
-        self.clients.vectors = VectorSide(
+        self.clients.vectors = VectorService(
             self.core, lanes, gate, bounds, len(settings.request_classes), self.tokens
         )
         self.clients.models = chat.models(
--- a/worksmux/net/exchange.py
+++ b/worksmux/net/exchange.py
@@ -70,6 +70,14 @@
             for name, values in self.requestHeaders.getAllRawHeaders()
         ]
 
+    def client_host(self) -> str:
+        """The client's IP address."""
+        return str(self.getClientAddress().host)
+
+    def set_header(self, name: str, value: str) -> None:
+        """Sets a header of the answer."""
+        self.setHeader(name, value)
+
     def body(self) -> bytes:
         return self._kept.getvalue()
 
