--- a/worksmux/fault_trial/small.py
+++ b/worksmux/fault_trial/small.py
@@ -19,7 +19,7 @@
 from worksmux.fakes.generator import Spec
 from worksmux.fakes.journal import Journal
 from worksmux.fakes.registry import Registry
-from worksmux.gateway.serve import FrontProcess
+from worksmux.gateway.serve import GatewayProcess
 from worksmux.net import client, clock
 from worksmux.policy.id_map import Maker
 from worksmux.settings.document import parse
@@ -142,7 +142,7 @@
         self.engines: list[EngineProcess] = []
         for kind, cell in engines:
             self.add(kind, cell)
-        self.fronts: list[FrontProcess] = []
+        self.fronts: list[GatewayProcess] = []
         self.clients: Clients | None = None
         self.failed: BaseException | None = None
 
@@ -183,8 +183,8 @@
     def settings(self) -> FrontSettings:
         return read_front(parse(self.text.replace('127.0.0.1:1"', f'127.0.0.1:{self.registry.port}"')))
 
-    def front(self) -> FrontProcess:
-        front = FrontProcess(self.settings(), self.reactor, self.make)
+    def front(self) -> GatewayProcess:
+        front = GatewayProcess(self.settings(), self.reactor, self.make)
         front.start()
         self.fronts.append(front)
         return front
