--- a/worksmux/fakes/clients.py
+++ b/worksmux/fakes/clients.py
@@ -17,7 +17,7 @@
 from ..api import chat, embeddings, errors, rerank
 from ..api.engine import CHAT
 from ..api.events import Events
-from ..gateway.clients import ANSWER
+from ..gateway.answers import ANSWER_HEADER
 from ..net import client, clock
 from ..net.loop import Reactor, the_reactor
 from ..tokenization.samples import SAMPLES
@@ -237,7 +237,7 @@
             how=how,
             tokens=self.tokens,
             status=self.status,
-            named=self.headers.get(ANSWER, ""),
+            named=self.headers.get(ANSWER_HEADER, ""),
         )
         self.owner.ended(self, how)
 
--- a/worksmux/gateway/active_versions.py
+++ b/worksmux/gateway/active_versions.py
@@ -1,4 +1,4 @@
-"""The versions that a front acts on: of its program, settings, tokenizers, list of engines and plan."""
+"""The versions that a gateway acts on: of its program, settings, tokenizers, endpoint list and plan."""
 
 from __future__ import annotations
 
@@ -11,20 +11,39 @@
 from ..failover.plan import Plan, encode
 from ..settings.front import FrontSettings
 
+NO_SERIAL = -1
+PER_GATEWAY_SETTINGS = ("me", "zone")
 
-def _mark(data: bytes) -> str:
+
+def _digest(data: bytes) -> str:
     return f"{xxhash.xxh3_64_intdigest(data):016x}"
 
 
-class Holding:
-    """What holds as long as the process runs is marked once; plan and list as they change."""
+class ActiveVersions:
+    """Digests what stays the same while the process runs once, and the plan and the list as they change."""
 
     def __init__(self, settings: FrontSettings) -> None:
+        self._fixed = {
+            "program": Version(0, self._digest_of_program()),
+            "settings": Version(0, self._digest_of_settings(settings)),
+        }
+        for name, path_of in sorted(settings.tokenizers.items()):
+            self._fixed[f"tokenizer {name}"] = Version(0, _digest(Path(path_of).read_bytes()))
+        self._plan: Plan | None = None
+        self._plan_digest = ""
+        self._list_serial, self._list_digest = NO_SERIAL, ""
+
+    @staticmethod
+    def _digest_of_program() -> str:
         program = xxhash.xxh3_64()
         for path in sorted(Path(__file__).resolve().parent.parent.rglob("*.py")):
             program.update(path.read_bytes())
-        module = {key: value for key, value in settings.module.items() if key not in ("me", "zone")}
-        # Of the settings what all fronts share, so that fronts can be compared.
+        return program.hexdigest()
+
+    @staticmethod
+    def _digest_of_settings(settings: FrontSettings) -> str:
+        """Of the settings that all gateways share, so that gateways can be compared."""
+        module = {key: value for key, value in settings.module.items() if key not in PER_GATEWAY_SETTINGS}
         shared = repr(
             (
                 settings.zones,
@@ -37,24 +56,18 @@
                 sorted(module.items()),
             )
         )
-        self.standing = {
-            "program": Version(0, program.hexdigest()),
-            "settings": Version(0, _mark(shared.encode())),
-        }
-        for name, path_of in sorted(settings.tokenizers.items()):
-            self.standing[f"tokenizer {name}"] = Version(0, _mark(Path(path_of).read_bytes()))
-        self.plan: tuple[Plan | None, str] = None, ""
-        self.list = -1, ""
+        return _digest(shared.encode())
 
     def versions(self, plan: Plan, alone: bool, keeper: ListKeeper) -> dict[str, Version]:
-        if plan is not self.plan[0]:
-            self.plan = plan, _mark(encode(plan))
-        if keeper.serial != self.list[0]:
-            # By content: a registry that starts its numbers anew tells the same list under another number.
+        """`alone`: the gateway has lost the others, and acts on its last plan by itself."""
+        if plan is not self._plan:
+            self._plan, self._plan_digest = plan, _digest(encode(plan))
+        if keeper.serial != self._list_serial:
+            # By content: a registry that starts its serials anew sends the same list under another one.
             lines = sorted((one.line.id, one.line.state, one.line.started) for one in keeper.known.values())
-            self.list = keeper.serial, _mark(repr(lines).encode())
+            self._list_serial, self._list_digest = keeper.serial, _digest(repr(lines).encode())
         return {
-            **self.standing,
-            "list": Version(0, self.list[1]),
-            "plan": Version(plan.number, self.plan[1] + " alone" * alone),
+            **self._fixed,
+            "list": Version(0, self._list_digest),
+            "plan": Version(plan.number, self._plan_digest + " alone" * alone),
         }
--- a/worksmux/gateway/vector_answers.py
+++ b/worksmux/gateway/answers.py
@@ -1,4 +1,4 @@
-"""The answers to embeddings and rerank requests that bring no results.
+"""Answers that bring no results, as embeddings and rerank send them.
 
 429 where admission control rejected the request and 503 where it was deferred: both are harmless to repeat
 and carry `Retry-After`.  504 where its time ran out; it may have been executed.
--- a/worksmux/gateway/chat_engine_client.py
+++ b/worksmux/gateway/chat_engine_client.py
@@ -1,5 +1,7 @@
-"""Chat's jobs by the published form: prompts to engines as chat completions, handles of state between them,
-and the small calls beside them."""
+"""Carries chat completions to engines over their HTTP API, with KV cache handles between prefill and decode.
+
+Beside the attempts there are control calls: health checks, reservations of decode slots, and releases.
+"""
 
 from __future__ import annotations
 
@@ -18,10 +20,15 @@
 from .attempts import DecodeCall, EngineCall, PrefillCall, rejection_outcome
 from .metrics import Metrics
 
-PATIENT = 20  # times the tries that a release has: what lies cut off for longer ends by its lease
+MAX_RELEASE_ROUNDS = 20  # of `release_tries` calls each; after that the engine's lease has ended
+SLOT_RESERVED_REPLY = b'{"held":true}'
+JSON_TYPE = ("Content-Type", "application/json")
+OK = 200
+
 
+class ChatEngineClient(Core):
+    """The gateway's side of the engines' protocol; see `Core` for what its hooks mean."""
 
-class PublishedCore(Core):
     metrics: Metrics
 
     def __init__(
@@ -29,18 +36,12 @@
     ) -> None:
         super().__init__(door, reactor, metrics)
         self.settings = settings
-        self.name = name  # of this front and this start of it
-        self.lanes: list[Any] = []  # of one-stage calls, set by who builds both
+        self.name = name  # of this gateway and this start of it
+        self.stages: list[Any] = []  # the single-stage dispatchers, set by the process
 
     def arrived(self, asked: chat.Asked, client_side: Client, arrived: float) -> Case:
-        """A job that came at `arrived` is told to the module; from here on it is owed one answer."""
-        request_class = self.settings.request_classes[asked.request_class]
-        limit = request_class.outer_limit + 2 * request_class.promised_per_k * asked.prompt / 1000
-        left = max(
-            0.0,
-            min(limit, asked.time_left if asked.time_left is not None else limit)
-            - self.settings.transport.answer_margin,
-        )
+        """Takes a request that came at `arrived` (milliseconds); from here on it is owed one answer."""
+        left = self._time_left_ms(asked)
         self.number += 1
         request = Request(
             self.number,
@@ -58,9 +59,19 @@
         asked.label = asked.label or case.key
         return self._take(case)
 
+    def _time_left_ms(self, asked: chat.Asked) -> float:
+        """The client's deadline or the request class's, less the time for the answer's way back."""
+        request_class = self.settings.request_classes[asked.request_class]
+        limit = request_class.outer_limit + 2 * request_class.promised_per_k * asked.prompt / 1000
+        if asked.time_left is not None:
+            limit = min(limit, asked.time_left)
+        return max(0.0, limit - self.settings.transport.answer_margin)
+
     def corrected(self, case: Case) -> None:
-        """The prompt of a job that went on by a bound is counted; its beginning counts until its first
-        trip."""
+        """The prompt of a request that was taken by an upper bound has been counted.
+
+        Its prefix is taken over only before the first attempt, which has chosen an engine by it.
+        """
         request, asked = case.request, case.asked
         request.prompt = asked.prompt
         if not request.attempts:
@@ -69,16 +80,21 @@
     def _ended_with(self, case: Case) -> dict[str, Any]:
         return {"tokens": case.result[1].completion_tokens if case.result else 0}
 
-    # Trips.
-
     def _carry(self, case: Case, attempt: Attempt, pool: client.Pool, time_out: float) -> EngineCall:
         if case.place is not None and case.place is not attempt.engine and not attempt.reading:
-            self._let_go(case, case.place)  # a send to another writer gives the place up
+            self._let_go(case, case.place)  # another decode engine was chosen
         transport, asked = self.settings.transport, case.asked
         make = PrefillCall if attempt.reading else DecodeCall
-        carrier = make(self.reactor, pool, attempt, self, time_out, transport.stream_silence, transport.reply)
+        call = make(self.reactor, pool, attempt, self, time_out, transport.stream_silence, transport.reply)
+        kv_handle = case.state if attempt.request.holder is not None else None
+        body = chat.to_reader(asked) if attempt.reading else chat.to_writer(asked, kv_handle)
+        call.send(self._attempt_headers(case, attempt), body)
+        return call
+
+    def _attempt_headers(self, case: Case, attempt: Attempt) -> list[tuple[str, str]]:
+        asked = case.asked
         headers = [
-            ("Content-Type", "application/json"),
+            JSON_TYPE,
             (chat.REQUEST_ID, f"{case.key}.{attempt.number}"),
             (calls.REQUEST, case.key),
             (calls.FRONT, self.settings.name),
@@ -90,18 +106,14 @@
             headers.append((calls.PROMPT_TOKENS, str(int(asked.prompt))))
         if asked.request_id:
             headers.append((calls.TRY, asked.request_id))
-        state = case.state if attempt.request.holder is not None else None
-        carrier.send(headers, chat.to_reader(asked) if attempt.reading else chat.to_writer(asked, state))
-        return carrier
-
-    # Small calls.
+        return headers
 
     def _small_bounds(self) -> tuple[float, int, client.Headers]:
         transport = self.settings.transport
         return (
             transport.call_time_out,
             transport.reply,
-            [("Content-Type", "application/json"), (calls.FRONT, self.settings.name)],
+            [JSON_TYPE, (calls.FRONT, self.settings.name)],
         )
 
     def _probe_path(self) -> str:
@@ -110,7 +122,7 @@
     def _probed(
         self, status: int, headers: dict[str, str], reply: bytes
     ) -> tuple[Outcome, dict[str, float] | None]:
-        if status != 200:
+        if status != OK:
             return rejection_outcome(status, reply)[0], None
         return Outcome.DELIVERED, calls.load_report(headers.get(calls.LOAD))
 
@@ -118,11 +130,7 @@
         case = self.cases.get(request)
         if case is None or case.answered:
             return
-        reading = next((attempt for attempt in case.out if attempt.reading), None)
-        reader = None
-        if reading is not None and reading.engine in self.pools:
-            pool = self.pools[reading.engine]
-            reader = chat.KvParams(reading.engine.id.decode(), pool.host, pool.port, [], case.key)
+        prefill = next((attempt for attempt in case.out if attempt.reading), None)
         if case.place is not None and case.place is not engine:
             self._let_go(case, case.place)
         case.place = engine
@@ -131,22 +139,38 @@
         def ended(
             status: int, headers: dict[str, str], reply: bytes, trouble: client.CallError | None
         ) -> None:
-            answered = trouble is None and status == 200
-            held = answered and reply.replace(b" ", b"") == b'{"held":true}'
-            if (held or not answered) and (case.answered or case.first_at or case.place is not engine):
-                # Guards against a place that is held after its job has gone by: the call was slow, or its
-                # answer is lost and it may yet be carried out.
-                release = chat.ENCODE.encode(calls.Release(case.key))
-                self._release_until(engine, release, 1)
-                if not answered:
-                    pause = self.settings.module["release_within"] / 2
-                    self.reactor.callLater(pause / 1000, self._release_until, engine, release, 1)
-            if answered and reading is not None and reading.outcome is None and reading in case.out:
-                self.tell(SlotReserved(reading, engine, held))
-
-        body = chat.ENCODE.encode(calls.Place(case.key, request.prompt, reader))
+            answered = trouble is None and status == OK
+            reserved = answered and reply.replace(b" ", b"") == SLOT_RESERVED_REPLY
+            is_unwanted = bool(case.answered or case.first_at) or case.place is not engine
+            if (reserved or not answered) and is_unwanted:
+                self._release_unwanted_slot(case, engine, answered)
+            if answered and prefill is not None and prefill.outcome is None and prefill in case.out:
+                self.tell(SlotReserved(prefill, engine, reserved))
+
+        kv_source = self._kv_source(case, prefill)
+        body = chat.ENCODE.encode(calls.Place(case.key, request.prompt, kv_source))
         self._small(engine, "POST", calls.PLACE, body, ended)
 
+    def _kv_source(self, case: Case, prefill: Attempt | None) -> chat.KvParams | None:
+        """Where the decode engine can pull the KV cache from, ahead of the request."""
+        if prefill is None or prefill.engine not in self.pools:
+            return None
+        pool = self.pools[prefill.engine]
+        return chat.KvParams(prefill.engine.id.decode(), pool.host, pool.port, [], case.key)
+
+    def _release_unwanted_slot(self, case: Case, engine: Engine, answered: bool) -> None:
+        """Releases a slot whose request has moved on while the reservation was out.
+
+        Failure: the reservation was slow, or its answer is lost and it may yet be carried out; the slot would
+        then stay reserved for nobody.  After a lost answer a second release follows, in case the reservation
+        is carried out after the first.
+        """
+        release = chat.ENCODE.encode(calls.Release(case.key))
+        self._release_until(engine, release, 1)
+        if not answered:
+            pause_ms = self.settings.module["release_within"] / 2
+            self.reactor.callLater(pause_ms / 1000, self._release_until, engine, release, 1)
+
     def _release(self, request: Request) -> None:
         case = self.cases.get(request)
         if case is None:
@@ -163,32 +187,35 @@
         self.metrics.release()
 
     def _release_until(self, engine: Engine, body: bytes, tries: int) -> None:
-        """Guards against a release that gets lost, which would leave state pinned: it is harmless to
-        repeat, and only the engine that holds can be asked.  Where that one is cut off it goes on, slowly,
-        until it has been heard or the engine has left the list."""
+        """Repeats a release until the engine acknowledges it or has left the list.
+
+        Failure: a release that gets lost leaves the KV cache pinned at the engine, and nobody else can free
+        it.  A release is harmless to repeat.  To an engine that is cut off they go on at a slower pace.
+        """
         sent = clock.now()
 
         def ended(
             status: int, headers: dict[str, str], reply: bytes, trouble: client.CallError | None
         ) -> None:
-            most, within = self.settings.transport.release_tries, self.settings.module["release_within"]
-            if status == 200 or engine.state == "gone" or tries >= PATIENT * most:
+            round_tries = self.settings.transport.release_tries
+            within_ms = self.settings.module["release_within"]
+            if status == OK or engine.state == "gone" or tries >= MAX_RELEASE_ROUNDS * round_tries:
                 return
-            # Later ones begin that far apart, so that one is heard in time once a cut is over.
-            pause = within / (2 * most) if tries < most else max(0.0, sent + within - clock.now())
-            self.reactor.callLater(pause / 1000, self._release_until, engine, body, tries + 1)
+            if tries < round_tries:
+                pause_ms = within_ms / (2 * round_tries)
+            else:  # they begin `within_ms` apart, so that one arrives in time once a partition is over
+                pause_ms = max(0.0, sent + within_ms - clock.now())
+            self.reactor.callLater(pause_ms / 1000, self._release_until, engine, body, tries + 1)
 
         self._small(engine, "POST", calls.RELEASE, body, ended)
 
-    # The engines.
-
     def _tell_list(self, event: EndpointListUpdate) -> None:
         self.tell(self._of("chat", event))
-        for lane in self.lanes:
-            lane.tell(self._of(lane.settings.call, event))
+        for stage in self.stages:
+            stage.tell(self._of(stage.settings.call, event))
 
     def _of(self, call: str, event: EndpointListUpdate) -> EndpointListUpdate:
-        """The part of a list that carries a call: no lane's module knows another's engines."""
+        """The engines that serve a call: no policy knows those of another."""
         kinds = self.settings.kinds
         return EndpointListUpdate(
             event.scope, [entry for entry in event.entries if kinds[entry.kind].call == call]
--- a/worksmux/gateway/endpoint_cache.py
+++ b/worksmux/gateway/endpoint_cache.py
@@ -20,7 +20,7 @@
 from ..settings.front import MemorySettings
 from ..storage.database import Store, Unusable, open_store
 from ..storage.writer import Writer
-from .chat_engine_client import PublishedCore
+from .chat_engine_client import ChatEngineClient
 
 LOG = structlog.get_logger()
 LINES, FACTS, LEARNED = "lines", "facts", "learned"
@@ -50,7 +50,7 @@
 
 
 class Memory:
-    def __init__(self, settings: MemorySettings, core: PublishedCore, reactor: Reactor, seed: int) -> None:
+    def __init__(self, settings: MemorySettings, core: ChatEngineClient, reactor: Reactor, seed: int) -> None:
         self.settings, self.core, self.reactor, self.seed = settings, core, reactor, seed
         self.writer: Writer | None = None
         self.facts = Facts()
--- a/worksmux/gateway/engine_list.py
+++ b/worksmux/gateway/engine_list.py
@@ -1,5 +1,7 @@
-"""The connection to the registry: JSON lines over a LineReceiver, opened again with growing pauses when it is
-lost."""
+"""The connection to the registry, which sends the endpoint list as JSON lines.
+
+A lost connection is opened again after growing, jittered pauses; the last list stays in force meanwhile.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +15,7 @@
 from twisted.protocols.basic import LineReceiver
 from twisted.python.failure import Failure
 
-from ..api.listing import READ_LISTING, Hello
+from ..api.listing import READ_LISTING, Hello, Listing
 from ..endpoints.endpoint_list import Roster
 from ..endpoints.keys import key_of
 from ..net import clock
@@ -21,13 +23,16 @@
 from ..policy.events import EndpointListUpdate
 from ..policy.state import Engine
 from ..settings.front import ListSource
-from .chat_engine_client import PublishedCore
+from .chat_engine_client import ChatEngineClient
 from .endpoint_cache import Memory
 
 LOG = structlog.get_logger()
 
 
-class ListLink(LineReceiver):
+MIN_JITTER = 0.5  # of a pause
+
+
+class RegistryConnection(LineReceiver):
     """One connection to the registry."""
 
     delimiter = b"\n"
@@ -49,7 +54,7 @@
     def drop(self) -> None:
         cast(Transport, self.transport).abortConnection()
 
-    def say(self, message: Hello) -> None:
+    def send(self, message: Hello) -> None:
         cast(Transport, self.transport).write(msgspec.json.encode(message) + b"\n")
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
@@ -61,7 +66,7 @@
 
     noisy = False
 
-    def __init__(self, source: ListSource, core: PublishedCore, reactor: Reactor) -> None:
+    def __init__(self, source: ListSource, core: ChatEngineClient, reactor: Reactor) -> None:
         self.source, self.core, self.reactor = source, core, reactor
         settings = core.settings
         self.roster = Roster(
@@ -72,15 +77,15 @@
             max(source.silence, settings.module["warm_up"]),
         )
         self.keeper = self.roster.keeper
-        self.link: ListLink | None = None
+        self.link: RegistryConnection | None = None
         self.pause = source.least_pause
         self.memory: Memory | None = None  # set by who builds both
         self.watching = not source.ask
-        self.heard = 0.0
+        self.heard_at = 0.0
         self.stopped = False
-        self.timer: Any = None  # to connect, or to look whether the registry is silent
-        self.look: Any = None  # what the roster wants done later
-        self.since = 0.0  # the connection's start
+        self.timer: Any = None  # to connect, or to check whether the registry is silent
+        self.tick_timer: Any = None  # the roster asks for it
+        self.connected_at = 0.0
 
     def engine(self, name: str) -> Engine:
         address = name.encode()
@@ -93,8 +98,8 @@
         self.stopped = True
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
-        if self.look is not None and self.look.active():
-            self.look.cancel()
+        if self.tick_timer is not None and self.tick_timer.active():
+            self.tick_timer.cancel()
         if self.link is not None:
             self.link.drop()
 
@@ -102,41 +107,46 @@
         if not self.stopped:
             self.reactor.connectTCP(*self.source.address, self, timeout=self.source.most_pause / 1000)
 
-    def buildProtocol(self, addr: IAddress | None) -> ListLink:
-        return ListLink(self)
+    def buildProtocol(self, addr: IAddress | None) -> RegistryConnection:
+        return RegistryConnection(self)
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
         LOG.warning(
             "the registry cannot be reached", why=reason.getErrorMessage(), again_ms=round(self.pause)
         )
-        self._again()
+        self._reconnect_later()
 
-    def _again(self) -> None:
-        """Pauses grow and are spread by chance, so that fronts do not come back in step."""
+    def _reconnect_later(self) -> None:
+        """The jitter keeps gateways from connecting all at once when the registry returns."""
         if not self.stopped:
-            self.timer = self.reactor.callLater(self.pause * random.uniform(0.5, 1.0) / 1000, self._connect)
+            pause_ms = self.pause * random.uniform(MIN_JITTER, 1.0)
+            self.timer = self.reactor.callLater(pause_ms / 1000, self._connect)
             self.pause = min(2 * self.pause, self.source.most_pause)
 
-    def opened(self, link: ListLink) -> None:
+    def opened(self, link: RegistryConnection) -> None:
         self.link = link
         self.keeper.connected()
-        self.heard = self.since = clock.now()
+        self.heard_at = self.connected_at = clock.now()
         self.core.metrics.listed.set(1)
-        link.say(Hello(hello=self.core.settings.name, serial=self.keeper.serial))
+        link.send(Hello(hello=self.core.settings.name, serial=self.keeper.serial))
         if self.source.ask and self.watching:
-            link.say(Hello(watch=True))
-        self.timer = self.reactor.callLater(self.source.silence / 1000, self._listen)
+            link.send(Hello(watch=True))
+        self.timer = self.reactor.callLater(self.source.silence / 1000, self._check_silence)
+
+    def _check_silence(self) -> None:
+        """Drops the connection of a registry that hangs with its connection open.
 
-    def _listen(self) -> None:
-        """Guards against a registry that hangs with its connection open."""
-        left = self.heard + self.source.silence - clock.now()
+        Failure: no list would ever come again, and nothing would show it.  A living registry sends an empty
+        line now and then.
+        """
+        left = self.heard_at + self.source.silence - clock.now()
         if left > 0:
-            self.timer = self.reactor.callLater(left / 1000, self._listen)
+            self.timer = self.reactor.callLater(left / 1000, self._check_silence)
         elif self.link is not None:
             LOG.warning("the registry is silent; its connection is opened anew")
             self.link.drop()
 
-    def lost(self, link: ListLink, reason: Failure) -> None:
+    def lost(self, link: RegistryConnection, reason: Failure) -> None:
         self.link = None
         self.core.metrics.listed.set(0)
         if self.timer is not None and self.timer.active():
@@ -150,15 +160,15 @@
         )
         if self.source.ask:
             self.core.tell(EndpointListUpdate("failed", []))
-        if clock.now() - self.since > self.source.most_pause:
-            self.pause = self.source.least_pause  # one that flaps is not asked in a loop
-        self._again()
+        if clock.now() - self.connected_at > self.source.most_pause:
+            self.pause = self.source.least_pause  # but after a short connection the pauses grow on
+        self._reconnect_later()
 
     def line(self, line: bytes) -> None:
-        self.heard = clock.now()
+        self.heard_at = clock.now()
         if self.memory is not None and self.keeper.whole:
             self.memory.alive()
-        if not line.strip():  # a sign of life
+        if not line.strip():  # a heartbeat
             return
         try:
             message = READ_LISTING.decode(line)
@@ -166,17 +176,19 @@
             LOG.error("a line of the registry makes no sense; the whole list is asked for", why=str(error))
             self.keeper.fetching = True
             return self.fetch()
-        full = message.scope == "full"
-        if (
-            full
-            and self.memory is not None
-            and not self.keeper.older(message)
-            and not self.memory.accepts(not message.engines)
-        ):
-            return
+        if self._is_accepted(message):
+            self._apply(message)
+
+    def _is_accepted(self, message: Listing) -> bool:
+        """False for an empty list that would wipe out a remembered fleet."""
+        if message.scope != "full" or self.memory is None or self.keeper.older(message):
+            return True
+        return self.memory.accepts(not message.engines)
+
+    def _apply(self, message: Listing) -> None:
         told = self.roster.take(clock.now(), message)
         if self.memory is not None and told.event is not None and message.scope != "failed":
-            self.memory.heard(message.engines, full, message.serial)
+            self.memory.heard(message.engines, message.scope == "full", message.serial)
         for note in told.notes:
             LOG.warning("list of engines", note=note)
         for known in told.moved:
@@ -186,22 +198,23 @@
         if told.fetch:
             self.fetch()
         self.core.metrics.list_late.set(self.roster.late / 1000)
-        self._shown()
-        self._look_later()
+        self._update_metrics()
+        self._schedule_tick()
 
-    def _shown(self) -> None:
+    def _update_metrics(self) -> None:
         self.core.metrics.serial.set(self.keeper.serial)
         self.core.metrics.engines.set(self.keeper.ready)
         self.core.metrics.held_back.set(self.roster.damping.held)
 
-    def _look_later(self) -> None:
+    def _schedule_tick(self) -> None:
         at = self.roster.next_time()
-        if self.look is not None and self.look.active():
-            self.look.cancel()
+        if self.tick_timer is not None and self.tick_timer.active():
+            self.tick_timer.cancel()
         if at is not None and not self.stopped:
-            self.look = self.reactor.callLater(max(0.0, at - clock.now()) / 1000, self._look)
+            self.tick_timer = self.reactor.callLater(max(0.0, at - clock.now()) / 1000, self._tick)
 
-    def _look(self) -> None:
+    def _tick(self) -> None:
+        """Lets engines in again that have stopped flapping, and fetches a list that is overdue."""
         event, ask = self.roster.tick(clock.now())
         if event is not None:
             LOG.info(
@@ -212,16 +225,16 @@
         if ask and self.link is not None:
             self.keeper.fetching = True
             self.fetch()
-        self._shown()
-        self._look_later()
+        self._update_metrics()
+        self._schedule_tick()
 
     def watch(self, on: bool) -> None:
         self.watching = on
         if self.link is not None:
-            self.link.say(Hello(watch=on))
+            self.link.send(Hello(watch=on))
 
     def fetch(self) -> None:
         if self.link is not None:
-            self.link.say(Hello(fetch=True))
+            self.link.send(Hello(fetch=True))
         else:
             self.core.tell(EndpointListUpdate("failed", []))
--- a/worksmux/gateway/fleet/peering.py
+++ b/worksmux/gateway/fleet/peering.py
@@ -34,8 +34,8 @@
 from ...policy.events import Event, FailoverPlan
 from ...policy.measure import mix
 from ...settings.front import FrontSettings
-from ..active_versions import Holding
-from ..chat_engine_client import PublishedCore
+from ..active_versions import ActiveVersions
+from ..chat_engine_client import ChatEngineClient
 from .audit_log_keeper import AccountKeeper
 from .consensus_disk import CouncilDisk
 from .consensus_voter import CouncilSeat
@@ -52,7 +52,7 @@
 class Peering:
     """`on_outlived` is called when another process with this name has started later."""
 
-    def __init__(self, settings: FrontSettings, core: PublishedCore, reactor: Reactor, seed: int) -> None:
+    def __init__(self, settings: FrontSettings, core: ChatEngineClient, reactor: Reactor, seed: int) -> None:
         fleet = settings.fleet
         assert fleet is not None
         self.settings, self.fleet, self.core, self.reactor, self.seed = settings, fleet, core, reactor, seed
@@ -77,7 +77,7 @@
             fleet.carries,
         )
         self.keeper = AccountKeeper(Path(fleet.disk), reactor, settings.name, self._send_account, self._names)
-        self.holding = Holding(settings)
+        self.active_versions = ActiveVersions(settings)
         self.planner: Planner | None = None
         self.plan = Plan()
         self.alone = True
@@ -402,7 +402,7 @@
         if event != self.told:
             self.told = event
             self.core.tell(event or FailoverPlan({}, {}, 0.0))
-        self.keeper.acts_on(self.holding.versions(self.plan, alone, self.core.engine_list.keeper))
+        self.keeper.acts_on(self.active_versions.versions(self.plan, alone, self.core.engine_list.keeper))
 
     def _decided(self, request: str, attempt: int) -> None:
         self.keeper.account.decides(request, attempt, clock.wall())
--- a/worksmux/gateway/serve.py
+++ b/worksmux/gateway/serve.py
@@ -22,8 +22,8 @@
 from ..tokenization.vocabulary import BadTokenizer, Vocabulary
 from ..tokenization.vocabulary import load as load_vocabulary
 from .admission_settings import admission_settings
-from .chat_engine_client import PublishedCore
-from .clients import ClientSide
+from .chat_engine_client import ChatEngineClient
+from .clients import ClientRouter
 from .endpoint_cache import Memory
 from .engine_list import EngineList
 from .load_monitor import LoadMonitor
@@ -75,7 +75,7 @@
         self.tokens: TokenService | None = None
         if settings.counting:
             self.tokens = TokenService(reactor, settings.counting, vocabularies(settings))
-        self.clients = ClientSide(self.core, self.tokens)
+        self.clients = ClientRouter(self.core, self.tokens)
         self.peering = self._make_peering(seed)
         self.load_monitor: LoadMonitor | None = None
         if settings.admission:
@@ -94,11 +94,11 @@
         self.stopping = False
         self._drain_timer: Any = None
 
-    def _make_core(self, seed: int) -> PublishedCore:
+    def _make_core(self, seed: int) -> ChatEngineClient:
         settings = self.settings
         door = Door(settings.module, seed, self._make_policy)
         start_name = f"{settings.name}-{secrets.token_hex(4)}"
-        return PublishedCore(settings, door, self.reactor, self.metrics, start_name)
+        return ChatEngineClient(settings, door, self.reactor, self.metrics, start_name)
 
     def _make_memory(self, seed: int) -> Memory | None:
         if not self.settings.memory:
@@ -124,7 +124,7 @@
             one.call: StageDispatcher(one, self.core, seed + number + 1, self._make_policy)
             for number, one in enumerate(settings.lanes)
         }
-        self.core.lanes = list(dispatchers.values())
+        self.core.stages = list(dispatchers.values())
         admission = AdmissionController(admission_settings(settings, bounds), seed)
         first_number = len(settings.request_classes)
         vectors = VectorService(self.core, dispatchers, admission, bounds, first_number, self.tokens)
@@ -246,7 +246,7 @@
 
     def _apply_bounds(self, new: FrontSettings) -> None:
         transport = new.transport
-        self.clients.most = [one.most_answer for one in new.request_classes]
+        self.clients.max_answer_tokens = [one.most_answer for one in new.request_classes]
         self.client_server.max_body_bytes = transport.body
         self.watch_server.max_body_bytes = transport.head
         self.client_server.max_head_bytes = self.watch_server.max_head_bytes = transport.head
--- a/worksmux/gateway/stage.py
+++ b/worksmux/gateway/stage.py
@@ -31,7 +31,7 @@
 from ..policy.state import Attempt, Outcome, Request
 from ..settings.front import Lane as StageSettings
 from .attempts import OK, EngineCall
-from .chat_engine_client import PublishedCore
+from .chat_engine_client import ChatEngineClient
 
 LOG = structlog.get_logger()
 BAD_INPUT_STATUSES = frozenset({400, 413, 422})  # the engine finds fault with the client's input
@@ -96,7 +96,7 @@
 class StageDispatcher(Turns):
     """Sends the batches of one path."""
 
-    def __init__(self, settings: StageSettings, core: PublishedCore, seed: int, make: Maker) -> None:
+    def __init__(self, settings: StageSettings, core: ChatEngineClient, seed: int, make: Maker) -> None:
         super().__init__(Door(settings.module, seed, make), core.reactor, core.metrics)
         self.settings = settings
         self._core = core
--- a/worksmux/gateway/vectors.py
+++ b/worksmux/gateway/vectors.py
@@ -20,14 +20,14 @@
 from ..net.server import Exchange
 from ..settings.front import Admission
 from ..tokenization.service import Result, TokenService
-from .chat_engine_client import PublishedCore
-from .stage import StageDispatcher
-from .vector_answers import (
+from .answers import (
     SERVICE_UNAVAILABLE,
     TOO_MANY_REQUESTS,
     answer_deferred,
     answer_timed_out,
 )
+from .chat_engine_client import ChatEngineClient
+from .stage import StageDispatcher
 from .vector_batches import VectorBatch
 from .vector_requests import (
     EMBEDDINGS,
@@ -53,7 +53,7 @@
 
     def __init__(
         self,
-        core: PublishedCore,
+        core: ChatEngineClient,
         dispatchers: dict[str, StageDispatcher],
         admission: AdmissionController,
         bounds: Admission,
