--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -1,4 +1,4 @@
-"""Bursts of connections, and a reactor that they make late: what was taken is still sent on and let go."""
+"""Bursts of connections, and a reactor that they make late: requests go on, and KV caches are released."""
 
 from __future__ import annotations
 
@@ -17,13 +17,16 @@
 from worksmux.net.server import Server
 
 BURST = 150
-MOST_IN_A_TURN = 32
-TURN_ENDS = 0.01  # milliseconds from one late turn to the next
+MAX_ACCEPTS_PER_ITERATION = 32
+ITERATION_GAP_MS = 0.01  # from one late iteration to the next
 
 
-def test_burst_of_connections_is_taken_a_few_in_a_turn() -> None:
-    """Guards against a turn of the reactor that takes a hundred new connections before it reads anything
-    else: with 1,500 a second, connections to engines that had come up were read after their time."""
+def test_burst_of_connections_is_accepted_a_few_in_an_iteration() -> None:
+    """150 connections arrive at once.
+
+    Were all accepted in one iteration of the reactor, connections to engines that had come up meanwhile would
+    be read only after their timeout.
+    """
     reactor: Any = EPollReactor()  # type: ignore[no-untyped-call]
     server = Server(lambda exchange: None, 1000, 1000, 2000.0, reactor, 0.0, 50)
     _, port = listen(reactor, ("127.0.0.1", 0), server)
@@ -34,44 +37,47 @@
     while (before := sum(taken)) < BURST:
         reactor.iterate(0.01)
         most = max(most, sum(taken) - before)
-    assert most <= MOST_IN_A_TURN
+    assert most <= MAX_ACCEPTS_PER_ITERATION
     for one in waiting:
         one.close()
 
 
-class Resting:
-    """A connection as the server's count sees it, which counts how often it is looked at."""
+class StubConnection:
+    """A connection as the server sees it, which counts how often its rank is read."""
 
-    looks = 0
+    rank_reads = 0
 
     def __init__(self, rank: int, since: float) -> None:
         self._rank, self.since_ms, self.aborted = rank, since, False
         self.transport = self
 
     def eviction_rank(self) -> int:
-        Resting.looks += 1
+        StubConnection.rank_reads += 1
         return self._rank
 
     def abortConnection(self) -> None:
         self.aborted = True
 
 
-def test_connection_to_close_is_found_without_a_look_at_all_of_them() -> None:
-    """Guards against a search whose cost grows with the number of connections, for each new one."""
+def test_connection_to_evict_is_found_without_a_search() -> None:
+    """400 connections arrive at a server that has as many as it may.
+
+    A search through all of them for each new one would take longer than the burst.
+    """
     server = Server(lambda exchange: None, 1, 1, 2000.0, None, 0.0, 560)
-    resting = [Resting(2, float(at)) for at in range(560)]
+    resting = [StubConnection(2, float(at)) for at in range(560)]
     for one in resting:
         server.connection_made(one)
-    Resting.looks = 0
-    new = [Resting(3, 1000.0 + at) for at in range(400)]
+    StubConnection.rank_reads = 0
+    new = [StubConnection(3, 1000.0 + at) for at in range(400)]
     for one in new:
         server.connection_made(one)
-    assert len(server.channels) == 560 and Resting.looks < 10 * len(new)
+    assert len(server.channels) == 560 and StubConnection.rank_reads < 10 * len(new)
     assert resting[0].aborted and sum(one.aborted for one in (*resting, *new)) == len(new)
 
 
-class Reply:
-    """Takes one reply."""
+class RecordingReceiver:
+    """Records a response."""
 
     def __init__(self) -> None:
         self.status, self.trouble = 0, ""
@@ -88,21 +94,24 @@
 
 
 def test_connection_that_came_up_while_the_reactor_was_late_is_used() -> None:
-    """Guards against time-outs called before what has come is read: no connection came up at all while each
-    turn took longer than the time for one."""
+    """The reactor is late by more than the connect timeout while a connection comes up.
+
+    The timeout must not fire before the reactor has read that it is up; else no connection would ever come
+    up in a process that is that late.
+    """
     rig = Rig()
     engine: Engine = rig.engine("prefill", lambda _: READ)
     now = rig.reactor.seconds()
     rig.reactor.seconds = lambda: now
     pool = client.Pool(rig.reactor, "127.0.0.1", engine.number, 250.0, 0.0, 0, 1000)
-    reply = Reply()
-    pool.call("GET", "/alive", reply)
-    now += 0.3  # the turn was late
+    response = RecordingReceiver()
+    pool.call("GET", "/alive", response)
+    now += 0.3  # the iteration is late
     for _ in range(200):
         rig.reactor.iterate(0.005)
-        if reply.status or reply.trouble:
+        if response.status or response.trouble:
             break
-    assert (reply.status, reply.trouble) == (202, "")
+    assert (response.status, response.trouble) == (202, "")
 
 
 def small_fleet(faults: list[s.Fault], **behaviour: Any) -> s.Schedule:
@@ -136,14 +145,14 @@
     )
 
 
-@pytest.mark.parametrize("turn", [150.0, 260.0])
-def test_state_is_let_go_by_a_process_whose_every_turn_is_late(turn: float) -> None:
-    """A flood as an event loop sees it: for 3 s each turn takes longer than a connection may take."""
+@pytest.mark.parametrize("iteration_ms", [150.0, 260.0])
+def test_kv_cache_is_released_by_a_process_whose_every_iteration_is_late(iteration_ms: float) -> None:
+    """A flood as an event loop sees it: for 3 s each iteration takes longer than the connect timeout."""
     late: list[s.Fault] = []
     start = 1000.0
     while start < 4000.0:
-        late.append(s.Hang(start, start + turn, "n0"))
-        start += turn + TURN_ENDS
+        late.append(s.Hang(start, start + iteration_ms, "n0"))
+        start += iteration_ms + ITERATION_GAP_MS
     result = play(small_fleet(late))
     assert not [one for one in result.violations if one.rule is Rule.PINNED]
     assert result.served > 0.5 * result.requests
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -1,4 +1,4 @@
-"""Embeddings and rerank on loopback: batches over engines, failures in their midst, floods beside chat."""
+"""Embeddings and rerank on loopback: batches over engines, failures during a batch, floods beside chat."""
 
 from __future__ import annotations
 
@@ -51,15 +51,15 @@
 }
 """
 )
-# Where only what comes back matters: an engine that a starved machine makes answer full is set aside for
-# about a second, which is all that TEXT promises.
-PATIENT = SETTINGS + TEXT.removeprefix(SETTINGS).replace('"1s"', '"10s"').replace('"2s"', '"12s"')
+# For tests of the answers alone: on a starved machine an engine may be ejected for about a second, which is
+# the whole latency target of TEXT.
+LONG_DEADLINES = SETTINGS + TEXT.removeprefix(SETTINGS).replace('"1s"', '"10s"').replace('"2s"', '"12s"')
 FLEET = [("prefill", 0), ("decode", 0), ("embedder", 0), ("embedder", 0), ("reranker", 1), ("reranker", 1)]
 Reply = tuple[int, dict[str, str], Any]
 
 
-class Asker:
-    """Asks and keeps the replies; ends the run with the last."""
+class RecordingClient:
+    """Sends requests and records the replies; ends the run with the last one."""
 
     def __init__(self, rig: Rig) -> None:
         self.rig, self.replies, self.open = rig, {}, 0  # type: Rig, dict[Any, Reply], int
@@ -82,10 +82,10 @@
         return self.ask(name, rerank.PATH, {"model": "ranks", "query": query, "documents": documents, **more})
 
 
-def rigged(tmp_path: Path, text: str = TEXT, **spec: Any) -> tuple[Rig, Asker]:
+def rigged(tmp_path: Path, text: str = TEXT, **spec: Any) -> tuple[Rig, RecordingClient]:
     rig = Rig(tmp_path, FLEET, text=text, **{"read_speed": 20_000.0, **spec})
     rig.front()
-    return rig, Asker(rig)
+    return rig, RecordingClient(rig)
 
 
 def play(rig: Rig, call: Callable[[], Any], within: float = 15.0) -> None:
@@ -97,75 +97,76 @@
     return [f"text {at} ".ljust(length, "x") for at in range(count)]
 
 
-def test_all_forms_of_input_give_the_vectors_in_order(tmp_path: Path) -> None:
-    rig, asker = rigged(tmp_path, PATIENT)
+def test_every_form_of_input_returns_vectors_in_order(tmp_path: Path) -> None:
+    rig, client = rigged(tmp_path, LONG_DEADLINES)
 
     def ask() -> None:
-        asker.embed("one", "hello")
-        asker.embed("many", words(100))
-        asker.embed("ids", [1, 2, 3])
-        asker.embed("lists", [[1, 2], [3]], dimensions=2)
-        asker.embed("packed", ["a"], encoding_format="base64")
+        client.embed("one", "hello")
+        client.embed("many", words(100))
+        client.embed("ids", [1, 2, 3])
+        client.embed("lists", [[1, 2], [3]], dimensions=2)
+        client.embed("packed", ["a"], encoding_format="base64")
 
     play(rig, ask)
     found = {
-        name: [one["embedding"] for one in reply["data"]] for name, (_, _, reply) in asker.replies.items()
+        name: [one["embedding"] for one in reply["data"]] for name, (_, _, reply) in client.replies.items()
     }
     assert found["one"] == [vector("vectors", "hello")] and found["ids"] == [vector("vectors", [1, 2, 3])]
     assert found["many"] == [vector("vectors", one) for one in words(100)]
     assert found["lists"] == [vector("vectors", [1, 2], 2), vector("vectors", [3], 2)]
     assert embeddings.pack(found["packed"][0]) == embeddings.pack(vector("vectors", "a"))
-    assert asker.replies["many"][2]["usage"]["total_tokens"] == 1000
+    assert client.replies["many"][2]["usage"]["total_tokens"] == 1000
     attempts = [attempt for attempt in load(tmp_path).attempts if attempt.request_class == embeddings.PATH]
     assert {attempt.engine for attempt in attempts} == {"e2", "e3"} and len(attempts) >= 7 + 3
 
 
-def test_rerank_gives_the_most_relevant_first_whatever_the_order_of_the_engine(tmp_path: Path) -> None:
-    rig, asker = rigged(tmp_path, PATIENT)
+def test_rerank_sorts_by_relevance(tmp_path: Path) -> None:
+    rig, client = rigged(tmp_path, LONG_DEADLINES)
 
     def ask() -> None:
         rig.fault(rig.engines[4], "shuffle")
-        asker.rank("all", "q", words(60), return_documents=True)
-        asker.rank("top", "q", words(60), top_n=3)
+        client.rank("all", "q", words(60), return_documents=True)
+        client.rank("top", "q", words(60), top_n=3)
 
     play(rig, ask)
     best = sorted(range(60), key=lambda at: (-score("q", words(60)[at]), at))
-    results = asker.replies["all"][2]["results"]
+    results = client.replies["all"][2]["results"]
     assert [one["index"] for one in results] == best and results[0]["document"]["text"] == words(60)[best[0]]
-    assert [one["index"] for one in asker.replies["top"][2]["results"]] == best[:3]
+    assert [one["index"] for one in client.replies["top"][2]["results"]] == best[:3]
 
 
 @pytest.mark.parametrize("fault", ["few", "many", "fail_fast", "refuse", "hang"])
-def test_engine_that_fails_in_mid_batch_costs_no_result(tmp_path: Path, fault: str) -> None:
-    rig, asker = rigged(tmp_path)
+def test_engine_fault_during_a_batch_loses_no_result(tmp_path: Path, fault: str) -> None:
+    rig, client = rigged(tmp_path)
 
     def ask() -> None:
         rig.fault(rig.engines[2], fault)
-        rig.reactor.callLater(0.05, asker.embed, "e", words(60))
-        rig.reactor.callLater(0.05, asker.embed, "f", words(3))
+        rig.reactor.callLater(0.05, client.embed, "e", words(60))
+        rig.reactor.callLater(0.05, client.embed, "f", words(3))
 
     play(rig, ask)
     for name, count in (("e", 60), ("f", 3)):
-        status, _, reply = asker.replies[name]
+        status, _, reply = client.replies[name]
         assert status == 200
         assert [one["embedding"] for one in reply["data"]] == [vector("vectors", one) for one in words(count)]
 
 
-def test_drain_in_mid_batch_is_kept_and_the_batch_delivered(tmp_path: Path) -> None:
-    rig, asker = rigged(tmp_path, read_speed=4000.0)
+def test_batch_is_delivered_while_its_engine_drains(tmp_path: Path) -> None:
+    """An engine begins to drain while a batch runs there; later batches must go elsewhere."""
+    rig, client = rigged(tmp_path, read_speed=4000.0)
 
     def later() -> None:
-        asker.open -= 1
-        asker.rank("later", "q", words(30))
+        client.open -= 1
+        client.rank("later", "q", words(30))
 
     def ask() -> None:
-        asker.open += 1  # the later call ends the run
-        asker.rank("r", "q", words(120))
+        client.open += 1  # the later call ends the run
+        client.rank("r", "q", words(120))
         rig.reactor.callLater(0.05, rig.list, rig.engines[4], "draining")
         rig.reactor.callLater(0.4, later)
 
     play(rig, ask)
-    assert [reply[0] for reply in asker.replies.values()] == [200, 200]
+    assert [reply[0] for reply in client.replies.values()] == [200, 200]
     records = load(tmp_path)
     told = records.told["a", "e4"].times[-1]
     assert all(verdict.kept for verdict in check(records, FIGURES))
@@ -174,59 +175,62 @@
     ]
 
 
-def test_joined_calls_share_a_attempt_and_one_bad_input_harms_only_its_own(tmp_path: Path) -> None:
-    rig, asker = rigged(tmp_path, read_speed=4000.0)
+def test_bad_input_in_a_shared_batch_fails_its_own_request_only(tmp_path: Path) -> None:
+    """Eight requests share a batch, and the engines reject the input of one of them."""
+    rig, client = rigged(tmp_path, read_speed=4000.0)
 
     def ask() -> None:
         for engine in rig.engines[2:4]:
             rig.fault(engine, "bad")
-        rig.reactor.callLater(0.05, asker.embed, "busy", words(30))
+        rig.reactor.callLater(0.05, client.embed, "busy", words(30))
         for at in range(8):
-            rig.reactor.callLater(0.06, asker.embed, at, "BAD" if at == 3 else f"small {at}")
+            rig.reactor.callLater(0.06, client.embed, at, "BAD" if at == 3 else f"small {at}")
 
     play(rig, ask)
-    assert [asker.replies[at][0] for at in range(8)] == [200, 200, 200, 400, 200, 200, 200, 200]
-    assert asker.replies[3][2]["error"]["message"] == "an input is BAD"
-    assert asker.replies[5][2]["data"][0]["embedding"] == vector("vectors", "small 5")
+    assert [client.replies[at][0] for at in range(8)] == [200, 200, 200, 400, 200, 200, 200, 200]
+    assert client.replies[3][2]["error"]["message"] == "an input is BAD"
+    assert client.replies[5][2]["data"][0]["embedding"] == vector("vectors", "small 5")
 
 
-def test_client_that_hangs_up_leaves_the_others_of_its_load_alone(tmp_path: Path) -> None:
-    rig, asker = rigged(tmp_path, read_speed=2000.0)
+def test_disconnected_client_does_not_harm_others_in_its_batch(tmp_path: Path) -> None:
+    """Five requests share a batch, and one client disconnects; nothing may be left of it."""
+    rig, client = rigged(tmp_path, read_speed=2000.0)
 
     def ask() -> None:
-        asker.embed("busy", words(20))
+        client.embed("busy", words(20))
         for at in range(4):
-            asker.embed(at, f"small {at}")
+            client.embed(at, f"small {at}")
         goes = rig.ask(
             json.dumps({"model": "vectors", "input": "goes"}).encode(), lambda *_: None, path=embeddings.PATH
         )
         rig.reactor.callLater(0.02, goes.abandon)
 
     play(rig, ask)
-    assert {reply[0] for reply in asker.replies.values()} == {200}
+    assert {reply[0] for reply in client.replies.values()} == {200}
     vectors = rig.fronts[0].clients.vectors
     assert vectors and not vectors.open and not vectors.batches and not vectors.planner.out
 
 
-def test_flood_is_turned_away_early_and_chat_goes_on(tmp_path: Path) -> None:
-    rig, asker = rigged(tmp_path)
+def test_flood_of_embeddings_is_rejected_early_and_chat_goes_on(tmp_path: Path) -> None:
+    """Embeddings come at eight times what their engines can process, beside usual chat."""
+    rig, client = rigged(tmp_path)
     for engine in rig.engines[2:4]:
         engine.spec.read_speed = 4000.0
 
     def flood(number: int) -> None:
         for at in range(4):
-            asker.embed((number, at), [f"{number} {at} {one}"[:40] for one in words(40)], user=f"u{at % 4}")
+            client.embed((number, at), [f"{number} {at} {one}"[:40] for one in words(40)], user=f"u{at % 4}")
 
     for tick in range(40):  # 160 calls of 400 tokens: eight times what can be read
         rig.at(300 + 25 * tick, flood, tick)
-    asker.open += 1  # the day ends the run
+    client.open += 1  # the day ends the run
     records = rig.day(length=2800.0, rate=15.0)
     done = [request["how"] for request in records.requests]  # on a busy machine the whole process may be late
     assert done.count("delivered") >= 0.9 * len(done)
     assert all(verdict.kept for verdict in check(records, FIGURES))
-    ends = [reply[0] for reply in asker.replies.values()]
+    ends = [reply[0] for reply in client.replies.values()]
     assert ends.count(200) > 12 and ends.count(429) > 60 and set(ends) <= {200, 429, 503, 504}
-    away = [int(reply[1]["retry-after-ms"]) for reply in asker.replies.values() if reply[0] == 429]
+    away = [int(reply[1]["retry-after-ms"]) for reply in client.replies.values() if reply[0] == 429]
     assert min(away) >= 50 and len(set(away)) > len(away) / 4
     chat = {attempt.engine for attempt in records.attempts if attempt.request_class != embeddings.PATH}
     assert chat == {"e0", "e1"}
@@ -244,12 +248,12 @@
         (b'{"model":"v","input":[true]}', "mixes forms"),
     ],
 )
-def test_bad_call_is_told_what_is_wrong(body: bytes, wanted: str) -> None:
+def test_bad_request_names_its_fault(body: bytes, wanted: str) -> None:
     with pytest.raises(BadRequest, match=wanted):
         embeddings.asked(body)
 
 
-def test_reply_that_lies_counts_only_where_it_makes_sense() -> None:
+def test_only_valid_parts_of_a_reply_are_used() -> None:
     reply = json.dumps(
         {
             "data": [
@@ -281,17 +285,19 @@
             embeddings.vectors(bad, 1)
 
 
-def test_wrong_paths_methods_and_models_are_answered(tmp_path: Path) -> None:
-    rig, asker = rigged(tmp_path)
+def test_unknown_models_and_bad_requests_are_answered(tmp_path: Path) -> None:
+    rig, client = rigged(tmp_path)
 
     def ask() -> None:
-        asker.ask("no model", embeddings.PATH, {"model": "ranks", "input": "a"})
-        asker.ask("too long", embeddings.PATH, {"model": "vectors", "input": "a" * 30_000})
-        asker.ask("no time", embeddings.PATH, {"model": "vectors", "input": "a"}, x_worksmux_time_left_ms="x")
-        asker.embed("fine", "a")
+        client.ask("no model", embeddings.PATH, {"model": "ranks", "input": "a"})
+        client.ask("too long", embeddings.PATH, {"model": "vectors", "input": "a" * 30_000})
+        client.ask(
+            "no time", embeddings.PATH, {"model": "vectors", "input": "a"}, x_worksmux_time_left_ms="x"
+        )
+        client.embed("fine", "a")
 
     play(rig, ask)
-    assert {name: reply[0] for name, reply in asker.replies.items()} == {
+    assert {name: reply[0] for name, reply in client.replies.items()} == {
         "no model": 404,
         "too long": 400,
         "no time": 400,
@@ -299,7 +305,7 @@
     }
 
 
-def test_settings_of_one_stage_calls_are_checked() -> None:
+def test_settings_of_single_stages_are_checked() -> None:
     broken = (
         TEXT.replace('kind "reranker" role="both" memory=1000000 call="rerank"\n', "")
         .replace("line-tokens 20000", "line-tokens 10")
@@ -312,26 +318,28 @@
     assert 'embeddings is one stage; set role "both"' in text
 
 
-def test_engine_that_dies_and_restarts_in_mid_batch_costs_no_score(tmp_path: Path) -> None:
-    rig, asker = rigged(tmp_path, read_speed=4000.0)
+def test_engine_restart_during_a_batch_loses_no_score(tmp_path: Path) -> None:
+    """A rerank engine dies in the middle of a batch and starts again 140 ms later."""
+    rig, client = rigged(tmp_path, read_speed=4000.0)
 
     def dies() -> None:
         rig.engines[4].model.fallen = True
         rig.engines[4].fall()
 
     def ask() -> None:
-        asker.rank("r", "q", words(120))
+        client.rank("r", "q", words(120))
         rig.reactor.callLater(0.06, dies)
         rig.reactor.callLater(0.2, setattr, rig.engines[4].model, "fallen", False)
 
     play(rig, ask)
-    status, _, reply = asker.replies["r"]
+    status, _, reply = client.replies["r"]
     assert status == 200 and len(reply["results"]) == 120
     assert {one["relevance_score"] for one in reply["results"]} == {score("q", one) for one in words(120)}
 
 
-def test_front_whose_loop_lags_sheds_the_cheapest_and_says_so(tmp_path: Path) -> None:
-    rig, asker = rigged(tmp_path)
+def test_gateway_whose_loop_lags_sheds_the_least_valuable_requests(tmp_path: Path) -> None:
+    """The event loop is reported late at 40 samples; embeddings are worth less than chat."""
+    rig, client = rigged(tmp_path)
     monitor = rig.fronts[0].load_monitor
     assert monitor is not None
 
@@ -340,15 +348,15 @@
         for step in range(40):  # as if each look had come far too late
             monitor.admission.update_pressure(now + 20_000.0 * step, Pressure(lag=3.0))
         for at in range(20):
-            asker.embed(at, f"text {at}")
-        asker.ask(
+            client.embed(at, f"text {at}")
+        client.ask(
             "chat",
             "/v1/chat/completions",
             {"model": "hint", "messages": [{"role": "user", "content": "a"}], "max_tokens": 2},
         )
 
     play(rig, late)
-    embedded = [asker.replies[at] for at in range(20)]
+    embedded = [client.replies[at] for at in range(20)]
     assert {reply[0] for reply in embedded} == {429}
     assert "short" in embedded[0][2]["error"]["message"] and "retry-after" in embedded[0][1]
     monitor.admission.update_pressure(clock.now() + 1e9, Pressure())
@@ -356,20 +364,20 @@
     assert monitor.admission.shedder.level == 0.0
 
 
-def test_front_that_stops_finishes_its_calls_first(tmp_path: Path) -> None:
-    rig, asker = rigged(tmp_path, read_speed=4000.0)
+def test_gateway_that_stops_finishes_its_vector_requests_first(tmp_path: Path) -> None:
+    rig, client = rigged(tmp_path, read_speed=4000.0)
     ended: list[bool] = []
 
     def ask() -> None:
-        asker.embed("out", words(30))
+        client.embed("out", words(30))
         rig.reactor.callLater(0.02, rig.fronts[0].stop)
-        rig.fronts[0].on_end = lambda: ended.append("out" in asker.replies)
+        rig.fronts[0].on_end = lambda: ended.append("out" in client.replies)
 
     play(rig, ask)
-    assert asker.replies["out"][0] == 200 and ended == [True]
+    assert client.replies["out"][0] == 200 and ended == [True]
 
 
-def test_loads_are_cut_by_the_tokens_that_the_router_counts(tmp_path: Path) -> None:
+def test_batches_are_cut_by_counted_tokens(tmp_path: Path) -> None:
     counting = """
 tokenizer "lab" file="examples/tokenizers/lab-1.json"
 counting {
@@ -390,11 +398,11 @@
         text = text.replace(f'offering "{name}" {{', f'offering "{name}" {{\n    tokenizer "lab"')
     rig = Rig(tmp_path, FLEET, text=text + counting, read_speed=20_000.0)
     rig.front()
-    asker = Asker(rig)
+    client = RecordingClient(rig)
     inputs = [f"{at} " + "zq" * 60 for at in range(12)]  # many more tokens than their bytes suggest
 
     def ask() -> None:
-        asker.embed("counted", inputs)
+        client.embed("counted", inputs)
         goes = rig.ask(
             json.dumps({"model": "vectors", "input": ["xy" * 3000]}).encode(),
             lambda *_: None,
@@ -403,7 +411,7 @@
         rig.reactor.callLater(0.0, goes.abandon)
 
     play(rig, ask, 30.0)
-    status, _, reply = asker.replies["counted"]
+    status, _, reply = client.replies["counted"]
     assert status == 200 and [one["embedding"] for one in reply["data"]] == [
         vector("vectors", one) for one in inputs
     ]
