--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -11,7 +11,8 @@
 from worksmux.checker.rules import check
 from worksmux.endpoints.staleness import Saved, Stand, Turnover
 from worksmux.fault_trial.small import FIGURES, SETTINGS, Rig
-from worksmux.gateway.endpoint_cache import Facts, read_learned
+from worksmux.gateway.endpoint_cache import Facts
+from worksmux.gateway.learned_state_store import read_learned
 from worksmux.net import clock
 from worksmux.storage.database import open_store
 from worksmux.storage.records import Table
--- a/worksmux/gateway/endpoint_cache.py
+++ b/worksmux/gateway/endpoint_cache.py
@@ -1,5 +1,4 @@
-"""A front's memory of the list: kept on disk as lists come, and served from at a start until the registry
-speaks."""
+"""The endpoint list on disk: kept as lists come, and served from at a start until the registry answers."""
 
 from __future__ import annotations
 
@@ -10,20 +9,23 @@
 
 from ..api import engine as calls
 from ..api.listing import Line
-from ..endpoints.learned_state import EVERY, FLEET, Kept, Learner, Marks, Pace, recall
+from ..endpoints.learned_state import Kept
 from ..endpoints.staleness import Answer, Belief, Beliefs, Saved, Stand, Step, Turnover
 from ..net import client, clock
 from ..net.loop import Reactor
 from ..policy.events import EndpointEntry, EndpointListUpdate
-from ..policy.router import MEMORY
 from ..policy.state import Engine, Outcome
 from ..settings.front import MemorySettings
 from ..storage.database import Store, Unusable, open_store
 from ..storage.writer import Writer
 from .chat_engine_client import ChatEngineClient
+from .learned_state_store import LearnedStateStore, read_learned
 
 LOG = structlog.get_logger()
-LINES, FACTS, LEARNED = "lines", "facts", "learned"
+LINES, FACTS = "lines", "facts"  # tables
+FACTS_KEY = "list"
+OK = 200
+UNKNOWN_AGE = 0.0  # as of 1970, so that nothing but the address is believed
 
 
 class Facts(msgspec.Struct):
@@ -35,203 +37,180 @@
     turnover: Turnover = msgspec.field(default_factory=Turnover)
 
 
-def read_learned(store: Store) -> Kept:
-    """What was learned, as far as the store vouches for each record."""
-    kept = Kept(None, {})
-    for name, data in store.read(LEARNED).values.items():
-        try:
-            if name == FLEET:
-                kept.pace = msgspec.msgpack.decode(data, type=Pace)
-            else:
-                kept.marks[name] = msgspec.msgpack.decode(data, type=Marks)
-        except msgspec.DecodeError:
-            continue
-    return kept
+class EndpointCache:
+    """Serves from the cached list at a start, and keeps it up to date.
 
+    `engine_list` is set by the process that builds both.
+    """
 
-class Memory:
     def __init__(self, settings: MemorySettings, core: ChatEngineClient, reactor: Reactor, seed: int) -> None:
-        self.settings, self.core, self.reactor, self.seed = settings, core, reactor, seed
-        self.writer: Writer | None = None
-        self.facts = Facts()
-        self.kept: dict[str, Line] = {}  # as the registry last told, for turnover
-        self.told_at = 0.0
-        self.beliefs: Beliefs | None = None
-        self.learner = Learner([one.name for one in core.settings.request_classes])
-        self.timer: Any = None
-        self.keep_timer: Any = None
-        self.engine_list: Any = None  # set by who builds both
-
-    # At a start.
+        self.settings, self.core, self.reactor = settings, core, reactor
+        self.beliefs: Beliefs | None = None  # once it is started
+        self.engine_list: Any = None
+        self._seed = seed
+        self._writer: Writer | None = None
+        self._facts = Facts()
+        self._listed: dict[str, Line] = {}  # as the registry last sent it, for the turnover
+        self._listed_at = 0.0
+        self._learned = LearnedStateStore(core, reactor, self._put)
+        self._timer: Any = None
 
     def start(self) -> None:
-        """Opens the store and serves from what it holds; a store of no use is told, and the front starts
-        empty."""
+        """Opens the store and serves from it; without a usable one, from the seeds of the settings."""
+        saved, is_complete, kept = self._open()
+        keeper = self.engine_list.keeper
+        keeper.serial, keeper.theirs = self._facts.serial, self._facts.theirs
+        source = "the store" if saved else "seeds" if self.settings.seeds else "nothing"
+        if not saved:
+            saved = [Saved(line, UNKNOWN_AGE) for line in self.settings.seeds]
+        self.beliefs = self._make_beliefs(saved, is_complete)
+        self._log_start(self.beliefs, source, is_complete)
+        self._apply(self.beliefs.start(), "cached")
+        self._learned.restore(kept, self._facts.turnover, self.settings.believed_for)
+        self._schedule_tick()
+        self._learned.start()
+
+    def _open(self) -> tuple[list[Saved], bool, Kept]:
+        """The saved lines, whether none of them is lost, and what was learned."""
         saved: list[Saved] = []
-        whole, kept = True, Kept(None, {})
+        is_complete, kept = True, Kept(None, {})
         try:
             store = open_store(self.settings.file)
-            saved, whole = self._read(store)
+            saved, is_complete = self._read(store)
             kept = read_learned(store)
             if not store.read_only:
-                self.writer = Writer(store, self.settings.write_pause / 1000, self._store_failed)
+                self._writer = Writer(store, self.settings.write_pause / 1000, self._store_failed)
         except Unusable as error:
             LOG.error("no memory", why=str(error))
-        self.engine_list.keeper.serial, self.engine_list.keeper.theirs = self.facts.serial, self.facts.theirs
-        source = "the store" if saved else "seeds" if self.settings.seeds else "nothing"
-        if not saved:
-            saved = [Saved(line, 0.0) for line in self.settings.seeds]  # an age of decades: addresses to ask
-        self.beliefs = Beliefs(
-            saved,
-            clock.now(),
-            clock.wall(),
-            self.facts.turnover,
-            self.settings.believed_for,
-            self.core.settings.module["fronts"],
-            self.settings.probe_rate,
-            whole,
-            self.seed,
-        )
-        stands = [belief.stand for belief in self.beliefs.beliefs.values()]
-        LOG.info(
-            "remembered list",
-            source=source,
-            whole=whole,
-            age_s=round((clock.wall() - self.facts.alive) / 1000) if self.facts.alive else None,
-            lines=len(stands),
-            **{stand.name.lower(): stands.count(stand) for stand in Stand if stand in stands},
-        )
-        self._apply(self.beliefs.start(), "cached")
-        self.core.tell(
-            recall(
-                kept,
-                self.learner.request_classes,
-                self._engines(),
-                clock.wall(),
-                self.facts.turnover,
-                self.settings.believed_for,
-            )
-        )
-        self.core.on_event = self.learner.saw
-        self._watch()
-        self._keep_later()
-
-    def _engines(self) -> list[tuple[Engine, float]]:
-        """Each engine with its start as it was listed."""
-        return [(known.engine, known.line.started) for known in self.engine_list.keeper.known.values()]
-
-    def _keep_later(self) -> None:
-        self.keep_timer = self.reactor.callLater(MEMORY * EVERY / 1000, self._keep)
-
-    def _keep(self) -> None:
-        self._keep_learned()
-        self._keep_later()
-
-    def _keep_learned(self) -> None:
-        for name, one in self.learner.changes(self._engines(), clock.now(), clock.wall()).items():
-            self._put(LEARNED, name, None if one is None else msgspec.msgpack.encode(one))
+        return saved, is_complete, kept
 
     def _read(self, store: Store) -> tuple[list[Saved], bool]:
         for note in store.notes:
             LOG.error("store", note=note)
         lines, facts = store.read(LINES), store.read(FACTS)
         try:
-            self.facts = msgspec.msgpack.decode(facts.values.get("list", b""), type=Facts)
+            self._facts = msgspec.msgpack.decode(facts.values.get(FACTS_KEY, b""), type=Facts)
         except msgspec.DecodeError:
-            self.facts = Facts()
+            self._facts = Facts()
         saved = []
         for data in lines.values.values():
             try:
                 one = msgspec.msgpack.decode(data, type=Saved)
             except msgspec.DecodeError:
                 continue
-            one.confirmed = max(one.confirmed, self.facts.alive)
+            one.confirmed = max(one.confirmed, self._facts.alive)
             saved.append(one)
         return saved, lines.whole or not saved
 
+    def _make_beliefs(self, saved: list[Saved], is_complete: bool) -> Beliefs:
+        return Beliefs(
+            saved,
+            clock.now(),
+            clock.wall(),
+            self._facts.turnover,
+            self.settings.believed_for,
+            self.core.settings.module["fronts"],
+            self.settings.probe_rate,
+            is_complete,
+            self._seed,
+        )
+
+    def _log_start(self, beliefs: Beliefs, source: str, is_complete: bool) -> None:
+        stands = [belief.stand for belief in beliefs.beliefs.values()]
+        alive = self._facts.alive
+        LOG.info(
+            "remembered list",
+            source=source,
+            whole=is_complete,
+            age_s=round((clock.wall() - alive) / 1000) if alive else None,
+            lines=len(stands),
+            **{stand.name.lower(): stands.count(stand) for stand in Stand if stand in stands},
+        )
+
     def _store_failed(self, why: str) -> None:
+        """Called from the writer's thread."""
         self.reactor.callFromThread(lambda: LOG.error("store", why=why))
 
     def _apply(self, step: Step, scope: str = "delta") -> None:
+        """Tells the policy which endpoints have changed, and checks those that are in doubt."""
         for note in step.notes:
             LOG.warning("remembered list", note=note)
         if step.changed or scope == "cached":
             entries = [entry for belief in step.changed if (entry := self._entry(belief)) is not None]
             self.core.listed(EndpointListUpdate(scope, entries))
         for line in step.ask:
-            self._probe(line)
+            self._check(line)
 
     def _entry(self, belief: Belief) -> EndpointEntry | None:
-        state = belief.stand.listed
-        if state == "gone" and belief.line.id not in self.engine_list.keeper.known:
-            self.core.moved(self.engine_list.engine(belief.line.id), belief.line.host, belief.line.port)
-            return None  # an address to ask; the module has never heard of it
+        """None for an endpoint that is only an address to check, which the policy has never heard of."""
+        line, state = belief.line, belief.stand.listed
+        if state == "gone" and line.id not in self.engine_list.keeper.known:
+            self.core.moved(self.engine_list.engine(line.id), line.host, line.port)
+            return None
         entry: EndpointEntry | None = self.engine_list.keeper.remember(
-            clock.now(), clock.wall(), belief.line, state, careful=belief.stand is Stand.LIKELY
+            clock.now(), clock.wall(), line, state, careful=belief.stand is Stand.LIKELY
         )
         if entry is not None:
             self.engine_list.roster.remembered([entry])
-            self.core.moved(entry.engine, belief.line.host, belief.line.port)
+            self.core.moved(entry.engine, line.host, line.port)
         return entry
 
-    def _watch(self) -> None:
+    def _schedule_tick(self) -> None:
         at = self.beliefs.next_time() if self.beliefs else None
-        if self.timer is not None and self.timer.active():
-            self.timer.cancel()
+        if self._timer is not None and self._timer.active():
+            self._timer.cancel()
         if at is not None:
-            self.timer = self.reactor.callLater(max(0.0, at - clock.now()) / 1000, self._tick)
+            self._timer = self.reactor.callLater(max(0.0, at - clock.now()) / 1000, self._tick)
 
     def _tick(self) -> None:
         if self.beliefs:
             self._apply(self.beliefs.tick(clock.now()))
-            self._watch()
+            self._schedule_tick()
 
-    def _probe(self, line: Line) -> None:
-        engine = self.engine_list.engine(line.id)
+    def _check(self, line: Line) -> None:
+        """Asks the engine at a cached address who it is."""
 
         def ended(
             status: int, headers: dict[str, str], reply: bytes, trouble: client.CallError | None
         ) -> None:
             if self.beliefs is None:
                 return
-            try:
-                told = (
-                    msgspec.json.decode(reply, type=calls.Probed) if status == 200 and not trouble else None
-                )
-            except (msgspec.DecodeError, UnicodeDecodeError):
-                told = None
-            if told is None or not told.id:
+            probed = self._decode_probe(reply) if status == OK and not trouble else None
+            if probed is None or not probed.id:
                 self._apply(self.beliefs.silent(line.id, clock.now()))
             else:
-                self._apply(
-                    self.beliefs.answered(line.id, Answer(told.id, told.kind, told.started, told.draining))
-                )
-            self._watch()
+                answer = Answer(probed.id, probed.kind, probed.started, probed.draining)
+                self._apply(self.beliefs.answered(line.id, answer))
+            self._schedule_tick()
 
         self.core.metrics.probe("remembered")
-        self.core._small(engine, "GET", calls.PROBE, b"", ended)
+        self.core._small(self.engine_list.engine(line.id), "GET", calls.PROBE, b"", ended)
 
-    # While it serves.
+    @staticmethod
+    def _decode_probe(reply: bytes) -> calls.Probed | None:
+        try:
+            return msgspec.json.decode(reply, type=calls.Probed)
+        except (msgspec.DecodeError, UnicodeDecodeError):
+            return None
 
     def request_came(self) -> None:
-        """Of chat: the calls of one stage have the gate before them."""
+        """A chat completion has come, which may need endpoints that are in doubt."""
         if self.beliefs is not None and not self.beliefs.over:
             roles = {kind.name: kind.role for kind in self.core.settings.kinds if kind.call == "chat"}
             step = self.beliefs.request_came(clock.now(), roles)
             self._apply(step)
-            if step.ask:  # what is asked now is no longer due
-                self._watch()
+            if step.ask:  # what is checked now is no longer due
+                self._schedule_tick()
 
     def attempt_ended(self, engine: Engine, outcome: Outcome) -> None:
+        """An attempt proves or refutes that its engine is where the cached list says."""
         if self.beliefs is not None and not self.beliefs.over:
             self._apply(self.beliefs.attempt_ended(engine.id.decode(), outcome, clock.now()))
             if outcome is Outcome.UNREACHABLE:
-                self._watch()
-
-    # What the registry tells.
+                self._schedule_tick()
 
     def accepts(self, empty: bool) -> bool:
-        """Whether a full list is to be believed; from the first one on, nothing remembered counts."""
+        """Whether a full list is to be believed; from the first one on, nothing cached counts."""
         if self.beliefs is None:
             return True
         accepted = self.beliefs.listed(empty)
@@ -240,46 +219,44 @@
         return accepted
 
     def heard(self, lines: list[Line], whole: bool, serial: int) -> None:
-        """Keeps what a list says, and learns from what has left."""
-        wall = clock.wall()
-        turnover = self.facts.turnover
-        if self.told_at:
-            turnover.watched += len(self.kept) * (wall - self.told_at)
-        self.told_at = wall
+        """Saves a list (`whole`) or a delta of the registry, and counts the turnover of endpoints."""
+        wall, turnover = clock.wall(), self._facts.turnover
+        if self._listed_at:
+            turnover.watched += len(self._listed) * (wall - self._listed_at)
+        self._listed_at = wall
         named = {line.id for line in lines}
-        gone = [name for name in self.kept if whole and name not in named]
+        gone = [name for name in self._listed if whole and name not in named]
         for line in lines:
-            old = self.kept.get(line.id)
+            old = self._listed.get(line.id)
             turnover.left += bool(old and (line.state == "gone" or line.started != old.started))
             if line.state == "gone":
                 gone.append(line.id)
             elif old != line:
-                self.kept[line.id] = line
+                self._listed[line.id] = line
                 self._put(LINES, line.id, msgspec.msgpack.encode(Saved(line, wall)))
         turnover.left += sum(name not in named for name in gone)
         for name in gone:
-            self.kept.pop(name, None)
+            self._listed.pop(name, None)
             self._put(LINES, name, None)
         if whole and self.beliefs is not None:
             for name in self.beliefs.beliefs.keys() - named:
                 self._put(LINES, name, None)
-        self.facts.serial, self.facts.theirs = serial, self.engine_list.keeper.theirs
+        self._facts.serial, self._facts.theirs = serial, self.engine_list.keeper.theirs
         self.alive()
 
     def alive(self) -> None:
         """The registry was heard: all that is listed still holds."""
-        self.facts.alive = clock.wall()
-        self._put(FACTS, "list", msgspec.msgpack.encode(self.facts))
+        self._facts.alive = clock.wall()
+        self._put(FACTS, FACTS_KEY, msgspec.msgpack.encode(self._facts))
 
     def _put(self, table: str, key: str, value: bytes | None) -> None:
-        if self.writer is not None:
-            self.writer.put(table, key, value)
+        if self._writer is not None:
+            self._writer.put(table, key, value)
 
     def stop(self) -> None:
-        if self.keep_timer is not None and self.keep_timer.active():
-            self.keep_timer.cancel()
-        self._keep_learned()
-        if self.timer is not None and self.timer.active():
-            self.timer.cancel()
-        if self.writer is not None:
-            self.writer.close()
+        """Saves what was learned and closes the store."""
+        self._learned.stop()
+        if self._timer is not None and self._timer.active():
+            self._timer.cancel()
+        if self._writer is not None:
+            self._writer.close()
--- a/worksmux/gateway/engine_list.py
+++ b/worksmux/gateway/engine_list.py
@@ -24,7 +24,7 @@
 from ..policy.state import Engine
 from ..settings.front import ListSource
 from .chat_engine_client import ChatEngineClient
-from .endpoint_cache import Memory
+from .endpoint_cache import EndpointCache
 
 LOG = structlog.get_logger()
 
@@ -79,7 +79,7 @@
         self.keeper = self.roster.keeper
         self.link: RegistryConnection | None = None
         self.pause = source.least_pause
-        self.memory: Memory | None = None  # set by who builds both
+        self.memory: EndpointCache | None = None  # set by who builds both
         self.watching = not source.ask
         self.heard_at = 0.0
         self.stopped = False
--- a/worksmux/gateway/serve.py
+++ b/worksmux/gateway/serve.py
@@ -24,7 +24,7 @@
 from .admission_settings import admission_settings
 from .chat_engine_client import ChatEngineClient
 from .clients import ClientRouter
-from .endpoint_cache import Memory
+from .endpoint_cache import EndpointCache
 from .engine_list import EngineList
 from .load_monitor import LoadMonitor
 from .metrics import Metrics
@@ -100,10 +100,10 @@
         start_name = f"{settings.name}-{secrets.token_hex(4)}"
         return ChatEngineClient(settings, door, self.reactor, self.metrics, start_name)
 
-    def _make_memory(self, seed: int) -> Memory | None:
+    def _make_memory(self, seed: int) -> EndpointCache | None:
         if not self.settings.memory:
             return None
-        memory = Memory(self.settings.memory, self.core, self.reactor, seed)
+        memory = EndpointCache(self.settings.memory, self.core, self.reactor, seed)
         self.engine_list.memory, memory.engine_list = memory, self.engine_list
         self.core.on_attempt = memory.attempt_ended
         return memory
