--- a/worksmux/bench_adapter/codec.py
+++ b/worksmux/bench_adapter/codec.py
@@ -8,6 +8,8 @@
 import struct
 from typing import Any, BinaryIO, NamedTuple
 
+from ..errors import WorksmuxError
+
 HEADER = struct.Struct("<IIdI")
 REPLY_HEADER = struct.Struct("<III")
 ENTRY = struct.Struct("<fBBBdH6s")
@@ -53,7 +55,7 @@
 WITH_TAIL = {"configure": 1, "note_from": 1, "sync": ENTRY.size, "tell": 1, "journal_line": 1, "give_in": 1}
 
 
-class WireError(Exception):
+class WireError(WorksmuxError):
     """A frame that the wire does not allow; the text says what is wrong and where."""
 
 
--- a/worksmux/gateway/fleet/consensus_disk.py
+++ b/worksmux/gateway/fleet/consensus_disk.py
@@ -21,6 +21,7 @@
 import structlog
 
 from ...consensus.entries import Entry, PersistentState, Snapshot, StorageWrite
+from ...errors import WorksmuxError
 from ...storage.database import Changes, Store, open_store
 
 LOG = structlog.get_logger()
@@ -47,7 +48,7 @@
     generation: int = msgspec.field(name="life")
 
 
-class InconsistentStateError(ValueError):
+class InconsistentStateError(WorksmuxError, ValueError):
     """The stored records fail their checks or contradict each other."""
 
 
--- a/worksmux/gateway/fleet/message_transport.py
+++ b/worksmux/gateway/fleet/message_transport.py
@@ -17,6 +17,7 @@
 from ...config_audit import copies
 from ...consensus import messages as consensus_messages
 from ...consensus import replication_messages
+from ...errors import WorksmuxError
 from ...gossip import messages as gossip_messages
 from ...net import client, clock
 from ...net.loop import Reactor, Timer, listen
@@ -89,7 +90,7 @@
 _HEADER_DECODER = msgspec.msgpack.Decoder(_EnvelopeHeader)
 
 
-class AddressError(ValueError):
+class AddressError(WorksmuxError, ValueError):
     """An address is not `host:port` with a port from 1 to 65535."""
 
     def __init__(self, address: str) -> None:
--- a/worksmux/net/errors.py
+++ b/worksmux/net/errors.py
@@ -2,8 +2,10 @@
 
 from __future__ import annotations
 
+from ..errors import WorksmuxError
 
-class CallError(Exception):
+
+class CallError(WorksmuxError):
     """A call that brought no complete response."""
 
 
--- a/worksmux/node/errors.py
+++ b/worksmux/node/errors.py
@@ -2,8 +2,10 @@
 
 from __future__ import annotations
 
+from ..errors import WorksmuxError
 
-class NodeError(Exception):
+
+class NodeError(WorksmuxError):
     """Base of this package's errors."""
 
 
