--- a/tests/test_unresponsive_attempts.py
+++ b/tests/test_unresponsive_attempts.py
@@ -23,7 +23,7 @@
 
 @dataclass(eq=False)
 class Attempt:
-    reading: bool
+    is_prefill: bool
     written_at: float
     engine_responsive_at: float = 0.0
     over: bool = False
--- a/worksmux/node/attempts.py
+++ b/worksmux/node/attempts.py
@@ -62,7 +62,7 @@
         return self.attempt.engine
 
     @property
-    def reading(self) -> bool:
+    def is_prefill(self) -> bool:
         """Whether it is a prefill."""
         return self.attempt.is_prefill
 
@@ -82,7 +82,7 @@
 
 
 class PrefillAttempt(NodeAttempt):
-    """Ends as READ with the number of cached tokens."""
+    """Ends as PREFILLED with the number of cached tokens."""
 
     def done(self) -> None:
         """The reply is whole."""
--- a/worksmux/node/core.py
+++ b/worksmux/node/core.py
@@ -8,6 +8,7 @@
 from ..net.loop import Reactor
 from ..net.time_out import TimeOut
 from ..policy.id_map import IdMap
+from ..policy.settings import IDEMPOTENT
 from ..policy.state import Attempt, Engine, Outcome, Request
 from . import engine_reply, protocol
 from .attempts import DecodeAttempt, NodeAttempt, PrefillAttempt
@@ -109,7 +110,7 @@
             context is not None
             and answer is FinalAnswer.REJECTED
             and not context.final_answer
-            and (self.module_settings.request_classes[request.request_class].effect != "redoable")
+            and (self.module_settings.request_classes[request.request_class].effect != IDEMPOTENT)
         ):
             settled_at = context.last_cancelled_at + CLOSE_SETTLE_MS
             wait_ms = CLOSE_SETTLE_MS if context.in_flight else settled_at - clock.now()
@@ -165,7 +166,7 @@
 
     def _work_left_ms(self, context: RequestContext, call: NodeAttempt, now: float) -> float:
         """How long an engine that runs may go on with an attempt that this side has given up."""
-        if not call.reading:
+        if not call.is_prefill:
             return 0.0  # a decode engine that waits for KV cache stops at once
         return self.prefill_work.work_left_ms(
             context.request.prompt_tokens, call.written_at, call.expires_at, now
--- a/worksmux/node/kv_release.py
+++ b/worksmux/node/kv_release.py
@@ -40,9 +40,9 @@
 MAX_TARGETS_PER_ROUND = 4  # without claims, when hardly any time is left
 RETRY_STEPS_WHILE_DUE = 2  # between two calls to an engine with claims, while a release is due
 # Fractions and multiples of the time limit.
-LATE = 0.6  # after it two engines are tried at once
-VERY_LATE = 0.75  # after it `MAX_TARGETS_PER_ROUND` engines are tried at once
-HOPELESS = 1.75  # after it an acknowledgement is unlikely, and fewer engines are tried again
+LATE_FRACTION = 0.6  # after it two engines are tried at once
+VERY_LATE_FRACTION = 0.75  # after it `MAX_TARGETS_PER_ROUND` engines are tried at once
+HOPELESS_FRACTION = 1.75  # after it an acknowledgement is unlikely, and fewer engines are tried again
 MAX_WORK_DELAY = 1.25  # the next release waits for the end of an engine's work, if that is not later
 DEAD_AFTER = 4.0  # an engine whose machine refuses every connection for that long has died
 MAX_RETRY_DELAY = 8.0  # between two calls to an engine that does not answer
@@ -183,16 +183,16 @@
         """How many engines without claims are tried in this round: the less time is left, the more."""
         since = self.claims.possible_since
         used = 0.0 if since is None else (now - since) / self._environment.time_limit_ms
-        if self._rounds and VERY_LATE <= used < HOPELESS:
+        if self._rounds and VERY_LATE_FRACTION <= used < HOPELESS_FRACTION:
             return MAX_TARGETS_PER_ROUND
-        if self._rounds > SINGLE_TARGET_STEPS or self._rounds and used >= LATE:
+        if self._rounds > SINGLE_TARGET_STEPS or self._rounds and used >= LATE_FRACTION:
             return 2
         if self._rounds or not self._calls:
             return 1
         if self.claims.due_since is None:
             any_responsive = any(claim.responsive_since is not None for claim in self.claims.claims)
             return 0 if any_responsive else 1
-        return (used >= LATE) + (used >= VERY_LATE)
+        return (used >= LATE_FRACTION) + (used >= VERY_LATE_FRACTION)
 
     def _try_another(self, again: bool) -> None:
         """Sends to one engine without claims; with `again` also to one that was tried, once all others
--- a/worksmux/node/unresponsive_attempts.py
+++ b/worksmux/node/unresponsive_attempts.py
@@ -5,12 +5,14 @@
 limit of the release runs. So each attempt beside claims is monitored until it is over. Once its engine has
 been silent for most of that limit, a release is sent beside it:
 
-    attempt             effect of that release          sent has no connection   frees the KV cache it needs
-    while a release is due a stream            none                            while its engine is silent
-    waiting for KV      none, if it has arrived         while its engine is silent cache a prefill
-    frees the KV cache it brings    while nothing shows that it has arrived; a health check
-                                                        is tried first; where none is allowed, once, or while
-                                                        a release is due
+- An attempt without a connection: the release frees the KV cache that it needs. It is sent only while a
+  release is due.
+- A decode stream: the release does no harm. It is sent while the engine is silent.
+- A decode attempt that waits for KV cache: the release does no harm if the attempt has arrived. It is sent
+  while the engine is silent.
+- A prefill: the release frees the KV cache that it brings. It is sent while nothing shows that the prefill
+  has arrived. A health check is tried first; where none is allowed the release is sent once, or while one is
+  due.
 
 Times are milliseconds.
 """
@@ -40,7 +42,7 @@
     def engine(self) -> Engine: ...
 
     @property
-    def reading(self) -> bool:
+    def is_prefill(self) -> bool:
         """Whether it is a prefill."""
 
     @property
@@ -105,14 +107,14 @@
 
     def _look(self) -> None:
         attempt = self._attempt
-        if attempt.over or attempt.reading and self._arrived:
+        if attempt.over or attempt.is_prefill and self._arrived:
             return
         unresponsive_at = self._silent_since() + SILENT_FRACTION * self._owner.releaser.time_limit_ms
         if not self._claims.claims or clock.now() < unresponsive_at:
             self.look_when_due()
         elif not attempt.written_at:
             self._release_without_connection()
-        elif attempt.reading:
+        elif attempt.is_prefill:
             self._release_beside_prefill()
         else:
             self._release_beside()
--- a/worksmux/policy/admission.py
+++ b/worksmux/policy/admission.py
@@ -12,8 +12,8 @@
 from .prefill_probing import PrefillProbing
 from .state import Request
 
-EARLY_REJECTION_SPREAD = 1.0  # times the usual need that a request is rejected early, by its random draw
-REPEAT_SURCHARGE = 4.0  # the same for a client's retry, part of whose latency target is spent
+MAX_EARLY_MARGIN = 1.0  # added to the factor on the need, in proportion to the request's random draw
+CLIENT_RETRY_MARGIN = 4.0  # added for a client's retry, part of whose latency target is spent
 MIN_NEED_ROUNDS = 2  # decision rounds that a request needs in any case
 TRIAL_SHARE = 0.05  # of the requests go ahead whatever the usual need: else nothing would show its fall
 
@@ -64,15 +64,18 @@
             # Engines tell of their queues themselves; the few prefills of this node tell little.
             need_ms = first_ms + best_per_token * request.prompt_tokens
         else:
-            need_ms = self._need_ms(request, first_ms, prefill_ms_per_token, best_per_token)
+            need_ms = self._need_with_margin_ms(request, first_ms, prefill_ms_per_token, best_per_token)
         earliest = self._context.now + max(need_ms, MIN_NEED_ROUNDS * self._context.round_interval_ms)
         return earliest > min(request.latency_target_at, request.deadline)
 
-    def _need_ms(
+    def _need_with_margin_ms(
         self, request: Request, first_ms: float, prefill_ms_per_token: float, best_per_token: float
     ) -> float:
-        """Queueing counts once for an average prompt: it lasts as long for a short prompt as for a long."""
-        margin = 1 + EARLY_REJECTION_SPREAD * request.random_draw + REPEAT_SURCHARGE * request.is_retry
+        """The usual need times its margin; 0 for a trial request, which goes ahead whatever the need.
+
+        Queueing counts once for an average prompt: it lasts as long for a short prompt as for a long.
+        """
+        margin = 1 + MAX_EARLY_MARGIN * request.random_draw + CLIENT_RETRY_MARGIN * request.is_retry
         per_token = max(prefill_ms_per_token, self._estimates.in_flight_prefill_ms_per_token)
         best = min(per_token, best_per_token)
         average_tokens = self._estimates.prefill_tokens_seen.mean(self._context.now, request.prompt_tokens)
--- a/worksmux/policy/outlier_detection.py
+++ b/worksmux/policy/outlier_detection.py
@@ -190,7 +190,7 @@
                 yield engine
 
     def record_health_check(self, engine: Engine, outcome: Outcome) -> list[Attempt]:
-        """The attempts at a suspected engine that had better run elsewhere."""
+        """Ejects a suspected engine that failed its check; returns attempts that had better run elsewhere."""
         if outcome is Outcome.SERVED:
             engine.health_check_answered_at = self._context.now
         if not engine.health_check_pending:  # it was only checked before a prefill
--- a/worksmux/policy/router.py
+++ b/worksmux/policy/router.py
@@ -60,7 +60,7 @@
 PREFILL_TIMEOUT_SHARE = 0.5  # of the time to the deadline: the rest is for the decode attempt
 # Slow-start credit earned by an arrival, in serves: some, so that a fleet all cold is not left alone; the
 # least for a client's retry, as retries can storm.
-ARRIVAL_CREDIT, REPEAT_CREDIT = 0.5, 0.25
+ARRIVAL_CREDIT, CLIENT_RETRY_CREDIT = 0.5, 0.25
 
 
 class Router:
@@ -175,7 +175,7 @@
             return
         self.waiting[request] = None
         for role in (ROLE_PREFILL, ROLE_DECODE, ROLE_COMBINED):
-            self.slow_start.earn(role, REPEAT_CREDIT if request.is_retry else ARRIVAL_CREDIT)
+            self.slow_start.earn(role, CLIENT_RETRY_CREDIT if request.is_retry else ARRIVAL_CREDIT)
         if not request.is_retry and context.index.all_decode_engines_cold(context.now):
             # A node that meets few requests has no serve to earn by.
             self.slow_start.earn(ROLE_DECODE, ARRIVAL_CREDIT)
@@ -346,7 +346,10 @@
                 self._cancel_replaceable(self.outliers.record_health_check(engine, Outcome.TIMED_OUT))
 
     def _cancel_replaceable(self, attempts: list[Attempt]) -> None:
-        """Cancels attempts that may run elsewhere, as long as that would still be in time."""
+        """Cancels attempts that may run elsewhere.
+
+        Where engines are checked before a prefill, a prefill is left alone if another would be too late.
+        """
         for attempt in attempts:
             request = attempt.request
             if self.retry.may_cancel_for_retry(request, attempt.is_prefill) and not (
