--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -201,7 +201,7 @@
     settings = settings_for(rig)
     (tmp_path / "gone.parquet").write_bytes(b"PAR1")
     bad = settings.__class__(**{**settings.__dict__, "trace": str(tmp_path / "gone.parquet")})
-    with pytest.raises(LoadError, match="BadTrace"):
+    with pytest.raises(LoadError, match="TraceFormatError"):
         driven(rig, bad)
 
 
--- a/worksmux/commands/main.py
+++ b/worksmux/commands/main.py
@@ -11,6 +11,7 @@
 import typer
 
 from ..settings.document import SettingsError
+from . import accounts  # noqa: F401  (adds its commands to `fleet`)
 from .experiments import experiments
 from .fleet import fleet
 from .lists import lists
