--- a/tests/test_consensus_replica.py
+++ b/tests/test_consensus_replica.py
@@ -36,7 +36,7 @@
             fleet.frozen.add(name)
             fleet.sim.after(9000.0 * chance.share(), fleet.go_on, name)
         elif draw < 0.8:
-            some = chance.some(fleet.names, 1 + int(chance.share() * 4))
+            some = chance.sample(fleet.names, 1 + int(chance.share() * 4))
             fleet.wire.cut(some, [one for one in fleet.names if one not in some], "both")
             fleet.sim.after(7000.0 * chance.share(), fleet.wire.heal)
         else:
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -273,7 +273,7 @@
             peer.freeze()
             found.sim.after(20 * PERIOD * chance.share(), peer.go_on)
         elif draw < 0.8:
-            some = chance.some(names, 1 + int(3 * chance.share()))
+            some = chance.sample(names, 1 + int(3 * chance.share()))
             found.wire.cut(
                 some,
                 [one for one in names if one not in some],
--- a/tests/test_learned_state.py
+++ b/tests/test_learned_state.py
@@ -98,11 +98,11 @@
         and not router.estimates.first_token_waits_ms.count(50.0)
     )
     assert (
-        router.estimates.prefill_ms_per_token.least(50.0) == 2.0
+        router.estimates.prefill_ms_per_token.min_bucket_mean(50.0) == 2.0
         and router.estimates.prefill_ms_per_token.count(50.0) <= 0.5
     )
     ancient, _ = restored_after(30 * 24 * 3.6e6)
-    assert ancient.estimates.prefill_ms_per_token.least(50.0) == 0.0
+    assert ancient.estimates.prefill_ms_per_token.min_bucket_mean(50.0) == 0.0
 
 
 def test_clock_set_back_makes_no_mark_last() -> None:
--- a/tests/test_node_config.py
+++ b/tests/test_node_config.py
@@ -87,7 +87,7 @@
             if kind < len(told_to.kinds)
         ]
         request = Request(1, 0, 1, 0, 500.0, 0.0, 80.0, 1000.0, 4000.0)
-        door.decide(1000.0, [EndpointListUpdate("full", entries), door.arrived(request)])
+        door.decide(1000.0, [EndpointListUpdate("full", entries), door.request_arrived(request)])
         for at in range(1, 8):
             ends = [
                 AttemptEnded(attempt, Outcome.PREFILLED if attempt.is_prefill else Outcome.RESET, 5.0, False)
--- a/tests/test_node_ends.py
+++ b/tests/test_node_ends.py
@@ -43,7 +43,7 @@
     """
     rig = rig_of_two()
     waiting = hold_connections(rig, rig.engines[0])
-    policy = rig.node.core.door.module
+    policy = rig.node.core.door.policy
     policy.settings = replace(policy.settings, may_cancel=False)  # the policy may cancel nothing
     client = raw(rig, ask())
     rig.until(lambda: waiting)
@@ -292,7 +292,7 @@
     rig.start()
     peer = rig.client(ask())
     rig.until(lambda: prefill_engine.asked)
-    monkeypatch.setattr(rig.node.core.door.module, "decide", lambda *_: 1 / 0)
+    monkeypatch.setattr(rig.node.core.door.policy, "decide", lambda *_: 1 / 0)
     rig.node.core.wake()
     assert rig.answered(peer) == b"502" and rig.node.core.failed
     rig.until(lambda: prefill_engine.verbs().count(b"DELETE") == 1)
--- a/tests/test_node_startup.py
+++ b/tests/test_node_startup.py
@@ -20,8 +20,8 @@
     young.entry = lambda status="SERVING": {**usual(status), "since_ms": clock.wall() - 1000.0}  # type: ignore[method-assign]
     rig.start()
     door = rig.node.core.door
-    rig.until(lambda: door.module.engines)
-    assert [engine.id.decode() for engine in door.module.index.cold_engines] == [young.name] != [old.name]
+    rig.until(lambda: door.policy.engines)
+    assert [engine.id.decode() for engine in door.policy.index.cold_engines] == [young.name] != [old.name]
 
 
 def test_shutdown_answers_open_requests_and_closes_idle_connections() -> None:
@@ -93,7 +93,7 @@
     rig = Rig()
     line, served_by = first_event(rig)
     rig.hosts.first = chunk(line)
-    decide = rig.node.core.door.module.decide
+    decide = rig.node.core.door.policy.decide
 
     def slowly(now: float, events: list[Any]) -> list[Any]:
         end = clock.now() + 2 * serve.DISCOVERY_WAIT_MS
@@ -101,7 +101,7 @@
             pass
         return list(decide(now, events))
 
-    rig.node.core.door.module.decide = slowly
+    rig.node.core.door.policy.decide = slowly
     rig.node.start()
     rig.until(lambda: rig.node.listener)
     assert served_by == [2]
@@ -162,13 +162,13 @@
         discovery.current.piece(
             json.dumps({"index": 2 + at, "snapshot": False, "endpoints": [entry, gone]}).encode() + b"\n"
         )
-        door.module.context.now += 60_000.0
-        for engine in door.module.engines:
+        door.policy.context.now += 60_000.0
+        for engine in door.policy.engines:
             engine.gone_since -= 60_000.0  # a minute goes by
-        rig.until(lambda at=at: f"x{at}".encode() in [engine.id for engine in door.module.engines])
+        rig.until(lambda at=at: f"x{at}".encode() in [engine.id for engine in door.policy.engines])
     assert (
         max(
-            len(door.engines), len(door.module.engines), len(rig.node.core.pools), len(discovery.keeper.known)
+            len(door.engines), len(door.policy.engines), len(rig.node.core.pools), len(discovery.keeper.known)
         )
         < 8
     )
--- a/tests/test_policy_admission.py
+++ b/tests/test_policy_admission.py
@@ -64,7 +64,9 @@
         one.prompt_tokens, one.random_draw = 4900.0, 0.9
         one.latency_target_at = NOW + 1600.0
         router.context.now, router.probing.enabled = NOW, node_count == 200
-        router.estimates.best_prefill_ms_per_token = router.estimates.uncached_prefill_ms_per_token.least(NOW)
+        router.estimates.best_prefill_ms_per_token = (
+            router.estimates.uncached_prefill_ms_per_token.min_bucket_mean(NOW)
+        )
         assert router.admission.latency_target_unreachable(one) is refused
         checked = router.index.prefill_engines[0]
         one.checked_engines[checked] = NOW - 400.0  # it has not answered: there are queues
--- a/worksmux/admission/concurrency_limit.py
+++ b/worksmux/admission/concurrency_limit.py
@@ -95,7 +95,7 @@
 
     def _step(self, now: float) -> None:
         self._next_step_at = now + self.latency_target_ms / STEPS_PER_TARGET
-        usual, shortest = self._recent.mean(now), self._history.least(now)
+        usual, shortest = self._recent.mean(now), self._history.min_bucket_mean(now)
         if self._probe_factor < 1.0:
             if now >= self._probe_ends_at:
                 self._probe_factor = 1.0
--- a/worksmux/bench_adapter/instance.py
+++ b/worksmux/bench_adapter/instance.py
@@ -79,7 +79,7 @@
                     SCOPES[scope], [self._entry(*line) for line in ENTRY.iter_unpack(entries)]
                 )
             case "req":
-                return self._ids.arrived(self._request(now, *values))
+                return self._ids.request_arrived(self._request(now, *values))
             case "flowing":
                 call, _, number, elapsed = values
                 attempt = self._ids.attempt(call, number)
@@ -87,7 +87,7 @@
             case "answer":
                 return self._attempt_ended(*values)
             case "withdrawn":
-                return self._ids.left(values[0])
+                return self._ids.client_disconnected(values[0])
             case "bell":
                 return TimerFired(values[0])
             case "pong":
--- a/worksmux/consensus/replica.py
+++ b/worksmux/consensus/replica.py
@@ -193,7 +193,7 @@
         if self.failed_pulls > MAX_FAILED_PULLS:
             # The tree may be broken above the parent: a voter is asked, and any node.
             for nodes in (self.voters & self.others, self.others):
-                for node in self.random.some(sorted(nodes - {parent}), 1):
+                for node in self.random.sample(sorted(nodes - {parent}), 1):
                     self._pull(now, node, output)
 
     def _expire(self, now: float) -> None:
--- a/worksmux/endpoints/learned_state.py
+++ b/worksmux/endpoints/learned_state.py
@@ -82,11 +82,13 @@
     def observe(self, now_ms: float, event: Event) -> None:
         """Takes note of an event that the policy is given."""
         if isinstance(event, FirstToken):
-            prefill_ms = SLOW_FACTOR * self._prefill_per_token.least(now_ms) * event.attempt.prefill_tokens
-            self._first_token_wait.add(now_ms, max(0.0, event.elapsed - prefill_ms))
+            prefill_ms = (
+                SLOW_FACTOR * self._prefill_per_token.min_bucket_mean(now_ms) * event.attempt.prefill_tokens
+            )
+            self._first_token_wait.add(now_ms, max(0.0, event.elapsed_ms - prefill_ms))
         elif isinstance(event, AttemptEnded):
             if event.outcome is Outcome.PREFILLED:
-                self._prefill_per_token.add(now_ms, event.elapsed, max(1.0, event.attempt.prefill_tokens))
+                self._prefill_per_token.add(now_ms, event.elapsed_ms, max(1.0, event.attempt.prefill_tokens))
             if event.outcome in FAULTS or event.outcome in SUCCESSES:
                 faults = self._faults[event.attempt.request.request_class]
                 faults.add(now_ms, float(event.outcome in FAULTS))
@@ -124,7 +126,7 @@
         }
         if not (first_token_wait.count or prefill_per_token.count or faults):
             return None
-        fastest_ms = self._prefill_per_token.least(now_ms)
+        fastest_ms = self._prefill_per_token.min_bucket_mean(now_ms)
         if fastest_ms:
             self._fastest_per_token_ms, self._fastest_seen_at_ms = fastest_ms, wall_ms
         return FleetTimings(
--- a/worksmux/forwarding/open_requests.py
+++ b/worksmux/forwarding/open_requests.py
@@ -53,7 +53,7 @@
         )
         self.open_requests[request] = context
         self.metrics.arrived(context.class_name)
-        self.tell(self.door.arrived(request))
+        self.tell(self.door.request_arrived(request))
         return context
 
     def client_disconnected(self, context: RequestContext) -> None:
--- a/worksmux/gateway/stage.py
+++ b/worksmux/gateway/stage.py
@@ -117,7 +117,7 @@
         request = Request(number, request_class, session, 0, max(1.0, cost), 0.0, 0.0, now, deadline)
         context = BatchContext(request, batch, f"{self._core.name}.{self.settings.call}.{number}")
         self._contexts[request] = context
-        self.tell(self.door.arrived(request))
+        self.tell(self.door.request_arrived(request))
         return context
 
     def drop(self, context: BatchContext) -> None:
--- a/worksmux/gossip/probing.py
+++ b/worksmux/gossip/probing.py
@@ -86,7 +86,7 @@
             for member in self.membership.members.present.values()
             if member.state == MemberState.ALIVE and member is not probe.member
         ]
-        for helper in self.random.some(available, HELPERS):
+        for helper in self.random.sample(available, HELPERS):
             probe.helper_count += 1
             probe.silent_helpers.add(helper.name)
             updates = self.membership.updates_for(helper)
@@ -117,7 +117,7 @@
                     return member
             if not refilled:
                 names = [member.name for member in members.present.values()]
-                self.probe_order = self.random.some(names, len(names))
+                self.probe_order = self.random.sample(names, len(names))
         return None
 
     def start_probe(self, now: float, target: Member, output: Output) -> None:
--- a/worksmux/gossip/state_sync.py
+++ b/worksmux/gossip/state_sync.py
@@ -58,7 +58,7 @@
             self._compare(output)
 
     def _compare(self, output: Output) -> None:
-        for member in self.random.some(self.membership.members.present.values(), 1):
+        for member in self.random.sample(self.membership.members.present.values(), 1):
             output.send_to(member, StateDigest(self.digest()))
 
     def _reconnect(self, output: Output) -> None:
@@ -72,10 +72,10 @@
         reached = {member.address for member in known if member.is_present} | {self.membership.me.address}
         unreached_seeds = [address for address in self.seeds if address not in reached]
         request = FullState(self.membership.all_updates(), reply_wanted=True)
-        for member in self.random.some(dead, 1):
+        for member in self.random.sample(dead, 1):
             output.send_to(member, request)
         if self.membership.joined:
-            unreached_seeds = self.random.some(unreached_seeds, 1)
+            unreached_seeds = self.random.sample(unreached_seeds, 1)
         for address in unreached_seeds:
             output.send("", address, request)
 
--- a/worksmux/gossip/swim.py
+++ b/worksmux/gossip/swim.py
@@ -143,5 +143,5 @@
         """Announces that this node leaves, so that it is not declared dead."""
         self.membership.announce(msgspec.structs.replace(self.me, state=MemberState.LEFT))
         self.membership.stopped = True
-        for member in self.random.some(self.members.present.values(), HELPERS):
+        for member in self.random.sample(self.members.present.values(), HELPERS):
             output.send_to(member, Ping(0, NO_REPLY, [self.me]))
--- a/worksmux/policy/events.py
+++ b/worksmux/policy/events.py
@@ -39,19 +39,19 @@
 
 @dataclass(slots=True)
 class FirstToken:
-    """An attempt brought its first token, `elapsed` after it was sent."""
+    """An attempt brought its first token, `elapsed_ms` after it was sent."""
 
     attempt: Attempt
-    elapsed: float
+    elapsed_ms: float
 
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt ended, `elapsed` after it was sent; told once for each StartAttempt."""
+    """An attempt ended, `elapsed_ms` after it was sent; told once for each StartAttempt."""
 
     attempt: Attempt
     outcome: Outcome
-    elapsed: float
+    elapsed_ms: float
     closed: bool  # the client has its final answer
     note: int = 0  # of a prefill: tokens found cached; of "full": KV_CACHE_LOST
     report: dict[str, float] | None = None
@@ -78,11 +78,11 @@
 
 @dataclass(slots=True)
 class HealthCheckEnded:
-    """A health check ended, `elapsed` after it was sent."""
+    """A health check ended, `elapsed_ms` after it was sent."""
 
     engine: Engine
     outcome: Outcome
-    elapsed: float
+    elapsed_ms: float
     report: dict[str, float] | None = None
 
 
--- a/worksmux/policy/id_map.py
+++ b/worksmux/policy/id_map.py
@@ -30,7 +30,7 @@
 
     def __init__(self, settings: PolicySettings, seed: int, make: PolicyFactory = Router) -> None:
         self.settings = settings
-        self.module = make(settings, seed)
+        self.policy = make(settings, seed)
         self.engines: dict[bytes, Engine] = {}
         self.requests: dict[int, Request] = {}
         self._touched: list[Request] = []
@@ -43,7 +43,7 @@
                 self._touched.append(event.attempt.request)
             elif isinstance(event, ClientDisconnected):
                 self._touched.append(event.request)
-        actions = self.module.decide(now, events)
+        actions = self.policy.decide(now, events)
         for action in actions:
             if isinstance(action, (RejectRequest, AbortRequest, ReleaseKvCache, ReserveSlot)):
                 self._touched.append(action.request)
@@ -64,16 +64,16 @@
 
     def forget(self, engine: Engine) -> bool:
         """Forgets an engine that is gone, once the policy has; whether it did."""
-        if engine.state != GONE or engine.attempts or engine in getattr(self.module, "engines", ()):
+        if engine.state != GONE or engine.attempts or engine in getattr(self.policy, "engines", ()):
             return False
         self.engines.pop(engine.id, None)
         return True
 
-    def arrived(self, request: Request) -> RequestArrived:
+    def request_arrived(self, request: Request) -> RequestArrived:
         self.requests[request.id] = request
         return RequestArrived(request)
 
-    def left(self, number: int) -> ClientDisconnected | None:
+    def client_disconnected(self, number: int) -> ClientDisconnected | None:
         """None where the request was forgotten: it had ended a moment ago."""
         request = self.requests.get(number)
         return ClientDisconnected(request) if request else None
--- a/worksmux/policy/load_estimates.py
+++ b/worksmux/policy/load_estimates.py
@@ -48,11 +48,14 @@
         """With sparse traffic most prefills seen had a cache hit, so only uncached tokens tell the pace."""
         now, target = self._context.now, self._context.shortest_target_ms
         self.best_prefill_ms_per_token = (
-            sparse_traffic and (self.uncached_prefill_ms_per_token.least(now) or self._target_per_token_ms)
-        ) or self.prefill_ms_per_token.least(now)
+            sparse_traffic
+            and (self.uncached_prefill_ms_per_token.min_bucket_mean(now) or self._target_per_token_ms)
+        ) or self.prefill_ms_per_token.min_bucket_mean(now)
         self.harmless_first_token_wait_ms = max(
             TOLERATED_WAIT_SHARE * target,
-            min(SLOW_FACTOR * self.first_token_waits_ms.least(now), SUSPECT_AFTER_SHARE * target / 2),
+            min(
+                SLOW_FACTOR * self.first_token_waits_ms.min_bucket_mean(now), SUSPECT_AFTER_SHARE * target / 2
+            ),
         )
 
     def allowed_prefill_ms(self, attempt: Attempt) -> float:
@@ -114,12 +117,14 @@
         attempt, outcome, now = event.attempt, event.outcome, self._context.now
         tokens = max(1.0, attempt.prefill_tokens)
         if attempt.is_prefill and outcome in (Outcome.PREFILLED, Outcome.CANCELLED, Outcome.TIMED_OUT):
-            self.prefill_queue_waits_ms.add(now, max(0.0, event.elapsed - self.allowed_prefill_ms(attempt)))
-            self.prefill_ms_per_token.add(now, event.elapsed, tokens)
+            self.prefill_queue_waits_ms.add(
+                now, max(0.0, event.elapsed_ms - self.allowed_prefill_ms(attempt))
+            )
+            self.prefill_ms_per_token.add(now, event.elapsed_ms, tokens)
             self.prefill_tokens_seen.add(now, tokens)
         if outcome is Outcome.PREFILLED and 2 * event.note < attempt.prefill_tokens:
             self.uncached_prefill_ms_per_token.add(
-                now, event.elapsed, max(1.0, attempt.prefill_tokens - event.note)
+                now, event.elapsed_ms, max(1.0, attempt.prefill_tokens - event.note)
             )
         if outcome is Outcome.FULL and event.note != 1:
             if attempt.is_prefill:
--- a/worksmux/policy/outlier_detection.py
+++ b/worksmux/policy/outlier_detection.py
@@ -102,7 +102,7 @@
             self._estimates.failures[request_class].add(self._context.now)
             only_for = request_class if outcome is Outcome.ERROR else ALL_REQUEST_CLASSES
             self.eject(engine, only_for, only_outliers=True)
-        elif outcome is Outcome.TIMED_OUT and event.elapsed > self.patience_ms(engine):
+        elif outcome is Outcome.TIMED_OUT and event.elapsed_ms > self.patience_ms(engine):
             # A timeout that was cut short by the client's deadline tells nothing.
             self._estimates.failures[request_class].add(self._context.now)
             self.eject(engine)
--- a/worksmux/policy/random_source.py
+++ b/worksmux/policy/random_source.py
@@ -24,10 +24,10 @@
         self.state = (self.state * 6364136223846793005 + 1442695040888963407) % MODULUS
         return (self.state >> 32) / 2**32
 
-    def some(self, items: Iterable[T], count: int) -> list[T]:
+    def sample(self, items: Iterable[T], count: int) -> list[T]:
         """At most `count` of the items, in random order.
 
-        >>> sorted(RandomSource(1).some("abc", 5)), len(RandomSource(1).some("abc", 2))
+        >>> sorted(RandomSource(1).sample("abc", 5)), len(RandomSource(1).sample("abc", 2))
         (['a', 'b', 'c'], 2)
         """
         left, found = list(items), []  # type: list[T], list[T]
--- a/worksmux/policy/sliding_window.py
+++ b/worksmux/policy/sliding_window.py
@@ -8,7 +8,7 @@
 
     >>> window = SlidingWindow(100.0, 10)
     >>> window.add(5.0, 2.0); window.add(95.0, 12.0, 3.0)
-    >>> window.mean(99.0), window.least(99.0), window.count(99.0), window.mean(104.0)
+    >>> window.mean(99.0), window.min_bucket_mean(99.0), window.count(99.0), window.mean(104.0)
     (3.5, 2.0, 4.0, 4.0)
     """
 
@@ -39,7 +39,7 @@
     def count(self, now: float) -> float:
         return sum(self.counts[at] for at in self._live(now))
 
-    def least(self, now: float) -> float:
+    def min_bucket_mean(self, now: float) -> float:
         """The smallest mean of a bucket: the shortest time seen, without a single lucky one deciding it."""
         return min((self.sums[at] / self.counts[at] for at in self._live(now)), default=0.0)
 
--- a/worksmux/simulation/consensus.py
+++ b/worksmux/simulation/consensus.py
@@ -378,10 +378,10 @@
                 victim.crash()
                 world.sim.after(600.0 * chance.share(), restart, victim)
         elif draw < 0.72:
-            some = chance.some(names, 1 + int(chance.share() * len(names) / 2))
+            some = chance.sample(names, 1 + int(chance.share() * len(names) / 2))
             others = [other for other in names if other not in some]
             if chance.share() < 0.4:  # one pair alone: both still reach the others
-                some, others = [leader.name if leader else some[0]], chance.some(others, 1)
+                some, others = [leader.name if leader else some[0]], chance.sample(others, 1)
             world.wire.cut(some, others, ("both", "out", "in")[int(3 * chance.share())])
             world.sim.after(1200.0 * chance.share(), world.wire.heal)
         elif draw < 0.8:
--- a/worksmux/simulation/front.py
+++ b/worksmux/simulation/front.py
@@ -278,7 +278,7 @@
         case = Case(request, f"{self.start}.{self.number}", asked)
         case.guard = self.sim.after(left + self.settings.answer_slack_ms, self._overdue, case)
         self.cases[request] = case
-        self.tell(self.door.arrived(request))
+        self.tell(self.door.request_arrived(request))
 
     def _overdue(self, case: Case) -> None:
         if not case.over and not case.request.streaming:
