--- a/benchmarks/fleet_growth.py
+++ b/benchmarks/fleet_growth.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from worksmux.consensus.replica import ValuesChanged
-from worksmux.failover.tally import Tally, ZoneTally, added
+from worksmux.failover.reports import FleetReport, ZoneReport, sum_reports
 from worksmux.gossip.members import MemberState
 from worksmux.simulation.followers import LEASE, Following
 from worksmux.simulation.peers import World
@@ -51,11 +51,13 @@
 def follow(task: tuple[int, int]) -> str:
     count, zones = task
     fleet = Following(count)
-    seen = ZoneTally(1, 0, 0, 1, 3.0, 3.0, 0.0, 1.25, 1.5, 0.3, 0.0)
-    own = Tally(1, {f"zone-{at}": seen for at in range(zones)}, {"hint": 1.0, "explain": 0.6, "mark": 0.4})
+    seen = ZoneReport(1, 0, 0, 1, 3.0, 3.0, 0.0, 1.25, 1.5, 0.3, 0.0)
+    own = FleetReport(
+        1, {f"zone-{at}": seen for at in range(zones)}, {"hint": 1.0, "explain": 0.6, "mark": 0.4}
+    )
     for one in fleet.followers.values():
         one.build_report = lambda below: msgspec.msgpack.encode(
-            added([own, *(msgspec.msgpack.decode(data, type=Tally) for data in below)])
+            sum_reports([own, *(msgspec.msgpack.decode(data, type=FleetReport) for data in below)])
         )
     fleet.run(2 * LEASE)
     fleet.sent, fleet.wire.weigh = 0, True
@@ -71,7 +73,7 @@
         at - start for at, _, fact in fleet.facts if isinstance(fact, ValuesChanged) and at >= start
     )
     leader = fleet.followers["f0"]
-    heard = msgspec.msgpack.decode(leader.build_report(leader.child_reports()), type=Tally)
+    heard = msgspec.msgpack.decode(leader.build_report(leader.child_reports()), type=FleetReport)
     return (
         f"following {count:5} fronts, {zones} zones: {rate:.1f} messages and {size:.0f} bytes a front a "
         f"second, {most:.0f} at the busiest; a plan of 2 kB is with half after "
--- a/benchmarks/mass_restart.py
+++ b/benchmarks/mass_restart.py
@@ -151,8 +151,8 @@
             entry
             for saved in lines
             if (
-                entry := front.roster.reader.remember(
-                    front.sim.now, front.sim.now, saved.line, "ready", careful=False
+                entry := front.roster.reader.add_cached(
+                    front.sim.now, front.sim.now, saved.line, "ready", as_just_started=False
                 )
             )
         ]
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -43,10 +43,10 @@
     assert (
         endpoint_list.take(10.0, full(2)).event is None and endpoint_list.next_time() == 10.0 + DOUBT_MS / 4
     )
-    assert endpoint_list.tick(300.0) == (None, True) and endpoint_list.reader.ready == 2
+    assert endpoint_list.tick(300.0) == (None, True) and endpoint_list.reader.ready_count == 2
     assert endpoint_list.take(500.0, full(3)).event is None
     result = endpoint_list.take(10.0 + DOUBT_MS, full(4))
-    assert result.event is not None and endpoint_list.reader.ready == 0
+    assert result.event is not None and endpoint_list.reader.ready_count == 0
 
 
 def test_full_list_ends_the_doubt() -> None:
@@ -202,10 +202,12 @@
         self.truth["e5"] = "draining"
         entries = []
         for name, state in self.truth.items():
-            entry = self.endpoint_list.reader.remember(0.0, 0.0, line(name), state, careful=name < "e3")
+            entry = self.endpoint_list.reader.add_cached(
+                0.0, 0.0, line(name), state, as_just_started=name < "e3"
+            )
             assert entry is not None
             entries.append(entry)
-        self.endpoint_list.remembered(entries)
+        self.endpoint_list.add_cached(entries)
         apply(self.view, "cached", entries)
         self.listed = dict(self.truth)
 
--- a/tests/test_endpoint_list_reader.py
+++ b/tests/test_endpoint_list_reader.py
@@ -36,7 +36,7 @@
     assert told.fetch and told.event and told.event.entries[0].state == "draining"
     assert not one.take(0.0, delta(5, line("b"), previous=4)).fetch
     assert not one.take(0.0, delta(9, line("b"))).fetch and one.fetching
-    assert one.take(0.0, full(9, line("b"))).event and not one.fetching and one.ready == 1
+    assert one.take(0.0, full(9, line("b"))).event and not one.fetching and one.ready_count == 1
 
 
 def test_older_delta_is_ignored_but_restarted_registry_is_accepted() -> None:
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -7,10 +7,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from worksmux.failover.acting import plan_event
 from worksmux.failover.plan import Plan, decode, encode
 from worksmux.failover.planner import Planner, PlannerSettings
-from worksmux.failover.tally import Tally, ZoneTally, added
+from worksmux.failover.policy_event import plan_event
+from worksmux.failover.reports import FleetReport, ZoneReport, sum_reports
 from worksmux.failover.zones import ZoneHealth
 from worksmux.policy.events import (
     FailoverPlan,
@@ -29,8 +29,8 @@
     cold: float = 0.0,
     voters: int = NODES,
     full_size: float = 4.0,
-) -> ZoneTally:
-    return ZoneTally(
+) -> ZoneReport:
+    return ZoneReport(
         voters,
         failed,
         degraded,
@@ -45,8 +45,8 @@
     )
 
 
-def tally(**zones: ZoneTally) -> Tally:
-    return Tally(
+def fleet_report(**zones: ZoneReport) -> FleetReport:
+    return FleetReport(
         NODES,
         {name: zones.get(name, zone()) for name in REGIONS},
         {"hint": 40.0, "explain": 24.0, "mark": 16.0},
@@ -59,9 +59,9 @@
     return Planner(PlannerSettings(REGIONS, CREDITS, 0.3, interval_ms, capacities or {}), plan or Plan())
 
 
-def updates(planner: Planner, count: int, **zones: ZoneTally) -> list[Plan]:
+def updates(planner: Planner, count: int, **zones: ZoneReport) -> list[Plan]:
     """The new plans that come of as many updates with the same reports."""
-    return [plan for _ in range(count) if (plan := planner.update(tally(**zones))) is not None]
+    return [plan for _ in range(count) if (plan := planner.update(fleet_report(**zones))) is not None]
 
 
 FAILED = zone(failed=NODES, ready=0.0, wait=0.0)
@@ -77,14 +77,14 @@
 def test_requests_of_a_failed_zone_go_to_its_region_at_once() -> None:
     planner = new_planner()
     updates(planner, 3)
-    plan = planner.update(tally(a=FAILED))
+    plan = planner.update(fleet_report(a=FAILED))
     assert plan is not None and plan.routes == {"a": {"b": 1.0}} and plan.event == 1
 
 
 def test_requests_of_a_failed_region_go_to_the_other() -> None:
     planner = new_planner()
     updates(planner, 3)
-    plan = planner.update(tally(a=FAILED, b=FAILED))
+    plan = planner.update(fleet_report(a=FAILED, b=FAILED))
     assert plan is not None and {*plan.routes["a"], *plan.routes["b"]} == {"c", "d"}
 
 
@@ -129,7 +129,7 @@
     updates(planner, 3)
     for at in range(2 * times):
         for _ in range(updates_each):
-            planner.update(tally(a=FAILED if at % 2 == 0 else zone()))
+            planner.update(fleet_report(a=FAILED if at % 2 == 0 else zone()))
             keep = planner.zones.views["a"].kept_share
             count, before = count + (keep > 0 and before == 0), keep
     return count
@@ -161,7 +161,7 @@
 
 
 def test_zone_without_known_engines_is_not_planned_for() -> None:
-    assert not updates(new_planner(), 20, a=ZoneTally())
+    assert not updates(new_planner(), 20, a=ZoneReport())
 
 
 def test_new_leader_goes_on_from_the_plan_in_force() -> None:
@@ -182,8 +182,8 @@
     light, heavy = (new_planner(dict.fromkeys(REGIONS, carry)) for carry in (400.0, 30.0))
     for planner in (light, heavy):
         updates(planner, 3)
-    assert not light.update(tally(a=FAILED)).shed  # type: ignore[union-attr]
-    shed = heavy.update(tally(a=FAILED)).shed["a"]  # type: ignore[union-attr]
+    assert not light.update(fleet_report(a=FAILED)).shed  # type: ignore[union-attr]
+    shed = heavy.update(fleet_report(a=FAILED)).shed["a"]  # type: ignore[union-attr]
     assert shed["hint"] > shed["explain"] > shed.get("mark", 0.0) == 0.0
     later = updates(heavy, 100, a=FAILED)[-1].shed
     assert later.get("a", {}).get("hint", 0.0) < shed["hint"]
@@ -212,9 +212,9 @@
 )
 
 
-def violation(planner: Planner, zones: dict[str, ZoneTally]) -> str:
+def violation(planner: Planner, zones: dict[str, ZoneReport]) -> str:
     """Which rule the plan breaks after these reports; empty if none."""
-    planner.update(tally(**zones))
+    planner.update(fleet_report(**zones))
     plan = planner.plan
     if not plan.is_valid():
         return "shares make no sense"
@@ -240,7 +240,7 @@
     st.sampled_from([{}, dict.fromkeys(REGIONS, 25.0)]),
 )
 def test_plan_breaks_no_rule_whatever_is_reported(
-    reports: list[dict[str, ZoneTally]], capacities: dict[str, float]
+    reports: list[dict[str, ZoneReport]], capacities: dict[str, float]
 ) -> None:
     planner = new_planner(capacities)
     updates(planner, 2)
@@ -274,13 +274,13 @@
 
 
 def test_report_with_impossible_figures_is_not_valid() -> None:
-    assert added([tally(), tally()]).is_valid()
+    assert sum_reports([fleet_report(), fleet_report()]).is_valid()
     for impossible in (
-        Tally(1, {"a": ZoneTally(failed_votes=2)}),
-        Tally(1, {"a": ZoneTally(begun_rate=float("nan"))}),
-        Tally(1, {}, {"hint": 1e9}),
-        Tally(-1),
-        Tally(1, {"a": ZoneTally(ready_size=-1.0)}),
+        FleetReport(1, {"a": ZoneReport(failed_votes=2)}),
+        FleetReport(1, {"a": ZoneReport(first_token_rate=float("nan"))}),
+        FleetReport(1, {}, {"hint": 1e9}),
+        FleetReport(-1),
+        FleetReport(1, {"a": ZoneReport(ready_size=-1.0)}),
     ):
         assert not impossible.is_valid()
 
@@ -298,6 +298,6 @@
 
 def test_node_without_a_lease_keeps_the_last_plan_and_avoids_zones_it_finds_failed() -> None:
     plan = Plan(4, {"a": {"b": 1.0}}, {"a": {"hint": 0.5}}, 500.0)
-    own = Tally(1, {"a": ZoneTally(), "b": ZoneTally(), "c": ZoneTally(1, 1)})
+    own = FleetReport(1, {"a": ZoneReport(), "b": ZoneReport(), "c": ZoneReport(1, 1)})
     event = plan_event(plan, ["a", "b", "c"], ["hint"], True, "b", own)
     assert event == FailoverPlan({0: [(1, 1.0)], 2: [(1, 1.0)]}, {0: [0.5]}, 500.0, True)
--- a/tests/test_staleness.py
+++ b/tests/test_staleness.py
@@ -29,13 +29,13 @@
     turnover: Turnover | None = None,
     nodes: int = 1,
     probe_rate: float = 10.0,
-    whole: bool = True,
+    complete: bool = True,
     seed: int = 1,
     state: str = "ready",
 ) -> CachedEndpointList:
     saved = [StoredEndpoint(line(f"e{at}", state=state), 10 * HOUR_MS - age_ms) for at in range(count)]
     return CachedEndpointList(
-        saved, 0.0, 10 * HOUR_MS, turnover or Turnover(), HOUR_MS, nodes, probe_rate, whole, seed
+        saved, 0.0, 10 * HOUR_MS, turnover or Turnover(), HOUR_MS, nodes, probe_rate, complete, seed
     )
 
 
@@ -63,7 +63,7 @@
     assert statuses(cached_list(1000.0)) == {EndpointStatus.FRESH}
     assert statuses(cached_list(HOUR_MS / 4)) == {EndpointStatus.STALE}
     assert statuses(cached_list(21 * 24 * HOUR_MS)) == {EndpointStatus.UNVERIFIED}
-    assert statuses(cached_list(1000.0, whole=False)) == {EndpointStatus.STALE}
+    assert statuses(cached_list(1000.0, complete=False)) == {EndpointStatus.STALE}
 
 
 def test_draining_endpoint_stays_draining_after_a_restart() -> None:
--- a/tests/test_zone_watcher.py
+++ b/tests/test_zone_watcher.py
@@ -72,7 +72,7 @@
     one = request(now=NOW)
     watcher.observe(NOW, RequestArrived(one))
     zones = watcher.report(NOW + 800).zones
-    assert zones["north"].wait_rate == pytest.approx(0.4) and zones["north"].begun_rate == 0
+    assert zones["north"].wait_rate == pytest.approx(0.4) and zones["north"].first_token_rate == 0
     one.ended = True
     assert watcher.report(NOW + 900).zones["north"].wait_rate == 0
 
--- a/worksmux/endpoints/endpoint_list.py
+++ b/worksmux/endpoints/endpoint_list.py
@@ -53,7 +53,7 @@
         """Applies one message of the registry, or refuses an empty list."""
         if message.scope == "failed":
             return self.reader.take(now_ms, message)
-        if message.scope == "full" and not self.reader.older(message):
+        if message.scope == "full" and not self.reader.is_older(message):
             if _is_empty(message) and self._in_use() and not self._believe_empty(now_ms):
                 self.reader.fetching = False
                 return ListResult(
@@ -70,7 +70,7 @@
                 self._check_halved(now_ms, in_use_before, result)
         return result
 
-    def remembered(self, entries: list[EndpointEntry]) -> None:
+    def add_cached(self, entries: list[EndpointEntry]) -> None:
         """Notes endpoints that the policy was given from the cache, before the registry sent a list."""
         for entry in entries:
             self._given_states[entry.engine.id.decode()] = entry.state
@@ -109,7 +109,7 @@
 
     def _check_halved(self, now_ms: float, in_use_before: int, result: ListResult) -> None:
         """Requests the full list again after one that names much fewer engines, until two in a row agree."""
-        ready = self.reader.ready
+        ready = self.reader.ready_count
         if ready < MIN_KEPT_FRACTION * in_use_before and ready != self._halved_to:
             self._halved_to = ready
             self._request_again(now_ms)
--- a/worksmux/endpoints/list_reader.py
+++ b/worksmux/endpoints/list_reader.py
@@ -56,7 +56,7 @@
         self.known: dict[str, KnownEndpoint] = {}
         self.serial = 0
         self.registry_time_ms = 0.0  # the latest that was seen of the registry's clock
-        self.whole = False  # a full list has come
+        self.has_full_list = False  # a full list has come
         self.fetching = False  # a full list was requested and has not come
         self._find_engine = find_engine
         self._is_new_connection = True  # nothing has come on it yet
@@ -78,7 +78,7 @@
             self._take_full(now_ms, message, result)
         return result
 
-    def older(self, message: Listing) -> bool:
+    def is_older(self, message: Listing) -> bool:
         """Whether a full list is older than ours.
 
         On the same connection its serial number decides. On a new one the registry's clock must be behind
@@ -101,36 +101,37 @@
             line.size,
         )
 
-    def remember(
-        self, now_ms: float, wall_ms: float, line: Line, state: str, careful: bool
+    def add_cached(
+        self, now_ms: float, wall_ms: float, line: Line, state: str, as_just_started: bool
     ) -> EndpointEntry | None:
         """Adds an endpoint that comes from the cache and not from the registry.
 
-        With `careful` it counts as just started, and the first list of the registry corrects that. Gives None
-        for a kind or zone that the settings do not know. `wall_ms` is since 1970.
+        With `as_just_started` the endpoint counts as just started until the first list of the registry
+        corrects its start. Returns None for a kind or zone that is not in the settings. `wall_ms` is since
+        1970.
         """
         if not self._is_configured(line):
             return None
         known = self.known.get(line.id)
         if known is None:
             known = self.known[line.id] = KnownEndpoint(self._find_engine(line.id), line)
-        known.started = now_ms if careful else _local_start(now_ms, wall_ms, line)
+        known.started = now_ms if as_just_started else _local_start(now_ms, wall_ms, line)
         known.line = copy(line)
         known.line.state = state  # type: ignore[assignment]
-        if careful:
+        if as_just_started:
             known.line.started = UNKNOWN_START
         return self.entry(known, state)
 
     @property
-    def ready(self) -> int:
+    def ready_count(self) -> int:
         """How many endpoints the list calls ready."""
         return sum(known.line.state == "ready" for known in self.known.values())
 
     def _take_full(self, now_ms: float, message: Listing, result: ListResult) -> None:
-        if self.older(message):
+        if self.is_older(message):
             result.notes.append(f"a full list {message.serial} older than ours, {self.serial}, was left out")
             return
-        self._is_new_connection, self.fetching, self.whole = False, False, True
+        self._is_new_connection, self.fetching, self.has_full_list = False, False, True
         self.serial = message.serial
         self.registry_time_ms = max(self.registry_time_ms, message.now)
         listed = {line.id for line in message.engines}
@@ -143,7 +144,7 @@
             result.notes.append(f"a change {message.serial} not newer than ours, {self.serial}, was left out")
             return
         self._is_new_connection = False
-        if not self.whole or message.previous != self.serial:
+        if not self.has_full_list or message.previous != self.serial:
             self._request_full(message, result)
             self.serial = max(self.serial, message.serial)
         else:
--- a/worksmux/endpoints/staleness.py
+++ b/worksmux/endpoints/staleness.py
@@ -140,12 +140,12 @@
         believed_for_ms: float,
         nodes: int,
         probe_rate: float,
-        whole: bool,
+        complete: bool,
         seed: int,
     ) -> None:
         """Rates the stored endpoints and schedules their first probes.
 
-        `probe_rate` is how many probes a second all `nodes` together may send to one engine. `whole` says
+        `probe_rate` is how many probes a second all `nodes` together may send to one engine. `complete` says
         whether the store vouches for the list as a whole: if not, none of its endpoints counts as fresh.
         """
         self.endpoints: dict[str, CachedEndpoint] = {}
@@ -155,7 +155,7 @@
         self._probe_period_ms = 1000 * nodes / probe_rate  # in which all nodes probe one engine once
         self._order = count()
         for one in stored:
-            limit = 1.0 if whole else FRESH_CONFIDENCE - 1e-6
+            limit = 1.0 if complete else FRESH_CONFIDENCE - 1e-6
             rated = confidence(one, wall_ms, turnover, believed_for_ms) * limit
             self.endpoints[one.line.id] = CachedEndpoint(one.line, rated, _initial_status(one.line, rated))
         self._schedule_first_probes(now_ms)
--- a/worksmux/failover/load_estimate.py
+++ b/worksmux/failover/load_estimate.py
@@ -9,16 +9,16 @@
 
 from collections.abc import Iterable, Mapping
 
-from .tally import Tally
+from .reports import FleetReport
 from .zones import ZoneView
 
-SMOOTHING = 0.4  # weight of each new tally
+SMOOTHING = 0.4  # weight of each new report
 FULL_WAIT = 0.5  # mean wait above which a zone is full
 SHORT_WAIT = 0.25  # mean wait below which what begins there shows what the zone carries
 IDLE_WAIT = 0.05  # mean wait of engines that have next to nothing to do
 LIGHT_LOAD = 0.45  # at which moved requests need not be held back
 LOAD_PER_WAIT = 3.0  # guessed load above LIGHT_LOAD, for each unit of wait above IDLE_WAIT
-CAPACITY_DECAY = 0.0005  # of the learned capacity, at each tally
+CAPACITY_DECAY = 0.0005  # of the learned capacity, at each report
 
 
 class LoadEstimate:
@@ -30,16 +30,16 @@
         self._capacities = capacities
         self._learned_capacities: dict[str, float] = {}
 
-    def update(self, tally: Tally, request_classes: Iterable[str]) -> None:
-        """Takes in one tally of all nodes."""
+    def update(self, report: FleetReport, request_classes: Iterable[str]) -> None:
+        """Takes in one report of all nodes."""
         for name in request_classes:
-            _smooth(self.demand, name, tally.demand.get(name, 0.0))
-        for name, zone in tally.zones.items():
-            if zone.met_rate > 0:
-                _smooth(self.waits, name, zone.wait_rate / zone.met_rate)
+            _smooth(self.demand, name, report.demand.get(name, 0.0))
+        for name, zone in report.zones.items():
+            if zone.observed_rate > 0:
+                _smooth(self.waits, name, zone.wait_rate / zone.observed_rate)
             if self.waits.get(name, 1.0) < SHORT_WAIT:
                 learned = self._learned_capacities.get(name, 0.0) * (1 - CAPACITY_DECAY)
-                self._learned_capacities[name] = max(learned, zone.begun_rate)
+                self._learned_capacities[name] = max(learned, zone.first_token_rate)
 
     def is_full(self, zone: str) -> bool:
         """Whether requests wait for too large a part of their latency target."""
--- a/worksmux/failover/plan.py
+++ b/worksmux/failover/plan.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from .tally import MAX_ZONES
+from .reports import MAX_ZONES
 
 MIN_SHARE = 0.005  # smaller shares are rounded away
 SUM_TOLERANCE = 0.01  # by which the shares of a route may miss 1
--- a/worksmux/failover/planner.py
+++ b/worksmux/failover/planner.py
@@ -3,7 +3,7 @@
 Requests of a zone that is not healthy go to other zones of its region, and to other regions when those are
 full. What fits nowhere is rejected, the lowest credit first.
 
-    plan = planner.update(tally)       # every `interval_ms` on the leader; None: the plan stays
+    plan = planner.update(report)       # every `interval_ms` on the leader; None: the plan stays
 
 Moved requests find none of their shared prefixes in the KV caches where they arrive. Sent all at once they
 would fill the caches of those prefill engines, evict what was there, and the healthy zone would fail with the
@@ -17,8 +17,8 @@
 
 from .load_estimate import FULL_WAIT, LIGHT_LOAD, SHORT_WAIT, LoadEstimate
 from .plan import MIN_SHARE, Plan, Shares
+from .reports import FleetReport
 from .shedding import MIN_PASSED_SHARE, hold_by_rank, shed_lowest_credit
-from .tally import Tally
 from .zones import ZoneHealth, Zones, ZoneView
 
 INITIAL_HELD_PER_LOAD = 2.0  # share of moved requests held back at first, for each unit above LIGHT_LOAD
@@ -62,12 +62,12 @@
         self._excess_share = 0.0  # of all requests, rejected as all zones stay full
         self._shed_share = 0.0  # of all requests, wherever they belong
 
-    def update(self, tally: Tally) -> Plan | None:
-        """Takes in one tally of all nodes; gives a plan if it is a new one."""
-        if not tally.nodes:
+    def update(self, report: FleetReport) -> Plan | None:
+        """Takes in one report of all nodes; gives a plan if it is a new one."""
+        if not report.nodes:
             return None
-        self.zones.update(tally)
-        self.load.update(tally, self.settings.credits)
+        self.zones.update(report)
+        self.load.update(report, self.settings.credits)
         self._update_shed_share()
         routes: dict[str, Shares] = {}
         held_shares: Shares = {}
--- a/worksmux/failover/acting.py
+++ b/worksmux/failover/policy_event.py
@@ -9,7 +9,7 @@
 
 from ..policy.events import FailoverPlan
 from .plan import Plan, Shares
-from .tally import Tally
+from .reports import FleetReport
 
 
 def plan_event(
@@ -18,7 +18,7 @@
     request_classes: list[str],
     alone: bool,
     home: str = "",
-    own: Tally | None = None,
+    own: FleetReport | None = None,
 ) -> FailoverPlan | None:
     """The event for the policy; None if there is nothing to tell it, as with a calm plan under a lease.
 
@@ -38,7 +38,7 @@
     )
 
 
-def _routes_around_failures(plan: Plan, home: str, own: Tally) -> dict[str, Shares]:
+def _routes_around_failures(plan: Plan, home: str, own: FleetReport) -> dict[str, Shares]:
     """Sends home the requests of zones that this node itself finds failed, unless its own has failed too."""
     failed = [
         name
--- a/worksmux/failover/tally.py
+++ b/worksmux/failover/reports.py
@@ -16,7 +16,7 @@
 MAX_RATE_PER_NODE = 1e5  # requests a second that one node may claim
 
 
-class ZoneTally(msgspec.Struct):
+class ZoneReport(msgspec.Struct):
     """What is reported of one zone's engines: sums over nodes, sizes in engines, rates per second."""
 
     voters: int = msgspec.field(name="spoke", default=0)  # nodes that saw enough of it to vote
@@ -26,8 +26,8 @@
     ready_size: float = msgspec.field(name="ready", default=0.0)
     full_size: float = msgspec.field(name="had", default=0.0)  # the most that was ready, slowly forgotten
     cold_size: float = msgspec.field(name="cold", default=0.0)  # of the ready size, still to warm up
-    begun_rate: float = msgspec.field(name="begun", default=0.0)  # requests whose answer began
-    met_rate: float = msgspec.field(name="met", default=0.0)  # these, and requests that wait there
+    first_token_rate: float = msgspec.field(name="begun", default=0.0)  # requests whose answer began
+    observed_rate: float = msgspec.field(name="met", default=0.0)  # these, and requests that wait there
     wait_rate: float = msgspec.field(name="press", default=0.0)  # their waits, in latency targets
     fault_rate: float = msgspec.field(name="vain", default=0.0)  # attempts that failed
 
@@ -38,8 +38,8 @@
             self.ready_size,
             self.full_size,
             self.cold_size,
-            self.begun_rate,
-            self.met_rate,
+            self.first_token_rate,
+            self.observed_rate,
             self.wait_rate,
             self.fault_rate,
         )
@@ -48,11 +48,11 @@
         )
 
 
-class Tally(msgspec.Struct):
+class FleetReport(msgspec.Struct):
     """The reports of `nodes` nodes, added up."""
 
     nodes: int = msgspec.field(name="fronts", default=0)
-    zones: dict[str, ZoneTally] = {}
+    zones: dict[str, ZoneReport] = {}
     demand: dict[str, float] = msgspec.field(name="asked", default_factory=dict)  # requests/s by class
 
     def is_valid(self) -> bool:
@@ -70,22 +70,24 @@
     return isfinite(figure) and 0.0 <= figure <= MAX_RATE_PER_NODE * max(1, nodes)
 
 
-def added(tallies: Iterable[Tally]) -> Tally:
+def sum_reports(reports: Iterable[FleetReport]) -> FleetReport:
     """The sum of several reports.
 
-    >>> one = Tally(1, {"n": ZoneTally(1, 1, 0, 1, 4.0)}, {"hint": 3.0})
-    >>> both = added([one, one]); both.nodes, both.zones["n"].failed_votes, both.demand
+    >>> one = FleetReport(1, {"n": ZoneReport(1, 1, 0, 1, 4.0)}, {"hint": 3.0})
+    >>> both = sum_reports([one, one]); both.nodes, both.zones["n"].failed_votes, both.demand
     (2, 2, {'hint': 6.0})
     """
-    total = Tally(zones={}, demand={})
-    for tally in tallies:
-        total.nodes += tally.nodes
-        for name, rate in tally.demand.items():
+    total = FleetReport(zones={}, demand={})
+    for report in reports:
+        total.nodes += report.nodes
+        for name, rate in report.demand.items():
             total.demand[name] = total.demand.get(name, 0.0) + rate
-        for name, zone in tally.zones.items():
-            total.zones[name] = _added_zone(total.zones.get(name, ZoneTally()), zone)
+        for name, zone in report.zones.items():
+            total.zones[name] = _sum_zone_reports(total.zones.get(name, ZoneReport()), zone)
     return total
 
 
-def _added_zone(one: ZoneTally, other: ZoneTally) -> ZoneTally:
-    return ZoneTally(*(getattr(one, field) + getattr(other, field) for field in ZoneTally.__struct_fields__))
+def _sum_zone_reports(one: ZoneReport, other: ZoneReport) -> ZoneReport:
+    return ZoneReport(
+        *(getattr(one, field) + getattr(other, field) for field in ZoneReport.__struct_fields__)
+    )
--- a/worksmux/failover/watcher.py
+++ b/worksmux/failover/watcher.py
@@ -13,7 +13,7 @@
 from ..policy.settings import PolicySettings
 from ..policy.sliding_window import SlidingWindow
 from ..policy.state import Engine, Outcome, Request
-from .tally import Tally, ZoneTally
+from .reports import FleetReport, ZoneReport
 
 WINDOW_MS = 1000.0  # that a report looks back
 WINDOW_BUCKETS = 5
@@ -157,7 +157,7 @@
             case _:
                 pass
 
-    def report(self, now_ms: float) -> Tally:
+    def report(self, now_ms: float) -> FleetReport:
         """This node's own report."""
         demand = {
             name: arrivals.count(now_ms) / (WINDOW_MS / 1000)
@@ -169,7 +169,7 @@
             name: self._zone_report(now_ms, zone, waiting, fleet_size)
             for zone, name in enumerate(self._zones)
         }
-        return Tally(1, zones, demand)
+        return FleetReport(1, zones, demand)
 
     def _request_arrived(self, now_ms: float, request: Request) -> None:
         self._arrivals[request.request_class].add(now_ms)
@@ -190,7 +190,7 @@
 
     def _zone_report(
         self, now_ms: float, zone: int, waiting: dict[int, Waiting], fleet_size: float
-    ) -> ZoneTally:
+    ) -> ZoneReport:
         """The report on one zone; `fleet_size` is the size of all ready engines."""
         record, window_s = self._records[zone], WINDOW_MS / 1000
         ready = [engine for engine, one in self.engines.items() if one.zone == zone and one.state == "ready"]
@@ -203,7 +203,7 @@
         mean_wait = wait / (begun + here.count) if begun + here.count else 0.0
         record.forget_old_findings(now_ms)
         vote = self._vote(now_ms, record, ready, mean_wait)
-        return ZoneTally(
+        return ZoneReport(
             voters=int(vote.votes),
             failed_votes=int(vote.failed),
             degraded_votes=int(vote.degraded),
@@ -211,8 +211,8 @@
             ready_size=size,
             full_size=record.remembered_size(now_ms, size),
             cold_size=sum(self._cold_size(now_ms, engine) for engine in ready),
-            begun_rate=begun / window_s,
-            met_rate=(begun + here.count) / window_s,
+            first_token_rate=begun / window_s,
+            observed_rate=(begun + here.count) / window_s,
             wait_rate=wait / window_s,
             fault_rate=record.faults.count(now_ms) / window_s,
         )
--- a/worksmux/failover/zones.py
+++ b/worksmux/failover/zones.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from .tally import Tally, ZoneTally
+from .reports import FleetReport, ZoneReport
 
 MAJORITY = 0.5  # of the votes
 MIN_VOTERS_FRACTION = 0.25  # of the nodes; a smaller number of voters counts as this
@@ -65,12 +65,12 @@
         self.views: dict[str, ZoneView] = {}
         self.updates = 0
 
-    def update(self, tally: Tally) -> None:
-        """Takes in one tally of all nodes."""
+    def update(self, report: FleetReport) -> None:
+        """Takes in one report of all nodes."""
         self.updates += 1
-        for name in {*self.views, *tally.zones}:
+        for name in {*self.views, *report.zones}:
             view = self.views.setdefault(name, ZoneView())
-            self._update_view(view, tally.zones.get(name, ZoneTally()), tally.nodes)
+            self._update_view(view, report.zones.get(name, ZoneReport()), report.nodes)
 
     def resume(self, kept_shares: dict[str, float]) -> None:
         """Goes on from the plan in force, on a node that begins to lead."""
@@ -79,7 +79,7 @@
             view.kept_share = share
             view.health = ZoneHealth.RECOVERING if share else ZoneHealth.FAILED
 
-    def _update_view(self, view: ZoneView, report: ZoneTally, nodes: int) -> None:
+    def _update_view(self, view: ZoneView, report: ZoneReport, nodes: int) -> None:
         if not nodes:
             return
         view.ready_size = report.ready_size / nodes
@@ -89,7 +89,7 @@
             self._update_health(view, report, nodes)
             self._forget_relapses(view)
 
-    def _update_health(self, view: ZoneView, report: ZoneTally, nodes: int) -> None:
+    def _update_health(self, view: ZoneView, report: ZoneReport, nodes: int) -> None:
         """One step of the state machine.
 
         A few nodes that alone cannot reach a zone are cut off from it, and that is theirs to see to: their
--- a/worksmux/gateway/endpoint_cache.py
+++ b/worksmux/gateway/endpoint_cache.py
@@ -156,11 +156,11 @@
         if state == "gone" and line.id not in self.engine_list.keeper.known:
             self.core.address_changed(self.engine_list.engine(line.id), line.host, line.port)
             return None
-        entry: EndpointEntry | None = self.engine_list.keeper.remember(
-            clock.now(), clock.wall(), line, state, careful=belief.status is EndpointStatus.STALE
+        entry: EndpointEntry | None = self.engine_list.keeper.add_cached(
+            clock.now(), clock.wall(), line, state, as_just_started=belief.status is EndpointStatus.STALE
         )
         if entry is not None:
-            self.engine_list.roster.remembered([entry])
+            self.engine_list.roster.add_cached([entry])
             self.core.address_changed(entry.engine, line.host, line.port)
         return entry
 
--- a/worksmux/gateway/engine_list.py
+++ b/worksmux/gateway/engine_list.py
@@ -165,7 +165,7 @@
 
     def line_received(self, line: bytes) -> None:
         self._heard_at = clock.now()
-        if self.memory is not None and self.keeper.whole:
+        if self.memory is not None and self.keeper.has_full_list:
             self.memory.alive()
         if not line.strip():  # a heartbeat
             return
@@ -180,7 +180,7 @@
 
     def _is_accepted(self, message: Listing) -> bool:
         """False for an empty list that would wipe out a remembered fleet."""
-        if message.scope != "full" or self.memory is None or self.keeper.older(message):
+        if message.scope != "full" or self.memory is None or self.keeper.is_older(message):
             return True
         return self.memory.accepts(not message.engines)
 
@@ -202,7 +202,7 @@
 
     def _update_metrics(self) -> None:
         self.core.metrics.serial.set(self.keeper.serial)
-        self.core.metrics.engines.set(self.keeper.ready)
+        self.core.metrics.engines.set(self.keeper.ready_count)
         self.core.metrics.held_back.set(self.roster.damping.held_count)
 
     def _schedule_tick(self) -> None:
--- a/worksmux/gateway/fleet/active_plan.py
+++ b/worksmux/gateway/fleet/active_plan.py
@@ -10,7 +10,7 @@
 
 from ...consensus.replica import Replica
 from ...consensus.state_machine import VersionedValue
-from ...failover import acting
+from ...failover import policy_event
 from ...failover.plan import Plan, decode
 from ...net import clock
 from ...policy.events import FailoverPlan
@@ -67,7 +67,7 @@
     def publish(self, now: float) -> None:
         """Looks at the lease, and passes the plan to the policy if what it may act on has changed."""
         self._check_lease(now)
-        event = acting.plan_event(
+        event = policy_event.plan_event(
             self.plan,
             self._settings.zones,
             self._request_classes,
--- a/worksmux/gateway/fleet/fleet_status.py
+++ b/worksmux/gateway/fleet/fleet_status.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from ...failover.plan import Plan
-from ...failover.tally import ZoneTally
+from ...failover.reports import ZoneReport
 from ...gossip.members import MembershipUpdate, MemberState
 from ...net import clock
 from .active_plan import PlanRecord
@@ -92,7 +92,7 @@
     fronts: list[NodeStatus]
     plan: Plan
     history: list[PlanRecord]
-    zones: dict[str, ZoneTally]
+    zones: dict[str, ZoneReport]
     seen_by_leader: dict[str, ZoneStatus]
     messages: MessageCounts
     contradictions: int
--- a/worksmux/gateway/fleet/leader_tasks.py
+++ b/worksmux/gateway/fleet/leader_tasks.py
@@ -17,7 +17,7 @@
 from ...consensus.state_machine import PLAN_KEY, Put
 from ...failover.plan import Plan, decode, encode
 from ...failover.planner import Planner, PlannerSettings
-from ...failover.tally import Tally
+from ...failover.reports import FleetReport
 from ...net import clock
 from ...settings.fleet import FleetSettings
 from ...settings.front import FrontSettings
@@ -38,7 +38,7 @@
         fleet: FleetSettings,
         voter: ConsensusVoter,
         membership: FleetMembership,
-        fleet_report: Callable[[], Tally],
+        fleet_report: Callable[[], FleetReport],
     ) -> None:
         self._fleet, self._voter, self._membership, self._fleet_report = (
             fleet,
--- a/worksmux/gateway/fleet/zone_reports.py
+++ b/worksmux/gateway/fleet/zone_reports.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from ...failover.tally import Tally, added
+from ...failover.reports import FleetReport, sum_reports
 from ...failover.watcher import Watcher
 from ...settings.front import FrontSettings
 
-_TALLY_DECODER = msgspec.msgpack.Decoder(Tally)
+_REPORT_DECODER = msgspec.msgpack.Decoder(FleetReport)
 
 
 class ZoneReports:
@@ -19,31 +19,31 @@
     def __init__(self, settings: FrontSettings, on_refused: Callable[[str], None]) -> None:
         request_classes = [request_class.name for request_class in settings.request_classes]
         self.watcher = Watcher(settings.zones, request_classes, settings.module)
-        self.latest = Tally(zones={}, demand={})  # this node's own
+        self.latest = FleetReport(zones={}, demand={})  # this node's own
         self._on_refused = on_refused
 
     def refresh(self, now: float) -> None:
         """Takes this node's own report anew."""
         self.latest = self.watcher.report(now)
 
-    def total(self, child_reports: list[bytes]) -> Tally:
+    def total(self, child_reports: list[bytes]) -> FleetReport:
         """The sum of this node's latest report and those of its children; unusable ones are left out."""
-        tallies = [self.latest]
+        reports = [self.latest]
         for data in child_reports:
             try:
-                tallies.append(_decode(data))
+                reports.append(_decode(data))
             except msgspec.DecodeError as error:
                 self._on_refused(str(error))
-        return added(tallies)
+        return sum_reports(reports)
 
     def encoded_total(self, child_reports: list[bytes]) -> bytes:
         """`total`, as it is sent to the parent."""
         return msgspec.msgpack.encode(self.total(child_reports))
 
 
-def _decode(data: bytes) -> Tally:
+def _decode(data: bytes) -> FleetReport:
     """Raises msgspec.DecodeError, also for figures that cannot be true."""
-    tally = _TALLY_DECODER.decode(data)
-    if not tally.is_valid():
+    report = _REPORT_DECODER.decode(data)
+    if not report.is_valid():
         raise msgspec.ValidationError("its figures make no sense")
-    return tally
+    return report
--- a/worksmux/node/discovery.py
+++ b/worksmux/node/discovery.py
@@ -192,7 +192,7 @@
     def _apply(self, hosts: HostList, scope: str = "") -> None:
         """Takes a list and hands it to the core; `scope` replaces the list's own."""
         lines, notes = convert(hosts, self.keeper.serial, clock.wall())
-        self.keeper.whole = True
+        self.keeper.has_full_list = True
         accepted = self.keeper.take(clock.now(), lines)
         self.index = hosts.index
         for engine in self.core.forget_gone():
--- a/worksmux/simulation/conductor.py
+++ b/worksmux/simulation/conductor.py
@@ -10,11 +10,11 @@
 
 from dataclasses import dataclass
 
-from ..failover.acting import plan_event
 from ..failover.plan import Plan
 from ..failover.planner import Planner, PlannerSettings
+from ..failover.policy_event import plan_event
+from ..failover.reports import FleetReport, sum_reports
 from ..failover.shedding import hold_by_rank
-from ..failover.tally import Tally, added
 from ..failover.watcher import ListedEngine, Watcher
 from ..policy.events import FailoverPlan
 from ..scenarios.scenario import Scenario
@@ -61,7 +61,7 @@
     def look(self) -> None:
         model, now = self.model, self.model.sim.now
         model.sim.after(self.map.interval_ms, self.look)
-        reports: dict[int, Tally] = {}
+        reports: dict[int, FleetReport] = {}
         for at, front in enumerate(model.fronts):
             if front is None:
                 continue
@@ -83,16 +83,16 @@
                 if plan is not None and front is not None:
                     self.tell(at, front, plan)
         elif self.mode == "ceiling":
-            self.see_all(added(reports.values()))
+            self.see_all(sum_reports(reports.values()))
         else:
-            model.sim.after(self.ways.up, self.plan_for_all, added(reports.values()))
+            model.sim.after(self.ways.up, self.plan_for_all, sum_reports(reports.values()))
         if self.mode != "alone":
             for at, front in enumerate(model.fronts):  # those that were started since
                 if front is not None and self.told.get(at, (front, 0))[0] is not front:
                     self.tell(at, front, self.plan)
 
-    def plan_for_all(self, tally: Tally) -> None:
-        plan = self.planner.update(tally)
+    def plan_for_all(self, fleet_report: FleetReport) -> None:
+        plan = self.planner.update(fleet_report)
         if plan is not None and self.mode == "static":
             plan = Plan(plan.number, plan.routes, {}, 0.0, plan.reason)
         if plan is not None:
@@ -110,7 +110,7 @@
         event = plan_event(plan, self.day.zones, [one.name for one in self.day.request_classes], alone=False)
         front.tell(event or FailoverPlan({}, {}, 0.0))
 
-    def see_all(self, asked: Tally) -> None:
+    def see_all(self, asked: FleetReport) -> None:
         """Zones by the engines that live; what is let in by a ramp that was the best of many in hindsight."""
         now, day = self.model.sim.now, self.day
         up = dict.fromkeys(day.zones, 0.0)
--- a/worksmux/simulation/front.py
+++ b/worksmux/simulation/front.py
@@ -197,13 +197,17 @@
             state = belief.status.listed_state
             if state == "gone" and belief.line.id not in self.roster.reader.known:
                 continue
-            entry = self.roster.reader.remember(
-                self.sim.now, self.sim.now, belief.line, state, careful=belief.status is EndpointStatus.STALE
+            entry = self.roster.reader.add_cached(
+                self.sim.now,
+                self.sim.now,
+                belief.line,
+                state,
+                as_just_started=belief.status is EndpointStatus.STALE,
             )
             if entry is not None:
                 entries.append(entry)
         if entries or scope == "cached":
-            self.roster.remembered(entries)
+            self.roster.add_cached(entries)
             self.tell(EndpointListUpdate(scope, entries))
         for line in step.to_probe:
             self._ask(line.id)
