--- a/tests/fault_injection/engine.py
+++ b/tests/fault_injection/engine.py
@@ -9,7 +9,7 @@
 from zlib import crc32
 
 from node_rig import EVENTS as ANSWER_EVENTS
-from node_rig import LAST, NO_CONTENT, STREAM, chunk
+from node_rig import LAST_CHUNK, NO_CONTENT, STREAM, chunk
 
 from .ledger import Attempt, Ledger, Rule, State
 from .network import End, Host, Network
@@ -328,7 +328,7 @@
                 work.connection.send(chunk(EVENT))
             self.host.loop.call_later(EVENT_PAUSE, self._event, work, number + 1)
             return None
-        return self._answer(work, chunk(DONE) + LAST)
+        return self._answer(work, chunk(DONE) + LAST_CHUNK)
 
     def _answer(self, work: Work, data: bytes) -> None:
         if not work.silent:
--- a/tests/node_rig.py
+++ b/tests/node_rig.py
@@ -43,10 +43,10 @@
     b'data: {"choices":[{"index":0,"delta":{"content":"vh"},"finish_reason":"stop"}]}\n\n',
     b"data: [DONE]\n\n",
 )
-READ = b'HTTP/1.1 202 Accepted\r\nContent-Length: 21\r\n\r\n{"cached_tokens":409}'
+PREFILL_REPLY = b'HTTP/1.1 202 Accepted\r\nContent-Length: 21\r\n\r\n{"cached_tokens":409}'
 STREAM = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 NO_CONTENT = b"HTTP/1.1 204 No Content\r\n\r\n"
-LAST = b"0\r\n\r\n"
+LAST_CHUNK = b"0\r\n\r\n"
 BODY = b'{"model":"chat","stream":true,"messages":[{"role":"user","content":"x"}]}'
 
 
@@ -54,7 +54,7 @@
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-ANSWER = STREAM + b"".join(map(chunk, EVENTS)) + LAST
+ANSWER = STREAM + b"".join(map(chunk, EVENTS)) + LAST_CHUNK
 
 
 def ask(
@@ -104,7 +104,7 @@
         self.on_release: Callable[[], Any] = lambda: None
         self.peers: list[Peer] = []
         factory: Any = Factory.forProtocol(self._peer)  # type: ignore[arg-type]
-        self.port, self.number = listen(rig.reactor, ("127.0.0.1", 0), factory)
+        self.port, self.port_number = listen(rig.reactor, ("127.0.0.1", 0), factory)
 
     def _peer(self) -> Peer:
         self.peers.append(Peer(self._data))
@@ -126,7 +126,7 @@
     def entry(self, status: str = "SERVING") -> dict[str, Any]:
         return {
             "name": self.name,
-            "address": f"127.0.0.1:{self.number}",
+            "address": f"127.0.0.1:{self.port_number}",
             "zone": "a",
             "type": self.kind,
             "group": 1,
@@ -162,7 +162,7 @@
         self.watches: list[Peer] = []
         self.first = first
         factory: Any = Factory.forProtocol(lambda: Peer(self._data))  # type: ignore[arg-type]
-        self.port, self.number = listen(rig.reactor, ("127.0.0.1", 0), factory)
+        self.port, self.port_number = listen(rig.reactor, ("127.0.0.1", 0), factory)
 
     def _data(self, peer: Peer) -> None:
         if peer.whole() is not None:
@@ -186,7 +186,7 @@
         self.node: Any = None
 
     def engine(self, kind: str, script: Callable[[bytes], bytes | None] | None = None) -> Engine:
-        usual = READ if kind == "prefill" else ANSWER
+        usual = PREFILL_REPLY if kind == "prefill" else ANSWER
         self.engines.append(Engine(self, f"e{len(self.engines)}", kind, script or (lambda _: usual)))
         return self.engines[-1]
 
@@ -194,7 +194,7 @@
         config = {
             "name": "n",
             "listen": "127.0.0.1:0",
-            "discovery": f"127.0.0.1:{self.hosts.number}",
+            "discovery": f"127.0.0.1:{self.hosts.port_number}",
             "seed": "8c",
             "limits": {"sockets": self.sockets},
             "settings": SETTINGS,
@@ -231,7 +231,7 @@
         self.until(
             lambda: (
                 peer.ended
-                or peer.got.endswith(LAST)
+                or peer.got.endswith(LAST_CHUNK)
                 or b"\r\n\r\n" in peer.got
                 and (b"Content-Length" in peer.got or b"content-length" in peer.got)
             )
@@ -251,7 +251,7 @@
         def disconnect(self) -> None: ...
 
     def connectTCP(host: str, port: int, factory: Any, timeout: float = 30) -> Any:
-        if port != engine.number:
+        if port != engine.port_number:
             return connect(host, port, factory, timeout=timeout)
         waiting.append(lambda: connect(host, port, factory, timeout=timeout))
         return Connector()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -14,7 +14,19 @@
 from typing import Any
 
 import pytest
-from node_rig import ANSWER, EVENTS, LAST, READ, STREAM, Engine, Peer, Rig, ask, chunk, hold_connections
+from node_rig import (
+    ANSWER,
+    EVENTS,
+    LAST_CHUNK,
+    PREFILL_REPLY,
+    STREAM,
+    Engine,
+    Peer,
+    Rig,
+    ask,
+    chunk,
+    hold_connections,
+)
 
 from worksmux.net import clock
 from worksmux.node import core, serve
@@ -64,7 +76,7 @@
             self.up(self.prefill_engine)
             rig.until(lambda: self.prefill_engine.asked)
         if at >= 3:
-            self.prefill_engine.peers[-1].transport.write(READ)  # type: ignore[union-attr]
+            self.prefill_engine.peers[-1].transport.write(PREFILL_REPLY)  # type: ignore[union-attr]
             rig.until(lambda: self.waiting[self.decode_engine.name])
         if at >= 4:
             self.up(self.decode_engine)
@@ -86,15 +98,15 @@
         """Everything goes its way from the point."""
         self._no_room(False)
         self.rig.node.core.wake()
-        self.prefill_engine.script, self.decode_engine.script = (lambda _: READ), (lambda _: ANSWER)
+        self.prefill_engine.script, self.decode_engine.script = (lambda _: PREFILL_REPLY), (lambda _: ANSWER)
         at = POINTS.index(point)
         if at == 2:
-            self.prefill_engine.peers[-1].transport.write(READ)  # type: ignore[union-attr]
+            self.prefill_engine.peers[-1].transport.write(PREFILL_REPLY)  # type: ignore[union-attr]
         elif at == 4:
             self.decode_engine.peers[-1].transport.write(ANSWER)  # type: ignore[union-attr]
         elif at == 5:
             self.decode_engine.peers[-1].transport.write(  # type: ignore[union-attr]
-                b"".join(map(chunk, EVENTS[1:])) + LAST
+                b"".join(map(chunk, EVENTS[1:])) + LAST_CHUNK
             )
 
     def read_all(self, client: socket.socket) -> bytes:
@@ -112,7 +124,7 @@
                 return True
             got.append(piece)
             whole = b"".join(got)
-            return not piece or whole.endswith(LAST) or b"content-length" in whole.lower()
+            return not piece or whole.endswith(LAST_CHUNK) or b"content-length" in whole.lower()
 
         self.rig.until(over)
         return b"".join(got)
@@ -144,7 +156,7 @@
     assert not scene.ended
     scene.finish(point)
     got = scene.read_all(client)
-    assert got[9:12] == b"200" and got.count(b"[DONE]") == 1 and got.endswith(LAST)
+    assert got[9:12] == b"200" and got.count(b"[DONE]") == 1 and got.endswith(LAST_CHUNK)
     client.close()
     scene.rig.until(lambda: scene.ended)
     assert scene.effects() == 1 and not scene.rig.node.core.releaser.is_due
@@ -172,20 +184,20 @@
 
 def test_request_accepted_by_the_kernel_alone_is_answered(scene: Scene) -> None:
     rig = scene.rig
-    scene.prefill_engine.script, scene.decode_engine.script = (lambda _: READ), (lambda _: ANSWER)
+    scene.prefill_engine.script, scene.decode_engine.script = (lambda _: PREFILL_REPLY), (lambda _: ANSWER)
     client = socket.create_connection(("127.0.0.1", rig.node.port))  # accepted by the machine alone
     client.sendall(ask())
     client.setblocking(False)
     rig.node.stop()
     got = scene.read_all(client)
-    assert got[9:12] == b"200" and got.endswith(LAST)
+    assert got[9:12] == b"200" and got.endswith(LAST_CHUNK)
     client.close()
     rig.until(lambda: scene.ended)
 
 
 def test_partial_request_at_sigterm_is_answered(scene: Scene) -> None:
     rig, data = scene.rig, ask()
-    scene.prefill_engine.script, scene.decode_engine.script = (lambda _: READ), (lambda _: ANSWER)
+    scene.prefill_engine.script, scene.decode_engine.script = (lambda _: PREFILL_REPLY), (lambda _: ANSWER)
     client = socket.create_connection(("127.0.0.1", rig.node.port))
     client.sendall(data[:150])
     client.setblocking(False)
@@ -194,7 +206,9 @@
     scene.turns()
     client.sendall(data[150:])
     got = scene.read_all(client)
-    assert got[9:12] == b"200" and got.endswith(LAST) and b"close" in got.partition(b"\r\n\r\n")[0].lower()
+    assert (
+        got[9:12] == b"200" and got.endswith(LAST_CHUNK) and b"close" in got.partition(b"\r\n\r\n")[0].lower()
+    )
     client.close()
     rig.until(lambda: scene.ended)
 
@@ -268,7 +282,7 @@
     client = scene.to(point, request_class)
     engine = scene.prefill_engine if point == "in prefill" else scene.decode_engine
     wire: Any = engine.peers[-1].transport
-    scene.prefill_engine.script, scene.decode_engine.script = (lambda _: READ), (lambda _: ANSWER)
+    scene.prefill_engine.script, scene.decode_engine.script = (lambda _: PREFILL_REPLY), (lambda _: ANSWER)
     match how:
         case "reset":
             wire.abortConnection()
@@ -292,7 +306,7 @@
 def test_attempt_known_not_executed_is_always_retried(scene: Scene, request_class: str) -> None:
     client = scene.to("in decode", request_class)
     wire: Any = scene.decode_engine.peers[-1].transport
-    scene.prefill_engine.script, scene.decode_engine.script = (lambda _: READ), (lambda _: ANSWER)
+    scene.prefill_engine.script, scene.decode_engine.script = (lambda _: PREFILL_REPLY), (lambda _: ANSWER)
     wire.write(LOST)
     assert scene.read_all(client)[9:12] == b"200" and scene.effects() == 2
     client.close()
@@ -330,7 +344,7 @@
 
 
 def test_request_in_single_bytes_is_one_request(scene: Scene) -> None:
-    scene.prefill_engine.script, scene.decode_engine.script = (lambda _: READ), (lambda _: ANSWER)
+    scene.prefill_engine.script, scene.decode_engine.script = (lambda _: PREFILL_REPLY), (lambda _: ANSWER)
     client = socket.create_connection(("127.0.0.1", scene.rig.node.port))
     client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     head = ask().replace(b"X-Timeout-Ms: 3000", b"x-timeout-ms:\t3000 ")
@@ -345,7 +359,7 @@
 
 
 def test_pipelined_requests_are_answered_in_order(scene: Scene) -> None:
-    scene.prefill_engine.script, scene.decode_engine.script = (lambda _: READ), (lambda _: ANSWER)
+    scene.prefill_engine.script, scene.decode_engine.script = (lambda _: PREFILL_REPLY), (lambda _: ANSWER)
     client = socket.create_connection(("127.0.0.1", scene.rig.node.port))
     client.sendall(ask("p1") + ask("p2") + b"GET /up HTTP/1.1\r\n\r\n")
     client.setblocking(False)
@@ -373,7 +387,7 @@
     scene.to("in decode").close()  # its client leaves; another one comes
     scene.turns()
     rig = scene.rig
-    scene.prefill_engine.script = lambda _: READ
+    scene.prefill_engine.script = lambda _: PREFILL_REPLY
     peer: Peer = rig.client(ask("b1"))
 
     def reached() -> bool:
@@ -389,8 +403,8 @@
             wire.write(data[at : at + size])
             rig.reactor.iterate(0)
         rig.until(lambda number=number: peer.got.count(b"data:") == number + 1)
-    wire.write(LAST)
-    rig.until(lambda: peer.got.endswith(LAST))
+    wire.write(LAST_CHUNK)
+    rig.until(lambda: peer.got.endswith(LAST_CHUNK))
 
 
 # Time-outs, engines that change, descriptors.
@@ -400,7 +414,7 @@
     monkeypatch.setattr(core, "MAX_STREAM_GAP_MS", 60.0)
     client = scene.to("streaming")
     got = scene.read_all(client)
-    assert EVENTS[0] in got and not got.endswith(LAST)
+    assert EVENTS[0] in got and not got.endswith(LAST_CHUNK)
     scene.rig.until(lambda: scene.decode_engine.peers[-1].ended)
     client.close()
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -58,7 +58,7 @@
             forget_gone=list,
             address_changed=lambda *_: None,
             endpoints_updated=self.lists.append,
-            door=SimpleNamespace(engine=Engine),
+            id_map=SimpleNamespace(engine=Engine),
         )
         self.discovery = Discovery(("127.0.0.1", 1), core, self.reactor, ["prefill"], ["a"])
         self.wires: list[Wire] = []
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -10,7 +10,7 @@
 from fault_injection import schedule as s
 from fault_injection.ledger import Rule
 from fault_injection.world import play
-from node_rig import READ, Engine, Rig
+from node_rig import PREFILL_REPLY, Engine, Rig
 from twisted.internet.epollreactor import EPollReactor
 
 from worksmux.net import client
@@ -101,10 +101,10 @@
     come up.
     """
     rig = Rig()
-    engine: Engine = rig.engine("prefill", lambda _: READ)
+    engine: Engine = rig.engine("prefill", lambda _: PREFILL_REPLY)
     now = rig.reactor.seconds()
     rig.reactor.seconds = lambda: now
-    pool = client.Pool(rig.reactor, "127.0.0.1", engine.number, 250.0, 0.0, 0, 1000)
+    pool = client.Pool(rig.reactor, "127.0.0.1", engine.port_number, 250.0, 0.0, 0, 1000)
     reply = Reply()
     pool.call("GET", "/alive", reply)
     now += 0.3  # the iteration was late
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -178,7 +178,7 @@
 def test_choices_of_the_policy_are_carried_out_as_made(tmp_path: Path) -> None:
     rig = Rig(tmp_path, [("prefill", 0), ("prefill", 0), ("decode", 0), ("decode", 0)], Chooser)
     records = rig.day(length=500.0)
-    module: Any = rig.fronts[0].core.door.policy
+    module: Any = rig.fronts[0].core.id_map.policy
     assert records.requests and ends(records) == {"delivered"}
     assert {attempt.engine for attempt in records.attempts} == {"e0", "e2"}
     assert {engine for _, engine, _, _ in records.asked_places} == {"e2"}
@@ -226,7 +226,7 @@
 def test_every_action_is_carried_out(tmp_path: Path) -> None:
     rig = Rig(tmp_path, PAIR, AllActions, read_speed=1.0)
     status, _, _ = answer_of(rig)
-    module: Any = rig.fronts[0].core.door.policy
+    module: Any = rig.fronts[0].core.id_map.policy
     told = [event for event in module.told if isinstance(event, AttemptEnded)]
     assert status == 503 and [event.outcome for event in told] == [Outcome.CANCELLED]
     assert (
@@ -248,7 +248,7 @@
 
     rig.at(0, leave)
     rig.run()
-    module: Any = front.core.door.policy
+    module: Any = front.core.id_map.policy
     assert (
         sum(isinstance(event, ClientDisconnected) for event in module.told) == 1
         and not front.core.open_requests
@@ -289,7 +289,7 @@
 def test_gateway_answers_where_the_policy_lets_the_deadline_pass(tmp_path: Path) -> None:
     rig = Rig(tmp_path, PAIR, Silent)
     status, _, _ = answer_of(rig, x_worksmux_time_left_ms="300")
-    module: Any = rig.fronts[0].core.door.policy
+    module: Any = rig.fronts[0].core.id_map.policy
     assert status == 504 and any(isinstance(event, ClientDisconnected) for event in module.told)
 
 
@@ -303,6 +303,6 @@
 def test_failed_policy_breaks_off_its_requests_and_ends_the_gateway(tmp_path: Path) -> None:
     rig = Rig(tmp_path, PAIR, Faulty)
     ended: list[bool] = []
-    rig.front().core.on_fault = lambda: ended.append(True)
+    rig.front().core.on_policy_failure = lambda: ended.append(True)
     status, _, _ = answer_of(rig)
     assert status == 502 and ended == [True] and rig.fronts[0].core.failed
--- a/tests/test_kv_release_sockets.py
+++ b/tests/test_kv_release_sockets.py
@@ -10,7 +10,7 @@
 import pytest
 from fault_injection.engine import Requests
 from fault_injection.ledger import Attempt, Ledger, Rule, State
-from node_rig import ANSWER, NO_CONTENT, READ, Engine, Peer, Rig, ask
+from node_rig import ANSWER, NO_CONTENT, PREFILL_REPLY, Engine, Peer, Rig, ask
 
 from worksmux.node import serve
 from worksmux.node.kv_claims import MAX_SILENCE_MS
@@ -99,7 +99,7 @@
 
     def _has_read(self, peer: Connection, key: str) -> None:
         self.ledger.appeared(key, self.name)
-        self._send(peer, READ)
+        self._send(peer, PREFILL_REPLY)
 
     def _has_fetched(self, peer: Connection, key: str) -> None:
         states: list[State] = list(self.ledger.records[key].states)
--- a/tests/test_many_engines.py
+++ b/tests/test_many_engines.py
@@ -18,7 +18,7 @@
 from typing import Any, NamedTuple
 
 import pytest
-from node_rig import ANSWER, READ, SETTINGS, Engine, Peer, Rig, ask
+from node_rig import ANSWER, PREFILL_REPLY, SETTINGS, Engine, Peer, Rig, ask
 
 ENGINES, LISTENERS, FRONTS = 3200, 16, 200
 HUNG = 5  # of the listeners of each kind, one in so many never answers
@@ -69,7 +69,7 @@
                 self.held.add(key)
             else:
                 self.held.discard(key)
-            return READ if kind == "prefill" else ANSWER
+            return PREFILL_REPLY if kind == "prefill" else ANSWER
 
         return answer
 
@@ -128,7 +128,7 @@
     return {
         "name": "n",
         "listen": "127.0.0.1:0",
-        "discovery": f"127.0.0.1:{rig.hosts.number}",
+        "discovery": f"127.0.0.1:{rig.hosts.port_number}",
         "seed": "8c",
         "limits": {"sockets": 1024, "cores": CORES},
         "settings": {
--- a/tests/test_node_config.py
+++ b/tests/test_node_config.py
@@ -79,21 +79,21 @@
         except ConfigError as error:
             assert str(error).startswith("c.json: $.settings"), (place, error)
             continue
-        door = IdMap(told_to.settings, 1)
-        engines = [door.engine(name, at + 1) for at, name in enumerate((b"r", b"w"))]
+        id_map = IdMap(told_to.settings, 1)
+        engines = [id_map.engine(name, at + 1) for at, name in enumerate((b"r", b"w"))]
         entries = [
             EndpointEntry(engine, "ready", 0.0, 0, 0, kind, 1.0)
             for kind, engine in enumerate(engines)
             if kind < len(told_to.kinds)
         ]
         request = Request(1, 0, 1, 0, 500.0, 0.0, 80.0, 1000.0, 4000.0)
-        door.decide(1000.0, [EndpointListUpdate("full", entries), door.request_arrived(request)])
+        id_map.decide(1000.0, [EndpointListUpdate("full", entries), id_map.request_arrived(request)])
         for at in range(1, 8):
             ends = [
                 AttemptEnded(attempt, Outcome.PREFILLED if attempt.is_prefill else Outcome.RESET, 5.0, False)
                 for attempt in request.in_flight
             ]
-            door.decide(1000.0 + 600 * at, [*ends, TimerFired(0)])
+            id_map.decide(1000.0 + 600 * at, [*ends, TimerFired(0)])
 
 
 def test_settings_without_zones_have_one_zone() -> None:
--- a/tests/test_node_ends.py
+++ b/tests/test_node_ends.py
@@ -10,7 +10,17 @@
 from typing import Any
 
 import pytest
-from node_rig import ANSWER, LAST, NO_CONTENT, READ, Peer, Rig, ask, hold_connections, rig_of_two
+from node_rig import (
+    ANSWER,
+    LAST_CHUNK,
+    NO_CONTENT,
+    PREFILL_REPLY,
+    Peer,
+    Rig,
+    ask,
+    hold_connections,
+    rig_of_two,
+)
 from twisted.internet.error import ConnectionDone
 from twisted.internet.task import Clock
 
@@ -43,7 +53,7 @@
     """
     rig = rig_of_two()
     waiting = hold_connections(rig, rig.engines[0])
-    policy = rig.node.core.door.policy
+    policy = rig.node.core.id_map.policy
     policy.settings = replace(policy.settings, may_cancel=False)  # the policy may cancel nothing
     client = raw(rig, ask())
     rig.until(lambda: waiting)
@@ -185,11 +195,11 @@
     peer = rig.client(ask())
     rig.until(lambda: waiting[0] or waiting[1])
     first, other = (0, 1) if waiting[0] else (1, 0)
-    prefill_engines[other].script = lambda _: READ
+    prefill_engines[other].script = lambda _: PREFILL_REPLY
     waiting[first].pop()()  # the prefill is reset; connections of releases wait
     rig.until(lambda: waiting[other] or len(waiting[first]) > 1)
     again = other if waiting[other] else first
-    prefill_engines[again].script = lambda _: READ
+    prefill_engines[again].script = lambda _: PREFILL_REPLY
     waiting[again].pop()()
     rig.until(lambda: prefill_engines[again].verbs().count(b"POST") == 1 + (again == first))
     rig.until(lambda: any(b"HTTP/1.1" in request for request in prefill_engines[again].asked))
@@ -226,7 +236,7 @@
             got.extend(fresh.recv(65_536))
         except BlockingIOError:
             pass
-        return bytes(got).endswith(LAST)
+        return bytes(got).endswith(LAST_CHUNK)
 
     rig.until(answered)
     assert b"200 OK" in got and b"connection: close" in got.lower()
@@ -292,7 +302,7 @@
     rig.start()
     peer = rig.client(ask())
     rig.until(lambda: prefill_engine.asked)
-    monkeypatch.setattr(rig.node.core.door.policy, "decide", lambda *_: 1 / 0)
+    monkeypatch.setattr(rig.node.core.id_map.policy, "decide", lambda *_: 1 / 0)
     rig.node.core.wake()
     assert rig.answered(peer) == b"502" and rig.node.core.failed
     rig.until(lambda: prefill_engine.verbs().count(b"DELETE") == 1)
@@ -385,7 +395,7 @@
     some_time(rig)
     rig.engines[1].peers[0].transport.write(ANSWER)  # type: ignore[union-attr]
     rig.until(lambda: peer.ended)
-    assert peer.clean and peer.got.endswith(LAST) and rig.node.core.last_request_id == 1
+    assert peer.clean and peer.got.endswith(LAST_CHUNK) and rig.node.core.last_request_id == 1
 
 
 def test_client_that_never_closes_is_closed() -> None:
--- a/tests/test_node_logs.py
+++ b/tests/test_node_logs.py
@@ -18,7 +18,7 @@
     prefill = rig.engine("prefill", lambda _: None)  # it resets each attempt
     rig.engine("decode")
     rig.start()
-    decide = rig.node.core.door.policy.decide
+    decide = rig.node.core.id_map.policy.decide
 
     def slowly(now: float, events: list[Any]) -> list[Any]:
         end = clock.now() + 2 * SLOW_ROUND_MS
@@ -26,7 +26,7 @@
             pass
         return list(decide(now, events))
 
-    rig.node.core.door.policy.decide = slowly
+    rig.node.core.id_map.policy.decide = slowly
     client = rig.client(ask())
     assert rig.answered(client) == b"503"
     rig.idle()
--- a/tests/test_node_releases.py
+++ b/tests/test_node_releases.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from node_rig import ANSWER, READ, Rig, Silent, ask, rig_of_two
+from node_rig import ANSWER, PREFILL_REPLY, Rig, Silent, ask, rig_of_two
 
 from worksmux.policy.state import Engine
 
@@ -13,7 +13,7 @@
     The release for the first is acknowledged before the second is written, and none is sent until the
     answer is over: a release frees the KV cache of the second prefill too, at whichever engine it arrives.
     """
-    rig, reads, order = Rig(), [None, READ], []  # type: Rig, list[bytes | None], list[str]
+    rig, reads, order = Rig(), [None, PREFILL_REPLY], []  # type: Rig, list[bytes | None], list[str]
 
     def prefill(request: bytes) -> bytes | None:
         order.append("prefill")
--- a/tests/test_node_requests.py
+++ b/tests/test_node_requests.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from node_rig import ANSWER, BODY, EVENTS, LAST, READ, Rig, ask, rig_of_two
+from node_rig import ANSWER, BODY, EVENTS, LAST_CHUNK, PREFILL_REPLY, Rig, ask, rig_of_two
 
 from worksmux.node.attempts import PrefillAttempt
 from worksmux.policy.state import Attempt, Engine, Outcome, Request
@@ -24,7 +24,7 @@
         assert b"X-Request-ID: a1\r\n" in engine.asked[0] and engine.asked[0].endswith(BODY)
     assert b"".join(EVENTS) == b"".join(
         part.split(b"\r\n", 1)[1]
-        for part in peer.got.split(b"\r\n\r\n", 1)[1].split(LAST)[0].split(b"\n\n\r\n")[:-1]
+        for part in peer.got.split(b"\r\n\r\n", 1)[1].split(LAST_CHUNK)[0].split(b"\n\n\r\n")[:-1]
         for part in [part + b"\n\n"]
     )
     rig.idle()
@@ -37,7 +37,7 @@
 
     Every attempt carries them, and none of the hop-by-hop headers.
     """
-    rig, reads = Rig(), [None, READ]
+    rig, reads = Rig(), [None, PREFILL_REPLY]
     for _ in range(2):
         rig.engine("prefill", lambda _: reads.pop(0))
     rig.engine("decode")
--- a/tests/test_node_startup.py
+++ b/tests/test_node_startup.py
@@ -19,9 +19,9 @@
     usual = young.entry
     young.entry = lambda status="SERVING": {**usual(status), "since_ms": clock.wall() - 1000.0}  # type: ignore[method-assign]
     rig.start()
-    door = rig.node.core.door
-    rig.until(lambda: door.policy.engines)
-    assert [engine.id.decode() for engine in door.policy.index.cold_engines] == [young.name] != [old.name]
+    id_map = rig.node.core.id_map
+    rig.until(lambda: id_map.policy.engines)
+    assert [engine.id.decode() for engine in id_map.policy.index.cold_engines] == [young.name] != [old.name]
 
 
 def test_shutdown_answers_open_requests_and_closes_idle_connections() -> None:
@@ -44,7 +44,7 @@
 def test_discovery_moves_to_a_new_address_without_a_gap() -> None:
     rig = rig_of_two()
     old, rig.hosts = rig.hosts, Hosts(rig, first=b"")
-    rig.node.discovery.move(("127.0.0.1", rig.hosts.number))
+    rig.node.discovery.move(("127.0.0.1", rig.hosts.port_number))
     rig.until(lambda: rig.hosts.watches)
     old.tell(2, rig.engines[1].entry("DRAINING"))
     states = rig.node.core.pools.keys
@@ -93,7 +93,7 @@
     rig = Rig()
     line, served_by = first_event(rig)
     rig.hosts.first = chunk(line)
-    decide = rig.node.core.door.policy.decide
+    decide = rig.node.core.id_map.policy.decide
 
     def slowly(now: float, events: list[Any]) -> list[Any]:
         end = clock.now() + 2 * serve.DISCOVERY_WAIT_MS
@@ -101,7 +101,7 @@
             pass
         return list(decide(now, events))
 
-    rig.node.core.door.policy.decide = slowly
+    rig.node.core.id_map.policy.decide = slowly
     rig.node.start()
     rig.until(lambda: rig.node.listener)
     assert served_by == [2]
@@ -155,20 +155,23 @@
 
 def test_replaced_engines_are_forgotten() -> None:
     rig = rig_of_two()
-    door, discovery = rig.node.core.door, rig.node.discovery
+    id_map, discovery = rig.node.core.id_map, rig.node.discovery
     for at in range(50):
         entry = {**rig.engines[1].entry(), "name": f"x{at}"}
         gone = {**entry, "name": f"x{at - 1}", "status": "DELETED"}
         discovery.current.piece(
             json.dumps({"index": 2 + at, "snapshot": False, "endpoints": [entry, gone]}).encode() + b"\n"
         )
-        door.policy.context.now += 60_000.0
-        for engine in door.policy.engines:
+        id_map.policy.context.now += 60_000.0
+        for engine in id_map.policy.engines:
             engine.gone_since -= 60_000.0  # a minute goes by
-        rig.until(lambda at=at: f"x{at}".encode() in [engine.id for engine in door.policy.engines])
+        rig.until(lambda at=at: f"x{at}".encode() in [engine.id for engine in id_map.policy.engines])
     assert (
         max(
-            len(door.engines), len(door.policy.engines), len(rig.node.core.pools), len(discovery.keeper.known)
+            len(id_map.engines),
+            len(id_map.policy.engines),
+            len(rig.node.core.pools),
+            len(discovery.keeper.known),
         )
         < 8
     )
@@ -187,7 +190,7 @@
     new_config = {
         "name": "n",
         "listen": "127.0.0.1:0",
-        "discovery": f"127.0.0.1:{rig.hosts.number}",
+        "discovery": f"127.0.0.1:{rig.hosts.port_number}",
         "settings": settings,
     }
     path.write_text(json.dumps(new_config))
@@ -200,4 +203,4 @@
     rig.node.reload({"LB_CONFIG": str(path)})
     (error,) = [line for line in logged if line["event"] == "configuration not reloaded"]
     assert str(path) in error["reason"]
-    assert rig.node.config.discovery == ("127.0.0.1", rig.hosts.number)
+    assert rig.node.config.discovery == ("127.0.0.1", rig.hosts.port_number)
--- a/tests/test_node_streams.py
+++ b/tests/test_node_streams.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from node_rig import ANSWER, EVENTS, LAST, STREAM, ask, chunk, rig_of_two
+from node_rig import ANSWER, EVENTS, LAST_CHUNK, STREAM, ask, chunk, rig_of_two
 
 from worksmux.node.engine_reply import parse_load_report
 from worksmux.node.errors import CorruptStreamError
@@ -64,7 +64,7 @@
     STREAM + b"zz\r\n",
     STREAM + b"c0000000\r\nx",
     STREAM + b"5\r\ndata: {",
-    STREAM + LAST,
+    STREAM + LAST_CHUNK,
 ]
 
 
@@ -91,7 +91,7 @@
     rig = rig_of_two(lambda _: GOOD + spoilt)
     peer = rig.client(ask())
     rig.until(lambda: peer.ended)
-    assert EVENTS[0] in peer.got and not peer.got.endswith(LAST) and b"xx" not in peer.got
+    assert EVENTS[0] in peer.got and not peer.got.endswith(LAST_CHUNK) and b"xx" not in peer.got
 
 
 @pytest.mark.parametrize("extra", [ANSWER, b"HTTP/1.1 503 No\r\n\r\n", b"\x00\xff"])
--- a/worksmux/forwarding/decision_loop.py
+++ b/worksmux/forwarding/decision_loop.py
@@ -26,8 +26,8 @@
 class DecisionLoop:
     """Collects events and runs decision rounds; a subclass executes the actions and keeps the requests."""
 
-    def __init__(self, door: IdMap, reactor: Reactor, metrics: Counters) -> None:
-        self.door, self.reactor, self.metrics = door, reactor, metrics
+    def __init__(self, id_map: IdMap, reactor: Reactor, metrics: Counters) -> None:
+        self.id_map, self.reactor, self.metrics = id_map, reactor, metrics
         self.failed = False  # the module raised an exception: it is not called again
         self.on_event: Callable[[float, Event], None] | None = None  # with the time, before each round
         self.before_round: Callable[[float], None] | None = None  # with the time; may add events
@@ -60,7 +60,7 @@
             for event in events:
                 self.on_event(start, event)
         try:
-            actions = self.door.decide(start, events)
+            actions = self.id_map.decide(start, events)
             decided = clock.now()
             self.metrics.decision_round(decided - start, len(events))
             for action in actions:
@@ -82,7 +82,7 @@
             duration_ms=round(clock.now() - start),
             decide_ms=round(decided - start),
             cpu_ms=round(1000 * (time.thread_time() - cpu_start_s)),
-            endpoints=len(self.door.engines),
+            endpoints=len(self.id_map.engines),
             events=Counter(type(event).__name__ for event in events),
             actions=Counter(type(action).__name__ for action in actions),
         )
--- a/worksmux/forwarding/engine_client.py
+++ b/worksmux/forwarding/engine_client.py
@@ -18,8 +18,8 @@
 class EngineClient(DecisionLoop):
     """A decision loop with a connection pool for each engine; a protocol says what its calls look like."""
 
-    def __init__(self, door: IdMap, reactor: Reactor, metrics: Counters) -> None:
-        super().__init__(door, reactor, metrics)
+    def __init__(self, id_map: IdMap, reactor: Reactor, metrics: Counters) -> None:
+        super().__init__(id_map, reactor, metrics)
         self.pools: dict[Engine, client.Pool] = {}
 
     # What a protocol brings.
--- a/worksmux/forwarding/open_requests.py
+++ b/worksmux/forwarding/open_requests.py
@@ -28,12 +28,12 @@
 class OpenRequests(EngineClient):
     """Keeps the context of each request from its arrival until it is answered and nothing is in flight."""
 
-    def __init__(self, door: IdMap, reactor: Reactor, metrics: Counters) -> None:
-        super().__init__(door, reactor, metrics)
-        self.module_settings = door.settings
+    def __init__(self, id_map: IdMap, reactor: Reactor, metrics: Counters) -> None:
+        super().__init__(id_map, reactor, metrics)
+        self.module_settings = id_map.settings
         self.open_requests: dict[Request, RequestContext] = {}
         self.last_request_id = 0
-        self.on_fault: Callable[[], None] | None = None  # the policy has failed
+        self.on_policy_failure: Callable[[], None] | None = None  # the policy has failed
         # With a request's key and the number of an attempt or `FINAL_ANSWER_DECISION`.
         self.on_decision: Callable[[str, int], None] | None = None
         self.on_empty: Callable[[], None] | None = None  # at the end of a request
@@ -53,7 +53,7 @@
         )
         self.open_requests[request] = context
         self.metrics.arrived(context.class_name)
-        self.tell(self.door.request_arrived(request))
+        self.tell(self.id_map.request_arrived(request))
         return context
 
     def client_disconnected(self, context: RequestContext) -> None:
@@ -141,5 +141,5 @@
             self._finish(context, FinalAnswer.ABORTED)
             for call in list(context.in_flight.values()):
                 call.cancel()
-        if self.on_fault:
-            self.on_fault()
+        if self.on_policy_failure:
+            self.on_policy_failure()
--- a/worksmux/forwarding/request_lifecycle.py
+++ b/worksmux/forwarding/request_lifecycle.py
@@ -43,10 +43,10 @@
 class RequestLifecycle(OpenRequests):
     """Carries the attempts of all open requests of a daemon."""
 
-    def __init__(self, door: IdMap, reactor: Reactor, metrics: Counters) -> None:
-        super().__init__(door, reactor, metrics)
+    def __init__(self, id_map: IdMap, reactor: Reactor, metrics: Counters) -> None:
+        super().__init__(id_map, reactor, metrics)
         self.engine_list: Any = None  # the source of the endpoint list, set by who builds both
-        self.acts_on: Callable[[], str] | None = None  # gives the version of the fleet's plan, for attempts
+        self.plan_version: Callable[[], str] | None = None  # of the fleet's plan, sent with each attempt
         self.on_attempt: Callable[[Engine, Outcome], None] | None = None  # at the end of an attempt
 
     # What a protocol brings.
--- a/worksmux/gateway/chat_engine_client.py
+++ b/worksmux/gateway/chat_engine_client.py
@@ -32,9 +32,9 @@
     metrics: Metrics
 
     def __init__(
-        self, settings: FrontSettings, door: IdMap, reactor: Reactor, metrics: Metrics, name: str
+        self, settings: FrontSettings, id_map: IdMap, reactor: Reactor, metrics: Metrics, name: str
     ) -> None:
-        super().__init__(door, reactor, metrics)
+        super().__init__(id_map, reactor, metrics)
         self.settings = settings
         self.name = name  # of this gateway and this start of it
         self.stages: list[Any] = []  # the single-stage dispatchers, set by the process
@@ -106,8 +106,8 @@
             (calls.FRONT, self.settings.name),
             (chat.LABEL, asked.label),
         ]
-        if self.acts_on is not None:
-            headers.append((calls.PLAN, self.acts_on()))
+        if self.plan_version is not None:
+            headers.append((calls.PLAN, self.plan_version()))
         if asked.exact:
             headers.append((calls.PROMPT_TOKENS, str(int(asked.prompt))))
         if asked.request_id:
--- a/worksmux/gateway/engine_list.py
+++ b/worksmux/gateway/engine_list.py
@@ -88,7 +88,7 @@
     def engine(self, name: str) -> Engine:
         """The engine of this name; the same object for the same name."""
         address = name.encode()
-        return self.core.door.engine(address, key_of(address))
+        return self.core.id_map.engine(address, key_of(address))
 
     def start(self) -> None:
         self._connect()
--- a/worksmux/gateway/fleet/peering.py
+++ b/worksmux/gateway/fleet/peering.py
@@ -129,7 +129,7 @@
 
         self._core.on_event = on_event
         self._core.before_round = self._before_decisions
-        self._core.acts_on = self.active_plan.header_value
+        self._core.plan_version = self.active_plan.header_value
         self._core.on_decision = self.audit_logs.record_decision
 
     def leave(self) -> None:
--- a/worksmux/gateway/serve.py
+++ b/worksmux/gateway/serve.py
@@ -96,9 +96,9 @@
 
     def _make_core(self, seed: int) -> ChatEngineClient:
         settings = self.settings
-        door = IdMap(settings.module, seed, self._make_policy)
+        id_map = IdMap(settings.module, seed, self._make_policy)
         start_name = f"{settings.name}-{secrets.token_hex(4)}"
-        return ChatEngineClient(settings, door, self.reactor, self.metrics, start_name)
+        return ChatEngineClient(settings, id_map, self.reactor, self.metrics, start_name)
 
     def _make_endpoint_cache(self, seed: int) -> EndpointCache | None:
         if not self.settings.memory:
@@ -275,7 +275,7 @@
         reactor.callLater(FAULT_EXIT_DELAY_S, reactor.stop)
 
     gateway.on_end = reactor.stop
-    gateway.core.on_fault = stop_after_fault
+    gateway.core.on_policy_failure = stop_after_fault
     if not run_reactor(reactor, writer, gateway.start, gateway.stop, lambda: gateway.reload(path)):
         return 1
     return status
--- a/worksmux/gateway/stage.py
+++ b/worksmux/gateway/stage.py
@@ -117,7 +117,7 @@
         request = Request(number, request_class, session, 0, max(1.0, cost), 0.0, 0.0, now, deadline)
         context = BatchContext(request, batch, f"{self._core.name}.{self.settings.call}.{number}")
         self._contexts[request] = context
-        self.tell(self.door.request_arrived(request))
+        self.tell(self.id_map.request_arrived(request))
         return context
 
     def drop(self, context: BatchContext) -> None:
@@ -164,8 +164,8 @@
     def _abort_all(self) -> None:
         for context in list(self._contexts.values()):
             self._fail(context, deferred=False)
-        if self._core.on_fault:
-            self._core.on_fault()
+        if self._core.on_policy_failure:
+            self._core.on_policy_failure()
 
     def _execute(self, action: Action) -> None:
         match action:
--- a/worksmux/node/core.py
+++ b/worksmux/node/core.py
@@ -44,22 +44,22 @@
     metrics: NodeCounts
 
     def __init__(
-        self, door: IdMap, reactor: Reactor, counts: NodeCounts, request_classes: list[str], share: Shares
+        self, id_map: IdMap, reactor: Reactor, counts: NodeCounts, request_classes: list[str], share: Shares
     ) -> None:
-        super().__init__(door, reactor, counts)
+        super().__init__(id_map, reactor, counts)
         self.request_classes = request_classes
         self.share = share
-        self.connect_timeout_ms = float(door.settings.connect_timeout_ms) or DEFAULT_CONNECT_TIMEOUT_MS
+        self.connect_timeout_ms = float(id_map.settings.connect_timeout_ms) or DEFAULT_CONNECT_TIMEOUT_MS
         self.open_keys: dict[str, RequestContext] = {}
-        self.release_targets = ReleaseTargets(int(door.settings.zone))
+        self.release_targets = ReleaseTargets(int(id_map.settings.zone))
         self.releaser = KvReleaser(
             reactor,
             self.control_call,
             self.release_targets.choose,
-            float(door.settings.release_within_ms) or DEFAULT_RELEASE_TIME_LIMIT_MS,
+            float(id_map.settings.release_within_ms) or DEFAULT_RELEASE_TIME_LIMIT_MS,
         )
         self.unresponsive_attempts = UnresponsiveAttemptMonitor(
-            reactor, self.releaser, self._check_liveness if door.settings.may_check_health else None
+            reactor, self.releaser, self._check_liveness if id_map.settings.may_check_health else None
         )
         self.kv_claims: dict[Request, KvClaims] = {}  # of the open requests
         self.prefill_work = PrefillWorkEstimate(self.releaser.time_limit_ms)
@@ -296,7 +296,7 @@
 
         Failure: in a fleet whose engines are replaced all day, memory would grow with each that has left.
         """
-        gone = [engine for engine in self.pools if engine.state == "gone" and self.door.forget(engine)]
+        gone = [engine for engine in self.pools if engine.state == "gone" and self.id_map.forget(engine)]
         for engine in gone:
             del self.pools[engine]
             self.release_targets.remove(engine)
--- a/worksmux/node/discovery.py
+++ b/worksmux/node/discovery.py
@@ -58,7 +58,7 @@
     def engine(self, name: str) -> Engine:
         """The engine with this name."""
         engine_id = name.encode()
-        return self.core.door.engine(engine_id, key_of(engine_id))
+        return self.core.id_map.engine(engine_id, key_of(engine_id))
 
     def restore(self, known: HostList) -> None:
         """Takes the list as this node last had it, until discovery sends one."""
--- a/worksmux/node/serve.py
+++ b/worksmux/node/serve.py
@@ -49,9 +49,9 @@
     def __init__(self, config: Config, reactor: Reactor) -> None:
         self.config, self.reactor = config, reactor
         self.counts = NodeCounts()
-        door = IdMap(config.settings, config.seed)
+        id_map = IdMap(config.settings, config.seed)
         share = shares(config.sockets)
-        self.core = NodeCore(door, reactor, self.counts, config.request_classes, share)
+        self.core = NodeCore(id_map, reactor, self.counts, config.request_classes, share)
         self.discovery = Discovery(config.discovery, self.core, reactor, config.kinds, config.zones)
         self.core.engine_list = self.discovery
         self.core.on_empty = self._end_if_drained
--- a/worksmux/simulation/front.py
+++ b/worksmux/simulation/front.py
@@ -1,4 +1,4 @@
-"""A front in simulated time: the door, the roster and the remembered list of the real one, without its
+"""A front in simulated time: the id map, the roster and the remembered list of the real one, without its
 sockets."""
 
 from __future__ import annotations
@@ -106,7 +106,7 @@
         margin: float = 30.0,
     ) -> None:
         self.sim, self.engines, self.name, self.settings, self.note = sim, engines, name, settings, note
-        self.door = IdMap(settings, seed, make)
+        self.id_map = IdMap(settings, seed, make)
         self.roster = EndpointList(kinds, zones, self._engine, doubt, max(doubt, settings.slow_start_ms))
         self.hop, self.margin, self.turn = hop, margin, float(settings.tick_ms)
         self.cases: dict[Request, Case] = {}
@@ -127,7 +127,7 @@
 
     def _engine(self, name: str) -> Engine:
         address = name.encode()
-        return self.door.engine(address, key_of(address))
+        return self.id_map.engine(address, key_of(address))
 
     # Turns.
 
@@ -154,7 +154,7 @@
         if self.watcher is not None:
             for event in events:
                 self.watcher.observe(self.sim.now, event)
-        for action in self.door.decide(self.sim.now, events):
+        for action in self.id_map.decide(self.sim.now, events):
             self._carry_out(action)
         closing, self.closing = self.closing, []
         for case in closing:
@@ -282,7 +282,7 @@
         case = Case(request, f"{self.start}.{self.number}", asked)
         case.guard = self.sim.after(left + self.settings.answer_slack_ms, self._overdue, case)
         self.cases[request] = case
-        self.tell(self.door.request_arrived(request))
+        self.tell(self.id_map.request_arrived(request))
 
     def _overdue(self, case: Case) -> None:
         if not case.over and not case.request.streaming:
