--- a/benchmarks/calibration.py
+++ b/benchmarks/calibration.py
@@ -16,7 +16,7 @@
 
 from worksmux.checker.report import summary
 from worksmux.fault_trial.runner import play
-from worksmux.scenarios.figures import figures_of
+from worksmux.scenarios.figures import rule_parameters
 from worksmux.scenarios.scenario import Scenario, load_scenario
 from worksmux.simulation.day import Model
 
@@ -30,7 +30,7 @@
         model = Model(replace(day, seed=day.seed + seed))
         records = model.run()
         assert records is not None
-        found.append(summary(records, figures_of(day)))
+        found.append(summary(records, rule_parameters(day)))
     return found
 
 
@@ -49,7 +49,7 @@
     file, quiet = (sys.argv[1:] + ["", ""])[:2]
     day = load_scenario(file or DAYS[0])
     if quiet:
-        day = replace(day, troubles=[])
+        day = replace(day, faults=[])
     with tempfile.TemporaryDirectory() as name:
         sockets = figures(play(day, day.policy, lambda _: None, Path(name) / "day"))
     runs = [figures(told) for told in modelled(day)]
--- a/benchmarks/failover.py
+++ b/benchmarks/failover.py
@@ -11,12 +11,12 @@
 from dataclasses import replace
 
 from worksmux.checker.report import summary
-from worksmux.scenarios.figures import figures_of
-from worksmux.scenarios.scenario import Scenario, Trouble, load_scenario
+from worksmux.scenarios.figures import rule_parameters
+from worksmux.scenarios.scenario import Scenario, ScenarioFault, load_scenario
 from worksmux.simulation.conductor import MODES, Conductor
 from worksmux.simulation.day import Model
 
-LOST = Trouble("zone-loss", 10_000.0, 12_000.0, 0.0, "", "south", -1, (), 1.0, 1.0, "", "", 1000.0, 0)
+LOST = ScenarioFault("zone-loss", 10_000.0, 12_000.0, 0.0, "", "south", -1, (), 1.0, 1.0, "", "", 1000.0, 0)
 
 
 CARRIES = {"north": 65.0, "south": 65.0}  # measured: alone and warm a zone keeps 0.95 of credit at 60/s
@@ -25,7 +25,7 @@
 def day_of(rate: float, seed: int, loss: bool) -> Scenario:
     day = load_scenario("examples/bad-day.kdl")
     limits = {**day.limits, "stay_away": 10_000.0}
-    return replace(day, length=40_000.0, rate=rate, seed=seed, troubles=[LOST] if loss else [], limits=limits)
+    return replace(day, length=40_000.0, rate=rate, seed=seed, faults=[LOST] if loss else [], limits=limits)
 
 
 def one(task: tuple[str, float, int, bool]) -> tuple[float, float, bool, dict[str, int], int, float]:
@@ -35,7 +35,7 @@
     conductor = Conductor(model, mode, carries=CARRIES)
     records = model.run()
     assert records is not None
-    told = summary(records, figures_of(day))
+    told = summary(records, rule_parameters(day))
     first = next((at for at, plan in conductor.plans if plan.routes), 0.0)
     return (
         told["credit_share"],
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -90,15 +90,15 @@
                 elif status in (429, 503) and again:
                     ask(number, False)
 
-            rig.ask(json.dumps(body).encode(), ended, path=embeddings.PATH)
+            rig.send_request(json.dumps(body).encode(), ended, path=embeddings.PATH)
 
         at, number = 0.0, 0
         while rate and at < 1000 * seconds:
             at += chance.expovariate(rate)
             number += 1
             rig.at(at, ask, number, True)
-        rig.reactor.callLater(0.1, lambda: rig.fault(rig.engines[1], "slow", factor=2.0))
-        records = rig.day(length=1000 * seconds, rate=30.0, patience=0.9)
+        rig.reactor.callLater(0.1, lambda: rig.inject_fault(rig.engines[1], "slow", factor=2.0))
+        records = rig.run_clients(length=1000 * seconds, rate=30.0, patience=0.9)
         told = summary(records, FIGURES)
         return {
             "chat credit": told["credit_share"],
--- a/benchmarks/front_against_relay.py
+++ b/benchmarks/front_against_relay.py
@@ -24,7 +24,7 @@
 from worksmux.api.listing import Line
 from worksmux.fakes.journal import Journal
 from worksmux.fakes.registry import Registry
-from worksmux.fault_trial.processes import ports_of_front
+from worksmux.fault_trial.processes import gateway_ports
 from worksmux.net import client, clock
 from worksmux.net.loop import listen, the_reactor
 from worksmux.net.server import Exchange, Server
@@ -185,7 +185,7 @@
     )
     assert child.stderr
     while True:
-        ports = ports_of_front(child.stderr.readline().encode())
+        ports = gateway_ports(child.stderr.readline().encode())
         if ports:
             break
     log = child.stderr
--- a/benchmarks/mass_restart.py
+++ b/benchmarks/mass_restart.py
@@ -108,7 +108,7 @@
     lines: list[StoredEndpoint] = []
 
     def built(model: Model) -> None:
-        places = list(scenario.places)
+        places = list(scenario.engines)
         gone = round(part * len(places))
         for at, place in enumerate(places):
             old = f"old-{place.id}" if (at * 7) % len(places) < gone else place.id
--- a/benchmarks/without_discovery.py
+++ b/benchmarks/without_discovery.py
@@ -60,7 +60,7 @@
         rig = Rig(folder, FLEET, text=text)
         if how != "live":
             remember(rig, folder / "memory", 0.0 if how == "wholly" else age, gone)
-            rig.registry.cut()
+            rig.registry.go_offline()
         front = rig.front()
         lost: list[Any] = []
         tell = front.core.on_attempt
@@ -74,7 +74,7 @@
         front.core.on_attempt = attempt
         if how == "wholly" and front.endpoint_cache and front.endpoint_cache.cached_list:
             front.endpoint_cache.cached_list.due_probes.clear()  # nothing is asked, nothing is dropped
-        records = rig.day(length=3000.0, rate=20.0)
+        records = rig.run_clients(length=3000.0, rate=20.0)
         firsts = [float(line["t"]) for line in records.lines if line["what"] == "first token"]
         start = min(float(line["t"]) for line in records.lines if line["what"] == "try")
         done = sum(request["how"] == "delivered" for request in records.requests)
--- a/tests/gateway_rig.py
+++ b/tests/gateway_rig.py
@@ -75,6 +75,6 @@
         heard.append((status, headers, reply))
         rig.reactor.callLater(0.05, rig.reactor.stop)
 
-    rig.reactor.callLater(0.15, lambda: rig.ask(body, end, **more))
+    rig.reactor.callLater(0.15, lambda: rig.send_request(body, end, **more))
     rig.run()
     return heard[0]
--- a/tests/test_endpoint_cache.py
+++ b/tests/test_endpoint_cache.py
@@ -55,7 +55,7 @@
     rig = Rig(tmp_path, FLEET, text=settings_with_cache(tmp_path / "memory"))
     write_cache(rig, tmp_path / "memory", age_ms, **changed)
     if dead:
-        rig.registry.cut()
+        rig.registry.go_offline()
     return rig
 
 
@@ -72,14 +72,14 @@
 
 @pytest.mark.parametrize("age_ms", [1000.0, 60_000.0, HOUR_MS, 24 * HOUR_MS, 21 * 24 * HOUR_MS])
 def test_node_serves_from_a_list_of_any_age_while_discovery_is_down(tmp_path: Path, age_ms: float) -> None:
-    records = rig_with_cache(tmp_path, age_ms).day(length=1500.0, rate=15.0)
+    records = rig_with_cache(tmp_path, age_ms).run_clients(length=1500.0, rate=15.0)
     done = [request["how"] for request in records.requests]
     assert rules_kept(records) and done.count("delivered") >= 0.9 * len(done)
 
 
 def test_draining_and_vanished_engines_of_the_cached_list_are_avoided(tmp_path: Path) -> None:
     rig = rig_with_cache(tmp_path, 60_000.0, e0={"state": "draining"}, e1={"port": 1})
-    records = rig.day(length=1500.0, rate=15.0)
+    records = rig.run_clients(length=1500.0, rate=15.0)
     assert rules_kept(records) and not [attempt for attempt in records.attempts if attempt.engine == "e0"]
     beliefs = rig.fronts[0].endpoint_cache.cached_list  # type: ignore[union-attr]
     assert beliefs and beliefs.endpoints["e0"].status is EndpointStatus.DRAINING
@@ -89,10 +89,10 @@
 
 def test_engine_that_restarted_counts_as_cold(tmp_path: Path) -> None:
     rig = Rig(tmp_path, FLEET, text=settings_with_cache(tmp_path / "memory"), capacity=6.0)
-    cold = rig.add("decode", 0, cold=True)
+    cold = rig.add_engine("decode", 0, cold=True)
     write_cache(rig, tmp_path / "memory", HOUR_MS, e4={"started": 1.0})
-    rig.registry.cut()
-    records = rig.day(length=2500.0, rate=20.0)
+    rig.registry.go_offline()
+    records = rig.run_clients(length=2500.0, rate=20.0)
     assert rules_kept(records) and not records.falls and cold.spec.id == "e4"
     known = rig.fronts[0].engine_list.list_reader.known["e4"]
     assert clock.now() - known.started < 20_000
@@ -100,9 +100,9 @@
 
 def test_registry_takes_over_without_a_gap_when_it_comes_back(tmp_path: Path) -> None:
     rig = rig_with_cache(tmp_path, 1000.0)
-    rig.list(rig.engines[1], "draining")
-    rig.at(700, rig.registry.back)
-    records = rig.day(length=2000.0, rate=15.0)
+    rig.announce(rig.engines[1], "draining")
+    rig.at(700, rig.registry.go_online)
+    records = rig.run_clients(length=2000.0, rate=15.0)
     told = records.told["a", "e1"].times[0]
     assert rules_kept(records) and {request["how"] for request in records.requests} == {"delivered"}
     assert not [
@@ -115,7 +115,7 @@
 def test_empty_list_does_not_wipe_a_serving_fleet(tmp_path: Path) -> None:
     rig = rig_with_cache(tmp_path, 1000.0, dead=False)
     rig.registry.listed = {}
-    records = rig.day(length=800.0, rate=15.0)
+    records = rig.run_clients(length=800.0, rate=15.0)
     assert {request["how"] for request in records.requests} == {"delivered"}
 
 
@@ -128,7 +128,7 @@
 
     rig.reactor.callLater(0, age_registry)  # after the lines that the rig itself publishes
     monkeypatch.setattr("worksmux.fakes.registry.clock.wall", lambda: 5000.0)
-    records = rig.day(length=500.0, rate=15.0)
+    records = rig.run_clients(length=500.0, rate=15.0)
     assert {request["how"] for request in records.requests} == {"delivered"}
     assert len({attempt.engine for attempt in records.attempts}) > 1
     cache = rig.fronts[0].endpoint_cache
@@ -137,9 +137,9 @@
 
 def test_changes_of_the_list_are_stored_and_gone_engines_removed(tmp_path: Path) -> None:
     rig = Rig(tmp_path, FLEET, text=settings_with_cache(tmp_path / "memory"))
-    rig.at(200, rig.list, rig.engines[1], "gone")
-    rig.at(300, rig.list, rig.engines[2], "draining")
-    rig.day(length=600.0)
+    rig.at(200, rig.announce, rig.engines[1], "gone")
+    rig.at(300, rig.announce, rig.engines[2], "draining")
+    rig.run_clients(length=600.0)
     rig.fronts[0].endpoint_cache.stop()  # type: ignore[union-attr]
     table = stored_lines(tmp_path / "memory")
     saved = {name: msgspec.msgpack.decode(data, type=StoredEndpoint) for name, data in table.values.items()}
@@ -154,8 +154,8 @@
         for engine in rig.engines
     )
     rig.text = settings_with_cache(tmp_path / "memory", seeds)
-    rig.registry.cut()
-    records = rig.day(length=1000.0, rate=10.0)
+    rig.registry.go_offline()
+    records = rig.run_clients(length=1000.0, rate=10.0)
     assert rules_kept(records) and "delivered" in {request["how"] for request in records.requests}
 
 
@@ -163,7 +163,7 @@
 def test_broken_store_is_an_empty_start(tmp_path: Path, data: bytes) -> None:
     (tmp_path / "memory").write_bytes(data)
     rig = Rig(tmp_path, FLEET, text=settings_with_cache(tmp_path / "memory"))
-    records = rig.day(length=500.0)
+    records = rig.run_clients(length=500.0)
     assert {request["how"] for request in records.requests} == {"delivered"}
 
 
@@ -206,11 +206,11 @@
 
     def emptied() -> None:
         rig.registry.listed = {}
-        for front in list(rig.registry.fronts):
+        for front in list(rig.registry.subscribers):
             rig.registry.send_full(front)
 
     rig.at(300, emptied)
-    records = rig.day(length=1200.0, rate=15.0)
+    records = rig.run_clients(length=1200.0, rate=15.0)
     assert rules_kept(records) and {request["how"] for request in records.requests} == {"delivered"}
 
 
@@ -225,17 +225,17 @@
         text=settings_with_cache(tmp_path / "memory").replace('silence "5s"', 'silence "100ms"'),
     )
     write_cache(rig, tmp_path / "memory", 1000.0)
-    rig.registry.mute = True
+    rig.registry.silent = True
 
     def halves() -> None:
-        rig.registry.mute, rig.registry.half = False, True
+        rig.registry.silent, rig.registry.truncates_lists = False, True
 
     def whole() -> None:
-        rig.registry.half = False
+        rig.registry.truncates_lists = False
 
     rig.at(300, halves)
     rig.at(800, whole)
-    records = rig.day(length=1500.0, rate=15.0)
+    records = rig.run_clients(length=1500.0, rate=15.0)
     assert rules_kept(records) and {request["how"] for request in records.requests} == {"delivered"}
     cache = rig.fronts[0].endpoint_cache
     assert cache and cache.cached_list and cache.cached_list.superseded
@@ -243,9 +243,9 @@
 
 def test_learned_state_is_stored_for_the_next_start(tmp_path: Path) -> None:
     rig = Rig(tmp_path, FLEET, text=settings_with_cache(tmp_path / "memory"))
-    rig.fault(rig.engines[1], "fail_fast", share=1.0)
+    rig.inject_fault(rig.engines[1], "fail_fast", share=1.0)
     front = rig.front()
-    rig.day(length=800.0, rate=20.0)
+    rig.run_clients(length=800.0, rate=20.0)
     cache = front.endpoint_cache
     assert cache
     cache.stop()
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -55,9 +55,9 @@
     assert len({run.key for run in runs}) == 12
     day = one.scenario(runs[-1])
     plain = load_scenario(DAY)
-    assert len(day.places) == 3 * len(plain.places) and day.rate == 3 * plain.rate and day.fronts == 6
-    assert len({place.id for place in day.places}) == len(day.places)
-    assert len({place.cell for place in day.places}) == 3 * len({place.cell for place in plain.places})
+    assert len(day.engines) == 3 * len(plain.engines) and day.rate == 3 * plain.rate and day.fronts == 6
+    assert len({place.id for place in day.engines}) == len(day.engines)
+    assert len({place.cell for place in day.engines}) == 3 * len({place.cell for place in plain.engines})
 
 
 def test_faults_of_the_file_are_named_with_their_line(tmp_path: Path) -> None:
@@ -132,7 +132,7 @@
 
 def test_service_is_whole_again_once_two_seconds_are() -> None:
     day = load_scenario(DAY)
-    last = max(one.at + one.length for one in day.troubles)
+    last = max(one.at + one.length for one in day.faults)
     steady = [(float(at), "delivered") for at in range(0, 20_000, 100)]
     assert back_after(day, steady) == 0.0
     gap = [one for one in steady if not last - 1000 <= one[0] < last + 1500]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -27,9 +27,9 @@
 @pytest.fixture
 def rig(tmp_path: Path) -> Iterator[FleetRig]:
     with FleetRig(tmp_path, 5) as found:
-        found.usual_engines()
+        found.start_engines()
         found.start()
-        found.up()
+        found.wait_until_ready()
         yield found
 
 
@@ -56,11 +56,11 @@
 
 
 def test_zone_that_is_lost_is_planned_around_by_all_and_given_back(rig: FleetRig) -> None:
-    rig.ask(length=9000.0, rate=40.0)
+    rig.start_clients(length=9000.0, rate=40.0)
     rig.run(1500.0)
-    rig.lose_engines("south")
+    rig.kill_engines("south")
     rig.until(lambda: all("south" in rig.status(name)["plan"]["rows"] for name in rig.fronts), "one plan")
-    rig.back_engines("south")
+    rig.restart_engines("south")
     rig.until(lambda: all(not rig.status(name)["plan"]["rows"] for name in rig.fronts), "all is well again")
     records = judged(rig)
     assert delivered(records) > SERVED
@@ -69,10 +69,10 @@
 
 
 def test_leader_killed_in_the_middle_of_a_change(rig: FleetRig) -> None:
-    rig.ask(length=6000.0, rate=40.0)
+    rig.start_clients(length=6000.0, rate=40.0)
     rig.run(1000.0)
     leader = rig.leader()
-    rig.lose_engines("south")
+    rig.kill_engines("south")
     rig.until(lambda: number(rig, leader) > 0, "a first plan")
     rig.kill(leader)
     others = [name for name in rig.fronts if name != leader]
@@ -83,16 +83,16 @@
 
 
 def test_leader_frozen_beyond_its_lease_sends_nothing_by_the_old_plan(rig: FleetRig) -> None:
-    rig.ask(length=9000.0, rate=40.0)
+    rig.start_clients(length=9000.0, rate=40.0)
     rig.run(1000.0)
     leader = rig.leader()
     rig.freeze(leader)
     rig.until(lambda: rig.leader() not in ("", leader), "another leads")
-    rig.lose_engines("south")
+    rig.kill_engines("south")
     others = [name for name in rig.fronts if name != leader]
     rig.until(lambda: all("south" in rig.status(name)["plan"]["rows"] for name in others), "a new plan")
     rig.run(LEASE)
-    rig.go_on(leader)
+    rig.resume(leader)
     rig.until(lambda: "south" in rig.status(leader)["plan"]["rows"], "it has the plan too")
     records = rig.settle()
     assert one_plan(records, LEASE, FIGURES.slack).kept
@@ -112,13 +112,13 @@
     ]
     others = [name for name in rig.fronts if name not in some]
     said_before = {name: len(rig.fronts[name].seen(ALONE)) for name in others}
-    rig.ask(length=8000.0, rate=40.0)
+    rig.start_clients(length=8000.0, rate=40.0)
     rig.net.cut(some, others)
     rig.until(lambda: all(rig.status(name)["alone"] for name in some), "the minority is alone")
     rig.until(lambda: rig.status(others[0])["council"]["leader"] in others, "the majority has a leader")
     rig.until(lambda: not any(rig.status(name)["alone"] for name in others), "the majority goes on")
     assert all(b"alone" in rig.get(name, "/ready")[1] for name in some)
-    rig.net.heal()
+    rig.net.restore()
     rig.until(lambda: not any(rig.status(name)["alone"] for name in rig.fronts), "together again")
     records = judged(rig)
     assert delivered(records) > SERVED
@@ -129,12 +129,12 @@
 
 def test_without_any_majority_the_whole_fleet_is_alone_and_goes_on_serving(rig: FleetRig) -> None:
     names = list(rig.fronts)
-    rig.ask(length=6000.0, rate=40.0)
+    rig.start_clients(length=6000.0, rate=40.0)
     for name in names:
         rig.net.cut([name], [other for other in names if other != name])
     rig.until(lambda: all(rig.status(name)["alone"] for name in names), "everybody is alone")
     rig.run(1000.0)
-    rig.net.heal()
+    rig.net.restore()
     rig.until(lambda: not any(rig.status(name)["alone"] for name in names), "together again")
     assert delivered(judged(rig)) > SERVED
 
@@ -143,18 +143,18 @@
 def test_leader_that_is_cut_one_way_is_replaced(rig: FleetRig, how: str) -> None:
     leader = rig.leader()
     others = [name for name in rig.fronts if name != leader]
-    rig.ask(length=5000.0, rate=40.0)
+    rig.start_clients(length=5000.0, rate=40.0)
     rig.net.cut([leader], others, how)
     rig.until(lambda: rig.status(others[0])["council"]["leader"] in others, "another leads")
-    rig.net.heal()
+    rig.net.restore()
     rig.until(lambda: not any(rig.status(name)["alone"] for name in rig.fronts), "together again")
     assert delivered(judged(rig)) > SERVED
 
 
 def test_zone_lost_with_its_fronts(rig: FleetRig) -> None:
-    rig.ask(length=7000.0, rate=40.0)
+    rig.start_clients(length=7000.0, rate=40.0)
     rig.run(1000.0)
-    rig.lose_engines("north")
+    rig.kill_engines("north")
     lost = [name for name, front in rig.fronts.items() if front.zone == "north"]
     for name in lost:
         rig.kill(name, lose_disk=True)
@@ -166,7 +166,7 @@
 
 def test_two_of_three_seats_lost_with_their_disks_found_no_second_council(rig: FleetRig) -> None:
     seats = [voter.rpartition("#")[0] for voter in rig.voters()]
-    rig.ask(length=8000.0, rate=30.0)
+    rig.start_clients(length=8000.0, rate=30.0)
     term = rig.status(rig.leader())["council"]["term"]
     for name in seats[:2]:
         rig.kill(name, lose_disk=True)
@@ -200,9 +200,9 @@
 
 
 def test_rolling_restart_under_load_keeps_the_council_and_every_request(rig: FleetRig) -> None:
-    rig.ask(length=9000.0, rate=30.0)
+    rig.start_clients(length=9000.0, rate=30.0)
     for name, front in rig.fronts.items():
-        rig.end(name)
+        rig.terminate(name)
         rig.start(name)
         rig.until(lambda front=front: bool(front.port), f"{name} serves")
         rig.until(lambda name=name: not rig.status(name)["alone"], f"{name} is back")
@@ -211,14 +211,14 @@
 
 
 def test_fleet_decides_on_while_discovery_is_dead(rig: FleetRig) -> None:
-    rig.ask(length=6000.0, rate=40.0)
-    rig.registry.cut()
+    rig.start_clients(length=6000.0, rate=40.0)
+    rig.registry.go_offline()
     rig.run(500.0)
-    for name in rig.of_zone("east"):
+    for name in rig.engines_in_zone("east"):
         rig.net.cut(list(rig.fronts), [name], "reset")
     rig.until(lambda: all("east" in rig.status(name)["plan"]["rows"] for name in rig.fronts), "one plan")
-    rig.net.heal()
-    rig.registry.back()
+    rig.net.restore()
+    rig.registry.go_online()
     rig.until(lambda: all(not rig.status(name)["plan"]["rows"] for name in rig.fronts), "all is well again")
     judged(rig)
 
@@ -226,9 +226,9 @@
 @pytest.mark.parametrize("how", ["full", "stalled"])
 def test_leader_whose_disk_does_not_take_writes_gives_way(rig: FleetRig, how: str) -> None:
     leader = rig.leader()
-    rig.ask(length=7000.0, rate=40.0)
+    rig.start_clients(length=7000.0, rate=40.0)
     lock = rig.stall_disk(leader) if how == "stalled" else rig.fill_disk(leader)
-    rig.lose_engines("south")
+    rig.kill_engines("south")
     rig.until(lambda: all("south" in rig.status(name)["plan"]["rows"] for name in rig.fronts), "one plan")
     if lock is not None:
         lock.close()
@@ -272,8 +272,8 @@
 
 
 def test_any_front_answers_for_one_that_died_with_its_disk(rig: FleetRig) -> None:
-    rig.ask(length=3000.0, rate=40.0)
-    rig.lose_engines("south")
+    rig.start_clients(length=3000.0, rate=40.0)
+    rig.kill_engines("south")
     rig.until(lambda: all(number(rig, name) > 0 for name in rig.fronts), "a plan")
     rig.until(lambda: rig.answered, "all jobs end")
     rig.run(1500.0)  # copies follow within a second
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -101,27 +101,27 @@
 def test_checker_finds_a_retry_after_possible_execution(tmp_path: Path) -> None:
     rig = Rig(tmp_path, FLEET, RepeatingPolicy)
     for engine in rig.engines[1:3]:
-        rig.at(100, rig.fault, engine, "fail_fast", True)
-    assert broken(rig.day("mark", effect="irreversible")) == [2]
+        rig.at(100, rig.inject_fault, engine, "fail_fast", True)
+    assert broken(rig.run_clients("mark", effect="irreversible")) == [2]
 
 
 def test_checker_finds_an_attempt_at_a_draining_engine(tmp_path: Path) -> None:
     rig = Rig(tmp_path, FLEET, DrainIgnoringPolicy)
-    rig.at(300, rig.list, rig.engines[1], "draining")
-    assert broken(rig.day()) == [3]
+    rig.at(300, rig.announce, rig.engines[1], "draining")
+    assert broken(rig.run_clients()) == [3]
 
 
 def test_checker_finds_an_overloaded_cold_engine(tmp_path: Path) -> None:
     rig = Rig(tmp_path, PAIR, ColdIgnoringPolicy, capacity=4.0)
-    rig.at(300, rig.add, "decode", 0, True)
-    rig.at(300, rig.add, "decode", 0, True)
-    assert 4 in found(rig.day(length=2000.0, rate=80.0))
+    rig.at(300, rig.add_engine, "decode", 0, True)
+    rig.at(300, rig.add_engine, "decode", 0, True)
+    assert 4 in found(rig.run_clients(length=2000.0, rate=80.0))
 
 
 def test_checker_finds_a_pinned_kv_cache(tmp_path: Path) -> None:
     rig = Rig(tmp_path, PAIR, NonReleasingPolicy)
-    rig.at(300, rig.fault, rig.engines[1], "hang")
-    assert 5 in found(rig.day(length=800.0, patience=0.4))
+    rig.at(300, rig.inject_fault, rig.engines[1], "hang")
+    assert 5 in found(rig.run_clients(length=800.0, patience=0.4))
 
 
 def test_checker_finds_an_attempt_after_the_final_answer(
@@ -146,14 +146,14 @@
         StreamRelay, "is_disconnected", lambda self: False
     )  # it would notice that the job is over
     rig = Rig(tmp_path, [("prefill", 0)], LateSendingPolicy)  # no decode engine: every request is rejected
-    assert 1 in found(rig.day(length=600.0, patience=0.4))
+    assert 1 in found(rig.run_clients(length=600.0, patience=0.4))
 
 
 def test_checker_finds_a_client_without_an_answer(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(RequestLifecycle, "_answer_for_policy", lambda *_: None)
     monkeypatch.setattr(RequestLifecycle, "_deadline_missed", lambda *_: None)
     rig = Rig(tmp_path, [("prefill", 0)])
-    assert broken(rig.day(length=400.0, patience=0.3)) == [1]
+    assert broken(rig.run_clients(length=400.0, patience=0.3)) == [1]
 
 
 # What the gateway promises its policy.
@@ -177,7 +177,7 @@
 
 def test_choices_of_the_policy_are_carried_out_as_made(tmp_path: Path) -> None:
     rig = Rig(tmp_path, [("prefill", 0), ("prefill", 0), ("decode", 0), ("decode", 0)], Chooser)
-    records = rig.day(length=500.0)
+    records = rig.run_clients(length=500.0)
     module: Any = rig.fronts[0].core.id_map.policy
     assert records.requests and ends(records) == {"delivered"}
     assert {attempt.engine for attempt in records.attempts} == {"e0", "e2"}
@@ -242,7 +242,7 @@
     front = rig.front()
 
     def leave() -> None:
-        call = rig.ask(BODY, lambda *_: None)
+        call = rig.send_request(BODY, lambda *_: None)
         rig.reactor.callLater(0.1, call.abandon)
         rig.reactor.callLater(0.3, rig.reactor.stop)
 
--- a/tests/test_gateway_http.py
+++ b/tests/test_gateway_http.py
@@ -73,7 +73,7 @@
     ).encode()
     ended: list[float] = []
     front.on_end = lambda: (ended.append(clock.now()), rig.reactor.callLater(0.05, rig.reactor.stop))
-    rig.at(0, rig.ask, body, lambda status, *_: heard.append((status, clock.now())))
+    rig.at(0, rig.send_request, body, lambda status, *_: heard.append((status, clock.now())))
     rig.at(200, front.stop)
     rig.run()
     assert [status for status, _ in heard] == [200] and ended and ended[0] >= heard[0][1] - 50
--- a/tests/test_gateway_rules.py
+++ b/tests/test_gateway_rules.py
@@ -16,7 +16,7 @@
 
 
 def test_requests_are_delivered_whole_and_streamed(tmp_path: Path) -> None:
-    records = Rig(tmp_path, FLEET).day()
+    records = Rig(tmp_path, FLEET).run_clients()
     assert len(records.requests) > 10 and ends(records) == {"delivered"} and broken(records) == []
     assert any(attempt.role == "read" for attempt in records.attempts)
 
@@ -24,9 +24,9 @@
 def test_draining_engines_get_no_request_while_prefills_are_out(tmp_path: Path) -> None:
     """Two of three decode engines begin to drain while prefills for them are out."""
     rig = Rig(tmp_path, FLEET, read_speed=1500.0)
-    rig.at(500, rig.list, rig.engines[1], "draining")
-    rig.at(500, rig.list, rig.engines[2], "draining")
-    records = rig.day(length=2000.0)
+    rig.at(500, rig.announce, rig.engines[1], "draining")
+    rig.at(500, rig.announce, rig.engines[2], "draining")
+    records = rig.run_clients(length=2000.0)
     told = records.told["a", "e1"].times[-1]
     assert broken(records) == [] and len(records.requests) > 20
     assert not [
@@ -37,9 +37,9 @@
 def test_cold_engines_are_not_overloaded(tmp_path: Path) -> None:
     """Two engines start under load; one that gets too much before it is warm falls."""
     rig = Rig(tmp_path, FLEET, capacity=6.0)
-    rig.at(300, rig.add, "decode", 0, True)
-    rig.at(300, rig.add, "prefill", 1, True)
-    records = rig.day(length=2500.0, rate=30.0)
+    rig.at(300, rig.add_engine, "decode", 0, True)
+    rig.at(300, rig.add_engine, "prefill", 1, True)
+    records = rig.run_clients(length=2500.0, rate=30.0)
     assert broken(records) == [] and not records.falls
     assert any(attempt.engine in ("e6", "e7") for attempt in records.attempts)
 
@@ -48,16 +48,16 @@
     """All decode engines drop the streams of requests that must not be executed twice."""
     rig = Rig(tmp_path, FLEET)
     for engine in rig.engines[1:]:
-        rig.at(400, rig.fault, engine, "drop_streams", True)
-    records = rig.day("mark", length=1500.0, answer=(20, 40), effect="irreversible")
+        rig.at(400, rig.inject_fault, engine, "drop_streams", True)
+    records = rig.run_clients("mark", length=1500.0, answer=(20, 40), effect="irreversible")
     assert broken(records) == [] and "broken off" in ends(records)
 
 
 def test_request_is_answered_by_its_deadline_where_the_engine_hangs(tmp_path: Path) -> None:
     """The only decode engine takes connections and says nothing."""
     rig = Rig(tmp_path, PAIR)
-    rig.at(300, rig.fault, rig.engines[1], "hang")
-    records = rig.day("mark", length=800.0, patience=0.4, effect="irreversible")
+    rig.at(300, rig.inject_fault, rig.engines[1], "hang")
+    records = rig.run_clients("mark", length=800.0, patience=0.4, effect="irreversible")
     assert broken(records) == [] and ends(records) <= {"delivered", "broken off", "deferred", "late"}
     assert "broken off" in ends(records)
 
@@ -95,7 +95,7 @@
             json.dumps({"model": "hint", "messages": [{"role": "user", "content": f"{at} " * 400}]})
             for at in range(6)
         ]
-        calls = [rig.ask(body.encode(), lambda *end: heard.append(end)) for body in bodies]
+        calls = [rig.send_request(body.encode(), lambda *end: heard.append(end)) for body in bodies]
         for at, call in enumerate(calls):
             rig.reactor.callLater(0.1 + 0.04 * at, call.abandon)
         rig.reactor.callLater(1.2, rig.reactor.stop)
@@ -110,20 +110,20 @@
 def test_faulty_engines_cost_their_attempts_only(tmp_path: Path) -> None:
     """One engine sends garbage, one fails at once, and one refuses connections."""
     rig = Rig(tmp_path, FLEET)
-    rig.at(200, rig.fault, rig.engines[1], "garbage")
-    rig.at(200, rig.fault, rig.engines[4], "fail_fast")
-    rig.at(500, rig.fault, rig.engines[3], "refuse")
-    records = rig.day(length=1500.0, retries=2.0)
+    rig.at(200, rig.inject_fault, rig.engines[1], "garbage")
+    rig.at(200, rig.inject_fault, rig.engines[4], "fail_fast")
+    rig.at(500, rig.inject_fault, rig.engines[3], "refuse")
+    records = rig.run_clients(length=1500.0, retries=2.0)
     assert broken(records) == [] and ends(records) <= {"delivered", "late"}
 
 
 def test_last_endpoint_list_stays_in_force_without_the_registry(tmp_path: Path) -> None:
     """The registry is gone for 600 ms; after its return an engine drains."""
     rig = Rig(tmp_path, FLEET)
-    rig.at(300, rig.registry.cut)
-    rig.at(900, rig.registry.back)
-    rig.at(1200, rig.list, rig.engines[2], "draining")
-    records = rig.day(length=2500.0)
+    rig.at(300, rig.registry.go_offline)
+    rig.at(900, rig.registry.go_online)
+    rig.at(1200, rig.announce, rig.engines[2], "draining")
+    records = rig.run_clients(length=2500.0)
     assert ends(records) == {"delivered"} and broken(records) == []
     told = records.told["a", "e2"]
     assert told.states[-1][0] == "draining"
@@ -141,7 +141,7 @@
     body = json.dumps(
         {"model": "hint", "messages": [{"role": "user", "content": "word " * 400}], "stream": True}
     ).encode()
-    rig.reactor.callLater(0.3, lambda: call.append(rig.ask(body, lambda *_: None)))
+    rig.reactor.callLater(0.3, lambda: call.append(rig.send_request(body, lambda *_: None)))
     rig.reactor.callLater(0.7, lambda: call[0].abandon())
     rig.reactor.callLater(1.5, rig.reactor.stop)
     rig.run()
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -13,7 +13,7 @@
 from worksmux.policy.events import EndpointListUpdate, Event, RequestArrived
 from worksmux.policy.settings import PolicySettings
 from worksmux.policy.state import Attempt, Engine
-from worksmux.scenarios.figures import figures_of
+from worksmux.scenarios.figures import rule_parameters
 from worksmux.scenarios.scenario import Scenario, load_scenario, read_scenario
 from worksmux.settings.document import parse
 from worksmux.simulation.day import Model, UnsupportedScenarioError
@@ -40,7 +40,7 @@
     model = Model(day())
     records = model.run()
     assert records is not None
-    told = summary(records, figures_of(model.day))
+    told = summary(records, rule_parameters(model.day))
     assert told["kept"] and told["unanswered"] == 0 and told["delivered_share"] > 0.7
 
 
@@ -76,7 +76,7 @@
     model = Model(day(), Careless)
     records = model.run()
     assert records is not None
-    broken = {verdict.rule for verdict in check(records, figures_of(model.day)) if not verdict.kept}
+    broken = {verdict.rule for verdict in check(records, rule_parameters(model.day)) if not verdict.kept}
     assert 2 in broken
 
 
@@ -87,7 +87,7 @@
 
 def test_fleet_of_engines_with_like_names_shares_the_reads() -> None:
     """Guards against names that end alike, such as n1-prefill-1 and s1-prefill-1, counting as one."""
-    scenario = replace(day(), troubles=[])
+    scenario = replace(day(), faults=[])
     model = Model(scenario)
     model.run()
     reads = [engine.counts.attempts for name, engine in model.engines.items() if "prefill" in name]
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -61,8 +61,8 @@
     found = search.fresh()
     day = read_scenario(parse(written(FILE.read_text(), BASE, found)))
     wanted = found.day(BASE)
-    assert [(t.kind, t.at, t.length, t.part, t.role, t.zone) for t in day.troubles] == [
-        (t.kind, t.at, t.length, t.part, t.role, t.zone) for t in wanted.troubles
+    assert [(t.kind, t.at, t.length, t.part, t.role, t.zone) for t in day.faults] == [
+        (t.kind, t.at, t.length, t.part, t.role, t.zone) for t in wanted.faults
     ]
     assert one(day) == one(wanted)
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -92,7 +92,7 @@
 
 def test_example_days_can_be_read() -> None:
     assert load_scenario("examples/bad-day.kdl").fronts == 3
-    assert load_scenario("examples/short-day.kdl").troubles
+    assert load_scenario("examples/short-day.kdl").faults
 
 
 def test_day_with_an_unknown_trouble_lists_the_known() -> None:
--- a/tests/test_tokens.py
+++ b/tests/test_tokens.py
@@ -649,7 +649,7 @@
     for at, new in enumerate([versions[1], versions[0], versions[0][:9000], versions[1]]):
         rig.at(400 + 400 * at, file.write_text, new)
         rig.at(405 + 400 * at, front.reload, str(settings_file))
-    records = rig.day(length=2500.0, rate=40.0)
+    records = rig.run_clients(length=2500.0, rate=40.0)
     assert {request["how"] for request in records.requests} == {"delivered"} and {
         which for which, _, _ in seen
     } == {0, 1}
@@ -672,9 +672,9 @@
         if len(heard) == 3:
             rig.reactor.callLater(0.1, rig.reactor.stop)
 
-    rig.at(300, rig.ask, body(SAMPLES["finnish"]), end)
-    rig.at(300, rig.ask, body("why so cold? " * 2000), end)  # surely too long
-    rig.at(300, rig.ask, body("kylmä " * 300), end)  # known to be too long once it is counted
+    rig.at(300, rig.send_request, body(SAMPLES["finnish"]), end)
+    rig.at(300, rig.send_request, body("why so cold? " * 2000), end)  # surely too long
+    rig.at(300, rig.send_request, body("kylmä " * 300), end)  # known to be too long once it is counted
     rig.run()
     assert sorted(status for status, _ in heard) == [200, 400, 400]
     codes = {json.loads(reply)["error"]["code"] for status, reply in heard if status == 400}
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -7,7 +7,7 @@
 import sys
 from pathlib import Path
 
-from worksmux.scenarios.engines import capacity, struck
+from worksmux.scenarios.engines import capacity, select_engines
 from worksmux.scenarios.scenario import load_scenario
 
 
@@ -65,8 +65,8 @@
     import random
 
     day = load_scenario("examples/bad-day.kdl")
-    named = next(trouble for trouble in day.troubles if trouble.kind == "drain")
-    part = next(trouble for trouble in day.troubles if trouble.kind == "hang")
-    assert [place.id for place in struck(day, named, random.Random(1))] == ["n1-decode-1"]
-    assert {place.kind for place in struck(day, part, random.Random(1))} == {"decode"}
-    assert all(capacity(day, place) > 0 for place in day.places)
+    named = next(trouble for trouble in day.faults if trouble.kind == "drain")
+    part = next(trouble for trouble in day.faults if trouble.kind == "hang")
+    assert [place.id for place in select_engines(day, named, random.Random(1))] == ["n1-decode-1"]
+    assert {place.kind for place in select_engines(day, part, random.Random(1))} == {"decode"}
+    assert all(capacity(day, place) > 0 for place in day.engines)
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -73,7 +73,7 @@
             if not self.open:
                 self.rig.reactor.callLater(0.1, self.rig.reactor.stop)
 
-        return self.rig.ask(json.dumps(body).encode(), ended, path=path, **headers)
+        return self.rig.send_request(json.dumps(body).encode(), ended, path=path, **headers)
 
     def embed(self, name: Any, inputs: Any, **more: Any) -> Any:
         return self.ask(name, embeddings.PATH, {"model": "vectors", "input": inputs, **more})
@@ -124,7 +124,7 @@
     rig, client = rigged(tmp_path, LONG_DEADLINES)
 
     def ask() -> None:
-        rig.fault(rig.engines[4], "shuffle")
+        rig.inject_fault(rig.engines[4], "shuffle")
         client.rank("all", "q", words(60), return_documents=True)
         client.rank("top", "q", words(60), top_n=3)
 
@@ -140,7 +140,7 @@
     rig, client = rigged(tmp_path)
 
     def ask() -> None:
-        rig.fault(rig.engines[2], fault)
+        rig.inject_fault(rig.engines[2], fault)
         rig.reactor.callLater(0.05, client.embed, "e", words(60))
         rig.reactor.callLater(0.05, client.embed, "f", words(3))
 
@@ -162,7 +162,7 @@
     def ask() -> None:
         client.open += 1  # the later call ends the run
         client.rank("r", "q", words(120))
-        rig.reactor.callLater(0.05, rig.list, rig.engines[4], "draining")
+        rig.reactor.callLater(0.05, rig.announce, rig.engines[4], "draining")
         rig.reactor.callLater(0.4, later)
 
     play(rig, ask)
@@ -181,7 +181,7 @@
 
     def ask() -> None:
         for engine in rig.engines[2:4]:
-            rig.fault(engine, "bad")
+            rig.inject_fault(engine, "bad")
         rig.reactor.callLater(0.05, client.embed, "busy", words(30))
         for at in range(8):
             rig.reactor.callLater(0.06, client.embed, at, "BAD" if at == 3 else f"small {at}")
@@ -200,7 +200,7 @@
         client.embed("busy", words(20))
         for at in range(4):
             client.embed(at, f"small {at}")
-        goes = rig.ask(
+        goes = rig.send_request(
             json.dumps({"model": "vectors", "input": "goes"}).encode(), lambda *_: None, path=embeddings.PATH
         )
         rig.reactor.callLater(0.02, goes.abandon)
@@ -224,7 +224,7 @@
     for tick in range(40):  # 160 calls of 400 tokens: eight times what can be read
         rig.at(300 + 25 * tick, flood, tick)
     client.open += 1  # the day ends the run
-    records = rig.day(length=2800.0, rate=15.0)
+    records = rig.run_clients(length=2800.0, rate=15.0)
     done = [request["how"] for request in records.requests]  # on a busy machine the whole process may be late
     assert done.count("delivered") >= 0.9 * len(done)
     assert all(verdict.kept for verdict in check(records, FIGURES))
@@ -403,7 +403,7 @@
 
     def ask() -> None:
         client.embed("counted", inputs)
-        goes = rig.ask(
+        goes = rig.send_request(
             json.dumps({"model": "vectors", "input": ["xy" * 3000]}).encode(),
             lambda *_: None,
             path=embeddings.PATH,
--- a/worksmux/commands/main.py
+++ b/worksmux/commands/main.py
@@ -128,7 +128,7 @@
     from dataclasses import replace
 
     from ..checker.report import summary
-    from ..scenarios.figures import figures_of
+    from ..scenarios.figures import rule_parameters
     from ..scenarios.scenario import load_scenario
     from ..settings.front import POLICIES
     from ..simulation.day import Model, UnsupportedScenarioError
@@ -146,7 +146,7 @@
         typer.echo(str(error), err=True)
         raise typer.Exit(BAD_CALL) from error
     assert records is not None
-    told = {"day": day.name, "policy": day.policy, **summary(records, figures_of(day))}
+    told = {"day": day.name, "policy": day.policy, **summary(records, rule_parameters(day))}
     raise finish(told, as_json)
 
 
@@ -159,12 +159,12 @@
     """Check the five rules again from the records of a day."""
     from ..checker.records import load
     from ..checker.report import summary
-    from ..scenarios.figures import figures_of
+    from ..scenarios.figures import rule_parameters
     from ..scenarios.scenario import load_scenario
     from .trials import finish
 
     try:
-        told = summary(load(folder), figures_of(load_scenario(file)))
+        told = summary(load(folder), rule_parameters(load_scenario(file)))
     except SettingsError as error:
         raise refuse(error) from error
     except FileNotFoundError as error:
--- a/worksmux/experiment/plan.py
+++ b/worksmux/experiment/plan.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..scenarios.scenario import Place, Scenario, load_scenario
+from ..scenarios.scenario import Scenario, ScenarioEngine, load_scenario
 from ..settings.document import Section, SettingsError, load
 from ..settings.front import POLICIES
 
@@ -27,18 +27,20 @@
 
 def _cells(day: Scenario, times: Any) -> Scenario:
     """The fleet so many times over, each copy in cells of its own, and as many more jobs."""
-    cells = 1 + max(place.cell for place in day.places)
+    cells = 1 + max(place.cell for place in day.engines)
     places = [
-        Place(f"{place.id}-{copy}" if copy else place.id, place.kind, place.zone, place.cell + copy * cells)
+        ScenarioEngine(
+            f"{place.id}-{copy}" if copy else place.id, place.kind, place.zone, place.cell + copy * cells
+        )
         for copy in range(int(times))
-        for place in day.places
+        for place in day.engines
     ]
-    return replace(day, places=places, rate=day.rate * int(times))
+    return replace(day, engines=places, rate=day.rate * int(times))
 
 
 def _troubles(day: Scenario, factor: Any) -> Scenario:
     return replace(
-        day, troubles=[replace(one, length=one.length * factor) for one in day.troubles] if factor else []
+        day, faults=[replace(one, length=one.length * factor) for one in day.faults] if factor else []
     )
 
 
--- a/worksmux/experiment/play.py
+++ b/worksmux/experiment/play.py
@@ -6,7 +6,7 @@
 import time
 
 from ..checker.rules import check
-from ..scenarios.figures import figures_of
+from ..scenarios.figures import rule_parameters
 from ..scenarios.scenario import Scenario
 from ..simulation.day import EPOCH, Model
 
@@ -62,7 +62,7 @@
         "back_after": back_after(day, ends),
     }
     if records is not None:
-        found["rules_broken"] = float(sum(not one.kept for one in check(records, figures_of(day))))
+        found["rules_broken"] = float(sum(not one.kept for one in check(records, rule_parameters(day))))
     return found
 
 
@@ -74,10 +74,10 @@
 def back_after(day: Scenario, ends: list[tuple[float, str]]) -> float:
     """Seconds from the end of the last trouble until as much is delivered as before the first, for two
     seconds together; -1 where that never comes, 0 where there is no trouble."""
-    if not day.troubles:
+    if not day.faults:
         return 0.0
-    first = min(one.at for one in day.troubles)
-    last = max(one.at + one.length for one in day.troubles)
+    first = min(one.at for one in day.faults)
+    last = max(one.at + one.length for one in day.faults)
     good = [time for time, how in ends if how == "delivered"]
     before = sum(1000.0 <= time < first for time in good) / max(1e-3, (first - 1000.0) / 1000)
     seconds = int(day.length / 1000)
--- a/worksmux/experiment/search.py
+++ b/worksmux/experiment/search.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, replace
 
-from ..scenarios.scenario import Scenario, Trouble
+from ..scenarios.scenario import Scenario, ScenarioFault
 
 KINDS = (
     "crash",
@@ -53,14 +53,14 @@
 class Found:
     """A day's changes to its base, and what they came to."""
 
-    troubles: tuple[Trouble, ...]
+    troubles: tuple[ScenarioFault, ...]
     load: float
     regret: float = 0.0
     credit: float = 0.0
 
     def day(self, base: Scenario) -> Scenario:
         troubles = sorted(self.troubles, key=lambda one: one.at)
-        return replace(base, troubles=troubles, rate=base.rate * self.load)
+        return replace(base, faults=troubles, rate=base.rate * self.load)
 
 
 Players = Callable[[list[Found]], list[tuple[float, float]]]  # regret and credit of each, in order
@@ -74,14 +74,14 @@
 
     # What is tried.
 
-    def trouble(self) -> Trouble:
+    def trouble(self) -> ScenarioFault:
         """One at random."""
         chance, base = self.chance, self.base
         kind = chance.choice(KINDS)
         length = base.length * LONGEST * chance.uniform(0.05, 1.0)
         at = chance.uniform(0.1 * base.length, max(0.1 * base.length, base.length - length))
         zone = chance.choice(base.zones) if kind == "zone-loss" else ""
-        return Trouble(
+        return ScenarioFault(
             kind,
             round(at),
             round(length),
--- a/worksmux/fault_trial/faults.py
+++ b/worksmux/fault_trial/faults.py
@@ -14,7 +14,7 @@
 
 from ..api.listing import Line
 from ..fakes.journal import Journal
-from ..scenarios.scenario import Scenario, Trouble
+from ..scenarios.scenario import Scenario, ScenarioFault
 from .processes import Child
 from .relays import Network
 
@@ -55,7 +55,7 @@
             for other in fronts:
                 if one != other:
                     self.net.relay(one, other)
-        self.zones = {place.id: place.zone for place in day.places}
+        self.zones = {place.id: place.zone for place in day.engines}
 
     def ways(self, front: str) -> dict[str, int]:
         return {other: self.net.relay(front, other).port for other in self.fronts if other != front}
@@ -72,13 +72,13 @@
     def way(self, front: str, line: Line) -> Line:
         return msgspec.structs.replace(line, port=self.net.relay(front, line.id).port)
 
-    def cut(self, trouble: Trouble) -> None:
+    def cut(self, trouble: ScenarioFault) -> None:
         """The zone's engines from all fronts, or engines and fronts of two zones from each other."""
         how = "both" if trouble.how == "silent" else trouble.how
         self._cut(trouble, how)
         self.reactor.callLater(trouble.length / 1000, self._cut, trouble, "none")
 
-    def _cut(self, trouble: Trouble, how: str) -> None:
+    def _cut(self, trouble: ScenarioFault, how: str) -> None:
         engines = [name for name, zone in self.zones.items() if zone == trouble.zone]
         if trouble.source == "fronts":
             return self.net.cut(engines, self.fronts, how)
--- a/worksmux/fault_trial/fleet.py
+++ b/worksmux/fault_trial/fleet.py
@@ -99,7 +99,7 @@
         self.registry = Registry(
             self.reactor, Journal(folder / "registry.jsonl", "registry"), (0.0, 50.0), False, 1
         )
-        self.registry.way = self._way
+        self.registry.rewrite_endpoint = self._way
         self.registry.start()
         self.engines: dict[str, EngineProcess] = {}
         self.fronts = {
@@ -120,7 +120,7 @@
 
     # Time.
 
-    def turn(self) -> None:
+    def iterate(self) -> None:
         self.reactor.iterate(0.01)
         reapAllProcesses()
 
@@ -128,13 +128,13 @@
         end = clock.now() + within * 1000
         while not seen():
             assert clock.now() < end, f"not seen within {within:g} s: {what or seen}"
-            self.turn()
+            self.iterate()
 
     def run(self, ms: float) -> None:
         """Lets time pass where nothing is to be seen: for what must not happen."""
         end = clock.now() + ms
         while clock.now() < end:
-            self.turn()
+            self.iterate()
 
     # Engines.
 
@@ -148,7 +148,7 @@
         self.tell(name, "ready", clock.wall() if cold else 0.0)
         return engine
 
-    def usual_engines(self) -> None:
+    def start_engines(self) -> None:
         """A reader and two writers in each zone."""
         for at, zone in enumerate(self.zones):
             self.engine(f"{zone}-read", "prefill", zone, at)
@@ -161,12 +161,12 @@
     def _way(self, front: str, line: Line) -> Line:
         return msgspec.structs.replace(line, port=self.net.relay(front, line.id).port)
 
-    def of_zone(self, zone: str) -> list[str]:
+    def engines_in_zone(self, zone: str) -> list[str]:
         return [name for name, engine in self.engines.items() if engine.spec.zone == zone]
 
-    def lose_engines(self, zone: str) -> None:
+    def kill_engines(self, zone: str) -> None:
         """They die; the registry says so."""
-        for name in self.of_zone(zone):
+        for name in self.engines_in_zone(zone):
             engine = self.engines[name]
             engine.port_object.stopListening()
             engine.model.fallen = True
@@ -174,8 +174,8 @@
             self.journal.note("engine killed", engine=name)
             self.tell(name, "gone")
 
-    def back_engines(self, zone: str) -> None:
-        for name in self.of_zone(zone):
+    def restart_engines(self, zone: str) -> None:
+        for name in self.engines_in_zone(zone):
             old = self.engines[name].spec
             self.engine(name, old.kind, old.zone, old.cell, cold=True)
 
@@ -229,7 +229,7 @@
                 lambda _: None,
             )
 
-    def up(self) -> None:
+    def wait_until_ready(self) -> None:
         """All fronts serve, under a plan's lease, and the council has its seats."""
         self.until(lambda: all(front.port for front in self.fronts.values()), "all fronts serve")
         seats = min(self.seats, len(self.fronts))
@@ -245,7 +245,7 @@
         if lose_disk:
             shutil.rmtree(front.folder, ignore_errors=True)
 
-    def end(self, name: str) -> None:
+    def terminate(self, name: str) -> None:
         """In order.  A connection that the kernel had taken and the front had not is reset all the same."""
         self.journal.note("front killed", front=name, by="TERM")
         self.signal(name, "TERM")
@@ -255,7 +255,7 @@
         self.journal.note("front frozen", front=name)
         self.signal(name, "STOP")
 
-    def go_on(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         self.journal.note("front goes on", front=name)
         child = self.fronts[name].child
         assert child is not None
@@ -295,7 +295,7 @@
         )
         end = clock.now() + within
         while not found and clock.now() < end:
-            self.turn()
+            self.iterate()
         call.abandon()
         return found[0] if found else (0, b"")
 
@@ -324,7 +324,7 @@
 
     # Clients.
 
-    def ask(
+    def start_clients(
         self,
         length: float = 4000.0,
         rate: float = 20.0,
@@ -371,10 +371,10 @@
                 front.child.process.signalProcess(signal.SIGKILL)
         end = clock.now() + 5000
         while any(front.alive for front in self.fronts.values()) and clock.now() < end:
-            self.turn()
+            self.iterate()
         self.net.close()
         for _ in range(3):
-            self.turn()
+            self.iterate()
 
     def __enter__(self) -> FleetRig:
         return self
--- a/worksmux/fault_trial/processes.py
+++ b/worksmux/fault_trial/processes.py
@@ -48,11 +48,11 @@
             self.process.signalProcess(name)
 
 
-def port_of_engine(line: bytes) -> int | None:
+def engine_port(line: bytes) -> int | None:
     return int(line) if line.isdigit() else None
 
 
-def ports_of_front(line: bytes) -> tuple[int, int] | None:
+def gateway_ports(line: bytes) -> tuple[int, int] | None:
     """The ports in a front's log line that says it serves."""
     if b'"serving"' not in line:
         return None
--- a/worksmux/fault_trial/relays.py
+++ b/worksmux/fault_trial/relays.py
@@ -196,7 +196,7 @@
                         relay.break_all(False)
                     relay.swallow({"both": (there, back), "out": (there,), "in": (back,), "none": ()}[how])
 
-    def heal(self) -> None:
+    def restore(self) -> None:
         for relay in self.relays.values():
             if relay.reset:
                 relay.break_all(False)
--- a/worksmux/fault_trial/runner.py
+++ b/worksmux/fault_trial/runner.py
@@ -25,12 +25,20 @@
 from ..fakes.registry import Registry
 from ..net import client, clock
 from ..net.loop import the_reactor
-from ..scenarios.engines import spec_of, struck, struck_fronts
-from ..scenarios.figures import figures_of
-from ..scenarios.scenario import OF_CLIENTS, OF_CLOCKS, OF_FRONTS, OF_THE_LIST, Place, Scenario, Trouble
+from ..scenarios.engines import engine_spec, select_engines, select_gateways
+from ..scenarios.figures import rule_parameters
+from ..scenarios.scenario import (
+    CLIENT_FAULTS,
+    CLOCK_FAULTS,
+    ENDPOINT_LIST_FAULTS,
+    GATEWAY_FAULTS,
+    Scenario,
+    ScenarioEngine,
+    ScenarioFault,
+)
 from .faults import SLICE, FleetNetwork, go_on, limit_files, lose_disk, slow_disk
 from .fronts import LEASE, front_file
-from .processes import Child, port_of_engine, ports_of_front
+from .processes import Child, engine_port, gateway_ports
 
 START_WITHIN = 20_000.0  # milliseconds for all processes to tell their ports
 FAULTS = {
@@ -52,7 +60,7 @@
 
 @dataclass(eq=False)
 class EngineHandle:
-    place: Place
+    place: ScenarioEngine
     port: int = 0
     child: Child | None = None
     starts: int = 0
@@ -83,7 +91,7 @@
         self.registry = Registry(
             self.reactor, Journal(folder / "registry.jsonl", "registry"), day.list_late, day.ask, day.seed
         )
-        self.engines = {place.id: EngineHandle(place) for place in day.places}
+        self.engines = {place.id: EngineHandle(place) for place in day.engines}
         self.fronts = [
             FrontHandle(f"front-{at + 1}", at, day.zones[at % len(day.zones)]) for at in range(day.fronts)
         ]
@@ -91,7 +99,7 @@
         if day.fleet:
             zones = {one.name: one.zone for one in self.fronts}
             self.network = FleetNetwork(self.reactor, day, folder, zones)
-            self.registry.way = self.network.way
+            self.registry.rewrite_endpoint = self.network.way
         self.clients: Child | None = None
         self.start = 0.0
         self.error: Exception | None = None
@@ -105,7 +113,7 @@
         if self.error:
             raise self.error
         records = load(self.folder)
-        told = summary(records, figures_of(self.day))
+        told = summary(records, rule_parameters(self.day))
         if self.network:
             self.network.net.close()
             told["fleet"] = fleet_summary(records, LEASE, self.day.slack)
@@ -135,10 +143,10 @@
     def _start_engine(self, handle: EngineHandle, cold: bool) -> None:
         handle.starts += 1
         path = self.folder / f"engine-{handle.place.id}.jsonl"
-        spec = spec_of(self.day, handle.place, str(path), handle.port, cold, handle.starts)
+        spec = engine_spec(self.day, handle.place, str(path), handle.port, cold, handle.starts)
 
         def line(text: bytes) -> None:
-            port = port_of_engine(text)
+            port = engine_port(text)
             if port is not None:
                 handle.port = port
                 handle.pool = handle.pool or client.Pool(
@@ -226,13 +234,13 @@
         def line(text: bytes) -> None:
             if self.network and b'"peers"' in text and b'"fleet"' in text:
                 self.network.front_up(front.name, msgspec.json.decode(text))
-            ports = ports_of_front(text)
+            ports = gateway_ports(text)
             if ports:
                 front.port, front.watch = ports
                 if not self.start and all(one.port for one in self.fronts):
                     self._open()
 
-        clocked = any(trouble.kind in OF_CLOCKS for trouble in self.day.troubles)
+        clocked = any(trouble.kind in CLOCK_FAULTS for trouble in self.day.faults)
         start = ["worksmux.fault_trial.clocked", str(self._clock(front))] if clocked else ["worksmux"]
         child = Child(
             self.reactor,
@@ -284,8 +292,8 @@
                     one.request_class,
                     one.how,
                 )
-                for one in day.troubles
-                if one.kind in OF_CLIENTS
+                for one in day.faults
+                if one.kind in CLIENT_FAULTS
             ],
             day.retries,
             day.wait,
@@ -302,7 +310,7 @@
             lambda _: None,
             self._clients_ended,
         )
-        for trouble in day.troubles:
+        for trouble in day.faults:
             self.reactor.callLater((self.start + trouble.at - clock.now()) / 1000, self._strike, trouble)
         self.reactor.callLater((day.length + day.settle + 1000) / 1000, self._fail_late)
         self.reactor.callLater(5, self._progress)
@@ -348,14 +356,14 @@
 
     # Troubles.
 
-    def _strike(self, trouble: Trouble) -> None:
+    def _strike(self, trouble: ScenarioFault) -> None:
         if self.ending:
             return
-        if trouble.kind in OF_CLIENTS:
+        if trouble.kind in CLIENT_FAULTS:
             self.say(f"      {trouble.kind} for {trouble.length / 1000:g} s")
             return
-        if trouble.kind in OF_FRONTS:
-            names = struck_fronts(trouble, [front.name for front in self.fronts], self.chance)
+        if trouble.kind in GATEWAY_FAULTS:
+            names = select_gateways(trouble, [front.name for front in self.fronts], self.chance)
             self.say(f"      {trouble.kind}: {', '.join(names)}")
             for at, front in enumerate(front for front in self.fronts if front.name in names):
                 after = at * trouble.every / 1000 if trouble.kind == "front-roll" else 0.0
@@ -367,10 +375,10 @@
             if self.network:
                 self.network.cut(trouble)
             return
-        if trouble.kind in OF_THE_LIST:
+        if trouble.kind in ENDPOINT_LIST_FAULTS:
             self.say(f"      {trouble.kind}")
             return self._list_trouble(trouble)
-        places = struck(self.day, trouble, self.chance)
+        places = select_engines(self.day, trouble, self.chance)
         self.say(f"      {trouble.kind}: {', '.join(place.id for place in places)}")
         self.journal.note("trouble", kind=trouble.kind, engines=[place.id for place in places])
         for place in places:
@@ -380,10 +388,10 @@
                 if front.zone == trouble.zone:
                     self._front_down(front, trouble)
 
-    def _front_down(self, front: FrontHandle, trouble: Trouble) -> None:
+    def _front_down(self, front: FrontHandle, trouble: ScenarioFault) -> None:
         if self.ending:
             return
-        if trouble.kind in OF_CLOCKS:
+        if trouble.kind in CLOCK_FAULTS:
             step, rate = (trouble.every, 1.0) if trouble.kind == "clock-step" else (0.0, trouble.factor)
             self._clock(front).write_text(f"{step} {rate}", encoding="ascii")
             self.reactor.callLater(trouble.length / 1000, self._clock(front).write_text, "0 1")
@@ -400,7 +408,7 @@
         """What says how wrong the clocks of a front are."""
         return self.folder / f"{front.name}.clock"
 
-    def _hamper(self, front: FrontHandle, trouble: Trouble) -> None:
+    def _hamper(self, front: FrontHandle, trouble: ScenarioFault) -> None:
         """A front whose process goes on, or will."""
         child = front.child
         if child is None or not child.alive:
@@ -430,18 +438,18 @@
         else:
             self._start_front(front)
 
-    def _list_trouble(self, trouble: Trouble) -> None:
+    def _list_trouble(self, trouble: ScenarioFault) -> None:
         match trouble.kind:
             case "list-stale":
-                self.registry.extra = trouble.factor * 1000
-                self.reactor.callLater(trouble.length / 1000, setattr, self.registry, "extra", 0.0)
+                self.registry.extra_delay_ms = trouble.factor * 1000
+                self.reactor.callLater(trouble.length / 1000, setattr, self.registry, "extra_delay_ms", 0.0)
             case "list-lost":
-                self.registry.cut()
-                self.reactor.callLater(trouble.length / 1000, self.registry.back)
+                self.registry.go_offline()
+                self.reactor.callLater(trouble.length / 1000, self.registry.go_online)
             case "list-gap":
-                self.registry.skip += max(1, int(trouble.factor))
+                self.registry.changes_to_drop += max(1, int(trouble.factor))
 
-    def _strike_engine(self, trouble: Trouble, handle: EngineHandle) -> None:
+    def _strike_engine(self, trouble: ScenarioFault, handle: EngineHandle) -> None:
         later = self.reactor.callLater
         match trouble.kind:
             case "zone-loss" if trouble.how == "silent":
@@ -471,12 +479,12 @@
             case kind:
                 self._fault(handle, trouble, FAULTS[kind])
 
-    def _fault(self, handle: EngineHandle, trouble: Trouble, name: str) -> None:
+    def _fault(self, handle: EngineHandle, trouble: ScenarioFault, name: str) -> None:
         fault = Fault(name, True, trouble.share, trouble.factor, trouble.request_class)
         self._control(handle, fault)
         self.reactor.callLater(trouble.length / 1000, self._control, handle, Fault(name, on=False))
 
-    def _neighbour(self, handle: EngineHandle, trouble: Trouble, until: float, on: bool) -> None:
+    def _neighbour(self, handle: EngineHandle, trouble: ScenarioFault, until: float, on: bool) -> None:
         over = clock.now() >= until
         self._control(handle, Fault("neighbour", on and not over, trouble.share))
         if not over and not self.ending:
--- a/worksmux/fault_trial/small.py
+++ b/worksmux/fault_trial/small.py
@@ -141,21 +141,21 @@
         self.registry.start()
         self.engines: list[EngineProcess] = []
         for kind, cell in engines:
-            self.add(kind, cell)
+            self.add_engine(kind, cell)
         self.fronts: list[GatewayProcess] = []
         self.clients: Clients | None = None
         self.failed: BaseException | None = None
 
-    def add(self, kind: str, cell: int = 0, cold: bool = False, listed: bool = True) -> EngineProcess:
+    def add_engine(self, kind: str, cell: int = 0, cold: bool = False, listed: bool = True) -> EngineProcess:
         spec = small_spec(self.folder, f"e{len(self.engines)}", kind, "north", cell, cold)
         engine = EngineProcess(msgspec.structs.replace(spec, **self.spec), self.reactor)
         engine.start()
         self.engines.append(engine)
         if listed:
-            self.list(engine, "ready", clock.wall() if cold else 0.0)
+            self.announce(engine, "ready", clock.wall() if cold else 0.0)
         return engine
 
-    def list(self, engine: EngineProcess, state: Any, started: float = 0.0) -> None:
+    def announce(self, engine: EngineProcess, state: Any, started: float = 0.0) -> None:
         self.registry.change(list_entry(engine, state, started), at_once=True)
 
     def settings(self) -> FrontSettings:
@@ -167,7 +167,7 @@
         self.fronts.append(front)
         return front
 
-    def fault(self, engine: EngineProcess, name: str, on: bool = True, **more: Any) -> None:
+    def inject_fault(self, engine: EngineProcess, name: str, on: bool = True, **more: Any) -> None:
         pool = client.Pool(self.reactor, "127.0.0.1", engine.port, 500.0, 100.0, 0, 65_536)
         body = msgspec.json.encode(Fault(name, on, **more))
         pool.call("POST", calls.CONTROL, client.BufferedResponse(65_536, lambda *_: None), (), body)
@@ -176,7 +176,7 @@
         """Runs `call` that long after the clients' start."""
         self.reactor.callLater((ms + 200) / 1000, call, *args)
 
-    def day(
+    def run_clients(
         self,
         request_class: str = "hint",
         length: float = 1500.0,
@@ -226,7 +226,7 @@
         if self.failed:
             raise self.failed
 
-    def ask(
+    def send_request(
         self,
         body: bytes,
         on_end: Callable[[int, dict[str, str], bytes, Any], None],
--- a/worksmux/scenarios/engines.py
+++ b/worksmux/scenarios/engines.py
@@ -5,15 +5,17 @@
 import random
 
 from ..fakes.generator import Spec
-from .scenario import Place, Scenario, Trouble
+from .scenario import Scenario, ScenarioEngine, ScenarioFault
 
 
-def spec_of(day: Scenario, place: Place, journal: str, port: int, cold: bool, starts: int) -> Spec:
+def engine_spec(
+    day: Scenario, place: ScenarioEngine, journal: str, port: int, cold: bool, starts: int
+) -> Spec:
     """The stand-in at `place`; its capacity is reckoned from the day's mean job, for falling over when
     cold."""
     machine = day.machines[place.kind]
     kind = next(kind for kind in day.kinds if kind.name == place.kind)
-    readers = sum(other.cell == place.cell and other.kind == place.kind for other in day.places)
+    readers = sum(other.cell == place.cell and other.kind == place.kind for other in day.engines)
     return Spec(
         place.id,
         place.kind,
@@ -38,16 +40,16 @@
         cold=cold,
         journal=journal,
         port=port,
-        seed=day.seed * 7919 + hash_of(place.id) + starts,
+        seed=day.seed * 7919 + name_hash(place.id) + starts,
         tokenizer=next(iter(day.tokenizers.values()), ""),
     )
 
 
-def hash_of(name: str) -> int:
+def name_hash(name: str) -> int:
     return sum((at + 1) * byte for at, byte in enumerate(name.encode()))
 
 
-def capacity(day: Scenario, place: Place) -> float:
+def capacity(day: Scenario, place: ScenarioEngine) -> float:
     """Jobs a second that an engine of this kind can carry when warm."""
     machine = day.machines[place.kind]
     role = next(kind.role for kind in day.kinds if kind.name == place.kind)
@@ -76,13 +78,13 @@
     return {"read": reads, "write": writes}.get(role, 1 / (1 / max(reads, 1e-9) + 1 / writes))
 
 
-def struck(day: Scenario, trouble: Trouble, chance: random.Random) -> list[Place]:
+def select_engines(day: Scenario, trouble: ScenarioFault, chance: random.Random) -> list[ScenarioEngine]:
     """The engines that a trouble strikes: those it names or describes, and of these its part, at least
     one."""
     roles = {kind.name: kind.role for kind in day.kinds}
     able = [
         place
-        for place in day.places
+        for place in day.engines
         if (not trouble.names or place.id in trouble.names)
         and (not trouble.role or roles[place.kind] == trouble.role)
         and (not trouble.zone or place.zone == trouble.zone)
@@ -94,6 +96,6 @@
     return sorted(chance.sample(able, max(1, round(trouble.part * len(able)))), key=lambda place: place.id)
 
 
-def struck_fronts(trouble: Trouble, fronts: list[str], chance: random.Random) -> list[str]:
+def select_gateways(trouble: ScenarioFault, fronts: list[str], chance: random.Random) -> list[str]:
     able = [name for name in fronts if not trouble.names or name in trouble.names]
     return chance.sample(able, max(1, round((trouble.part or 1.0) * len(able)))) if able else []
--- a/worksmux/scenarios/figures.py
+++ b/worksmux/scenarios/figures.py
@@ -6,7 +6,7 @@
 from .scenario import Scenario
 
 
-def figures_of(day: Scenario) -> Figures:
+def rule_parameters(day: Scenario) -> Figures:
     return Figures(
         day.rules["answer_slack"],
         day.rules["drain_grace"],
--- a/worksmux/scenarios/scenario.py
+++ b/worksmux/scenarios/scenario.py
@@ -20,7 +20,7 @@
     read_transport,
 )
 
-KINDS_OF_TROUBLE = {
+FAULT_KINDS = {
     "crash": "processes die and come back cold",
     "vanish": "processes die and stay away",
     "hang": "take jobs and answer none",
@@ -56,8 +56,8 @@
     "heavy-tail": "some prompts are far longer",
     "give-up": "clients come with little time left",
 }
-OF_CLIENTS = frozenset({"burst", "flood", "storm", "hot-beginning", "heavy-tail", "give-up"})
-OF_FRONTS = frozenset(
+CLIENT_FAULTS = frozenset({"burst", "flood", "storm", "hot-beginning", "heavy-tail", "give-up"})
+GATEWAY_FAULTS = frozenset(
     {
         "front-crash",
         "front-roll",
@@ -69,9 +69,9 @@
         "clock-drift",
     }
 )
-OF_CLOCKS = frozenset({"clock-step", "clock-drift"})
+CLOCK_FAULTS = frozenset({"clock-step", "clock-drift"})
 CUTS = ["", "both", "in", "out", "silent", "reset"]
-OF_THE_LIST = frozenset({"list-stale", "list-lost", "list-gap"})
+ENDPOINT_LIST_FAULTS = frozenset({"list-stale", "list-lost", "list-gap"})
 
 
 @dataclass(frozen=True)
@@ -104,7 +104,7 @@
 
 
 @dataclass(frozen=True)
-class Place:
+class ScenarioEngine:
     """One engine of the day."""
 
     id: str
@@ -114,7 +114,7 @@
 
 
 @dataclass(frozen=True)
-class Trouble:
+class ScenarioFault:
     """One trouble: when, whom it strikes and how hard; times in milliseconds."""
 
     kind: str
@@ -148,7 +148,7 @@
     traffic: list[Traffic]
     kinds: list[shared.Kind]
     machines: dict[str, Machine]
-    places: list[Place]
+    engines: list[ScenarioEngine]
     near: float
     far: float
     zone_slower: float
@@ -163,7 +163,7 @@
     notice: float
     list_late: tuple[float, float]
     ask: bool
-    troubles: list[Trouble]
+    faults: list[ScenarioFault]
     rules: dict[str, float]
     limits: dict[str, Any]
     prices: dict[str, float]
@@ -242,7 +242,7 @@
     return found
 
 
-def _places(root: Section, zones: list[str], machines: dict[str, Machine]) -> list[Place]:
+def _places(root: Section, zones: list[str], machines: dict[str, Machine]) -> list[ScenarioEngine]:
     found = []
     for number, node in enumerate(root.all("cell")):
         name, zone = node.title(), node.choice("zone", zones)
@@ -255,14 +255,16 @@
                 group.complain('engines: expected a kind and how many, such as engines "decode" 2')
                 continue
             kind, count = str(group.args[0]), int(group.args[1])
-            found += [Place(f"{name}-{kind}-{at + 1}", kind, zone, number) for at in range(count)]
+            found += [ScenarioEngine(f"{name}-{kind}-{at + 1}", kind, zone, number) for at in range(count)]
         node.end()
     if not found:
         root.complain("no engine; add sections cell with engines")
     return found
 
 
-def _troubles(root: Section, scenario_zones: list[str], cells: int, regions: dict[str, str]) -> list[Trouble]:
+def _troubles(
+    root: Section, scenario_zones: list[str], cells: int, regions: dict[str, str]
+) -> list[ScenarioFault]:
     found = []
     for node in root.all("trouble"):
         kind = node.title()
@@ -276,11 +278,11 @@
                 )
         else:
             how = node.value("how", str, "", "")
-        if kind not in KINDS_OF_TROUBLE:
-            node.complain(f'unknown trouble "{kind}"; known: {", ".join(sorted(KINDS_OF_TROUBLE))}')
+        if kind not in FAULT_KINDS:
+            node.complain(f'unknown trouble "{kind}"; known: {", ".join(sorted(FAULT_KINDS))}')
         names = tuple(node.texts("names")) if "names" in node.props or node.maybe("names") else ()
         found.append(
-            Trouble(
+            ScenarioFault(
                 kind,
                 node.time("at"),
                 node.time("for", 1000.0),
--- a/worksmux/simulation/clients.py
+++ b/worksmux/simulation/clients.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from ..scenarios.scenario import Scenario, Traffic, Trouble
+from ..scenarios.scenario import Scenario, ScenarioFault, Traffic
 from ..settings.shared import RequestClass
 from .engine import Note
 from .front import Ask, ModelFront
@@ -79,10 +79,10 @@
     def _between(self, span: tuple[float, float]) -> float:
         return self.chance.uniform(*span)
 
-    def _burst(self, kind: str) -> Trouble | None:
+    def _burst(self, kind: str) -> ScenarioFault | None:
         past = self.sim.now - self.start
         return next(
-            (one for one in self.day.troubles if one.kind == kind and one.at <= past < one.at + one.length),
+            (one for one in self.day.faults if one.kind == kind and one.at <= past < one.at + one.length),
             None,
         )
 
--- a/worksmux/simulation/conductor.py
+++ b/worksmux/simulation/conductor.py
@@ -114,7 +114,7 @@
         """Zones by the engines that live; what is let in by a ramp that was the best of many in hindsight."""
         now, day = self.model.sim.now, self.day
         up = dict.fromkeys(day.zones, 0.0)
-        for place in day.places:
+        for place in day.engines:
             engine = self.model.engines[place.id]
             if engine.alive and not engine.hanging:
                 up[place.zone] += engine.warmth()
--- a/worksmux/simulation/day.py
+++ b/worksmux/simulation/day.py
@@ -27,8 +27,15 @@
 from ..endpoints.staleness import CachedEndpointList, StoredEndpoint, Turnover
 from ..errors import WorksmuxError
 from ..policy.id_map import PolicyFactory
-from ..scenarios.engines import spec_of, struck, struck_fronts
-from ..scenarios.scenario import OF_CLIENTS, OF_FRONTS, OF_THE_LIST, Place, Scenario, Trouble
+from ..scenarios.engines import engine_spec, select_engines, select_gateways
+from ..scenarios.scenario import (
+    CLIENT_FAULTS,
+    ENDPOINT_LIST_FAULTS,
+    GATEWAY_FAULTS,
+    Scenario,
+    ScenarioEngine,
+    ScenarioFault,
+)
 from .clients import Clients
 from .engine import ModelEngine
 from .front import ModelFront
@@ -51,8 +58,8 @@
             "front-roll",
         }
     )
-    | OF_CLIENTS
-    | OF_THE_LIST
+    | CLIENT_FAULTS
+    | ENDPOINT_LIST_FAULTS
 )
 EPOCH = 1e9  # where simulated time starts, so that older times are positive
 
@@ -142,7 +149,7 @@
         remembered: Callable[[int], Remembered] | None = None,
         built: Callable[[Model], None] | None = None,
     ) -> None:
-        for trouble in day.troubles:
+        for trouble in day.faults:
             if trouble.kind not in PLAYED:
                 raise UnsupportedScenarioError(
                     f'line {trouble.line}: the model does not play "{trouble.kind}"; '
@@ -159,7 +166,7 @@
         self.saved: list[Remembered | None] = [None] * day.fronts
         self.remembered = remembered
         self.registry = Registry(self)
-        for place in day.places:
+        for place in day.engines:
             self.start_engine(place, cold=False)
         if built is not None:
             built(self)
@@ -171,21 +178,21 @@
 
     # Engines.
 
-    def start_engine(self, place: Place, cold: bool) -> ModelEngine:
+    def start_engine(self, place: ScenarioEngine, cold: bool) -> ModelEngine:
         number = self.starts[place.id] = self.starts.get(place.id, 0) + 1
-        spec = spec_of(self.day, place, "", 0, cold, number)
+        spec = engine_spec(self.day, place, "", 0, cold, number)
         engine = ModelEngine(self.sim, spec, self.note, HOP, self.sim.now if cold else None)
         self.engines[place.id] = engine
         self.tell(place, "ready", at_once=not cold)
         return engine
 
-    def tell(self, place: Place, state: Any, at_once: bool = False) -> None:
+    def tell(self, place: ScenarioEngine, state: Any, at_once: bool = False) -> None:
         started = self.engines[place.id].started or 0.0
         self.registry.change(
             Line(place.id, "", 0, place.kind, state, place.zone, place.cell, 1.0, started), at_once
         )
 
-    def kill(self, place: Place) -> None:
+    def kill(self, place: ScenarioEngine) -> None:
         engine = self.engines[place.id]
         if engine.alive:
             engine.die()
@@ -274,8 +281,8 @@
         self.sim.run(EPOCH + 1000.0)
         self.note("runner", "day", name=self.day.name, start=self.sim.now, policy=self.day.policy)
         start = self.sim.now
-        for trouble in self.day.troubles:
-            if trouble.kind not in OF_CLIENTS:
+        for trouble in self.day.faults:
+            if trouble.kind not in CLIENT_FAULTS:
                 self.sim.after(trouble.at, self._strike, trouble)
         self.clients.begin()
         self.sim.run(start + self.day.length)
@@ -285,10 +292,10 @@
         self.sim.run(self.sim.now + 1000.0)
         return gather(self.lines) if self.lines is not None else None
 
-    def _strike(self, trouble: Trouble) -> None:
-        if trouble.kind in OF_FRONTS:
+    def _strike(self, trouble: ScenarioFault) -> None:
+        if trouble.kind in GATEWAY_FAULTS:
             names = {f"front-{at + 1}": at for at in range(self.day.fronts)}
-            for order, name in enumerate(struck_fronts(trouble, list(names), self.chance)):
+            for order, name in enumerate(select_gateways(trouble, list(names), self.chance)):
                 after = order * trouble.every if trouble.kind == "front-roll" else 0.0
                 self.sim.after(after, self.kill_front, names[name])
                 self.sim.after(after + trouble.length, self.start_front, names[name])
@@ -301,10 +308,10 @@
         elif trouble.kind == "list-gap":
             self.registry.skip = 1
         else:
-            for order, place in enumerate(struck(self.day, trouble, self.chance)):
+            for order, place in enumerate(select_engines(self.day, trouble, self.chance)):
                 self._strike_engine(trouble, place, order)
 
-    def _strike_engine(self, trouble: Trouble, place: Place, order: int) -> None:
+    def _strike_engine(self, trouble: ScenarioFault, place: ScenarioEngine, order: int) -> None:
         engine, after = self.engines[place.id], self.sim.after
         match trouble.kind:
             case "crash" | "zone-loss":
@@ -331,5 +338,5 @@
                 engine.failing[name] = trouble.share
                 after(trouble.length, engine.failing.pop, name, None)
 
-    def _back(self, place: Place) -> None:
+    def _back(self, place: ScenarioEngine) -> None:
         self.start_engine(place, cold=True)
--- a/worksmux/simulation/peers.py
+++ b/worksmux/simulation/peers.py
@@ -9,7 +9,7 @@
 from ..gossip.outputs import Event, MemberChanged, Superseded
 from ..gossip.swim import Swim
 from ..policy.hashing import mix
-from ..scenarios.engines import hash_of
+from ..scenarios.engines import name_hash
 from .sim import Sim, Timer
 from .wire import Weather, Wire
 
@@ -20,7 +20,7 @@
     def __init__(self, world: World, name: str, life: int, seeds: list[str], address: str = "") -> None:
         self.world, self.name, self.address = world, name, address or name
         me = MembershipUpdate(name, life, 0, MemberState.ALIVE, self.address, world.zone_of(name), "")
-        self.swim = Swim(me, seeds, world.period, mix(world.seed, hash_of(name) + life), world.sim.now)
+        self.swim = Swim(me, seeds, world.period, mix(world.seed, name_hash(name) + life), world.sim.now)
         self.facts: list[tuple[float, Event]] = []
         self.timer: Timer | None = None
         self.frozen = False
@@ -96,7 +96,7 @@
         self.told: list[tuple[float, str, MemberChanged]] = []
 
     def zone_of(self, name: str) -> str:
-        return f"z{hash_of(name) % self.zones}"
+        return f"z{name_hash(name) % self.zones}"
 
     def start(self, name: str, life: int = 1, seeds: list[str] | None = None, address: str = "") -> Peer:
         peer = Peer(self, name, life, ["f0", "f1"] if seeds is None else seeds, address)
