--- a/tests/test_engine_index.py
+++ b/tests/test_engine_index.py
@@ -10,7 +10,7 @@
 
 from worksmux.policy.hashing import mix
 from worksmux.policy.rendezvous import LEAF_ENGINES, RankedEngines, rank
-from worksmux.policy.round_robin import MAX_TURN_LOOKS, RoundRobin
+from worksmux.policy.round_robin import MAX_ENGINES_PER_SEARCH, RoundRobin
 from worksmux.policy.slow_start import BUDGET_SHARE, SlowStart
 from worksmux.policy.state import Engine
 
@@ -37,7 +37,7 @@
     ranking = RankedEngines(many).ranked(KEYS[0])
     assert len(ranking) == 1500
     assert sorted(engine.key for engine in ranking) == [engine.key for engine in many]
-    assert ranking.part(0, 5) == list(ranking)[:5]
+    assert ranking.ranked_slice(0, 5) == list(ranking)[:5]
 
 
 def test_first_engine_of_many_is_chosen_by_weight() -> None:
@@ -62,7 +62,7 @@
 
 
 def test_round_robin_search_goes_on_where_one_in_vain_stopped() -> None:
-    many = engines(4 * MAX_TURN_LOOKS)
+    many = engines(4 * MAX_ENGINES_PER_SEARCH)
     for at, engine in enumerate(many):
         engine.last_turn = float(at)
     round_robin, last, looks = RoundRobin(many), many[-1], 0
@@ -78,7 +78,7 @@
 
 
 def test_round_robin_search_begins_again_a_while_after_one_in_vain() -> None:
-    many = engines(2 * MAX_TURN_LOOKS)
+    many = engines(2 * MAX_ENGINES_PER_SEARCH)
     for at, engine in enumerate(many):
         engine.last_turn = float(at)
     round_robin = RoundRobin(many)
--- a/tests/test_policy_load_estimates.py
+++ b/tests/test_policy_load_estimates.py
@@ -17,7 +17,7 @@
     router.probing.enabled = True
     for number, (time, kept) in enumerate([(80.0, 200), (10.0, 950), (15.0, 900)], 1):
         attempt = Attempt(request(number), prefill_engine, 0, NOW, True, prefill_tokens=1000.0)
-        router._learn(AttemptEnded(attempt, Outcome.PREFILLED, time, False, kept))
+        router._record_outcome(AttemptEnded(attempt, Outcome.PREFILLED, time, False, kept))
     router.decide(NOW, [])
     assert router.estimates.best_prefill_ms_per_token == 0.1  # 80 ms for 800 tokens
     uncached = Attempt(request(4), prefill_engine, 0, NOW, True, prefill_tokens=1000.0)
--- a/tests/test_policy_outlier_detection.py
+++ b/tests/test_policy_outlier_detection.py
@@ -21,10 +21,10 @@
         decode_engine.failures.add(NOW, 1.0, 2.0)
         router.outliers.failed[decode_engine] = None
     attempt = Attempt(request(), decode_engines[0], 0, NOW)
-    router._learn(AttemptEnded(attempt, Outcome.RESET, 5.0, False))
+    router._record_outcome(AttemptEnded(attempt, Outcome.RESET, 5.0, False))
     assert router.outliers.is_healthy(decode_engines[0], 0)
     for _ in range(2):  # now it is an outlier
-        router._learn(AttemptEnded(attempt, Outcome.RESET, 5.0, False))
+        router._record_outcome(AttemptEnded(attempt, Outcome.RESET, 5.0, False))
     assert not router.outliers.is_healthy(decode_engines[0], 0)
 
 
--- a/worksmux/baselines/__init__.py
+++ b/worksmux/baselines/__init__.py
@@ -1,4 +1,4 @@
-"""Policies to compare the router with, behind the same entry point."""
+"""Baseline policies to compare the router with, behind the same entry point."""
 
 from __future__ import annotations
 
--- a/worksmux/baselines/plain.py
+++ b/worksmux/baselines/plain.py
@@ -1,8 +1,7 @@
-"""Baseline policies: an engine by chance, in turn, or with the fewest attempts of this node.
+"""Baseline policies: a random engine, round-robin, or the engine with the fewest attempts of this node.
 
-They keep the rules as far as a node can that does not watch engines: drains, idempotence, one answer in time,
-KV cache released, and a cold engine's budget by staying away from it while another of its role is warm.
-Times are milliseconds.
+They keep the rules as far as a node can that does not monitor engines: they respect draining and idempotence,
+answer once and in time, and release KV cache.  A cold engine gets no request.  Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -30,53 +29,55 @@
 from ..policy.settings import IDEMPOTENT, ROLE_COMBINED, ROLE_DECODE, ROLE_PREFILL, PolicySettings
 from ..policy.state import GONE, READY, Attempt, Engine, Outcome, Request
 
-ROUNDS_PER_RELEASE = 6  # decision rounds, while a request waits, within the limit for held KV cache
+ROUNDS_PER_RELEASE = 6  # decision rounds within the limit for held KV cache while a request waits
 ROUND_TIMER = 0
 
 
 class BaselinePolicy:
-    """What the baselines share; a subclass picks one engine of several."""
+    """Base of the baselines; a subclass picks one engine of several."""
 
     def __init__(self, settings: PolicySettings, seed: int) -> None:
-        self.settings, self.chance = settings, RandomSource(seed)
+        self.settings, self.random_source = settings, RandomSource(seed)
         self.engines: dict[Engine, None] = {}
-        self.requests: dict[Request, None] = {}  # unanswered, with no attempt in flight
+        self.waiting: dict[Request, None] = {}  # not ended, with no attempt in flight
         self.now = 0.0
         self.timer_set = False
         self.actions: list[Action] = [WatchEndpoints(True)] if settings.polls_endpoint_list else []
 
     def pick(self, engines: list[Engine]) -> Engine:
+        """Picks the engine for an attempt."""
         raise NotImplementedError
 
     def decide(self, now: float, events: list[Event]) -> list[Action]:
+        """Runs one decision round on events in order; returns actions in order."""
         self.now = now
         for event in events:
-            self._handle(event)
-        for request in list(self.requests):
+            self._handle_event(event)
+        for request in list(self.waiting):
             self._forward(request)
-        if self.requests and not self.timer_set:
+        if self.waiting and not self.timer_set:
             self.timer_set = True
             self.actions.append(SetTimer(self.settings.release_within_ms / ROUNDS_PER_RELEASE, ROUND_TIMER))
         actions, self.actions = self.actions, []
         return actions
 
-    def _handle(self, event: Event) -> None:
+    def _handle_event(self, event: Event) -> None:
         match event:
             case RequestArrived(request):
-                self.requests[request] = None
+                self.waiting[request] = None
             case FirstToken(attempt, _):
                 attempt.first_token_at = self.now
                 attempt.request.streaming, attempt.request.kv_holder = True, None
             case AttemptEnded():
-                self._ended(event)
+                self._on_attempt_ended(event)
             case ClientDisconnected(request):
-                self._drop(request)
+                self._abandon(request)
             case TimerFired():
                 self.timer_set = False
             case EndpointListUpdate():
-                self._list(event)
+                self._on_endpoint_list(event)
 
-    def _list(self, event: EndpointListUpdate) -> None:
+    def _on_endpoint_list(self, event: EndpointListUpdate) -> None:
         if event.scope == "failed":
             return
         if event.scope != "delta":
@@ -89,7 +90,7 @@
             engine.zone, engine.cell, engine.kind = entry.zone, entry.cell, entry.kind
             engine.role = self.settings.engine_roles[entry.kind]
 
-    def _ended(self, event: AttemptEnded) -> None:
+    def _on_attempt_ended(self, event: AttemptEnded) -> None:
         attempt, request = event.attempt, event.attempt.request
         attempt.outcome = event.outcome
         attempt.engine.attempts.pop(attempt, None)
@@ -100,18 +101,18 @@
                 self.actions.append(ReleaseKvCache(request))
         elif event.outcome is Outcome.PREFILLED:
             request.kv_holder, request.kv_held_since = attempt.engine, self.now
-            self.requests[request] = None
+            self.waiting[request] = None
         else:
             if request.kv_holder and event.outcome is Outcome.FULL and not event.kv_cache_lost:
                 request.kv_held_since = self.now
             else:
                 request.kv_holder = None
                 self.actions.append(ReleaseKvCache(request))
-            self.requests[request] = None
+            self.waiting[request] = None
 
-    def _drop(self, request: Request) -> None:
+    def _abandon(self, request: Request) -> None:
         request.ended = True
-        self.requests.pop(request, None)
+        self.waiting.pop(request, None)
         for attempt in request.in_flight:
             if self.settings.may_cancel and not attempt.first_token_at and not attempt.cancel_requested:
                 attempt.cancel_requested = True
@@ -124,15 +125,15 @@
         return not request.possibly_executed or effect == IDEMPOTENT
 
     def _forward(self, request: Request) -> None:
-        """Ends the request, or sends it if an engine is warm; else it waits."""
+        """Ends the request, or sends it to a warm engine; without a warm engine it waits."""
         if self._must_end(request):
             may_retry = self._may_retry(request)
             self.actions.append(RejectRequest(request) if may_retry else AbortRequest(request))
-            self._drop(request)
+            self._abandon(request)
             return
-        warm = self._warm_engines(request)
-        if warm:
-            self._send(request, self.pick(warm))
+        warm_engines = self._warm_engines(request)
+        if warm_engines:
+            self._send(request, self.pick(warm_engines))
         elif request.kv_holder and self.now > request.kv_held_since + self.settings.release_within_ms / 2:
             request.kv_holder = None
             self.actions.append(ReleaseKvCache(request))
@@ -157,33 +158,36 @@
         attempt = Attempt(request, engine, len(request.attempts), self.now, is_prefill)
         request.attempts.append(attempt)
         engine.attempts[attempt] = None
-        del self.requests[request]
+        del self.waiting[request]
         self.actions.append(StartAttempt(attempt))
 
 
 class RandomEngine(BaselinePolicy):
-    """Any engine of the role, by chance."""
+    """Picks a random engine of the role."""
 
     def pick(self, engines: list[Engine]) -> Engine:
-        return engines[int(self.chance.share() * len(engines))]
+        """Picks by chance."""
+        return engines[int(self.random_source.share() * len(engines))]
 
 
 class RoundRobin(BaselinePolicy):
-    """The engine whose last turn was longest ago; no window."""
+    """Round-robin over all engines of the role, without a limit on attempts in flight."""
 
-    turns = 0
+    turn_count = 0
 
     def pick(self, engines: list[Engine]) -> Engine:
-        self.turns += 1
+        """Picks the engine chosen longest ago and moves it to the end of the order."""
+        self.turn_count += 1
         engine = min(engines, key=lambda engine: engine.last_turn)
-        engine.last_turn = self.turns
+        engine.last_turn = self.turn_count
         return engine
 
 
 class LeastInFlight(BaselinePolicy):
-    """The engine with the fewest attempts of this node in flight; chance decides between equals."""
+    """Picks the engine with the fewest attempts of this node in flight, a random one of equals."""
 
     def pick(self, engines: list[Engine]) -> Engine:
+        """Picks by this node's own attempts alone."""
         fewest = min(len(engine.attempts) for engine in engines)
-        able = [engine for engine in engines if len(engine.attempts) == fewest]
-        return able[int(self.chance.share() * len(able))]
+        candidates = [engine for engine in engines if len(engine.attempts) == fewest]
+        return candidates[int(self.random_source.share() * len(candidates))]
--- a/worksmux/bench_adapter/__init__.py
+++ b/worksmux/bench_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's wire: codec, translation into our terms, instances, main loop.  No decision."""
+"""Runs policies under the bench: wire codec, mapping to events and actions, main loop; no decisions."""
--- a/worksmux/bench_adapter/__main__.py
+++ b/worksmux/bench_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Reads batches from standard input and answers each on standard output, for many instances at once."""
+"""Reads batches of events from standard input and writes a reply to each, for many instances at once."""
 
 from __future__ import annotations
 
@@ -10,20 +10,22 @@
 from .instance import Instance
 
 
-def answer(instances: dict[int, Instance], now: float, records: list[Record]) -> list[Record]:
-    """What all instances do about one batch; an instance's events keep their order."""
+def answer_batch(instances: dict[int, Instance], now: float, records: list[Record]) -> list[Record]:
+    """Returns the actions of all instances on one batch; the events of an instance keep their order."""
     replies: list[Record] = []
     pending: dict[int, list[Record]] = {}
 
     def flush(number: int) -> None:
-        if due := pending.pop(number, None):
+        if instance_records := pending.pop(number, None):
             if number not in instances:
-                raise WireError(f"{due[0].name} for instance {number}, which is not running")
+                raise WireError(
+                    f"record {instance_records[0].name!r} is for instance {number}, which is not running"
+                )
             try:
-                replies.extend(instances[number].decide(now, due))
+                replies.extend(instances[number].decide(now, instance_records))
             except WireError:
                 raise
-            except Exception:  # noqa: BLE001 - the wire has an action of its own for a failed module
+            except Exception:  # noqa: BLE001 - the wire reports a failed policy with an action
                 traceback.print_exc()
                 text = traceback.format_exc(limit=-3).encode()[-800:]
                 replies.append(Record("give_in", (number, text)))
@@ -44,16 +46,16 @@
 
 
 def main(source: BinaryIO, sink: BinaryIO) -> int:
-    """Serves until the input ends; gives the exit code, 1 for a broken wire."""
+    """Serves until the input ends; returns the exit code, 1 after a malformed frame or a closed output."""
     instances: dict[int, Instance] = {}
     number = None
     try:
         while batch := read_batch(source):
             number = batch.number
-            sink.write(write_reply(number, answer(instances, batch.now, batch.records)))
+            sink.write(write_reply(number, answer_batch(instances, batch.now, batch.records)))
             sink.flush()
     except WireError as error:
-        print(f"worksmux.bench_adapter: {error} (last whole batch: {number})", file=sys.stderr)
+        print(f"worksmux.bench_adapter: {error} (last complete batch: {number})", file=sys.stderr)
         return 1
     except BrokenPipeError:
         return 1
--- a/worksmux/bench_adapter/codec.py
+++ b/worksmux/bench_adapter/codec.py
@@ -1,6 +1,6 @@
-"""Frames of the bench's wire `tundra-a5ae`: bytes to records of plain values and back.
+"""Encodes and decodes frames of the bench's wire protocol `tundra-a5ae` as records of plain values.
 
-Records and their names are those of the wire; `instance` maps them to ours.
+Records carry the names of the wire; `instance` maps them to events and actions of the policy.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 ENTRY = struct.Struct("<fBBBdH6s")
 EVENT_SIZE, ACTION_SIZE = 64, 24
 
-# The fields of each record after its code, in the order of the wire page.
+# Fields of each record after its code, in the order of the protocol's description.
 EVENTS = {
-    code: (name, struct.Struct("<" + form))
-    for code, name, form in (
+    code: (name, struct.Struct("<" + layout))
+    for code, name, layout in (
         (1, "configure", "HQII"),
         (2, "sync", "HBQII"),
         (3, "req", "HIHIQddQfffB"),
@@ -33,8 +33,8 @@
     )
 }
 ACTIONS = {
-    name: (code, struct.Struct("<B" + form))
-    for code, name, form in (
+    name: (code, struct.Struct("<B" + layout))
+    for code, name, layout in (
         (1, "route", "HI6sd"),
         (2, "say_no", "HId"),
         (3, "finish_error", "HI"),
@@ -52,22 +52,30 @@
         (15, "drop_state", "HI"),
     )
 }
-WITH_TAIL = {"configure": 1, "note_from": 1, "sync": ENTRY.size, "tell": 1, "journal_line": 1, "give_in": 1}
+# Records with content in the tail of the frame, and the size of one unit of that content.
+TAIL_UNIT_BYTES = {
+    "configure": 1,
+    "note_from": 1,
+    "sync": ENTRY.size,
+    "tell": 1,
+    "journal_line": 1,
+    "give_in": 1,
+}
 
 
 class WireError(WorksmuxError):
-    """A frame that the wire does not allow; the text says what is wrong and where."""
+    """A frame violates the wire protocol."""
 
 
 class Record(NamedTuple):
-    """An event or an action."""
+    """An event or an action on the wire."""
 
     name: str
-    values: tuple[Any, ...]  # the last is the tail's bytes where the record has a tail
+    values: tuple[Any, ...]  # the last one is the content from the tail, if the record has any
 
 
 class Batch(NamedTuple):
-    """Records of all instances up to one moment, in milliseconds."""
+    """Records of all instances up to the time `now`, in milliseconds."""
 
     number: int
     now: float
@@ -75,49 +83,54 @@
 
 
 def read_batch(source: BinaryIO) -> Batch | None:
-    """The next batch, or None at the end of the input."""
+    """Reads the next batch; returns None at the end of the input."""
     header = source.read(HEADER.size)
     if not header:
         return None
     if len(header) < HEADER.size:
-        raise WireError(f"input ends after {len(header)} bytes of a batch header of {HEADER.size}")
+        raise WireError(f"input ends after {len(header)} bytes of a batch header, expected {HEADER.size}")
     count, size, now, number = HEADER.unpack(header)
     if size < HEADER.size + count * EVENT_SIZE:
-        raise WireError(f"batch {number}: {size} bytes cannot hold {count} records")
+        raise WireError(f"batch {number}: a size of {size} bytes is too small for {count} records")
     body = source.read(size - HEADER.size)
     if len(body) < size - HEADER.size:
-        raise WireError(f"batch {number}: input ends after {HEADER.size + len(body)} of {size} bytes")
+        raise WireError(f"batch {number}: input ends after {HEADER.size + len(body)} bytes, expected {size}")
     tail = memoryview(body)[count * EVENT_SIZE :]
     return Batch(
         number,
         now,
-        [_record(body, i * EVENT_SIZE, tail, f"batch {number}, record {i}") for i in range(count)],
+        [
+            _read_record(body, index * EVENT_SIZE, tail, f"batch {number}, record {index}")
+            for index in range(count)
+        ],
     )
 
 
-def _record(body: bytes, at: int, tail: memoryview, where: str) -> Record:
-    if body[at] not in EVENTS:
-        raise WireError(f"{where}: unknown event code {body[at]}")
-    name, form = EVENTS[body[at]]
-    values = form.unpack_from(body, at + 1)
-    if name in WITH_TAIL:
-        *rest, offset, length = values
-        length *= WITH_TAIL[name]
-        if offset + length > len(tail):
-            raise WireError(f"{where}: {name} points {offset + length} bytes into a tail of {len(tail)}")
-        values = (*rest, bytes(tail[offset : offset + length]))
+def _read_record(body: bytes, offset: int, tail: memoryview, where: str) -> Record:
+    if body[offset] not in EVENTS:
+        raise WireError(f"{where}: unknown event code {body[offset]}")
+    name, layout = EVENTS[body[offset]]
+    values = layout.unpack_from(body, offset + 1)
+    if name in TAIL_UNIT_BYTES:
+        *leading_values, tail_offset, tail_length = values
+        tail_length *= TAIL_UNIT_BYTES[name]
+        if tail_offset + tail_length > len(tail):
+            raise WireError(
+                f"{where}: {name} refers to {tail_offset + tail_length} bytes of a tail of {len(tail)} bytes"
+            )
+        values = (*leading_values, bytes(tail[tail_offset : tail_offset + tail_length]))
     return Record(name, tuple(values))
 
 
 def write_reply(number: int, records: list[Record]) -> bytes:
-    """The frame that answers batch `number`."""
+    """Returns the frame that replies to batch `number`."""
     parts, tail = [], bytearray()
     for name, values in records:
-        code, form = ACTIONS[name]
-        if name in WITH_TAIL:
-            *rest, content = values
-            values = (*rest, len(tail), len(content))
+        code, layout = ACTIONS[name]
+        if name in TAIL_UNIT_BYTES:
+            *leading_values, content = values
+            values = (*leading_values, len(tail), len(content))
             tail += content
-        parts.append(form.pack(code, *values).ljust(ACTION_SIZE, b"\0"))
+        parts.append(layout.pack(code, *values).ljust(ACTION_SIZE, b"\0"))
     size = REPLY_HEADER.size + len(parts) * ACTION_SIZE + len(tail)
     return b"".join((REPLY_HEADER.pack(size, len(parts), number), *parts, tail))
--- a/worksmux/bench_adapter/instance.py
+++ b/worksmux/bench_adapter/instance.py
@@ -1,6 +1,6 @@
-"""One node on the bench's wire: turns records into events of the policy, and its actions into records.
+"""Runs one node under the bench: maps wire records to events, and actions of the policy to wire records.
 
-The names of the wire are mapped to ours here and nowhere else.  No decision is taken.
+Only this module knows the names of the wire.  It takes no decision.
 """
 
 from __future__ import annotations
@@ -51,11 +51,11 @@
 }
 SCOPES = {0: "delta", 1: "full", 2: "cached", 3: "failed"}
 STATES = {2: "ready", 0: "draining", 1: "gone"}
-HINTED, REPEAT, RESUMED = 1, 2, 16
+FLAG_EXPECTED_TIME, FLAG_RETRY, FLAG_RESUMED = 1, 2, 16
 
 
 class Instance:
-    """One node: records in, records out."""
+    """One node under the bench."""
 
     def __init__(self, number: int, seed: int, settings: bytes) -> None:
         self.number = number
@@ -66,11 +66,12 @@
         self._ids = IdMap(self.settings, seed)
 
     def decide(self, now: float, records: list[Record]) -> list[Record]:
-        events = [event for record in records if (event := self._event(now, record)) is not None]
-        return [self._record(action) for action in self._ids.decide(now, events)]
+        """Runs one decision round on event records; returns action records."""
+        events = [event for record in records if (event := self._to_event(now, record)) is not None]
+        return [self._to_record(action) for action in self._ids.decide(now, events)]
 
-    def _event(self, now: float, record: Record) -> Event | None:
-        """None for what the policy takes no notice of, and for requests that it has forgotten."""
+    def _to_event(self, now: float, record: Record) -> Event | None:
+        """Returns the event of a record; None for one that the policy ignores and for forgotten requests."""
         values = record.values[1:]
         match record.name:
             case "sync":
@@ -81,9 +82,9 @@
             case "req":
                 return self._ids.request_arrived(self._request(now, *values))
             case "flowing":
-                call, _, number, elapsed = values
-                attempt = self._ids.attempt(call, number)
-                return FirstToken(attempt, elapsed) if attempt else None
+                request_id, _, number, elapsed_ms = values
+                attempt = self._ids.attempt(request_id, number)
+                return FirstToken(attempt, elapsed_ms) if attempt else None
             case "answer":
                 return self._attempt_ended(*values)
             case "withdrawn":
@@ -91,25 +92,25 @@
             case "bell":
                 return TimerFired(values[0])
             case "pong":
-                address, outcome, elapsed, *load = values
+                address, outcome, elapsed_ms, *load = values
                 engine = self._engine(address)
-                return HealthCheckEnded(engine, OUTCOMES[outcome], elapsed, self._report(load))
+                return HealthCheckEnded(engine, OUTCOMES[outcome], elapsed_ms, self._report(load))
             case "note_from":
-                return None  # messages between nodes: the policy has none
+                return None  # a message from another node: the policy uses none
             case "answer_ahead":
-                call, number, address, held, _ = values
-                attempt = self._ids.attempt(call, number)
+                request_id, number, address, held, _ = values
+                attempt = self._ids.attempt(request_id, number)
                 return SlotReserved(attempt, self._engine(address), held == 1) if attempt else None
-        raise WireError(f"{record.name} is not for a running instance")
+        raise WireError(f"record {record.name!r} is unexpected for a running instance")
 
     def _request(
         self,
         now: float,
-        number: int,
+        request_id: int,
         request_class: int,
         tenant: int,
         session: int,
-        time_left: float,
+        time_left_ms: float,
         expected_ms: float,
         prefix: int,
         prompt_tokens: float,
@@ -118,10 +119,10 @@
         flags: int,
     ) -> Request:
         if request_class >= len(self.settings.request_classes):
-            raise WireError(f"request {number}: unknown class {request_class}")
+            raise WireError(f"request {request_id}: unknown request class {request_class}")
         interval_ms = self.settings.request_classes[request_class].token_interval_ms
         return Request(
-            number,
+            request_id,
             request_class,
             session,
             prefix,
@@ -129,28 +130,30 @@
             prefix_tokens,
             max_tokens,
             now,
-            now + time_left,
-            expected_ms / interval_ms if flags & HINTED and interval_ms else 0.0,
+            now + time_left_ms,
+            expected_ms / interval_ms if flags & FLAG_EXPECTED_TIME and interval_ms else 0.0,
             tenant,
-            bool(flags & REPEAT),
-            bool(flags & RESUMED),
+            bool(flags & FLAG_RETRY),
+            bool(flags & FLAG_RESUMED),
         )
 
     def _attempt_ended(
         self,
-        request: int,
+        request_id: int,
         number: int,
         _: bytes,
         outcome: int,
-        elapsed: float,
+        elapsed_ms: float,
         closed: int,
         note: int,
         *load: float,
     ) -> AttemptEnded | None:
-        attempt = self._ids.attempt(request, number)
+        attempt = self._ids.attempt(request_id, number)
         if attempt is None:
             return None
-        return AttemptEnded(attempt, OUTCOMES[outcome], elapsed, bool(closed), note, self._report(list(load)))
+        return AttemptEnded(
+            attempt, OUTCOMES[outcome], elapsed_ms, bool(closed), note, self._report(list(load))
+        )
 
     def _engine(self, address: bytes) -> Engine:
         return self._ids.engine(address, int.from_bytes(address, "big"))
@@ -161,16 +164,16 @@
         return EndpointEntry(self._engine(address), STATES[state], started, zone, cell, kind, size)
 
     def _report(self, load: list[float]) -> dict[str, float] | None:
-        count, *figures = load
+        count, *load_values = load
         fields = self.settings.load_report_fields
-        return dict(zip(fields, figures[: int(count)], strict=False)) if count else None
+        return dict(zip(fields, load_values[: int(count)], strict=False)) if count else None
 
-    def _record(self, action: Action) -> Record:
-        name, values = self._wire_form(action)
+    def _to_record(self, action: Action) -> Record:
+        name, values = self._name_and_values(action)
         return Record(name, (self.number, *values))
 
     @staticmethod
-    def _wire_form(action: Action) -> tuple[str, tuple[Any, ...]]:
+    def _name_and_values(action: Action) -> tuple[str, tuple[Any, ...]]:
         match action:
             case StartAttempt(attempt, timeout_ms):
                 return "route", (attempt.request.id, attempt.engine.id, timeout_ms)
@@ -196,4 +199,4 @@
                 return "drop_conns", (engine.id,)
             case WriteLog(text):
                 return "journal_line", (text.encode(),)
-        raise TypeError(f"not an action: {action!r}")
+        raise TypeError(f"unknown action of the policy: {action!r}")
--- a/worksmux/policy/__init__.py
+++ b/worksmux/policy/__init__.py
@@ -1,1 +1,1 @@
-"""All decisions on requests, attempts and engines; no I/O, no clock."""
+"""Makes every decision on requests, attempts and engines; does no I/O and reads no clock."""
--- a/worksmux/policy/actions.py
+++ b/worksmux/policy/actions.py
@@ -1,4 +1,4 @@
-"""Actions that the policy asks for."""
+"""Actions that the policy returns from a decision round; the caller carries them out."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class EndReason(StrEnum):
-    """The rule that ended a request without an answer; the value is what the log shows."""
+    """Names the rule that ended a request without an answer; its value is written to the log."""
 
     UNSPECIFIED = ""
     FAILOVER_PLAN_SHED = "failover_plan_shed"
@@ -21,24 +21,24 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Send the attempt to its engine."""
+    """Sends the attempt to its engine."""
 
     attempt: Attempt
-    timeout_ms: float = 0.0  # 0: until the deadline
+    timeout_ms: float = 0.0  # 0: the attempt may take until the request's deadline
 
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Answer that the client may send the request again."""
+    """Answers the client that the request was rejected and may be sent again."""
 
     request: Request
-    retry_after_ms: float = 0.0  # 0: not told
+    retry_after_ms: float = 0.0  # 0: the answer names no time
     reason: EndReason = EndReason.UNSPECIFIED
 
 
 @dataclass(slots=True)
 class AbortRequest:
-    """Answer that the request failed and was possibly executed."""
+    """Answers the client that the request failed and was possibly executed."""
 
     request: Request
     reason: EndReason = EndReason.UNSPECIFIED
@@ -46,14 +46,14 @@
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Withdraw an attempt that has no first token yet."""
+    """Cancels an attempt that has no first token yet."""
 
     attempt: Attempt
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Tell a TimerFired with the token after the delay."""
+    """Starts a timer; its TimerFired event carries the token."""
 
     delay_ms: float
     token: int
@@ -61,14 +61,14 @@
 
 @dataclass(slots=True)
 class CheckHealth:
-    """Check the health of an engine; ends in a HealthCheckEnded."""
+    """Checks the health of an engine; the result arrives as a HealthCheckEnded event."""
 
     engine: Engine
 
 
 @dataclass(slots=True)
 class ReserveSlot:
-    """Reserve a decode slot for a request in prefill."""
+    """Reserves a decode slot for a request that is in prefill."""
 
     request: Request
     engine: Engine
@@ -76,33 +76,33 @@
 
 @dataclass(slots=True)
 class ReleaseKvCache:
-    """Release all KV cache and reserved slots that the request may have."""
+    """Releases all KV cache and reserved decode slots that the request may have."""
 
     request: Request
 
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Start or stop watching the endpoint list."""
+    """Starts or stops watching the endpoint list."""
 
     on: bool
 
 
 @dataclass(slots=True)
 class FetchEndpointList:
-    """Fetch the endpoint list once."""
+    """Fetches the endpoint list once."""
 
 
 @dataclass(slots=True)
 class CloseConnections:
-    """Close idle connections to the engine."""
+    """Closes idle connections to the engine."""
 
     engine: Engine
 
 
 @dataclass(slots=True)
 class WriteLog:
-    """Write a line to the log."""
+    """Writes a line to the log."""
 
     text: str
 
--- a/worksmux/policy/context.py
+++ b/worksmux/policy/context.py
@@ -1,4 +1,4 @@
-"""What every part of the policy reads: the time, settings, endpoints and the actions of this round."""
+"""The state that every part of the policy reads: time, settings, endpoints, actions of this round."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from .settings import PolicySettings
 from .state import Engine
 
-DEFAULT_RELEASE_WITHIN_MS = 1_000.0  # where the settings name no limit for held KV cache
-ROUNDS_PER_RELEASE = 6  # decision rounds, while a request waits, within that limit
+DEFAULT_RELEASE_WITHIN_MS = 1_000.0  # if the settings name no limit for held KV cache
+ROUNDS_PER_RELEASE = 6  # decision rounds within that limit while a request waits
 
 
 class PolicyContext:
-    """Shared by the parts of one router, which alone writes it."""
+    """State that the parts of one router share; the router alone owns it."""
 
     __slots__ = (
         "settings",
@@ -40,8 +40,8 @@
             settings.tick_ms,
             (settings.release_within_ms or DEFAULT_RELEASE_WITHIN_MS) / ROUNDS_PER_RELEASE,
         )
-        self.now = 0.0  # milliseconds, set at each decision round
+        self.now = 0.0  # milliseconds; set at each decision round
         self.engines: dict[Engine, None] = {}
         self.index = EngineIndex([], None, settings, 0.0)
-        self.plan: FailoverPlan | None = None  # agreed by all nodes; None: nobody fails over
-        self.actions: list[Action] = []  # of the present round, in order
+        self.plan: FailoverPlan | None = None  # agreed by all nodes; None: no zone fails over
+        self.actions: list[Action] = []  # of the current decision round, in order
--- a/worksmux/policy/decode_selection.py
+++ b/worksmux/policy/decode_selection.py
@@ -1,4 +1,4 @@
-"""Which decode engine gets a request: round-robin over those whose window is open, nearest first."""
+"""Selects the decode engine of a request: round-robin over engines with an open window, nearest first."""
 
 from __future__ import annotations
 
@@ -11,12 +11,13 @@
 from .slow_start import SlowStart
 from .state import Engine, Request
 
-# Found in the same round for the same request: by group of engines, and whether only known-good ones count.
-Searched = dict[tuple[RoundRobin, bool], Engine | None]
+# Results of searches for one request in one round: by group of engines and by whether only known-good engines
+# were searched.
+SearchResults = dict[tuple[RoundRobin, bool], Engine | None]
 
 
 class DecodeSelection:
-    """Picks decode engines and keeps the order of their turns."""
+    """Picks decode engines and records the order in which they were chosen."""
 
     def __init__(
         self,
@@ -29,43 +30,48 @@
     ) -> None:
         self._context, self._estimates, self._slow_start = context, estimates, slow_start
         self._outliers, self._retry, self._window = outliers, retry, window
-        self._turns = 0
+        self._turn_count = 0
 
     def select(
-        self, request: Request, near: Engine | None, searched: Searched | None = None
+        self, request: Request, kv_source: Engine | None, search_results: SearchResults | None = None
     ) -> Engine | None:
-        """The next engine whose window is open; while the request class fails, first those known to serve it.
+        """Returns the next engine with an open window.
 
-        `near` is the engine that holds, or is to compute, the KV cache.
+        While the request class is failing, engines known to serve it come first.  `kv_source` is the prefill
+        engine that holds the KV cache or is about to compute it.
         """
         scope = self._retry.scope(request) if request.attempts else ANYWHERE
         if scope is None:
             return None
-        searched = {} if searched is None else searched
+        search_results = {} if search_results is None else search_results
         for known_good in (True, False) if self._estimates.is_failing(request.request_class) else (False,):
-            for engines in self._context.index.decode_groups(request.random_draw, near, scope):
-                if (engines, known_good) not in searched:
-                    searched[engines, known_good] = self._next(engines, request, scope, known_good)
-                if found := searched[engines, known_good]:
-                    return found
+            for engines in self._context.index.decode_groups(request.random_draw, kv_source, scope):
+                if (engines, known_good) not in search_results:
+                    search_results[engines, known_good] = self._next_engine(
+                        engines, request, scope, known_good
+                    )
+                if found_engine := search_results[engines, known_good]:
+                    return found_engine
         return None
 
-    def _next(self, engines: RoundRobin, request: Request, scope: Scope, known_good: bool) -> Engine | None:
+    def _next_engine(
+        self, engines: RoundRobin, request: Request, scope: Scope, known_good: bool
+    ) -> Engine | None:
         def fits(engine: Engine) -> bool:
             return scope.has(engine) and self._window.is_open(engine, request)
 
         if not known_good:
             return engines.first(self._context.now, fits)
-        able = [
+        candidates = [
             engine
             for engine in self._outliers.all_known_good(request.request_class)
             if engine in engines and fits(engine)
         ]
-        return min(able, default=None, key=lambda engine: engine.last_turn)
+        return min(candidates, default=None, key=lambda engine: engine.last_turn)
 
     def record_chosen(self, engine: Engine) -> None:
-        """The engine comes last from now on, and its slow-start credit is spent."""
-        self._turns += 1
-        engine.last_turn = self._turns
+        """Moves a chosen engine to the end of the round-robin order and spends its slow-start credit."""
+        self._turn_count += 1
+        engine.last_turn = self._turn_count
         self._context.index.record_turn(engine)
         self._slow_start.spend(engine)
--- a/worksmux/policy/endpoint_index.py
+++ b/worksmux/policy/endpoint_index.py
@@ -1,7 +1,8 @@
-"""The engines of one endpoint list, arranged for the decisions on where requests go.
+"""Indexes the engines of one endpoint list for placement.
 
-A placement finds here what it looks at without a look at all engines: decode engines by cell and zone in the
-order of their turns, and prefill engines ranked by hash.  The index is made once for each list.
+Placement finds engines here without a scan of the whole fleet: decode engines by cell and zone in the order
+of the round-robin, and prefill engines ranked by hash.  Each endpoint list and each failover plan gets a new
+index.
 """
 
 from __future__ import annotations
@@ -12,28 +13,28 @@
 
 from .events import FailoverPlan
 from .hashing import mix
-from .prefill_weights import weigh
+from .prefill_weights import set_weights
 from .rendezvous import RankedEngines, Ranking
 from .round_robin import ANYWHERE, RoundRobin, Scope
 from .settings import ROLE_COMBINED, ROLE_DECODE, ROLE_PREFILL, PolicySettings
 from .state import READY, Engine, Request
 
-MAX_RANKINGS = 128  # kept, of the keys seen last
+MAX_RANKINGS = 128  # kept, those of the keys used last
 
 
 class EngineIndex:
-    """Which engines prefill and decode, and what share of the work each is due."""
+    """Groups engines by role, cell and zone, and knows the share of the work that each is due."""
 
     def __init__(
         self, engines: Iterable[Engine], plan: FailoverPlan | None, settings: PolicySettings, now: float
     ) -> None:
-        """`now`, milliseconds, decides which engines are cold."""
-        known = list(engines)
-        listed = [engine for engine in known if engine.state == READY]
-        self.ready_by_role = Counter(engine.role for engine in listed)
-        ready, self.excluded_by_plan = self._by_plan(known, listed, plan)
+        """Builds the index; `now` is milliseconds and decides which engines are cold."""
+        all_engines = list(engines)
+        ready_engines = [engine for engine in all_engines if engine.state == READY]
+        self.ready_by_role = Counter(engine.role for engine in ready_engines)
+        included, self.excluded_by_plan = self._split_by_plan(all_engines, ready_engines, plan)
         by_role: dict[str, list[Engine]] = defaultdict(list)
-        for engine in ready:
+        for engine in included:
             by_role[engine.role].append(engine)
         self.prefill_engines = by_role[ROLE_PREFILL]
         self.decode_engines = by_role[ROLE_DECODE]
@@ -44,43 +45,50 @@
         self.prefill_capable_set = frozenset(self.prefill_capable)
         self._slow_start_ms = settings.slow_start_ms
         self.cold_engines = {
-            engine: None for engine in ready if engine.started > 0 and now < self._warm_at(engine)
+            engine: None for engine in included if engine.started > 0 and now < self._warm_at(engine)
         }
         self._prefill_engines_warm_at = sorted(map(self._warm_at, self.prefill_engines))
         self._first_decode_engine_warm_at = min(map(self._warm_at, self.decode_engines), default=0.0)
-        self.local_decode_share = weigh(
+        self.local_decode_share = set_weights(
             self.prefill_engines, self.decode_engines, self.combined_engines, settings.migration_price
         )
         self._decode_engines_by_cell: dict[int, list[Engine]] = defaultdict(list)
         for engine in self.decode_engines:
             self._decode_engines_by_cell[engine.cell].append(engine)
-        # What follows is made when it is first needed, as lists can come faster than requests.
-        self._by_hash: RankedEngines | None = None
+        # The rest is built on first use, as endpoint lists can arrive faster than requests.
+        self._ranked_engines: RankedEngines | None = None
         self._rankings: OrderedDict[int, Ranking] = OrderedDict()
-        self._in_cell: dict[int, RoundRobin] = {}
-        self._in_zone: dict[int, RoundRobin] = {}
-        self._everywhere: RoundRobin | None = None
+        self._round_robin_by_cell: dict[int, RoundRobin] = {}
+        self._round_robin_by_zone: dict[int, RoundRobin] = {}
+        self._round_robin_of_fleet: RoundRobin | None = None
 
     @staticmethod
-    def _by_plan(
-        known: list[Engine], listed: list[Engine], plan: FailoverPlan | None
+    def _split_by_plan(
+        all_engines: list[Engine], ready_engines: list[Engine], plan: FailoverPlan | None
     ) -> tuple[list[Engine], dict[Engine, None]]:
-        """The engines that take part, and those that the plan excludes: a request's home stays known."""
+        """Returns the engines that the plan includes, and the excluded ones that still rank as a home.
+
+        Excluded engines stay in the ranking so that the home zone of a request is still known.
+        """
         if plan is None or not plan.zone_shares:
-            return listed, {}
-        rows = {zone: dict(row) for zone, row in plan.zone_shares.items()}
-        ready = [engine for engine in listed if engine.zone in rows.get(engine.zone, {engine.zone: 1})]
-        ready = ready or listed
-        taking_part = set(ready)
+            return ready_engines, {}
+        shares_by_home = {zone: dict(zone_shares) for zone, zone_shares in plan.zone_shares.items()}
+        included = [
+            engine
+            for engine in ready_engines
+            if engine.zone in shares_by_home.get(engine.zone, {engine.zone: 1})
+        ]
+        included = included or ready_engines
+        included_set = set(included)
         excluded = {
             engine: None
-            for engine in known
-            if engine.zone in rows
-            and engine not in taking_part
+            for engine in all_engines
+            if engine.zone in shares_by_home
+            and engine not in included_set
             and engine.role != ROLE_DECODE
             and engine.weight
         }
-        return ready, excluded
+        return included, excluded
 
     # Slow start.
 
@@ -88,52 +96,58 @@
         return engine.started + self._slow_start_ms if engine.started > 0 else 0.0
 
     def most_prefill_engines_cold(self, now: float) -> bool:
-        """Whether more than half of the prefill engines are cold."""
+        """Whether more than half of the prefill engines are in slow start."""
         warm = bisect_right(self._prefill_engines_warm_at, now)
         cold = len(self._prefill_engines_warm_at) - warm
         return 2 * cold > len(self.prefill_engines)
 
     def all_decode_engines_cold(self, now: float) -> bool:
+        """Whether every decode engine is in slow start, or there is none."""
         return not self.decode_engines or now < self._first_decode_engine_warm_at
 
     # Decode engines.
 
-    def _cell(self, cell: int) -> RoundRobin:
-        if cell not in self._in_cell:
-            self._in_cell[cell] = RoundRobin(self._decode_engines_by_cell.get(cell, ()))
-        return self._in_cell[cell]
+    def _cell_round_robin(self, cell: int) -> RoundRobin:
+        if cell not in self._round_robin_by_cell:
+            self._round_robin_by_cell[cell] = RoundRobin(self._decode_engines_by_cell.get(cell, ()))
+        return self._round_robin_by_cell[cell]
 
-    def _zone(self, zone: int) -> RoundRobin:
-        if zone not in self._in_zone:
+    def _zone_round_robin(self, zone: int) -> RoundRobin:
+        if zone not in self._round_robin_by_zone:
             in_zone = (engine for engine in self.decode_engines if engine.zone == zone)
-            self._in_zone[zone] = RoundRobin(in_zone)
-        return self._in_zone[zone]
+            self._round_robin_by_zone[zone] = RoundRobin(in_zone)
+        return self._round_robin_by_zone[zone]
 
-    def _all(self) -> RoundRobin:
-        if self._everywhere is None:
-            self._everywhere = RoundRobin(self.decode_engines)
-        return self._everywhere
+    def _fleet_round_robin(self) -> RoundRobin:
+        if self._round_robin_of_fleet is None:
+            self._round_robin_of_fleet = RoundRobin(self.decode_engines)
+        return self._round_robin_of_fleet
 
     def record_turn(self, engine: Engine) -> None:
-        """A decode engine was chosen."""
-        self._cell(engine.cell).record_turn(engine)
-        self._zone(engine.zone).record_turn(engine)
-        self._all().record_turn(engine)
-
-    def decode_groups(self, random_draw: float, near: Engine | None, scope: Scope) -> Iterator[RoundRobin]:
-        """Decode engines, nearest first, as far as the scope allows: the cell of the prefill engine, up to
-        what its decode engines are due, its zone, the rest."""
-        if near:
-            # A cell without a share is one whose prefill engines have all gone, while KV cache lies there.
-            if random_draw < self.local_decode_share.get(near.cell, 1.0):
-                yield self._cell(near.cell)
-            yield self._zone(near.zone)
+        """Moves a chosen decode engine to the end of every round-robin order."""
+        self._cell_round_robin(engine.cell).record_turn(engine)
+        self._zone_round_robin(engine.zone).record_turn(engine)
+        self._fleet_round_robin().record_turn(engine)
+
+    def decode_groups(
+        self, random_draw: float, kv_source: Engine | None, scope: Scope
+    ) -> Iterator[RoundRobin]:
+        """Yields groups of decode engines, nearest first: the cell of the KV cache, its zone, the rest.
+
+        The random draw skips the cell for the share of requests that its decode engines cannot take.  The
+        scope limits the last group.
+        """
+        if kv_source:
+            # A cell without a share has lost all its prefill engines but still holds KV cache.
+            if random_draw < self.local_decode_share.get(kv_source.cell, 1.0):
+                yield self._cell_round_robin(kv_source.cell)
+            yield self._zone_round_robin(kv_source.zone)
         if scope.cell is not None:
-            yield self._cell(scope.cell)
+            yield self._cell_round_robin(scope.cell)
         elif scope.zone is not None:
-            yield self._zone(scope.zone)
+            yield self._zone_round_robin(scope.zone)
         else:
-            yield self._all()
+            yield self._fleet_round_robin()
 
     @staticmethod
     def any_in(group: list[Engine], scope: Scope) -> bool:
@@ -145,23 +159,27 @@
     # Prefill engines.
 
     def ranked(self, key: int) -> Ranking:
-        """Engines that may prefill, and those that the plan excludes, by weighted rendezvous hashing."""
-        if self._by_hash is None:
-            self._by_hash = RankedEngines([*self.prefill_capable, *self.excluded_by_plan])
-        found = self._rankings.get(key)
-        if found is None:
-            found = self._rankings[key] = self._by_hash.ranked(key)
+        """Ranks prefill-capable engines and those that the plan excludes by weighted rendezvous hashing."""
+        if self._ranked_engines is None:
+            self._ranked_engines = RankedEngines([*self.prefill_capable, *self.excluded_by_plan])
+        ranking = self._rankings.get(key)
+        if ranking is None:
+            ranking = self._rankings[key] = self._ranked_engines.ranked(key)
             if len(self._rankings) > MAX_RANKINGS:
                 self._rankings.popitem(last=False)
         else:
             self._rankings.move_to_end(key)
-        return found
+        return ranking
 
     def ranked_for(self, request: Request) -> tuple[int, int, Ranking]:
-        """The hash of the request's prefix, that of its session, and the ranking by the first of them."""
-        session = mix(request.session or request.id, 1)
-        key = mix(request.prefix, 0) if request.prefix else session
-        return key, session, self.ranked(key)
+        """Returns the hash of the request's prefix, that of its session, and the ranking by the prefix hash.
+
+        A request without a shared prefix is ranked by its session.
+        """
+        session_hash = mix(request.session or request.id, 1)
+        prefix_hash = mix(request.prefix, 0) if request.prefix else session_hash
+        return prefix_hash, session_hash, self.ranked(prefix_hash)
 
     def prefill_capable_in(self, scope: Scope) -> list[Engine]:
+        """Returns the prefill-capable engines within the scope."""
         return [engine for engine in self.prefill_capable if scope.has(engine)]
--- a/worksmux/policy/events.py
+++ b/worksmux/policy/events.py
@@ -1,4 +1,4 @@
-"""Events for the policy: endpoint lists, requests and how attempts ended.  Times are milliseconds."""
+"""Events that the policy receives: endpoint lists, requests, results of attempts.  Times are milliseconds."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from .state import Attempt, Engine, Outcome, Request
 
-KV_CACHE_LOST = 1  # note of an attempt that ended "full"
+KV_CACHE_LOST = 1  # value of `note` where an attempt ended "full"
 
 
 @dataclass(slots=True)
 class EndpointEntry:
-    """One engine of an endpoint list."""
+    """State of one engine in an endpoint list."""
 
     engine: Engine
     state: str
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class EndpointListUpdate:
-    """A list of endpoints was fetched, or changes to it were pushed."""
+    """An endpoint list was fetched, or changes to it were pushed."""
 
     scope: str  # "delta", "full", "cached" or "failed"
     entries: list[EndpointEntry]
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class FirstToken:
-    """An attempt brought its first token, `elapsed_ms` after it was sent."""
+    """An attempt returned its first token, `elapsed_ms` after it was sent."""
 
     attempt: Attempt
     elapsed_ms: float
@@ -47,24 +47,24 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt ended, `elapsed_ms` after it was sent; told once for each StartAttempt."""
+    """An attempt ended, `elapsed_ms` after it was sent; arrives once for each StartAttempt."""
 
     attempt: Attempt
     outcome: Outcome
     elapsed_ms: float
     closed: bool  # the client has its final answer
-    note: int = 0  # of a prefill: tokens found cached; of "full": KV_CACHE_LOST
-    report: dict[str, float] | None = None
+    note: int = 0  # of a prefill: tokens found in the prefix cache; of "full": KV_CACHE_LOST or 0
+    report: dict[str, float] | None = None  # the engine's load report
 
     @property
     def kv_cache_lost(self) -> bool:
-        """The decode engine found no KV cache to take; it had capacity."""
+        """Whether the decode engine had capacity and rejected the attempt because the KV cache was gone."""
         return self.outcome is Outcome.FULL and self.note == KV_CACHE_LOST
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client wants no answer any more."""
+    """The client disconnected and no longer waits for an answer."""
 
     request: Request
 
@@ -83,12 +83,12 @@
     engine: Engine
     outcome: Outcome
     elapsed_ms: float
-    report: dict[str, float] | None = None
+    report: dict[str, float] | None = None  # the engine's load report
 
 
 @dataclass(slots=True)
 class SlotReserved:
-    """A decode engine answered whether it holds a slot; the router takes no notice of it."""
+    """A decode engine answered whether it reserved a slot; the router ignores the event."""
 
     attempt: Attempt
     engine: Engine
@@ -97,25 +97,26 @@
 
 @dataclass(slots=True)
 class StateRestored:
-    """What this node learned before it was restarted, already weighed by age."""
+    """State that this node learned before a restart, already weighted by age."""
 
-    window_totals: list[tuple[float, float]]  # sum, count: first-token waits, prefill per token, failures
-    ejections: list[tuple[Engine, int, float]]  # request class, milliseconds left
+    # Sum and count of each window: first-token waits, prefill per token, failures by request class.
+    window_totals: list[tuple[float, float]]
+    ejections: list[tuple[Engine, int, float]]  # request class, milliseconds that remain
     last_successes: list[tuple[Engine, int, float]]  # request class, milliseconds ago
     window_reductions: list[tuple[Engine, float]]  # requests
 
 
 @dataclass(slots=True)
 class FailoverPlan:
-    """Where the requests of which zone run, as all nodes have agreed.
+    """Assigns the requests of each home zone to zones, as agreed by all nodes.
 
-    A zone that is not in its own row of `zone_shares` prefills nothing that others can.
+    A zone that is missing from its own row of `zone_shares` prefills only what no other zone can.
     """
 
     zone_shares: dict[int, list[tuple[int, float]]]  # by home zone: the zones that prefill, and their shares
     shed: dict[int, list[float]]  # by home zone: the share of new requests to reject, by request class
-    retry_after_ms: float  # for those; up to twice that is told
-    keep_near: bool = False  # no request leaves the zone that prefills it
+    retry_after_ms: float  # for rejected requests; a client is told up to twice this delay
+    keep_near: bool = False  # a request stays in the zone that prefills it
 
 
 Event = (
--- a/worksmux/policy/hashing.py
+++ b/worksmux/policy/hashing.py
@@ -1,4 +1,4 @@
-"""Hashes of numbers, the same on every node."""
+"""Hashes numbers; every node computes the same values."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def mix(a: int, b: int) -> int:
-    """Two numbers hashed into one, the same on every node.
+    """Hashes two numbers into one, the same on every node.
 
     >>> mix(1, 2) == mix(1, 2) != mix(2, 1) and len({mix(number, 0) for number in range(100)}) == 100
     True
@@ -20,12 +20,12 @@
 
 
 def hash_score(key: int, key_hash: int) -> float:
-    """A number between 0 and 1, exclusive, from two hashed numbers, for rendezvous hashing."""
+    """Returns a score between 0 and 1, both exclusive, from two hashed numbers, for rendezvous hashing."""
     return (((key ^ key_hash) * 0xD6E8FEB86659FD93 % MODULUS >> 11) + 0.5) / 2**53
 
 
 def hash_scores(key: int, key_hashes: Iterable[int]) -> list[float]:
-    """The `hash_score` of one key with each of the hashes.
+    """Returns the `hash_score` of one key with each of the hashes.
 
     >>> hash_scores(7, [3, 4]) == [hash_score(7, 3), hash_score(7, 4)]
     True
--- a/worksmux/policy/in_flight.py
+++ b/worksmux/policy/in_flight.py
@@ -1,4 +1,4 @@
-"""What this node has in flight: attempts and the decode slots that its prefills have reserved."""
+"""Counts this node's attempts in flight and the decode slots reserved for its prefills."""
 
 from __future__ import annotations
 
@@ -6,30 +6,32 @@
 
 
 class InFlight:
-    """Counts of attempts that have not ended and of reserved decode slots."""
+    """Tracks attempts that have not ended and reserved decode slots."""
 
     def __init__(self) -> None:
-        self.decode_requests = 0  # decoding, or paired with a decode engine
-        self.prefill_tokens = 0.0  # of prompts at prefill engines
-        self.busy_engines: dict[Engine, None] = {}  # with an attempt
+        self.decode_requests = 0  # decoding, or with a reserved decode slot
+        self.prefill_tokens = 0.0  # of prompts in prefill
+        self.busy_engines: dict[Engine, None] = {}  # engines with an attempt in flight
 
     def start(self, attempt: Attempt) -> None:
+        """Counts an attempt that is sent."""
         self.decode_requests += not attempt.is_prefill
         self.prefill_tokens += attempt.is_prefill * attempt.prefill_tokens
         attempt.engine.attempts[attempt] = None
         self.busy_engines[attempt.engine] = None
 
     def end(self, attempt: Attempt) -> None:
+        """Removes an attempt that has ended."""
         engine = attempt.engine
         engine.attempts.pop(attempt, None)
         if not engine.attempts:
             self.busy_engines.pop(engine, None)
         self.decode_requests -= not attempt.is_prefill
-        # Guards against rounding: a sum that ended below 0 would leave no prefill engine any capacity.
+        # A rounding error could leave the sum below 0, and then no prefill engine would have capacity.
         self.prefill_tokens = max(0.0, self.prefill_tokens - attempt.is_prefill * attempt.prefill_tokens)
 
     def reserve(self, request: Request, engine: Engine) -> None:
-        """Pairs a request in prefill with the decode engine that is to get its KV cache."""
+        """Reserves a decode slot for a request in prefill at the engine that is to get its KV cache."""
         request.decode_engine = engine
         engine.reserved[request] = None
         self.decode_requests += 1
--- a/worksmux/policy/load_estimates.py
+++ b/worksmux/policy/load_estimates.py
@@ -1,7 +1,7 @@
-"""How long prefills and first tokens take, and how often attempts fail, from this node's own attempts.
+"""Estimates prefill time, time to first token and the failure rate from this node's own attempts.
 
-All estimates are sums over sliding windows, so that what is past is forgotten.  Times are milliseconds,
-work is prompt tokens.
+Every estimate is a sum over a sliding window, so that old samples expire.  Times are milliseconds, work is
+prompt tokens.
 """
 
 from __future__ import annotations
@@ -14,38 +14,41 @@
 from .sliding_window import SlidingWindow
 from .state import Attempt, Engine, Outcome
 
-HISTORY_MS = 16_000.0  # what is remembered of failures, successes and usual times
+HISTORY_MS = 16_000.0  # span of the windows for failures, successes and typical times
 BUCKETS = 10  # of each sliding window
-RECENT_BUCKETS = 3  # the newest of them: a slowdown that is over is forgotten
-TOLERATED_WAIT_SHARE = 0.15  # of the shortest latency target: a wait for the first token without overload
-SLOW_FACTOR = 4.0  # times the usual: a first token or prefill that takes longer is slow
-SUSPECT_AFTER_SHARE = 0.5  # of the shortest latency target: an engine silent for less is never suspected
-FAILING_SHARE = 0.25  # of a request class's attempts: above it, engines known to serve the class come first
+RECENT_BUCKETS = 3  # the newest of them, so that a slowdown that is over stops counting early
+TOLERATED_WAIT_SHARE = 0.15  # of the shortest latency target: such a wait for a first token is no overload
+SLOW_FACTOR = 4.0  # times the typical time: a first token or prefill that takes longer is slow
+SUSPECT_AFTER_SHARE = 0.5  # of the shortest latency target: a shorter silence never makes an engine suspected
+FAILING_SHARE = 0.25  # of a request class's attempts: above this, engines known to serve the class come first
 
 
 class LoadEstimates:
-    """Sliding windows over what this node's attempts showed."""
+    """Holds sliding windows of times and failures of this node's attempts."""
 
     def __init__(self, context: PolicyContext, in_flight: InFlight) -> None:
         self._context, self._in_flight = context, in_flight
         self.prefill_ms_per_token = SlidingWindow(HISTORY_MS, BUCKETS)
-        # Only tokens without a prefix cache hit.
+        # Counts only tokens without a prefix cache hit.
         self.uncached_prefill_ms_per_token = SlidingWindow(HISTORY_MS, BUCKETS)
         self.prefill_tokens_seen = SlidingWindow(HISTORY_MS, BUCKETS)  # tokens
         self.first_token_waits_ms = SlidingWindow(HISTORY_MS, BUCKETS)
         self.prefill_queue_waits_ms = SlidingWindow(HISTORY_MS, BUCKETS)
-        # By request class: 1 for each failure, 0 for each success.
+        # By request class; a failure adds 1, a success 0.
         self.failures = [SlidingWindow(HISTORY_MS, BUCKETS) for _ in context.request_classes]
         self._target_per_token_ms: float = (
             max(request_class.latency_target_per_1000_tokens_ms for request_class in context.request_classes)
             / 1000
         )
-        self.best_prefill_ms_per_token = 0.0  # of the fastest stretch of the window
-        self.harmless_first_token_wait_ms = 0.0  # up to which no decode window shrinks
-        self.in_flight_prefill_ms_per_token = 0.0  # shown by prefills that have not ended
+        self.best_prefill_ms_per_token = 0.0  # of the fastest bucket of the window
+        self.harmless_first_token_wait_ms = 0.0  # a longer wait shrinks a decode window
+        self.in_flight_prefill_ms_per_token = 0.0  # from prefills that have not ended
 
     def begin_round(self, sparse_traffic: bool) -> None:
-        """With sparse traffic most prefills seen had a cache hit, so only uncached tokens tell the pace."""
+        """Updates the estimates for a decision round.
+
+        With sparse traffic most prefills seen had a prefix cache hit, so only uncached tokens are counted.
+        """
         now, target = self._context.now, self._context.shortest_target_ms
         self.best_prefill_ms_per_token = (
             sparse_traffic
@@ -59,60 +62,62 @@
         )
 
     def allowed_prefill_ms(self, attempt: Attempt) -> float:
-        """Time that the prefill of an attempt may take without being slow."""
+        """Returns the longest time that the prefill of an attempt may take without counting as slow."""
         return SLOW_FACTOR * self.best_prefill_ms_per_token * attempt.prefill_tokens
 
     def oldest_wait_ms(self, engine: Engine) -> float:
-        """Time that the oldest attempt without a first token has waited beyond its prefill."""
+        """Returns how long the oldest attempt without a first token has waited beyond its prefill time."""
         for attempt in engine.unanswered[:1]:
             return max(0.0, self._context.now - attempt.sent_at - self.allowed_prefill_ms(attempt))
         return 0.0
 
-    def typical(self) -> tuple[float, float]:
-        """The usual time to a first token, and to prefill one token."""
+    def typical_times(self) -> tuple[float, float]:
+        """Returns the typical wait for a first token, and the typical prefill time of one token."""
         now = self._context.now
-        first, prefill = (
+        first_token_ms, prefill_ms_per_token = (
             min(window.mean(now), window.mean(now, inf, RECENT_BUCKETS))
             for window in (self.first_token_waits_ms, self.prefill_ms_per_token)
         )
-        return first, prefill
+        return first_token_ms, prefill_ms_per_token
 
     def update_in_flight_prefills(self) -> None:
-        """Takes the pace from prefills that have not ended, once most prefill engines have been replaced.
+        """Estimates prefill time from prefills in flight, while most prefill engines are in slow start.
 
-        What ended before tells of engines that have gone, and a backlog at cold ones shows late in what ends.
+        Ended prefills describe engines that are gone, and a backlog at cold engines shows late in ended ones.
         """
         self.in_flight_prefill_ms_per_token = 0.0
         index, now = self._context.index, self._context.now
         if not index.most_prefill_engines_cold(now):
             return
-        waiting = [
+        unanswered = [
             attempt
             for engine in self._in_flight.busy_engines
             if engine in index.prefill_engine_set
             for attempt in engine.unanswered
         ]
-        self.in_flight_prefill_ms_per_token = sum(now - attempt.sent_at for attempt in waiting) / max(
-            1.0, sum(attempt.prefill_tokens for attempt in waiting)
+        self.in_flight_prefill_ms_per_token = sum(now - attempt.sent_at for attempt in unanswered) / max(
+            1.0, sum(attempt.prefill_tokens for attempt in unanswered)
         )
 
     def attempts_seen(self) -> float:
-        """Attempts that succeeded or failed within the window."""
+        """Returns how many attempts succeeded or failed within the window."""
         return sum(window.count(self._context.now) for window in self.failures)
 
     def is_failing(self, request_class: int) -> bool:
+        """Whether too many attempts of the request class have failed lately."""
         return self.failures[request_class].mean(self._context.now) > FAILING_SHARE
 
     def record_first_token(self, attempt: Attempt, elapsed_ms: float) -> None:
-        wait = max(0.0, elapsed_ms - self.allowed_prefill_ms(attempt))
-        self.first_token_waits_ms.add(self._context.now, wait)
-        attempt.engine.first_token_delays.add(self._context.now, wait)
+        """Records how long a first token took beyond the prefill time."""
+        wait_ms = max(0.0, elapsed_ms - self.allowed_prefill_ms(attempt))
+        self.first_token_waits_ms.add(self._context.now, wait_ms)
+        attempt.engine.first_token_delays.add(self._context.now, wait_ms)
 
     def record_ended(self, event: AttemptEnded) -> None:
-        """Takes times from an attempt that ended, also from one that ended in vain.
+        """Records the times of an attempt that ended, whether it succeeded or not.
 
-        Failure: at an overloaded engine few attempts end well, and their times alone look fast.  So a
-        cancelled or timed-out prefill counts with its time, and a rejection as a wait of a whole target.
+        At an overloaded engine few attempts succeed, and their times alone look fast.  So a cancelled or
+        timed-out prefill counts with its time, and a rejection as a wait of a full latency target.
         """
         attempt, outcome, now = event.attempt, event.outcome, self._context.now
         tokens = max(1.0, attempt.prefill_tokens)
@@ -134,6 +139,7 @@
                 self.first_token_waits_ms.add(now, self._context.shortest_target_ms)
 
     def restore(self, event: StateRestored) -> None:
+        """Restores the windows saved before a restart."""
         windows = (self.first_token_waits_ms, self.prefill_ms_per_token, *self.failures)
         for window, (total, count) in zip(windows, event.window_totals, strict=True):
             if count:
--- a/worksmux/policy/outlier_detection.py
+++ b/worksmux/policy/outlier_detection.py
@@ -1,7 +1,7 @@
-"""Which engines are healthy, judged from this node's own attempts.
+"""Detects unhealthy engines from this node's own attempts.
 
-An engine that fails is ejected for a time that doubles with each failure remembered.  An engine that is
-silent for too long is suspected and its health is checked.  Times are milliseconds.
+A failing engine is ejected for a time that doubles with each recent failure.  An engine that is silent for
+too long is suspected, and its health is checked.  Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -19,27 +19,32 @@
 
 EJECTION_MS = 1_000.0  # after a first failure
 MAX_EJECTION_DOUBLINGS = 2
-MIN_EJECTION, EJECTION_SPREAD = 0.75, 0.5  # of the time: nodes must not come back all at once
-OUTLIER_FACTOR = 1.5  # times the failures of its peers: an engine with fewer is no outlier
+MIN_EJECTION_SHARE, EJECTION_SPREAD_SHARE = (
+    0.75,
+    0.5,
+)  # of that time; the spread keeps nodes from returning to an engine all at once
+OUTLIER_FACTOR = 1.5  # times its peers' average failures; an engine with fewer is no outlier
 
 
 class OutlierDetection:
-    """Failures, ejections, suspicion and known-good engines."""
+    """Tracks failures, ejections, suspected engines and known-good engines."""
 
     def __init__(self, context: PolicyContext, estimates: LoadEstimates, slow_start: SlowStart) -> None:
         self._context, self._estimates, self._slow_start = context, estimates, slow_start
-        self.awaited: dict[Engine, None] = {}  # no sign of life since an attempt was sent
-        self.failed: dict[Engine, None] = {}  # with failures remembered
-        self.known_good: list[dict[Engine, None]] = [
-            {} for _ in context.request_classes
-        ]  # by request class: engines that served it, latest last
-        self._role_failures: dict[str, float] = defaultdict(float)  # of ready engines
+        self.awaited: dict[Engine, None] = {}  # engines with an attempt and no sign of life since
+        self.failed: dict[Engine, None] = {}  # engines with failures within the history
+        # By request class: engines that served it, the most recent last.
+        self.known_good: list[dict[Engine, None]] = [{} for _ in context.request_classes]
+        self._role_failures: dict[str, float] = defaultdict(float)  # failures of all ready engines, by role
         self._role_failures_at = -inf
 
-    # Health as placement sees it.
+    # Queries of placement.
 
     def is_healthy(self, engine: Engine, request_class: int) -> bool:
-        """Ready, not suspected, not ejected; after an ejection one attempt at a time until it answers."""
+        """Whether an engine is ready, neither suspected nor ejected.
+
+        After an ejection the engine gets one attempt at a time until it answers.
+        """
         if engine.state != READY or engine.health_check_pending:
             return False
         now, ejected_until = self._context.now, engine.ejected_until
@@ -50,7 +55,7 @@
         return not (engine.attempts and engine.silent_since and engine.failures.count(now))
 
     def is_usable(self, engine: Engine, request_class: int) -> bool:
-        """Healthy, not skipped after a rejection, and within its slow-start credit."""
+        """Whether an engine is healthy, not skipped after a rejection, and has slow-start credit if cold."""
         context = self._context
         return (
             engine.skipped_until <= context.now
@@ -63,52 +68,57 @@
         )
 
     def all_known_good(self, request_class: int) -> dict[Engine, None]:
-        """Engines that served the request class within the history."""
-        known = self.known_good[request_class]
-        while known and not self._is_known_good(oldest := next(iter(known)), request_class):
-            del known[oldest]
-        return known
+        """Returns the engines that served the request class within the history."""
+        known_good = self.known_good[request_class]
+        while known_good and not self._is_known_good(oldest := next(iter(known_good)), request_class):
+            del known_good[oldest]
+        return known_good
 
     def _is_known_good(self, engine: Engine, request_class: int) -> bool:
         return self._context.now - engine.last_success.get(request_class, -inf) < HISTORY_MS
 
-    # What attempts showed.
+    # Results of attempts.
 
     def expect_answer(self, engine: Engine) -> None:
+        """Starts the silence of an engine that is sent an attempt, unless an answer is already awaited."""
         engine.silent_since = engine.silent_since or self._context.now
         self.awaited[engine] = None
 
     def record_sign_of_life(self, engine: Engine) -> None:
+        """Restarts the silence of an engine with unanswered attempts, and ends it otherwise."""
         engine.silent_since = self._context.now if engine.unanswered else 0.0
         if not engine.silent_since:
             self.awaited.pop(engine, None)
 
     def record_success(self, attempt: Attempt) -> None:
+        """Records a first token or a successful prefill: the engine serves the request class."""
         engine, request_class = attempt.engine, attempt.request.request_class
         engine.last_success[request_class] = self._context.now
-        known = self.known_good[request_class]
-        known.pop(engine, None)
-        known[engine] = None
+        known_good = self.known_good[request_class]
+        known_good.pop(engine, None)
+        known_good[engine] = None
         self._estimates.failures[request_class].add(self._context.now, 0.0)
         self._slow_start.earn(engine.role, 1.0)
         self.record_sign_of_life(engine)
 
     def record_failure(self, event: AttemptEnded) -> None:
-        """Ejects the engine if the outcome is its fault: an error for that request class alone, as the
-        engine may serve the others."""
+        """Ejects the engine if the outcome is its fault.
+
+        An error ejects it for that request class alone, as the engine may serve the others.
+        """
         engine, outcome = event.attempt.engine, event.outcome
         request_class = event.attempt.request.request_class
         if outcome in (Outcome.ERROR, Outcome.UNREACHABLE, Outcome.RESET):
             self._estimates.failures[request_class].add(self._context.now)
-            only_for = request_class if outcome is Outcome.ERROR else ALL_REQUEST_CLASSES
-            self.eject(engine, only_for, only_outliers=True)
+            ejected_class = request_class if outcome is Outcome.ERROR else ALL_REQUEST_CLASSES
+            self.eject(engine, ejected_class, only_outliers=True)
         elif outcome is Outcome.TIMED_OUT and event.elapsed_ms > self.patience_ms(engine):
-            # A timeout that was cut short by the client's deadline tells nothing.
+            # A timeout shortened by the client's deadline is no evidence against the engine.
             self._estimates.failures[request_class].add(self._context.now)
             self.eject(engine)
 
     def record_ended(self, event: AttemptEnded) -> None:
-        """Judges what is left in flight anew where an answer ended the silence."""
+        """Records a sign of life, unless attempts are in flight and this one ended without an answer."""
         engine = event.attempt.engine
         if not engine.attempts or event.outcome not in (
             Outcome.TIMED_OUT,
@@ -120,9 +130,9 @@
     def eject(
         self, engine: Engine, request_class: int = ALL_REQUEST_CLASSES, only_outliers: bool = False
     ) -> None:
-        """Ejects an engine, for longer with each failure remembered.
+        """Ejects an engine, for longer with each failure in the history.
 
-        A node that meets its engines seldom keeps the ejection until about the next time it would meet it.
+        A node with sparse traffic ejects for about as long as it takes to send the engine another attempt.
         """
         now = self._context.now
         engine.failures.add(now)
@@ -133,20 +143,20 @@
             EJECTION_MS * 2 ** min(engine.failures.count(now) - 1, MAX_EJECTION_DOUBLINGS),
             HISTORY_MS * min(1.0, len(self._context.engines) / max(1, 2 * self._estimates.attempts_seen())),
         )
-        spread = MIN_EJECTION + EJECTION_SPREAD * self._context.random_source.share()
+        spread = MIN_EJECTION_SHARE + EJECTION_SPREAD_SHARE * self._context.random_source.share()
         engine.ejected_until[request_class] = now + ejection_ms * spread
 
     def _is_outlier(self, engine: Engine) -> bool:
-        """Whether an engine fails more than its peers.
+        """Whether an engine fails more often than its peers.
 
-        Failure: a network fault hits all engines alike, and ejecting each would leave none.  Many engines
-        that die at once still stand out.
+        A network fault affects all engines alike, and ejecting each of them would leave none.  Many engines
+        that die at once still count as outliers.
         """
         self._update_role_failures()
         now, role = self._context.now, engine.role
-        failures, peers = self._role_failures[role], self._context.index.ready_by_role[role]
-        own = engine.failures.count(now)
-        return own > OUTLIER_FACTOR * max(0.0, failures - own) / max(1, peers - 1)
+        failures, engine_count = self._role_failures[role], self._context.index.ready_by_role[role]
+        own_failures = engine.failures.count(now)
+        return own_failures > OUTLIER_FACTOR * max(0.0, failures - own_failures) / max(1, engine_count - 1)
 
     def _update_role_failures(self) -> None:
         now = self._context.now
@@ -160,25 +170,25 @@
             elif engine.state == READY:
                 self._role_failures[engine.role] += count
 
-    # Silence and health checks.
+    # Silent engines and health checks.
 
     def patience_ms(self, engine: Engine) -> float:
-        """How long an engine may be silent before it is suspected.
+        """Returns how long an engine may be silent before it is suspected.
 
-        Failure: where all engines are slow alike, nodes that cancel queued attempts and send them to the end
-        of another queue lengthen every queue.  So the usual wait at engines of its role counts.
+        While all engines are slow, nodes that cancel queued attempts and send them to the end of another
+        queue lengthen every queue.  So the typical wait at engines of the same role is added.
         """
         estimates = self._estimates
         prefill = engine.role == ROLE_PREFILL
-        waits = estimates.prefill_queue_waits_ms if prefill else estimates.first_token_waits_ms
+        waits_ms = estimates.prefill_queue_waits_ms if prefill else estimates.first_token_waits_ms
         return (
             SUSPECT_AFTER_SHARE * self._context.shortest_target_ms
-            + SLOW_FACTOR * waits.mean(self._context.now)
+            + SLOW_FACTOR * waits_ms.mean(self._context.now)
             + sum(estimates.allowed_prefill_ms(attempt) for attempt in engine.unanswered)
         )
 
     def newly_suspected(self) -> Iterator[Engine]:
-        """Engines that have been silent for too long; each is marked before it is given."""
+        """Yields engines that have been silent for too long, each marked as suspected."""
         for engine in list(self.awaited):
             if (
                 engine.silent_since
@@ -190,45 +200,48 @@
                 yield engine
 
     def record_health_check(self, engine: Engine, outcome: Outcome) -> list[Attempt]:
-        """Ejects a suspected engine that failed its check; returns attempts that had better run elsewhere."""
+        """Ejects a suspected engine that failed its check; returns the attempts that should run elsewhere."""
         if outcome is Outcome.SERVED:
             engine.health_check_answered_at = self._context.now
-        if not engine.health_check_pending:  # it was only checked before a prefill
+        if not engine.health_check_pending:  # the check was one before a prefill
             return []
         engine.health_check_pending = False
         if outcome not in (Outcome.SERVED, Outcome.FULL):
             self.eject(engine)
             return list(engine.attempts)
-        late = self._overdue(engine)
-        for request_class in sorted({attempt.request.request_class for attempt in late}):
+        overdue = self._overdue(engine)
+        for request_class in sorted({attempt.request.request_class for attempt in overdue}):
             self._estimates.failures[request_class].add(self._context.now)
             self.eject(engine, request_class)
         self.record_sign_of_life(engine)
-        return late
+        return overdue
 
     def _overdue(self, engine: Engine) -> list[Attempt]:
-        """Attempts that an engine which is alive leaves unanswered.
+        """Returns the attempts that a live engine has left unanswered for too long.
 
-        A KV transfer over a slow link looks alike, so only attempts whose KV cache lies near count.
+        A KV transfer over a slow link looks the same, so only attempts whose KV cache is in the engine's own
+        cell count.
         """
-        patience = self.patience_ms(engine)
+        patience_ms = self.patience_ms(engine)
         return [
             attempt
             for attempt in engine.unanswered
-            if self._context.now - attempt.sent_at > patience
+            if self._context.now - attempt.sent_at > patience_ms
             and (attempt.request.kv_holder is None or attempt.request.kv_holder.cell == engine.cell)
         ]
 
-    # Endpoint list and restart.
+    # Endpoint list and restored state.
 
     def forget(self, engine: Engine) -> None:
-        for known in (self.failed, *self.known_good):
-            known.pop(engine, None)
+        """Forgets an engine that has left the fleet."""
+        for known_good in (self.failed, *self.known_good):
+            known_good.pop(engine, None)
 
     def restore(self, event: StateRestored) -> None:
+        """Restores the ejections and known-good engines saved before a restart."""
         now = self._context.now
-        for engine, request_class, left in event.ejections:
-            engine.ejected_until[request_class] = now + left
-        for engine, request_class, ago in sorted(event.last_successes, key=lambda entry: -entry[2]):
-            engine.last_success[request_class] = now - ago
+        for engine, request_class, remaining_ms in event.ejections:
+            engine.ejected_until[request_class] = now + remaining_ms
+        for engine, request_class, elapsed_ms in sorted(event.last_successes, key=lambda entry: -entry[2]):
+            engine.last_success[request_class] = now - elapsed_ms
             self.known_good[request_class][engine] = None
--- a/worksmux/policy/placement.py
+++ b/worksmux/policy/placement.py
@@ -1,4 +1,4 @@
-"""Where a waiting request runs: a prefill engine with capacity, and a decode engine for its KV cache.
+"""Places a waiting request: on a prefill engine with capacity and a decode engine for its KV cache.
 
 Work is prompt tokens, times are milliseconds.
 """
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from .context import PolicyContext
-from .decode_selection import DecodeSelection, Searched
+from .decode_selection import DecodeSelection, SearchResults
 from .decode_window import DecodeWindow
 from .in_flight import InFlight
 from .load_estimates import SLOW_FACTOR, TOLERATED_WAIT_SHARE, LoadEstimates
@@ -20,18 +20,18 @@
 from .settings import ROLE_COMBINED, ROLE_PREFILL
 from .state import ALL_REQUEST_CLASSES, READY, Engine, Request
 
-PREFILL_MARGIN = 0.25  # of the even share of this node's prompt tokens that may be exceeded
+PREFILL_MARGIN = 0.25  # by which an engine may exceed its even share of this node's prompt tokens
 
 
 class Placement(NamedTuple):
-    """Both are the same engine where it prefills and decodes in one attempt."""
+    """The engines of a request; both are the same where one attempt prefills and decodes."""
 
     prefill_engine: Engine
     decode_engine: Engine
 
 
 class Placer:
-    """Finds placements; changes nothing but the probes it sends."""
+    """Finds placements; its only side effects are health checks before a prefill and search positions."""
 
     def __init__(
         self,
@@ -50,48 +50,60 @@
         self._order, self._window, self._decode_selection = order, window, decode_selection
 
     def find(self, request: Request) -> Placement | None:
-        """The first candidate with capacity whose KV cache has a decode engine; one whose own cell has it
-        comes first.  None: the request waits."""
+        """Returns the first candidate with capacity for which a decode engine has capacity too.
+
+        A candidate with a decode engine in its own cell comes first.  None: the request waits.
+        """
         scope = self._retry.scope(request) if request.possibly_executed else ANYWHERE
         if scope is None:
             return None
-        found: Placement | None = None
-        no_decode_engine = self._retry.attempts_left(request) < 2  # prefill and decode take one each
-        searched: Searched = {}
-        idle_only, exempt = self._probing.needs_known_idle(request), self._probing.exempt(request)
+        fallback: Placement | None = None
+        decode_engine_missing = self._retry.attempts_left(request) < 2  # prefill and decode take one each
+        search_results: SearchResults = {}
+        known_idle_only, unchecked_engines = (
+            self._probing.needs_known_idle(request),
+            self._probing.exempt_from_check(request),
+        )
         answered_since = self._context.now - self._probing.answer_within_ms
         for engine, overflow_tokens in self._order.candidates(request, scope):
             if (
-                idle_only
+                known_idle_only
                 and engine.health_check_answered_at < answered_since
                 and engine.role == ROLE_PREFILL
-                and engine not in exempt
+                and engine not in unchecked_engines
             ):
                 continue
             if engine.state != READY and request.possibly_executed:
                 continue
             if engine.role == ROLE_COMBINED:
-                if not found and self._combined_is_open(engine, request):
+                if not fallback and self._combined_is_open(engine, request):
                     return Placement(engine, engine)
-            elif not no_decode_engine and self._takes_prefill(engine, request, overflow_tokens):
-                decode_engine = self._decode_selection.select(request, engine, searched)
+            elif not decode_engine_missing and self._takes_prefill(engine, request, overflow_tokens):
+                decode_engine = self._decode_selection.select(request, engine, search_results)
                 if decode_engine is None:
-                    no_decode_engine = True
+                    decode_engine_missing = True
                 elif not self._probing.may_send(engine, request):
-                    idle_only = self._probing.needs_known_idle(request)
+                    known_idle_only = self._probing.needs_known_idle(request)
                 elif self._decodes_near(request, engine, decode_engine):
                     return Placement(engine, decode_engine)
                 else:
-                    found = found or Placement(engine, decode_engine)
-        if found is None and self._context.settings.decode_engines_may_prefill and not no_decode_engine:
+                    fallback = fallback or Placement(engine, decode_engine)
+        if (
+            fallback is None
+            and self._context.settings.decode_engines_may_prefill
+            and not decode_engine_missing
+        ):
             decode_engine = self._decode_selection.select(request, None)
-            found = Placement(decode_engine, decode_engine) if decode_engine else None
-        return found
+            fallback = Placement(decode_engine, decode_engine) if decode_engine else None
+        return fallback
 
     def _decodes_near(self, request: Request, prefill_engine: Engine, decode_engine: Engine) -> bool:
-        """In the same cell, or the request is of the share that the cell's decode engines can't take."""
-        share = self._context.index.local_decode_share
-        return decode_engine.cell == prefill_engine.cell or request.random_draw >= share[prefill_engine.cell]
+        """Whether both engines are in one cell, or the cell's decode engines cannot take this request."""
+        local_decode_share = self._context.index.local_decode_share
+        return (
+            decode_engine.cell == prefill_engine.cell
+            or request.random_draw >= local_decode_share[prefill_engine.cell]
+        )
 
     def _combined_is_open(self, engine: Engine, request: Request) -> bool:
         return self._window.is_open(engine, request) and (
@@ -99,9 +111,9 @@
         )
 
     def _takes_prefill(self, engine: Engine, request: Request, overflow_tokens: float) -> bool:
-        """Whether the engine has capacity, or stands idle while no engine is healthy.
+        """Whether the engine has capacity, or is idle while no prefill engine is healthy.
 
-        Failure: ejections by this node alone could leave it no prefill engine at all.
+        Otherwise this node's own ejections could leave it without any prefill engine.
         """
         return (
             self.has_capacity(engine, request, overflow_tokens)
@@ -111,15 +123,15 @@
         )
 
     def has_capacity(self, engine: Engine, request: Request, overflow_tokens: float = 0.0) -> bool:
-        """Whether the engine has no more than its even share of this node's prefill tokens.
+        """Whether the engine is usable, has no long queue and at most its even share of prefill tokens.
 
-        `overflow_tokens` more may wait there before a cached prefix is computed again elsewhere.
+        `overflow_tokens` more may wait at the engine before its cached prefix is computed again elsewhere.
         """
-        outstanding = sum(attempt.prefill_tokens for attempt in engine.attempts)
-        even_share = self._in_flight.prefill_tokens / len(self._context.index.prefill_engines)
+        outstanding_tokens = sum(attempt.prefill_tokens for attempt in engine.attempts)
+        even_share_tokens = self._in_flight.prefill_tokens / len(self._context.index.prefill_engines)
         estimates = self._estimates
         return (
-            outstanding <= (1 + PREFILL_MARGIN) * even_share + overflow_tokens
+            outstanding_tokens <= (1 + PREFILL_MARGIN) * even_share_tokens + overflow_tokens
             and self._outliers.is_usable(engine, request.request_class)
             and estimates.oldest_wait_ms(engine)
             <= TOLERATED_WAIT_SHARE * self._context.shortest_target_ms
--- a/worksmux/policy/prefill_order.py
+++ b/worksmux/policy/prefill_order.py
@@ -1,7 +1,7 @@
-"""In which order prefill engines are considered for a request, by rendezvous hashing.
+"""Orders the prefill engines that are considered for a request, by rendezvous hashing.
 
-The prefix picks a few engines, where its KV cache is kept, and the session one of them.  A failover plan, a
-scope within which the request must stay, or a request class that fails changes the order.
+The prefix selects a few engines that keep its prefix cache, and the session selects one of them.  The
+order changes under a failover plan, within the scope of a retry, and for a failing request class.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 from .round_robin import ANYWHERE, Scope
 from .state import Engine, Request
 
-HEAD_LOOKS = 128  # engines looked at in each search, those that the hash puts first
-FURTHER_LOOKS = 64  # engines behind them, from where the last search stopped
+HEAD_ENGINES = 128  # engines examined in every search, the first by hash
+ENGINES_PER_STEP = 64  # engines after the head, examined from where the last search stopped
 
-# An engine, and the prompt tokens that may wait there beyond its even share for the sake of a cached prefix.
+# An engine, and the prompt tokens that may queue there beyond its even share to use its prefix cache.
 Candidate = tuple[Engine, float]
 
 
 class PrefillOrder:
-    """Candidates for prefills; remembers for waiting requests how far a search in vain went."""
+    """Yields candidates for prefills; stores for waiting requests where the last failed search ended."""
 
     def __init__(
         self,
@@ -39,116 +39,152 @@
     ) -> None:
         self._context, self._estimates = context, estimates
         self._outliers, self._probing = outliers, probing
-        self._searched: dict[Request, int] = {}  # engines behind the head already looked at
+        self._search_position: dict[Request, int] = {}  # engines after the head that were already examined
         self._head: dict[Request, list[Candidate]] = {}
 
     def forget(self, request: Request) -> None:
-        self._searched.pop(request, None)
+        """Forgets the search of a request that no longer waits."""
+        self._search_position.pop(request, None)
         self._head.pop(request, None)
 
     def forget_all(self) -> None:
-        """Due with each new endpoint index."""
-        self._searched.clear()
+        """Forgets all searches; called with each new endpoint index."""
+        self._search_position.clear()
         self._head.clear()
 
     def candidates(self, request: Request, scope: Scope = ANYWHERE) -> Iterator[Candidate]:
-        """The first HEAD_LOOKS engines each time, those behind them by parts, from where the last search
-        in vain ended.  Combined engines keep what they prefill, for they decode it too."""
+        """Yields the first HEAD_ENGINES engines in every search, then the next ENGINES_PER_STEP after them.
+
+        Those after the head begin where the last failed search ended.  A combined engine keeps the KV cache
+        that it prefills, as it also decodes the request.
+        """
         index = self._context.index
-        start = self._searched.get(request, 0)
-        end = start + FURTHER_LOOKS
+        start = self._search_position.get(request, 0)
+        end = start + ENGINES_PER_STEP
         if self._context.plan or scope is not ANYWHERE or self._estimates.is_failing(request.request_class):
-            first, others = self._order_with_exceptions(request, scope)
-            yield from self._with_overflow(request, first, islice(others, max(0, HEAD_LOOKS - len(first))))
-            further = list(islice(others, start, end))
+            preferred, remaining = self._order_with_exceptions(request, scope)
+            yield from self._with_overflow(
+                request, preferred, islice(remaining, max(0, HEAD_ENGINES - len(preferred)))
+            )
+            further = list(islice(remaining, start, end))
         else:
-            _, session, ranking = index.ranked_for(request)
-            few = self._cached_at(request, ranking)
-            behind = max(few, HEAD_LOOKS)
+            _, session_hash, ranking = index.ranked_for(request)
+            cached_count = self._cached_engine_count(request, ranking)
+            head_end = max(cached_count, HEAD_ENGINES)
             if request not in self._head:
-                first = sorted(ranking.part(0, few), key=lambda engine: hash_score(session, engine.key_hash))
-                self._head[request] = self._with_overflow(request, first, ranking.part(few, behind))
+                preferred = sorted(
+                    ranking.ranked_slice(0, cached_count),
+                    key=lambda engine: hash_score(session_hash, engine.key_hash),
+                )
+                self._head[request] = self._with_overflow(
+                    request, preferred, ranking.ranked_slice(cached_count, head_end)
+                )
             yield from self._head[request]
             further = (
-                [] if self._probing.only_known_idle(request) else ranking.part(behind + start, behind + end)
+                []
+                if self._probing.only_known_idle(request)
+                else ranking.ranked_slice(head_end + start, head_end + end)
             )
         if further or start:
-            self._searched[request] = end if len(further) == FURTHER_LOOKS else 0
-        if len(index.prefill_capable) > HEAD_LOOKS:
-            capable = index.prefill_capable_set
-            probed = (engine for engine in request.checked_engines if engine in capable and scope.has(engine))
-            yield from ((engine, 0.0) for engine in chain(probed, further))
+            self._search_position[request] = end if len(further) == ENGINES_PER_STEP else 0
+        if len(index.prefill_capable) > HEAD_ENGINES:
+            prefill_capable = index.prefill_capable_set
+            checked = (
+                engine
+                for engine in request.checked_engines
+                if engine in prefill_capable and scope.has(engine)
+            )
+            yield from ((engine, 0.0) for engine in chain(checked, further))
 
     @staticmethod
-    def _cached_at(request: Request, ranking: Ranking) -> int:
-        """How many engines keep a prefix cached."""
+    def _cached_engine_count(request: Request, ranking: Ranking) -> int:
+        """Returns how many engines keep a shared prefix cached."""
         return 1 + ceil(len(ranking) ** 0.5) if request.prefix else 0
 
     @staticmethod
-    def _with_overflow(request: Request, first: list[Engine], others: Iterable[Engine]) -> list[Candidate]:
-        """The first engines come a second time, with a queue, before the prefix is computed elsewhere."""
+    def _with_overflow(
+        request: Request, preferred: list[Engine], remaining: Iterable[Engine]
+    ) -> list[Candidate]:
+        """Lists the preferred engines a second time, with a queue allowed, before the remaining ones."""
         return [
-            *((engine, 0.0) for engine in first),
-            *((engine, request.prompt_tokens) for engine in first),
-            *((engine, 0.0) for engine in others),
+            *((engine, 0.0) for engine in preferred),
+            *((engine, request.prompt_tokens) for engine in preferred),
+            *((engine, 0.0) for engine in remaining),
         ]
 
     def _order_with_exceptions(self, request: Request, scope: Scope) -> tuple[list[Engine], Iterator[Engine]]:
-        """The first few and those behind them, under a plan, within a scope, or for a failing class."""
-        key, session, ranking = self._context.index.ranked_for(request)
-        few = self._cached_at(request, ranking)
+        """Returns preferred and remaining engines under a plan, within a scope, or for a failing class."""
+        prefix_hash, session_hash, ranking = self._context.index.ranked_for(request)
+        cached_count = self._cached_engine_count(request, ranking)
         plan = self._context.plan
         if plan and len(ranking):
-            planned, moved = self._planned(list(ranking), plan, key)
+            planned, moved = self._order_by_plan(list(ranking), plan, prefix_hash)
             ranking = Ranking(len(planned), iter(planned))
-            # Away from home one engine keeps a prefix: kept by several, it would evict those at home there.
-            few = min(few, 1) if moved else self._cached_at(request, ranking)
-        first = sorted(ranking.part(0, few), key=lambda engine: hash_score(session, engine.key_hash))
-        others = self._behind(first, key, ranking, scope)
+            # Outside its home zone one engine caches a prefix: more would evict the prefixes at home there.
+            cached_count = min(cached_count, 1) if moved else self._cached_engine_count(request, ranking)
+        preferred = sorted(
+            ranking.ranked_slice(0, cached_count),
+            key=lambda engine: hash_score(session_hash, engine.key_hash),
+        )
+        remaining = self._remaining_by_hash(preferred, prefix_hash, ranking, scope)
         if self._estimates.is_failing(request.request_class):
-            others = self._known_good_first(request, first, others, key, scope)
-            first = list(islice(others, few))
-        return [engine for engine in first if scope.has(engine)], others
+            remaining = self._known_good_first(request, preferred, remaining, prefix_hash, scope)
+            preferred = list(islice(remaining, cached_count))
+        return [engine for engine in preferred if scope.has(engine)], remaining
 
-    def _behind(self, first: list[Engine], key: int, ranking: Ranking, scope: Scope) -> Iterator[Engine]:
-        """Those behind the first few, by hash."""
-        before = set(first)
+    def _remaining_by_hash(
+        self, preferred: list[Engine], prefix_hash: int, ranking: Ranking, scope: Scope
+    ) -> Iterator[Engine]:
+        """Returns the engines that are not preferred, by hash."""
+        preferred_set = set(preferred)
         if scope is ANYWHERE:
-            return (engine for engine in ranking if engine not in before)
+            return (engine for engine in ranking if engine not in preferred_set)
         in_scope = self._context.index.prefill_capable_in(scope)
-        return iter(rank(key, [engine for engine in in_scope if engine not in before]))
+        return iter(rank(prefix_hash, [engine for engine in in_scope if engine not in preferred_set]))
 
     def _known_good_first(
-        self, request: Request, first: list[Engine], others: Iterator[Engine], key: int, scope: Scope
+        self,
+        request: Request,
+        preferred: list[Engine],
+        remaining: Iterator[Engine],
+        prefix_hash: int,
+        scope: Scope,
     ) -> Iterator[Engine]:
-        """All of them again, those known to serve the request class before the rest."""
-        known, before = self._outliers.all_known_good(request.request_class), set(first)
-        host_set = self._context.index.prefill_capable_set
-        behind = rank(
-            key,
-            [engine for engine in known if engine in host_set and scope.has(engine) and engine not in before],
+        """Reorders all engines: those known to serve the request class come first."""
+        known_good, preferred_set = self._outliers.all_known_good(request.request_class), set(preferred)
+        prefill_capable = self._context.index.prefill_capable_set
+        known_good_behind = rank(
+            prefix_hash,
+            [
+                engine
+                for engine in known_good
+                if engine in prefill_capable and scope.has(engine) and engine not in preferred_set
+            ],
         )
         return chain(
-            (engine for engine in first if engine in known),
-            behind,
-            (engine for engine in first if engine not in known),
-            (engine for engine in others if engine not in known),
+            (engine for engine in preferred if engine in known_good),
+            known_good_behind,
+            (engine for engine in preferred if engine not in known_good),
+            (engine for engine in remaining if engine not in known_good),
         )
 
-    def _planned(self, order: list[Engine], plan: FailoverPlan, key: int) -> tuple[list[Engine], bool]:
-        """The order under a plan, and whether the request is moved out of its home zone.
+    def _order_by_plan(
+        self, order: list[Engine], plan: FailoverPlan, prefix_hash: int
+    ) -> tuple[list[Engine], bool]:
+        """Returns the order under a plan, and whether the request moves out of its home zone.
 
-        Its home is the zone of the first engine by hash; the plan's shares draw the zone by the prefix.
+        The home is the zone of the first engine by hash.  A hash of the prefix picks a zone by the plan's
+        shares.
         """
         home = zone = order[0].zone
-        draw = hash_score(key, mix(home, 2))
-        for other, share in plan.zone_shares.get(home, []):
-            zone, draw = other, draw - share
+        draw = hash_score(prefix_hash, mix(home, 2))
+        for planned_zone, share in plan.zone_shares.get(home, []):
+            zone, draw = planned_zone, draw - share
             if draw < 0:
                 break
-        missed = self._context.index.excluded_by_plan
-        able = [engine for engine in order if engine not in missed]
-        in_zone = [engine for engine in able if engine.zone == zone]
+        excluded = self._context.index.excluded_by_plan
+        included = [engine for engine in order if engine not in excluded]
+        in_zone = [engine for engine in included if engine.zone == zone]
         if in_zone and plan.keep_near:
             return in_zone, zone != home
-        return sorted(able, key=lambda engine: engine.zone != zone), zone != home
+        return sorted(included, key=lambda engine: engine.zone != zone), zone != home
--- a/worksmux/policy/random_source.py
+++ b/worksmux/policy/random_source.py
@@ -1,4 +1,4 @@
-"""A seeded source of random numbers."""
+"""Provides seeded random numbers."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class RandomSource:
-    """A linear congruential generator; only its high bits are used."""
+    """Linear congruential generator, of which only the high bits are used."""
 
     def __init__(self, seed: int) -> None:
         self.state = seed
 
     def share(self) -> float:
-        """A number from 0 to below 1.
+        """Returns a number from 0, inclusive, to 1, exclusive.
 
         >>> 0 <= RandomSource(7).share() < 1 and RandomSource(7).share() != RandomSource(8).share()
         True
@@ -25,12 +25,12 @@
         return (self.state >> 32) / 2**32
 
     def sample(self, items: Iterable[T], count: int) -> list[T]:
-        """At most `count` of the items, in random order.
+        """Returns at most `count` of the items, in random order.
 
         >>> sorted(RandomSource(1).sample("abc", 5)), len(RandomSource(1).sample("abc", 2))
         (['a', 'b', 'c'], 2)
         """
-        left, found = list(items), []  # type: list[T], list[T]
-        while left and len(found) < count:
-            found.append(left.pop(int(self.share() * len(left))))
-        return found
+        remaining, sampled = list(items), []  # type: list[T], list[T]
+        while remaining and len(sampled) < count:
+            sampled.append(remaining.pop(int(self.share() * len(remaining))))
+        return sampled
--- a/worksmux/policy/rendezvous.py
+++ b/worksmux/policy/rendezvous.py
@@ -1,10 +1,10 @@
-"""Engines ranked for a key by weighted rendezvous hashing, as far as the ranking is looked at.
+"""Ranks engines for a key by weighted rendezvous hashing, only as far as the ranking is read.
 
-Up to LEAF_ENGINES engines are ranked all together.  More of them lie in a binary tree by the bits of their
-hashed keys, with LEAF_ENGINES at most in each leaf: for a key, the child that its hash and the children's
-weights prefer comes first, and a leaf's engines are ranked when the ranking gets to them.  So the first
-engine gets what its weight is due, an engine that comes or goes moves few keys as long as no leaf splits or
-joins, and ranking costs no more among thousands.
+Up to LEAF_ENGINES engines are ranked together.  More engines are kept in a binary tree by the bits of their
+hashed keys, with at most LEAF_ENGINES in each leaf.  For each key the children of a node are ordered by
+weighted rendezvous hashing, and the engines of a leaf are ranked once the ranking reaches the leaf.  So each
+engine comes first in proportion to its weight, and ranking costs no more among thousands of engines.  An
+engine that joins or leaves moves few keys, as long as no leaf splits or merges.
 """
 
 from __future__ import annotations
@@ -18,25 +18,25 @@
 from .hashing import hash_score, hash_scores, mix
 from .state import Engine
 
-# Where a leaf splits or joins many of its keys move, so this is far from most fleets' leaves.
+# A leaf that splits or merges moves many of its keys, so this is far above the leaf sizes of most fleets.
 LEAF_ENGINES = 512
-KEY_BITS = 64  # of a hashed key
-RANKED_AT_ONCE = 32  # engines taken from a ranking by an iteration over it
+KEY_BITS = 64  # bits of a hashed key
+RANKED_AT_ONCE = 32  # engines taken at a time by an iteration over a ranking
 
 
 class _Node:
-    """Engines whose hashed keys begin with the same bits."""
+    """Node of the tree: engines whose hashed keys begin with the same bits."""
 
     __slots__ = ("start", "end", "weight", "path_hash", "children")
 
     def __init__(self, start: int, end: int, weight: float, path_hash: int) -> None:
-        self.start, self.end = start, end  # a slice of the engines in the order of their hashed keys
+        self.start, self.end = start, end  # slice of the engines sorted by hashed key
         self.weight, self.path_hash = weight, path_hash
         self.children: tuple[_Node, ...] = ()
 
 
 class Ranking:
-    """The engines in the order that a key gives them, ranked when they are first needed."""
+    """Engines in the order of a key, ranked when they are first read."""
 
     def __init__(self, total: int, engines: Iterator[Engine]) -> None:
         self._total, self._engines = total, engines
@@ -45,21 +45,22 @@
     def __len__(self) -> int:
         return self._total
 
-    def part(self, start: int, end: int) -> list[Engine]:
-        missing = end - len(self._ranked)
-        if missing > 0:
-            self._ranked += islice(self._engines, missing)
+    def ranked_slice(self, start: int, end: int) -> list[Engine]:
+        """Returns the engines from rank `start` to below rank `end`."""
+        missing_count = end - len(self._ranked)
+        if missing_count > 0:
+            self._ranked += islice(self._engines, missing_count)
         return self._ranked[start:end]
 
     def __iter__(self) -> Iterator[Engine]:
         start = 0
-        while part := self.part(start, start + RANKED_AT_ONCE):
-            yield from part
+        while ranked_slice := self.ranked_slice(start, start + RANKED_AT_ONCE):
+            yield from ranked_slice
             start += RANKED_AT_ONCE
 
 
 class RankedEngines:
-    """Engines with their weights, as they were when this was made."""
+    """Engines that can be ranked, with their weights at the time of construction."""
 
     def __init__(self, engines: Sequence[Engine]) -> None:
         key_hash, weight = attrgetter("key_hash"), attrgetter("weight")
@@ -69,20 +70,24 @@
         self._root = self._node(0, len(self._engines), 0, 1)
 
     def _node(self, start: int, end: int, prefix: int, path: int) -> _Node:
-        """`prefix` is the smallest hashed key of the node; `path` has its bits behind a leading one."""
+        """Builds a node; `prefix` is its smallest hashed key, `path` a 1 and the leading bits of its keys."""
         node = _Node(start, end, self._weight_sums[end] - self._weight_sums[start], mix(path, 5))
         depth = path.bit_length() - 1
         if end - start > LEAF_ENGINES and depth < KEY_BITS:
-            half = prefix + (1 << KEY_BITS - 1 - depth)
-            middle = bisect_left(self._key_hashes, half, start, end)
+            second_half_start = prefix + (1 << KEY_BITS - 1 - depth)
+            middle = bisect_left(self._key_hashes, second_half_start, start, end)
             node.children = tuple(
                 self._node(*child)
-                for child in ((start, middle, prefix, 2 * path), (middle, end, half, 2 * path + 1))
+                for child in (
+                    (start, middle, prefix, 2 * path),
+                    (middle, end, second_half_start, 2 * path + 1),
+                )
                 if child[0] < child[1]
             )
         return node
 
     def ranked(self, key: int) -> Ranking:
+        """Returns the ranking for a hashed key."""
         return Ranking(len(self._engines), self._walk(self._root, key))
 
     def _walk(self, node: _Node, key: int) -> Iterator[Engine]:
@@ -100,7 +105,7 @@
 
 
 def rank(key: int, engines: Sequence[Engine], key_hashes: Sequence[int] | None = None) -> list[Engine]:
-    """All of the engines by weighted rendezvous hashing; `key_hashes` are theirs, if at hand."""
+    """Returns the engines by weighted rendezvous hashing; `key_hashes` are their hashed keys, if known."""
     scores = hash_scores(key, [engine.key_hash for engine in engines] if key_hashes is None else key_hashes)
     ranks = [-log(score) / engine.weight for score, engine in zip(scores, engines, strict=True)]
-    return [engines[at] for at in sorted(range(len(ranks)), key=ranks.__getitem__)]
+    return [engines[position] for position in sorted(range(len(ranks)), key=ranks.__getitem__)]
--- a/worksmux/policy/retry.py
+++ b/worksmux/policy/retry.py
@@ -1,7 +1,7 @@
-"""Whether and where a request may have one more attempt, and whether it may be rejected instead.
+"""Decides whether and where a request may be retried, and whether it may be rejected instead.
 
-A request with side effects that may have been executed already is not sent again, or only where engines
-deduplicate it.  Times are milliseconds.
+A non-idempotent request that was possibly executed is not sent again, a deduplicated one only within its
+deduplication scope and window.  Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -13,21 +13,22 @@
 
 
 class RetryPolicy:
-    """Reads the request and the settings; keeps no state."""
+    """Applies the rules for retries; keeps no state."""
 
     def __init__(self, context: PolicyContext) -> None:
         self._context = context
 
     def attempts_left(self, request: Request) -> int:
+        """Returns how many more attempts the settings allow the request."""
         return int(self._context.settings.max_attempts) - len(request.attempts)
 
     def is_exhausted(self, request: Request) -> bool:
-        """No attempt is left, or the deadline comes before the next decision round."""
+        """Whether no attempt is left, or the deadline is before the next decision round."""
         context = self._context
         return self.attempts_left(request) < 1 or context.now > request.deadline - context.round_interval_ms
 
     def scope(self, request: Request) -> Scope | None:
-        """Where one more attempt may go; None: nowhere."""
+        """Returns the scope of one more attempt; None if there may be none."""
         if self.attempts_left(request) < 1 or request.in_flight:
             return None
         executed = request.possibly_executed
@@ -45,16 +46,20 @@
         return scope if all(scope.has(attempt.engine) for attempt in executed) else None
 
     def may_send(self, request: Request, engine: Engine) -> bool:
+        """Whether one more attempt may go to the engine."""
         scope = self.scope(request)
         return scope is not None and engine.state == READY and scope.has(engine)
 
     def may_retry(self, request: Request) -> bool:
-        """Whether an engine that may answer lies in the request's scope."""
+        """Whether a decode-capable engine is in the scope of one more attempt."""
         scope = self.scope(request)
         return scope is not None and self._context.index.any_in(self._context.index.decode_capable, scope)
 
     def may_prefill_again(self, request: Request) -> bool:
-        """A prefill counts as an attempt: after a possible execution it too stays within the scope."""
+        """Whether the request may be prefilled again.
+
+        A prefill counts as an attempt, so after a possible execution it stays within the scope too.
+        """
         if not request.possibly_executed or self._context.settings.decode_engines_may_prefill:
             return True
         scope = self.scope(request)
--- a/worksmux/policy/router.py
+++ b/worksmux/policy/router.py
@@ -1,10 +1,10 @@
-"""Takes a batch of events, gives the actions: the one entry point to all decisions on requests.
+"""Turns a batch of events into actions: the entry point to all decisions on requests.
 
     router = Router(settings, seed)
-    actions = router.decide(now, events)  # once for each batch of events, in the order they came
+    actions = router.decide(now, events)  # once for each batch of events, in order of arrival
 
-The router dispatches; each rule stands in the module of its name in this package.  A router knows only its
-own events: in a large fleet it meets an engine less than once in the time that a fault lasts.
+The router dispatches events; each rule is in the module of its name in this package.  A router knows only
+its own events: in a large fleet it sends an engine less than one attempt in the time that a fault lasts.
 Times are milliseconds.
 """
 
@@ -55,16 +55,16 @@
 from .slow_start import SlowStart
 from .state import READY, Attempt, Engine, Outcome, Request
 
-ROUNDS_PER_SUSPICION = 4  # decision rounds in the time after which a silent engine is suspected
-ROUND_TIMER = 0  # token of the timer of decision rounds
-PREFILL_TIMEOUT_SHARE = 0.5  # of the time to the deadline: the rest is for the decode attempt
-# Slow-start credit earned by an arrival, in serves: some, so that a fleet all cold is not left alone; the
-# least for a client's retry, as retries can storm.
+ROUNDS_PER_SUSPICION = 4  # decision rounds within the time after which a silent engine is suspected
+ROUND_TIMER = 0  # token of the timer for decision rounds
+PREFILL_TIMEOUT_SHARE = 0.5  # of the time to the deadline; the rest is left for the decode attempt
+# Slow-start credit earned by an arrival, in served requests.  An arrival earns some, so that a fleet whose
+# engines are all cold gets requests.  A client's retry earns the least, as retries can come in storms.
 ARRIVAL_CREDIT, CLIENT_RETRY_CREDIT = 0.5, 0.25
 
 
 class Router:
-    """One node's decisions."""
+    """Takes the decisions of one node."""
 
     def __init__(self, settings: PolicySettings, seed: int) -> None:
         self.settings = settings
@@ -95,7 +95,7 @@
         )
         self.kv_caches = HeldKvCaches(context)
         self.endpoints = EndpointTable(context, self.slow_start, self.outliers, self.in_flight)
-        self.waiting: dict[Request, None] = {}  # for their prefill
+        self.waiting: dict[Request, None] = {}  # requests without a placement
         self.timer_due_at = -inf
         if settings.polls_endpoint_list:
             context.actions.append(WatchEndpoints(True))
@@ -103,15 +103,16 @@
 
     @property
     def index(self) -> EngineIndex:
+        """The index of the current endpoint list."""
         return self.context.index
 
     def decide(self, now: float, events: list[Event]) -> list[Action]:
-        """One decision round: what happened comes in, what is to be done goes out."""
+        """Runs one decision round: handles the events in order and returns the actions in order."""
         self.context.now = now
-        self.probing.forget_health()
+        self.probing.invalidate_health()
         self.estimates.begin_round(self.probing.enabled)
         for event in events:
-            self._handle(event)
+            self._handle_event(event)
         if self.kv_caches.requests:
             self._send_held()
         if self.waiting:
@@ -121,7 +122,7 @@
         return actions
 
     def _set_timer(self) -> None:
-        """A node with nothing to watch sets none."""
+        """Sets the timer of the next decision round, unless there is nothing to watch."""
         target_ms = self.context.shortest_target_ms
         delay_ms = SUSPECT_AFTER_SHARE * target_ms / ROUNDS_PER_SUSPICION if self.outliers.awaited else inf
         if self.waiting or self.kv_caches.requests:
@@ -131,25 +132,25 @@
         now = self.context.now
         if delay_ms < inf and not now < self.timer_due_at <= now + delay_ms:
             self.timer_due_at = now + delay_ms
-            self._do(SetTimer(delay_ms, ROUND_TIMER))
+            self._emit(SetTimer(delay_ms, ROUND_TIMER))
 
-    def _do(self, action: Action) -> None:
+    def _emit(self, action: Action) -> None:
         self.context.actions.append(action)
 
     # Events.
 
-    def _handle(self, event: Event) -> None:
+    def _handle_event(self, event: Event) -> None:
         match event:
             case AttemptEnded():
                 self._on_attempt_ended(event)
             case RequestArrived(request):
                 self._on_request_arrived(request)
-            case FirstToken(attempt, elapsed):
-                self._on_first_token(attempt, elapsed)
+            case FirstToken(attempt, elapsed_ms):
+                self._on_first_token(attempt, elapsed_ms)
             case TimerFired(token):
                 self._on_timer(token)
             case ClientDisconnected(request):
-                self._drop(request)
+                self._abandon(request)
             case EndpointListUpdate():
                 self._on_endpoint_list(event)
             case HealthCheckEnded(engine, outcome):
@@ -171,13 +172,13 @@
         request.random_draw = context.random_source.share()
         if rejection := self.admission.shed(request):
             request.ended = True
-            self._do(rejection)
+            self._emit(rejection)
             return
         self.waiting[request] = None
         for role in (ROLE_PREFILL, ROLE_DECODE, ROLE_COMBINED):
             self.slow_start.earn(role, CLIENT_RETRY_CREDIT if request.is_retry else ARRIVAL_CREDIT)
         if not request.is_retry and context.index.all_decode_engines_cold(context.now):
-            # A node that meets few requests has no serve to earn by.
+            # A node with sparse traffic has no served requests to earn credit from.
             self.slow_start.earn(ROLE_DECODE, ARRIVAL_CREDIT)
 
     def _on_first_token(self, attempt: Attempt, elapsed_ms: float) -> None:
@@ -191,7 +192,7 @@
 
     def _on_timer(self, token: int) -> None:
         if token != ROUND_TIMER:
-            self._do(WatchEndpoints(True))
+            self._emit(WatchEndpoints(True))
         elif self.timer_due_at <= self.context.now + self.settings.tick_ms:
             self.timer_due_at = -inf
             self._check_held()
@@ -206,7 +207,7 @@
         self.prefill_order.forget_all()
 
     def _on_state_restored(self, event: StateRestored) -> None:
-        """Takes on what was learned before a restart; it fades like what is seen now."""
+        """Restores what was learned before a restart; it expires like new samples."""
         self.estimates.restore(event)
         self.outliers.restore(event)
         self.window.restore(event)
@@ -216,14 +217,14 @@
         request = attempt.request
         attempt.outcome = outcome
         self.in_flight.end(attempt)
-        self._learn(event)
+        self._record_outcome(event)
         if event.closed:
             request.ended = True
             self.in_flight.release(request)
         if request.ended:
             if outcome is not Outcome.SERVED:
-                # Guards against KV cache held for a request that has its final answer.
-                self._do(ReleaseKvCache(request))
+                # Else engines would hold KV cache for a request that has its final answer.
+                self._emit(ReleaseKvCache(request))
         elif outcome is Outcome.PREFILLED and not self.retry.is_exhausted(request):
             self.kv_caches.hold(request, attempt.engine)
         elif (
@@ -236,8 +237,8 @@
         else:
             self._start_over(request)
 
-    def _learn(self, event: AttemptEnded) -> None:
-        """What an attempt's end tells of its engine and of the load."""
+    def _record_outcome(self, event: AttemptEnded) -> None:
+        """Records what the end of an attempt shows about its engine and the load."""
         attempt, outcome = event.attempt, event.outcome
         self.estimates.record_ended(event)
         if outcome is Outcome.PREFILLED:
@@ -245,7 +246,7 @@
         elif outcome is Outcome.SERVED:
             self.window.grow(attempt.engine)
         elif outcome is Outcome.FULL:
-            if not event.kv_cache_lost:  # which is no fault of the decode engine
+            if not event.kv_cache_lost:  # lost KV cache is not the decode engine's fault
                 self.window.shrink(attempt.engine)
         else:
             self.outliers.record_failure(event)
@@ -259,16 +260,18 @@
         self.estimates.update_in_flight_prefills()
         self.probing.update()
         self.admission.begin_placement()
-        new_ones_wait = False  # where one new request finds no place, none does
+        new_requests_blocked = False  # if one new request finds no placement, none does
         for request in sorted(self.waiting, key=lambda request: request.latency_target_at):
             if self.admission.latency_target_unreachable(request):
-                self._end(request, EndReason.LATENCY_TARGET_UNREACHABLE)
-            elif request.attempts or not new_ones_wait:
+                self._end_request(request, EndReason.LATENCY_TARGET_UNREACHABLE)
+            elif request.attempts or not new_requests_blocked:
                 if placement := self.placer.find(request):
                     self._place(request, placement)
                     del self.waiting[request]
                 else:
-                    new_ones_wait = new_ones_wait or not (request.attempts or request.checked_engines)
+                    new_requests_blocked = new_requests_blocked or not (
+                        request.attempts or request.checked_engines
+                    )
         self.admission.end_placement()
 
     def _place(self, request: Request, placement: Placement) -> None:
@@ -283,7 +286,7 @@
         timeout_ms = (request.deadline - self.context.now) * PREFILL_TIMEOUT_SHARE
         self._send(request, prefill_engine, prefill=True, timeout_ms=timeout_ms)
         if self.settings.may_reserve:
-            self._do(ReserveSlot(request, decode_engine))
+            self._emit(ReserveSlot(request, decode_engine))
 
     def _send(self, request: Request, engine: Engine, prefill: bool, timeout_ms: float = 0.0) -> None:
         attempt = Attempt(
@@ -300,16 +303,16 @@
         self.kv_caches.drop(request)
         request.checked_engines.clear()
         self.prefill_order.forget(request)
-        self.probing.forget_health()  # an engine that was ejected has its one attempt now
-        self._do(StartAttempt(attempt, timeout_ms))
+        self.probing.invalidate_health()  # an engine back from ejection has its one attempt now
+        self._emit(StartAttempt(attempt, timeout_ms))
 
-    # KV cache that waits for a decode engine.
+    # Held KV cache.
 
     def _send_held(self) -> None:
-        """The KV cache goes to the decode engine that is reserved for it, or else to the next."""
+        """Sends each held KV cache to its reserved decode engine, or else to the next one with capacity."""
         for request in list(self.kv_caches.requests):
             if self.waiting and self.kv_caches.prefill_too_late(request):
-                self._end(request, EndReason.PREFILL_TOO_LATE)
+                self._end_request(request, EndReason.PREFILL_TOO_LATE)
                 continue
             if self.kv_caches.must_be_released(request):
                 self._prefill_again(request)
@@ -336,19 +339,19 @@
         self.kv_caches.drop(request)
         self._start_over(request)
 
-    # Engines that are silent.
+    # Silent engines.
 
     def _check_silent_engines(self) -> None:
         for engine in self.outliers.newly_suspected():
             if self.settings.may_check_health and engine.state == READY:
-                self._do(CheckHealth(engine))
+                self._emit(CheckHealth(engine))
             else:
                 self._cancel_replaceable(self.outliers.record_health_check(engine, Outcome.TIMED_OUT))
 
     def _cancel_replaceable(self, attempts: list[Attempt]) -> None:
-        """Cancels attempts that may run elsewhere.
+        """Cancels attempts so that their requests run elsewhere.
 
-        Where engines are checked before a prefill, a prefill is left alone if another would be too late.
+        Where engines are checked before a prefill, a prefill is not cancelled if another would be too late.
         """
         for attempt in attempts:
             request = attempt.request
@@ -362,34 +365,34 @@
     def _cancel(self, attempt: Attempt) -> None:
         if self.settings.may_cancel and not (attempt.first_token_at or attempt.cancel_requested):
             attempt.cancel_requested = True
-            self._do(CancelAttempt(attempt))
+            self._emit(CancelAttempt(attempt))
 
-    # The end of a request.
+    # Ends of requests.
 
     def _start_over(self, request: Request) -> None:
-        """Back to the waiting requests, if it may have one more attempt or be rejected later."""
+        """Returns a request to the waiting ones if it may be retried or rejected later; else ends it."""
         request.kv_holder = None
         self.in_flight.release(request)
-        self._do(ReleaseKvCache(request))  # also of a slot that was reserved ahead of a failed prefill
-        may_run_again = self.retry.may_retry(request) and self.retry.may_prefill_again(request)
+        self._emit(ReleaseKvCache(request))  # also a slot reserved ahead of a failed prefill
+        may_retry = self.retry.may_retry(request) and self.retry.may_prefill_again(request)
         if self.retry.is_exhausted(request):
-            self._end(request, EndReason.RETRY_EXHAUSTED)
-        elif not (self.retry.may_reject(request) or may_run_again):
-            self._end(request, EndReason.POSSIBLY_EXECUTED)
+            self._end_request(request, EndReason.RETRY_EXHAUSTED)
+        elif not (self.retry.may_reject(request) or may_retry):
+            self._end_request(request, EndReason.POSSIBLY_EXECUTED)
         else:
             self.waiting[request] = None
 
-    def _end(self, request: Request, reason: EndReason) -> None:
+    def _end_request(self, request: Request, reason: EndReason) -> None:
         if request.ended:
             return
         if self.retry.may_reject(request):
-            self._do(RejectRequest(request, reason=reason))
+            self._emit(RejectRequest(request, reason=reason))
         else:
-            self._do(AbortRequest(request, reason))
-        self._drop(request)
+            self._emit(AbortRequest(request, reason))
+        self._abandon(request)
 
-    def _drop(self, request: Request) -> None:
-        """Nothing more is done for the request but to cancel and release what it has."""
+    def _abandon(self, request: Request) -> None:
+        """Gives up a request: cancels its attempts and releases what it holds."""
         request.ended = True
         self.in_flight.release(request)
         self.kv_caches.drop(request)
@@ -398,4 +401,4 @@
         for attempt in request.in_flight:
             self._cancel(attempt)
         if request.attempts and not request.in_flight:
-            self._do(ReleaseKvCache(request))
+            self._emit(ReleaseKvCache(request))
--- a/worksmux/policy/sliding_window.py
+++ b/worksmux/policy/sliding_window.py
@@ -1,10 +1,10 @@
-"""A sliding window of sums and counts over time."""
+"""Sums and counts over a sliding window of time."""
 
 from __future__ import annotations
 
 
 class SlidingWindow:
-    """Sums and counts over the last `span` milliseconds, in a fixed number of buckets.
+    """Keeps sums and counts over the last `span_ms` milliseconds, in a fixed number of buckets.
 
     >>> window = SlidingWindow(100.0, 10)
     >>> window.add(5.0, 2.0); window.add(95.0, 12.0, 3.0)
@@ -12,38 +12,59 @@
     (3.5, 2.0, 4.0, 4.0)
     """
 
-    __slots__ = ("width", "size", "marks", "sums", "counts", "newest")
+    __slots__ = ("bucket_ms", "bucket_count", "bucket_numbers", "sums", "counts", "newest_bucket")
 
-    def __init__(self, span: float, buckets: int) -> None:
-        self.width, self.size, self.newest = span / buckets, buckets, -buckets
-        self.marks: list[int] = []  # made with the first value: most windows stay empty
+    def __init__(self, span_ms: float, buckets: int) -> None:
+        self.bucket_ms, self.bucket_count, self.newest_bucket = span_ms / buckets, buckets, -buckets
+        self.bucket_numbers: list[int] = []  # allocated with the first value, as most windows stay empty
         self.sums: list[float] = []
         self.counts: list[float] = []
 
-    def add(self, now: float, value: float = 1.0, of: float = 1.0) -> None:
-        """Adds `value`, the sum over `of` things."""
-        if not self.marks:
-            self.marks, self.sums = [-self.size] * self.size, [0.0] * self.size
-            self.counts = [0.0] * self.size
-        mark = int(now / self.width)
-        at = mark % self.size
-        if self.marks[at] != mark:
-            self.marks[at], self.sums[at], self.counts[at], self.newest = mark, 0.0, 0.0, mark
-        self.sums[at] += value
-        self.counts[at] += of
-
-    def _live(self, now: float, last: int = 0) -> list[int]:
-        oldest = int(now / self.width) - (last or self.size)
-        return [at for at, mark in enumerate(self.marks) if mark > oldest] if self.newest > oldest else []
+    def add(self, now: float, value: float = 1.0, count: float = 1.0) -> None:
+        """Adds `value`, the sum of `count` samples."""
+        if not self.bucket_numbers:
+            self.bucket_numbers, self.sums = (
+                [-self.bucket_count] * self.bucket_count,
+                [0.0] * self.bucket_count,
+            )
+            self.counts = [0.0] * self.bucket_count
+        bucket_number = int(now / self.bucket_ms)
+        position = bucket_number % self.bucket_count
+        if self.bucket_numbers[position] != bucket_number:
+            self.bucket_numbers[position], self.sums[position], self.counts[position], self.newest_bucket = (
+                bucket_number,
+                0.0,
+                0.0,
+                bucket_number,
+            )
+        self.sums[position] += value
+        self.counts[position] += count
+
+    def _recent_positions(self, now: float, last_buckets: int = 0) -> list[int]:
+        oldest = int(now / self.bucket_ms) - (last_buckets or self.bucket_count)
+        return (
+            [position for position, bucket_number in enumerate(self.bucket_numbers) if bucket_number > oldest]
+            if self.newest_bucket > oldest
+            else []
+        )
 
     def count(self, now: float) -> float:
-        return sum(self.counts[at] for at in self._live(now))
+        """Returns how many samples are in the window."""
+        return sum(self.counts[position] for position in self._recent_positions(now))
 
     def min_bucket_mean(self, now: float) -> float:
-        """The smallest mean of a bucket: the shortest time seen, without a single lucky one deciding it."""
-        return min((self.sums[at] / self.counts[at] for at in self._live(now)), default=0.0)
+        """Returns the smallest mean of a bucket: a low value that does not depend on a single sample."""
+        return min(
+            (self.sums[position] / self.counts[position] for position in self._recent_positions(now)),
+            default=0.0,
+        )
 
-    def mean(self, now: float, otherwise: float = 0.0, last: int = 0) -> float:
-        """The mean over all buckets, or over the `last` ones; `otherwise` where there is nothing."""
-        live = self._live(now, last or self.size)
-        return sum(self.sums[at] for at in live) / sum(self.counts[at] for at in live) if live else otherwise
+    def mean(self, now: float, default: float = 0.0, last_buckets: int = 0) -> float:
+        """Returns the mean over all buckets, or over the `last_buckets`; `default` if they are empty."""
+        recent = self._recent_positions(now, last_buckets or self.bucket_count)
+        return (
+            sum(self.sums[position] for position in recent)
+            / sum(self.counts[position] for position in recent)
+            if recent
+            else default
+        )
--- a/worksmux/policy/slow_start.py
+++ b/worksmux/policy/slow_start.py
@@ -1,13 +1,14 @@
-"""How many requests an engine in slow start (a cold one) is sent: credit that is earned and spent.
+"""Limits the requests sent to an engine in slow start (a cold engine) by credit.
 
-Failure: an engine that has just started falls over when all nodes send it their even share.  A node sends
-it a part of that, in any window of time: each serve at engines of its role, which no storm of retries can
-raise, earns it a reduced even share, and a request costs one.  Nodes start with different parts of one
-request, as hundreds must not begin at once.  Cold prefill engines earn together: the hash spreads their
-requests, and a node that meets them seldom would wait for ever for a request of the one that has earned it.
+An engine that has just started fails if all nodes send it their even share.  So each node sends it only a
+part of that share in any window of time.  Each request served at engines of the same role earns the cold
+engine a reduced even share, and a request sent to it costs one.  A storm of retries cannot raise the number
+of served requests.  Each node starts with a different part of one request's credit, so that hundreds of nodes
+do not begin at once.  Cold prefill engines earn credit together: hashing spreads their requests, and a node
+with sparse traffic would wait for ever for a request that hashes to the one engine with credit.
 
-What all engines of a role have earned is kept as one sum, and an engine's own credit is computed from it when
-it is needed: a serve costs the same however many engines are cold.
+The earnings of a role are kept as one sum, and the credit of an engine is computed from the sum on demand.
+So a served request costs the same however many engines are cold.
 """
 
 from __future__ import annotations
@@ -18,79 +19,87 @@
 from .settings import ROLE_PREFILL, PolicySettings
 from .state import Engine
 
-BUDGET_SHARE = 0.5  # of this node's even share of a cold engine's budget, that is used
-REQUEST_CREDIT = 1.0  # of one request, and the most there is
+BUDGET_SHARE = 0.5  # used part of this node's even share of a cold engine's budget
+REQUEST_CREDIT = 1.0  # cost of one request, and the maximum credit
 
 
 class SlowStart:
-    """Credit of the cold engines of one node."""
+    """Keeps one node's credit for cold engines."""
 
     def __init__(self, settings: PolicySettings) -> None:
         self._slow_start_ms = settings.slow_start_ms
         self._budget: float = settings.slow_start_share * settings.overload_multiple * BUDGET_SHARE
-        self.prefill_credit = 0.0  # requests that cold prefill engines may be sent, earned together
-        self._cold_prefill_share = 0.0  # what cold prefill engines are due of all prefills
-        self._earned: dict[str, float] = defaultdict(float)  # by role, for an engine due all of the role's
-        self._counted: dict[Engine, float] = {}  # cold engines: the part of `_earned` in their credit
+        self.prefill_credit = 0.0  # requests that cold prefill engines together may be sent
+        self._cold_prefill_share = 0.0  # share of all prefills that is due to cold prefill engines
+        # By role: what an engine would have earned that is due all requests of the role.
+        self._earned: dict[str, float] = defaultdict(float)
+        self._settled: dict[Engine, float] = {}  # by cold engine: the part of `_earned` already in its credit
 
     def is_cold(self, engine: Engine, now: float) -> bool:
-        """Times are milliseconds."""
+        """Whether the engine is in slow start; times are milliseconds."""
         return engine.started > 0 and now < engine.started + self._slow_start_ms
 
     def begin(self, engine: Engine, credit: float) -> None:
-        """An engine has started."""
-        self._counted.pop(engine, None)
+        """Sets the credit of an engine that has just started."""
+        self._settled.pop(engine, None)
         engine.slow_start_credit = credit
 
     def leave(self, engine: Engine) -> None:
-        """The engine's share or role may change; the next endpoint list tells whether it is cold still."""
+        """Settles an engine whose share or role may change; `set_cold` tells whether it is still cold."""
         self.settle(engine)
-        self._counted.pop(engine, None)
+        self._settled.pop(engine, None)
 
     def settle(self, engine: Engine) -> None:
-        """Adds to an engine's credit what it has earned; due before its share changes."""
-        counted = self._counted.get(engine)
-        if counted is None:
+        """Adds an engine's earnings to its credit; must be called before its share changes."""
+        settled = self._settled.get(engine)
+        if settled is None:
             return
         earned = self._earned[engine.role]
-        if earned != counted:
+        if earned != settled:
             engine.slow_start_credit = min(
-                REQUEST_CREDIT, engine.slow_start_credit + (earned - counted) * engine.role_share
+                REQUEST_CREDIT, engine.slow_start_credit + (earned - settled) * engine.role_share
             )
-            self._counted[engine] = earned
+            self._settled[engine] = earned
 
     def settle_all(self) -> None:
-        for engine in self._counted:
+        """Adds the earnings of all cold engines to their credit."""
+        for engine in self._settled:
             self.settle(engine)
 
     def set_cold(self, engines: Iterable[Engine]) -> None:
-        """The cold engines of a new endpoint list; what others earned was settled before."""
-        cold = list(engines)
-        self._cold_prefill_share = sum(engine.role_share for engine in cold if engine.role == ROLE_PREFILL)
-        self._counted = {engine: self._earned[engine.role] for engine in cold if engine.role != ROLE_PREFILL}
-
-    def earn(self, role: str, serves: float) -> None:
-        """The cold engines of a role earn from serves, or from a fraction of one."""
+        """Sets the cold engines of a new endpoint list; earlier earnings must be settled before."""
+        cold_engines = list(engines)
+        self._cold_prefill_share = sum(
+            engine.role_share for engine in cold_engines if engine.role == ROLE_PREFILL
+        )
+        self._settled = {
+            engine: self._earned[engine.role] for engine in cold_engines if engine.role != ROLE_PREFILL
+        }
+
+    def earn(self, role: str, served_requests: float) -> None:
+        """Credits the cold engines of a role for served requests, or for a fraction of one."""
         if role == ROLE_PREFILL:
-            earned = self._budget * serves * self._cold_prefill_share
+            earned = self._budget * served_requests * self._cold_prefill_share
             self.prefill_credit = min(REQUEST_CREDIT, self.prefill_credit + earned)
         else:
-            self._earned[role] += self._budget * serves
+            self._earned[role] += self._budget * served_requests
 
     def credit(self, engine: Engine) -> float:
-        """Requests that a cold engine may be sent now."""
+        """Returns how many requests a cold engine may be sent now."""
         if engine.role == ROLE_PREFILL:
             return self.prefill_credit
         self.settle(engine)
         return engine.slow_start_credit
 
     def may_prefill(self) -> bool:
+        """Whether a cold prefill engine may be sent a request."""
         return self.prefill_credit >= REQUEST_CREDIT
 
     def spend_prefill(self) -> None:
+        """Spends the credit of one request at a cold prefill engine."""
         self.prefill_credit -= REQUEST_CREDIT
 
     def spend(self, engine: Engine) -> None:
-        """A decode or combined engine is sent a request."""
+        """Spends the credit of one request sent to a decode or combined engine."""
         self.settle(engine)
         engine.slow_start_credit -= REQUEST_CREDIT
