--- a/tests/test_cost_by_fleet_size.py
+++ b/tests/test_cost_by_fleet_size.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 import pytest
-from helpers import NOW, settings
+from helpers import NOW, make_settings
 
 from worksmux.node import discovery_watch
 from worksmux.node.endpoint_list import HostList
@@ -73,7 +73,7 @@
 
     def __init__(self, engines: int, hung: float, answered: float, cold: float, effect: int) -> None:
         self.chance = Random(7)
-        self.router = Router(settings(node_count=NODES, engine_roles=("read", "write")), 1)
+        self.router = Router(make_settings(node_count=NODES, engine_roles=("read", "write")), 1)
         self.hung, self.answered, self.effect = hung, answered, effect
         self.engines = [Engine(b"%d" % at, at + 1) for at in range(engines)]
         self.line: list[tuple[float, int, Callable[[], Event | None]]] = []
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec of the bench's wire, without a bench."""
+"""Tests the codec of the bench's wire protocol, without a bench."""
 
 import io
 import struct
@@ -10,7 +10,7 @@
 from worksmux.bench_adapter.codec import Record, WireError, read_batch, write_reply
 
 
-def test_reply_is_laid_out_as_the_wire_page_shows():
+def test_reply_has_the_layout_of_the_wire_protocol():
     frame = write_reply(
         12,
         [
@@ -23,13 +23,13 @@
     assert frame[60:] == b"two servers unknown"
 
 
-def test_truncated_frame_says_where():
+def test_error_on_a_truncated_frame_names_the_batch():
     frame = struct.pack("<IIdI", 1, 84, 0.0, 9) + b"\x07" + bytes(10)
     with pytest.raises(WireError, match="batch 9"):
         read_batch(io.BytesIO(frame))
 
 
 def test_adapter_needs_nothing_but_the_standard_library():
-    """The bench starts the adapter where no library is installed."""
+    """The bench starts the adapter in an environment where no library is installed."""
     done = subprocess.run([sys.executable, "-S", "-c", "import worksmux.bench_adapter.instance"], check=False)
     assert done.returncode == 0
--- a/tests/test_zone_watcher.py
+++ b/tests/test_zone_watcher.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from helpers import NOW, fleet, request
+from helpers import NOW, make_fleet, make_request
 
 from worksmux.failover.watcher import Watcher
 from worksmux.policy.events import (
@@ -16,7 +16,7 @@
 
 
 def new_watcher() -> tuple[Watcher, list[Engine]]:
-    front, engines = fleet((0, 0, 0), (1, 0, 0), (0, 1, 1), (1, 1, 1))
+    front, engines = make_fleet((0, 0, 0), (1, 0, 0), (0, 1, 1), (1, 1, 1))
     watcher = Watcher(["north", "south"], ["hint", "mark", "note"], front.settings)
     watcher.observe(
         NOW,
@@ -30,7 +30,7 @@
 def end_attempt(
     watcher: Watcher, engine: Engine, at_ms: float, outcome: Outcome = Outcome.UNREACHABLE
 ) -> None:
-    attempt = Attempt(request(), engine, 0, at_ms - 10, True)
+    attempt = Attempt(make_request(), engine, 0, at_ms - 10, True)
     watcher.observe(at_ms, AttemptEnded(attempt, outcome, 10.0, False))
 
 
@@ -69,7 +69,7 @@
 
 def test_waiting_requests_count_before_their_answer_begins() -> None:
     watcher, _ = new_watcher()
-    one = request(now=NOW)
+    one = make_request(now=NOW)
     watcher.observe(NOW, RequestArrived(one))
     zones = watcher.report(NOW + 800).zones
     assert zones["north"].wait_rate == pytest.approx(0.4) and zones["north"].first_token_rate == 0
--- a/worksmux/policy/endpoint_index.py
+++ b/worksmux/policy/endpoint_index.py
@@ -23,7 +23,7 @@
 
 
 class EngineIndex:
-    """Groups engines by role, cell and zone, and knows the share of the work that each is due."""
+    """Groups engines by role, cell and zone, and sets the share of the work that each is due."""
 
     def __init__(
         self, engines: Iterable[Engine], plan: FailoverPlan | None, settings: PolicySettings, now: float
@@ -151,7 +151,7 @@
 
     @staticmethod
     def any_in(group: list[Engine], scope: Scope) -> bool:
-        """Whether an engine of the group lies in the scope."""
+        """Whether an engine of the group is within the scope."""
         if scope is ANYWHERE:
             return bool(group)
         return any(scope.has(engine) for engine in group)
--- a/worksmux/policy/load_estimates.py
+++ b/worksmux/policy/load_estimates.py
@@ -18,7 +18,7 @@
 BUCKETS = 10  # of each sliding window
 RECENT_BUCKETS = 3  # the newest of them, so that a slowdown that is over stops counting early
 TOLERATED_WAIT_SHARE = 0.15  # of the shortest latency target: such a wait for a first token is no overload
-SLOW_FACTOR = 4.0  # times the typical time: a first token or prefill that takes longer is slow
+SLOW_FACTOR = 4.0  # times the usual time: a first token or prefill that takes longer is slow
 SUSPECT_AFTER_SHARE = 0.5  # of the shortest latency target: a shorter silence never makes an engine suspected
 FAILING_SHARE = 0.25  # of a request class's attempts: above this, engines known to serve the class come first
 
--- a/worksmux/policy/outlier_detection.py
+++ b/worksmux/policy/outlier_detection.py
@@ -18,11 +18,9 @@
 from .state import ALL_REQUEST_CLASSES, READY, Attempt, Engine, Outcome
 
 EJECTION_MS = 1_000.0  # after a first failure
-MAX_EJECTION_DOUBLINGS = 2
-MIN_EJECTION_SHARE, EJECTION_SPREAD_SHARE = (
-    0.75,
-    0.5,
-)  # of that time; the spread keeps nodes from returning to an engine all at once
+MAX_EJECTION_DOUBLINGS = 2  # of that time, for further failures
+# Of that time; the spread keeps nodes from returning to an engine all at once.
+MIN_EJECTION_SHARE, EJECTION_SPREAD_SHARE = 0.75, 0.5
 OUTLIER_FACTOR = 1.5  # times its peers' average failures; an engine with fewer is no outlier
 
 
@@ -38,7 +36,7 @@
         self._role_failures: dict[str, float] = defaultdict(float)  # failures of all ready engines, by role
         self._role_failures_at = -inf
 
-    # Queries of placement.
+    # Health of engines.
 
     def is_healthy(self, engine: Engine, request_class: int) -> bool:
         """Whether an engine is ready, neither suspected nor ejected.
--- a/worksmux/policy/prefill_probing.py
+++ b/worksmux/policy/prefill_probing.py
@@ -18,12 +18,12 @@
 
 SPARSE_TRAFFIC_SHARE = 0.1  # of all traffic; a node with less sees little of what the others send
 PROBE_ANSWER_SHARE = 0.02  # of the shortest latency target; an engine that answers later has a queue
-MAX_PROBES = 3  # most engines checked for one request
+MAX_PROBES = 3  # engines checked for one request
 NO_ENGINES: dict[Engine, None] = {}
 
 
 class PrefillProbing:
-    """Decides which requests wait for a health check before their prefill."""
+    """Decides which requests wait for a health check before their prefill, and starts the checks."""
 
     def __init__(
         self,
@@ -36,9 +36,8 @@
         self._slow_start, self._outliers = slow_start, outliers
         self.enabled = False
         self.answer_within_ms = PROBE_ANSWER_SHARE * context.shortest_target_ms
-        self._no_engine_healthy: dict[
-            int, bool
-        ] = {}  # by request class; cached until health may have changed
+        # By request class; cached until health may have changed.
+        self._no_engine_healthy: dict[int, bool] = {}
 
     def update(self) -> None:
         """Enables checks if this node has sent its engines less than one attempt each within the history."""
--- a/worksmux/policy/router.py
+++ b/worksmux/policy/router.py
@@ -275,6 +275,7 @@
         self.admission.end_placement()
 
     def _place(self, request: Request, placement: Placement) -> None:
+        """Sends the prefill and reserves a decode slot, or sends one attempt that does both."""
         prefill_engine, decode_engine = placement
         self.decode_selection.record_chosen(decode_engine)
         if prefill_engine is decode_engine:
@@ -289,6 +290,7 @@
             self._emit(ReserveSlot(request, decode_engine))
 
     def _send(self, request: Request, engine: Engine, prefill: bool, timeout_ms: float = 0.0) -> None:
+        """Starts an attempt of a request at an engine."""
         attempt = Attempt(
             request,
             engine,
@@ -331,11 +333,13 @@
                 self._send(request, decode_engine, prefill=False)
 
     def _check_held(self) -> None:
+        """Gives up KV cache that has been held for too long or whose request may not be retried."""
         for request in list(self.kv_caches.requests):
             if self.retry.is_exhausted(request) or self.kv_caches.must_be_released(request):
                 self._prefill_again(request)
 
     def _prefill_again(self, request: Request) -> None:
+        """Gives up held KV cache; the request is prefilled again if it may be."""
         self.kv_caches.drop(request)
         self._start_over(request)
 
--- a/worksmux/policy/state.py
+++ b/worksmux/policy/state.py
@@ -44,16 +44,16 @@
     kind: int = 0
     size: float = 1.0
     state: str = GONE  # READY, DRAINING or GONE
-    started: float = 0.0  # 0: long ago
+    started: float = 0.0  # 0: long ago, so that it is warm
     gone_since: float = 0.0
     role: str = ""  # ROLE_PREFILL, ROLE_DECODE or ROLE_COMBINED
     attempts: dict[Attempt, None] = field(default_factory=dict)  # in flight at this engine
     reserved: dict[Request, None] = field(default_factory=dict)  # in prefill, with a decode slot here
     window_reduction: float = 0.0  # requests by which "full" answers reduced the window
     skipped_until: float = 0.0  # set when it answered "full"
-    last_turn: float = 0.0  # counter value when it was last chosen
+    last_turn: float = 0.0  # number of its last selection in the round-robin
     key_hash: int = 0
-    role_share: float = 0.0  # its part of the total size of all engines of its role
+    role_share: float = 0.0  # part of the total size of all engines of its role
     weight: float = 1.0  # in rendezvous hashing
     slow_start_credit: float = 0.0  # requests that it may be sent in slow start; unused by prefill engines
     silent_since: float = 0.0  # first attempt since the last sign of life; 0: no answer is awaited
@@ -62,7 +62,7 @@
     health_check_pending: bool = False  # the engine is suspected
     failures: SlidingWindow = EMPTY_WINDOW
     first_token_delays: SlidingWindow = EMPTY_WINDOW
-    report: dict[str, float] = field(default_factory=dict)  # its last load report
+    report: dict[str, float] = field(default_factory=dict)  # last load report
     health_check_answered_at: float = 0.0  # when it last answered a health check
 
     @property
@@ -91,7 +91,7 @@
     latency_target_at: float = 0.0  # set by the router, as are all fields below
     attempts: list[Attempt] = field(default_factory=list)
     decode_engine: Engine | None = None  # engine with a reserved decode slot
-    kv_holder: Engine | None = None  # prefill engine that holds its KV cache
+    kv_holder: Engine | None = None  # prefill engine that holds the KV cache
     kv_held_since: float = 0.0
     random_draw: float = 0.0  # from 0 to 1; the same in all decisions on the request
     checked_engines: dict[Engine, float] = field(default_factory=dict)  # before its prefill, with the time
