--- a/benchmarks/mass_restart.py
+++ b/benchmarks/mass_restart.py
@@ -108,7 +108,7 @@
     lines: list[StoredEndpoint] = []
 
     def built(model: Model) -> None:
-        places = list(scenario.places)
+        places = list(scenario.engines)
         gone = round(part * len(places))
         for at, place in enumerate(places):
             old = f"old-{place.id}" if (at * 7) % len(places) < gone else place.id
@@ -151,8 +151,8 @@
             entry
             for saved in lines
             if (
-                entry := front.roster.reader.remember(
-                    front.sim.now, front.sim.now, saved.line, "ready", careful=False
+                entry := front.roster.reader.add_cached(
+                    front.sim.now, front.sim.now, saved.line, "ready", as_just_started=False
                 )
             )
         ]
--- a/worksmux/gateway/fleet/peering.py
+++ b/worksmux/gateway/fleet/peering.py
@@ -129,7 +129,7 @@
 
         self._core.on_event = on_event
         self._core.before_round = self._before_decisions
-        self._core.acts_on = self.active_plan.header_value
+        self._core.plan_version = self.active_plan.header_value
         self._core.on_decision = self.audit_logs.record_decision
 
     def leave(self) -> None:
@@ -251,7 +251,7 @@
     def _before_decisions(self, now: float) -> None:
         self.active_plan.publish(now)
         versions = self._versions.versions(
-            self.active_plan.plan, not self.active_plan.has_lease, self._core.engine_list.keeper
+            self.active_plan.plan, not self.active_plan.has_lease, self._core.engine_list.list_reader
         )
         self.audit_logs.record_versions(versions)
 
--- a/worksmux/node/discovery.py
+++ b/worksmux/node/discovery.py
@@ -58,7 +58,7 @@
     def engine(self, name: str) -> Engine:
         """The engine with this name."""
         engine_id = name.encode()
-        return self.core.door.engine(engine_id, key_of(engine_id))
+        return self.core.id_map.engine(engine_id, key_of(engine_id))
 
     def restore(self, known: HostList) -> None:
         """Takes the list as this node last had it, until discovery sends one."""
@@ -192,7 +192,7 @@
     def _apply(self, hosts: HostList, scope: str = "") -> None:
         """Takes a list and hands it to the core; `scope` replaces the list's own."""
         lines, notes = convert(hosts, self.keeper.serial, clock.wall())
-        self.keeper.whole = True
+        self.keeper.has_full_list = True
         accepted = self.keeper.take(clock.now(), lines)
         self.index = hosts.index
         for engine in self.core.forget_gone():
