--- a/benchmarks/remembering.py
+++ b/benchmarks/remembering.py
@@ -71,7 +71,7 @@
                 found = [
                     msgspec.msgpack.decode(value, type=StoredEndpoint) for value in table.values.values()
                 ]
-                CachedEndpointList(found, 0.0, 1.7e12, Turnover(), 3.6e6, 200, 20.0, table.whole, 1)
+                CachedEndpointList(found, 0.0, 1.7e12, Turnover(), 3.6e6, 200, 20.0, table.is_complete, 1)
                 opened.close()
 
             flat = timed(plain)
--- a/tests/test_endpoint_cache.py
+++ b/tests/test_endpoint_cache.py
@@ -143,7 +143,7 @@
     rig.fronts[0].endpoint_cache.stop()  # type: ignore[union-attr]
     table = stored_lines(tmp_path / "memory")
     saved = {name: msgspec.msgpack.decode(data, type=StoredEndpoint) for name, data in table.values.items()}
-    assert table.whole and set(saved) == {"e0", "e2", "e3"} and saved["e2"].line.state == "draining"
+    assert table.is_complete and set(saved) == {"e0", "e2", "e3"} and saved["e2"].line.state == "draining"
 
 
 def test_seeds_are_used_if_nothing_is_cached(tmp_path: Path) -> None:
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -89,7 +89,7 @@
     for table in CONTENTS[name]["manifests"]:
         found = store.read(table)
         pinned = {one["key"]: one for one in CONTENTS[name]["records"] if one["table"] == table}
-        assert found.whole and found.corrupt_records == 0 and found.saved_at_ms == WRITTEN_AT_MS
+        assert found.is_complete and found.corrupt_records == 0 and found.saved_at_ms == WRITTEN_AT_MS
         assert found.values == {key: bytes.fromhex(one["value"]) for key, one in pinned.items()}
         for key, value in found.values.items():
             decoded = msgspec.msgpack.decode(value, type=record_type(table, key))
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -49,7 +49,7 @@
         return {}, False
     table = store.read("lines")
     store.close()
-    return table.values, table.whole
+    return table.values, table.is_complete
 
 
 def test_written_records_are_read_back(tmp_path: Path) -> None:
@@ -58,7 +58,7 @@
     store = open_store(path)
     store.write({"lines": {"engine-1": None, "engine-2": b"new"}}, 2000.0)
     table = store.read("lines")
-    assert table.whole and table.saved_at_ms == 2000.0 and "engine-1" not in table.values
+    assert table.is_complete and table.saved_at_ms == 2000.0 and "engine-1" not in table.values
     assert table.values["engine-2"] == b"new" and store.read("none").values == {}
 
 
@@ -124,7 +124,7 @@
     store.database.execute(f"PRAGMA max_page_count = {pages}")
     with pytest.raises(sqlite3.Error):
         store.write({"lines": {f"more-{at}": bytes(500) for at in range(100)}}, 3000.0)
-    assert store.read("lines").values == LINES and store.read("lines").whole
+    assert store.read("lines").values == LINES and store.read("lines").is_complete
 
 
 def test_process_killed_while_writing_leaves_whole_transactions(tmp_path: Path) -> None:
@@ -151,7 +151,11 @@
         store = open_store(path)
         table = store.read("lines")
         store.close()
-        assert len(set(table.values.values())) <= 1 and (table.whole or not table.values) and not store.notes
+        assert (
+            len(set(table.values.values())) <= 1
+            and (table.is_complete or not table.values)
+            and not store.notes
+        )
         generation = int(next(iter(table.values.values()), b"0"))
         assert generation >= last_generation
         last_generation = generation
@@ -167,15 +171,15 @@
     sealed = seal_manifest(Manifest(len(records), total, 5.0))
     manifest = unseal_manifest(sealed)
     table = verify_table("t", records, manifest)
-    assert manifest is not None and table.whole and table.values == entries and table.saved_at_ms == 5.0
+    assert manifest is not None and table.is_complete and table.values == entries and table.saved_at_ms == 5.0
     if records:
         at = data.draw(st.integers(0, len(records) - 1))
         key, value, stored = records[at]
-        assert not verify_table("t", records[:at] + records[at + 1 :], manifest).whole
+        assert not verify_table("t", records[:at] + records[at + 1 :], manifest).is_complete
         changed = [*records[:at], (key, value + b"x", stored), *records[at + 1 :]]
         assert verify_table("t", changed, manifest).corrupt_records == 1
-    assert not verify_table("t", records, unseal_manifest(sealed[:-1])).whole
-    assert not verify_table("t", records, None).whole
+    assert not verify_table("t", records, unseal_manifest(sealed[:-1])).is_complete
+    assert not verify_table("t", records, None).is_complete
 
 
 def test_file_that_cannot_be_written_is_opened_read_only(
--- a/worksmux/commands/lists.py
+++ b/worksmux/commands/lists.py
@@ -48,7 +48,7 @@
     found = [msgspec.msgpack.decode(data, type=StoredEndpoint) for data in lines.values.values()]
     for one in found:
         one.confirmed_at_ms = max(one.confirmed_at_ms, facts.registry_heard_at_ms)
-    return sorted(found, key=lambda one: one.line.id), facts, lines.whole
+    return sorted(found, key=lambda one: one.line.id), facts, lines.is_complete
 
 
 def _table(title: str, names: list[str], rows: list[list[str]]) -> None:
--- a/worksmux/gateway/endpoint_cache.py
+++ b/worksmux/gateway/endpoint_cache.py
@@ -112,7 +112,7 @@
                 continue
             one.confirmed_at_ms = max(one.confirmed_at_ms, self._metadata.registry_heard_at_ms)
             saved.append(one)
-        return saved, lines.whole or not saved
+        return saved, lines.is_complete or not saved
 
     def _make_beliefs(self, saved: list[StoredEndpoint], is_complete: bool) -> CachedEndpointList:
         return CachedEndpointList(
--- a/worksmux/gateway/fleet/consensus_disk.py
+++ b/worksmux/gateway/fleet/consensus_disk.py
@@ -110,9 +110,9 @@
         consensus, node = self._store.read(CONSENSUS_TABLE), self._store.read(IDENTITY_TABLE)
         identity = None
         try:
-            if node.whole and IDENTITY_KEY in node.values:
+            if node.is_complete and IDENTITY_KEY in node.values:
                 identity = msgspec.msgpack.decode(node.values[IDENTITY_KEY], type=StoredIdentity)
-            if consensus.whole and identity is not None:
+            if consensus.is_complete and identity is not None:
                 self.saved = _decode_state(consensus.values)
             elif consensus.values or consensus.corrupt_records or node.values:
                 raise InconsistentStateError(
--- a/worksmux/storage/records.py
+++ b/worksmux/storage/records.py
@@ -45,7 +45,7 @@
 
     values: dict[str, bytes] = field(default_factory=dict)
     saved_at_ms: float = 0.0  # since 1970; 0 without a valid manifest
-    whole: bool = False  # a valid manifest is there and agrees with the records
+    is_complete: bool = False  # a valid manifest is there and agrees with the records
     corrupt_records: int = 0  # records left out
 
 
@@ -97,7 +97,7 @@
         actual.add(checksum(name, key, value))
     if manifest is not None:
         table.saved_at_ms = manifest.saved_at_ms
-        table.whole = (
+        table.is_complete = (
             not table.corrupt_records
             and manifest.record_count == len(table.values)
             and manifest.checksum_sum == actual.checksum_sum
