--- a/tests/gateway_rig.py
+++ b/tests/gateway_rig.py
@@ -1,4 +1,4 @@
-"""What the tests of the gateway on loopback share: fleets, judgements, and policies that follow a script."""
+"""Shared parts of the gateway's loopback tests: fleets, checks of records, and scripted policies."""
 
 from __future__ import annotations
 
@@ -17,30 +17,31 @@
 FLEET = [("prefill", 0), ("decode", 0), ("decode", 0), ("prefill", 1), ("decode", 1), ("mixed", 1)]
 
 
-def broken(records: Any, slack: float = FIGURES.slack) -> list[int]:
-    """The numbers of the rules that the records break."""
+def broken_rules(records: Any, slack: float = FIGURES.slack) -> list[int]:
+    """The numbers of the checker's rules that the records break."""
     return [verdict.rule for verdict in check(records, replace(FIGURES, slack=slack)) if not verdict.kept]
 
 
-def found(records: Any) -> list[int]:
-    """The rules broken by a policy or gateway that is wrong on purpose, judged with a scenario's slack."""
-    return broken(records, 60.0)
+def broken_rules_with_slack(records: Any) -> list[int]:
+    """The rules that a deliberately faulty policy or gateway breaks, checked with a scenario's slack."""
+    return broken_rules(records, 60.0)
 
 
-def ends(records: Any) -> set[str]:
+def final_answers(records: Any) -> set[str]:
+    """The kinds of final answers in the records."""
     return {request["how"] for request in records.requests}
 
 
-class Scripted:
-    """A policy that does what a test says and records the events that it gets."""
+class ScriptedPolicy:
+    """A policy whose decisions a test overrides in `react`; it records its events."""
 
     def __init__(self, settings: PolicySettings, seed: int) -> None:
-        self.told: list[Event] = []
+        self.events: list[Event] = []
         self.batches: list[list[Event]] = []
         self.engines: dict[bytes, Engine] = {}
 
     def decide(self, now: float, events: list[Event]) -> list[Action]:
-        self.told += events
+        self.events += events
         self.batches.append(events)
         for event in events:
             if isinstance(event, EndpointListUpdate):
@@ -52,29 +53,29 @@
     def react(self, now: float, event: Event) -> list[Action]:
         return []
 
-    def send(self, request: Request, name: bytes, now: float, reading: bool) -> StartAttempt:
-        attempt = Attempt(request, self.engines[name], len(request.attempts), now, reading)
+    def send(self, request: Request, engine_id: bytes, now: float, is_prefill: bool) -> StartAttempt:
+        attempt = Attempt(request, self.engines[engine_id], len(request.attempts), now, is_prefill)
         request.attempts.append(attempt)
         return StartAttempt(attempt)
 
 
-class Silent(Scripted):
-    """A policy that never decides anything."""
+class SilentPolicy(ScriptedPolicy):
+    """A policy that never returns an action."""
 
 
 BODY = json.dumps({"model": "hint", "messages": [{"role": "user", "content": "why?"}]}).encode()
 
 
-def answer_of(rig: Rig, body: bytes = BODY, **more: Any) -> tuple[int, dict[str, str], bytes]:
-    """The whole answer to one request."""
+def get_answer(rig: Rig, body: bytes = BODY, **headers: Any) -> tuple[int, dict[str, str], bytes]:
+    """Status, headers and body of the answer to one request."""
     if not rig.fronts:
         rig.front()
-    heard: list[Any] = []
+    answers: list[Any] = []
 
-    def end(status: int, headers: dict[str, str], reply: bytes, trouble: Any) -> None:
-        heard.append((status, headers, reply))
+    def on_end(status: int, answer_headers: dict[str, str], reply: bytes, error: Any) -> None:
+        answers.append((status, answer_headers, reply))
         rig.reactor.callLater(0.05, rig.reactor.stop)
 
-    rig.reactor.callLater(0.15, lambda: rig.send_request(body, end, **more))
+    rig.reactor.callLater(0.15, lambda: rig.send_request(body, on_end, **headers))
     rig.run()
-    return heard[0]
+    return answers[0]
--- a/tests/test_attempt_calls.py
+++ b/tests/test_attempt_calls.py
@@ -1,4 +1,4 @@
-"""Calls of one attempt: the outcome of each response and of each connection error."""
+"""Attempt calls of the gateway: the outcome of each response and of each connection error."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class RecordingListener:
-    """Records an attempt's events; also a reactor whose timers never fire."""
+    """Records an attempt's events; also serves as a reactor whose timers never fire."""
 
     def __init__(self) -> None:
         self.events: list[Any] = []
 
     def callLater(self, delay: float, call: Any, *args: Any) -> Any:
         timer = type("Timer", (), {"cancel": lambda self: None, "active": lambda self: False})()
-        self.later = call
+        self.last_call = call
         return timer
 
     def on_first_token(self, attempt: Attempt) -> None:
@@ -36,10 +36,10 @@
         self.events.append((outcome, note))
 
 
-def attempt_call(kind: type[EngineCall]) -> tuple[Any, RecordingListener]:
+def attempt_call(call_class: type[EngineCall]) -> tuple[Any, RecordingListener]:
     listener = RecordingListener()
     request = Request(1, 0, 0, 0, 1.0, 0.0, 1.0, 0.0, 1.0)
-    return kind(
+    return call_class(
         listener, None, Attempt(request, Engine(b"e", 1), 0, 0.0), listener, 100.0, 50.0, 300
     ), listener  # type: ignore[arg-type]
 
@@ -69,11 +69,11 @@
 def test_outcome_follows_from_status_and_body(
     status: int, pieces: list[bytes], outcome: Outcome, note: int
 ) -> None:
-    one, listener = attempt_call(DecodeCall)
-    one.head(status, {"content-type": "text/event-stream" if status == 200 else "application/json"})
+    call, listener = attempt_call(DecodeCall)
+    call.head(status, {"content-type": "text/event-stream" if status == 200 else "application/json"})
     for data in pieces:
-        one.piece(data)
-    one.done()
+        call.piece(data)
+    call.done()
     assert (
         listener.events[-1] == (outcome, note)
         and sum(isinstance(event, tuple) for event in listener.events) == 1
@@ -89,33 +89,33 @@
     ],
 )
 def test_outcome_follows_from_connection_error(error: client.CallError, outcome: Outcome) -> None:
-    one, listener = attempt_call(PrefillCall)
-    one.failed(error)
-    one.cancel()
+    call, listener = attempt_call(PrefillCall)
+    call.failed(error)
+    call.cancel()
     assert listener.events == [(outcome, 0)]
 
 
 def test_prefill_returns_handle_and_cached_tokens() -> None:
-    one, listener = attempt_call(PrefillCall)
-    one.head(200, {})
-    one.piece(
+    call, listener = attempt_call(PrefillCall)
+    call.head(200, {})
+    call.piece(
         msgspec.json.encode(
             chat.ReadReply(chat.KvParams("e", "h", 1), chat.Usage(9, 1, 10, {"cached_tokens": 4}))
         )
     )
-    one.done()
+    call.done()
     assert listener.events == [(Outcome.PREFILLED, 4)]
-    two, listener = attempt_call(PrefillCall)
-    two.head(200, {})
-    two.piece(b'{"choices": []}')  # an answer without a handle is none
-    two.done()
+    call_without_handle, listener = attempt_call(PrefillCall)
+    call_without_handle.head(200, {})
+    call_without_handle.piece(b'{"choices": []}')  # a prefill response needs a KV cache handle
+    call_without_handle.done()
     assert listener.events == [(Outcome.ERROR, 0)]
 
 
 def test_stalled_stream_times_out() -> None:
-    one, listener = attempt_call(DecodeCall)
-    one.head(200, {"content-type": "text/event-stream"})
-    one.piece(CHUNK)
-    one.last_piece_at = clock.now() - 60
-    one._check_gap()
+    call, listener = attempt_call(DecodeCall)
+    call.head(200, {"content-type": "text/event-stream"})
+    call.piece(CHUNK)
+    call.last_piece_at = clock.now() - 60
+    call._check_gap()
     assert listener.events == ["began", "word ", (Outcome.TIMED_OUT, 0)]
--- a/tests/test_endpoint_cache.py
+++ b/tests/test_endpoint_cache.py
@@ -1,4 +1,4 @@
-"""A node without discovery serves from its cached endpoint list, and gives way to the registry."""
+"""A node without discovery serves from its cached endpoint list until the registry takes over."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 FLEET = [("prefill", 0), ("decode", 0), ("prefill", 1), ("decode", 1)]
 
 
-def settings_with_cache(path: Path, more: str = "") -> str:
+def settings_with_cache(path: Path, extra_settings: str = "") -> str:
     return (
         SETTINGS
         + f"""
@@ -30,36 +30,38 @@
     believed-for "1h"
     probe-rate 20
     write-pause "10ms"
-{more}
+{extra_settings}
 }}
 """
     )
 
 
 def write_cache(
-    rig: Rig, path: Path, age_ms: float, turnover: Turnover | None = None, **changed: Any
+    rig: Rig, path: Path, age_ms: float, turnover: Turnover | None = None, **changes_by_engine: Any
 ) -> None:
-    """Writes the list as a node would have, `age_ms` ago; `changed` gives other values by engine id."""
+    """Writes the list as a node would have `age_ms` ago, with other field values by engine id."""
     store, wall = open_store(path), clock.wall()
     lines = {}
     for name, line in rig.registry.engines.items():
-        one = msgspec.structs.replace(line, **changed.get(name, {}))
-        lines[name] = msgspec.msgpack.encode(StoredEndpoint(one, wall - age_ms))
+        stored_line = msgspec.structs.replace(line, **changes_by_engine.get(name, {}))
+        lines[name] = msgspec.msgpack.encode(StoredEndpoint(stored_line, wall - age_ms))
     store.replace("lines", lines.items(), wall - age_ms)
     facts = ListMetadata(wall - age_ms, 5, wall - age_ms, turnover or Turnover())
     store.replace("facts", [("list", msgspec.msgpack.encode(facts))], wall - age_ms)
     store.close()
 
 
-def rig_with_cache(tmp_path: Path, age_ms: float, dead: bool = True, **changed: Any) -> Rig:
+def rig_with_cache(
+    tmp_path: Path, age_ms: float, registry_down: bool = True, **changes_by_engine: Any
+) -> Rig:
     rig = Rig(tmp_path, FLEET, text=settings_with_cache(tmp_path / "memory"))
-    write_cache(rig, tmp_path / "memory", age_ms, **changed)
-    if dead:
+    write_cache(rig, tmp_path / "memory", age_ms, **changes_by_engine)
+    if registry_down:
         rig.registry.go_offline()
     return rig
 
 
-def rules_kept(records: Any) -> bool:
+def keeps_rules(records: Any) -> bool:
     return all(verdict.kept for verdict in check(records, FIGURES))
 
 
@@ -73,17 +75,17 @@
 @pytest.mark.parametrize("age_ms", [1000.0, 60_000.0, HOUR_MS, 24 * HOUR_MS, 21 * 24 * HOUR_MS])
 def test_node_serves_from_a_list_of_any_age_while_discovery_is_down(tmp_path: Path, age_ms: float) -> None:
     records = rig_with_cache(tmp_path, age_ms).run_clients(length=1500.0, rate=15.0)
-    done = [request["how"] for request in records.requests]
-    assert rules_kept(records) and done.count("delivered") >= 0.9 * len(done)
+    final_answers = [request["how"] for request in records.requests]
+    assert keeps_rules(records) and final_answers.count("delivered") >= 0.9 * len(final_answers)
 
 
 def test_draining_and_vanished_engines_of_the_cached_list_are_avoided(tmp_path: Path) -> None:
     rig = rig_with_cache(tmp_path, 60_000.0, e0={"state": "draining"}, e1={"port": 1})
     records = rig.run_clients(length=1500.0, rate=15.0)
-    assert rules_kept(records) and not [attempt for attempt in records.attempts if attempt.engine == "e0"]
-    beliefs = rig.fronts[0].endpoint_cache.cached_list  # type: ignore[union-attr]
-    assert beliefs and beliefs.endpoints["e0"].status is EndpointStatus.DRAINING
-    assert beliefs.endpoints["e1"].status in (EndpointStatus.UNVERIFIED, EndpointStatus.CONTRADICTED)
+    assert keeps_rules(records) and not [attempt for attempt in records.attempts if attempt.engine == "e0"]
+    cached_list = rig.fronts[0].endpoint_cache.cached_list  # type: ignore[union-attr]
+    assert cached_list and cached_list.endpoints["e0"].status is EndpointStatus.DRAINING
+    assert cached_list.endpoints["e1"].status in (EndpointStatus.UNVERIFIED, EndpointStatus.CONTRADICTED)
     assert {request["how"] for request in records.requests} <= {"delivered", "late"}
 
 
@@ -93,9 +95,9 @@
     write_cache(rig, tmp_path / "memory", HOUR_MS, e4={"started": 1.0})
     rig.registry.go_offline()
     records = rig.run_clients(length=2500.0, rate=20.0)
-    assert rules_kept(records) and not records.falls and cold.spec.id == "e4"
-    known = rig.fronts[0].engine_list.list_reader.known["e4"]
-    assert clock.now() - known.started < 20_000
+    assert keeps_rules(records) and not records.falls and cold.spec.id == "e4"
+    known_endpoint = rig.fronts[0].engine_list.list_reader.known["e4"]
+    assert clock.now() - known_endpoint.started < 20_000
 
 
 def test_registry_takes_over_without_a_gap_when_it_comes_back(tmp_path: Path) -> None:
@@ -103,30 +105,30 @@
     rig.announce(rig.engines[1], "draining")
     rig.at(700, rig.registry.go_online)
     records = rig.run_clients(length=2000.0, rate=15.0)
-    told = records.told["a", "e1"].times[0]
-    assert rules_kept(records) and {request["how"] for request in records.requests} == {"delivered"}
+    listed_at = records.told["a", "e1"].times[0]
+    assert keeps_rules(records) and {request["how"] for request in records.requests} == {"delivered"}
     assert not [
-        attempt for attempt in records.attempts if attempt.engine == "e1" and attempt.got > told + 250
+        attempt for attempt in records.attempts if attempt.engine == "e1" and attempt.got > listed_at + 250
     ]
     cache = rig.fronts[0].endpoint_cache
     assert cache and cache.cached_list and cache.cached_list.superseded
 
 
 def test_empty_list_does_not_wipe_a_serving_fleet(tmp_path: Path) -> None:
-    rig = rig_with_cache(tmp_path, 1000.0, dead=False)
+    rig = rig_with_cache(tmp_path, 1000.0, registry_down=False)
     rig.registry.listed = {}
     records = rig.run_clients(length=800.0, rate=15.0)
     assert {request["how"] for request in records.requests} == {"delivered"}
 
 
 def test_list_older_than_the_cached_one_is_ignored(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    rig = rig_with_cache(tmp_path, 1000.0, dead=False)
+    rig = rig_with_cache(tmp_path, 1000.0, registry_down=False)
 
     def age_registry() -> None:
         rig.registry.serial = 3
         rig.registry.listed = dict(list(rig.registry.listed.items())[:1])
 
-    rig.reactor.callLater(0, age_registry)  # after the lines that the rig itself publishes
+    rig.reactor.callLater(0, age_registry)  # after the rig has published its own endpoints
     monkeypatch.setattr("worksmux.fakes.registry.clock.wall", lambda: 5000.0)
     records = rig.run_clients(length=500.0, rate=15.0)
     assert {request["how"] for request in records.requests} == {"delivered"}
@@ -156,7 +158,7 @@
     rig.text = settings_with_cache(tmp_path / "memory", seeds)
     rig.registry.go_offline()
     records = rig.run_clients(length=1000.0, rate=10.0)
-    assert rules_kept(records) and "delivered" in {request["how"] for request in records.requests}
+    assert keeps_rules(records) and "delivered" in {request["how"] for request in records.requests}
 
 
 @pytest.mark.parametrize("data", [b"", b"nonsense" * 900])
@@ -188,14 +190,14 @@
             timeout=30,
         )
 
-    told = json.loads(command("show", str(path), "--json").stdout)
-    assert told["whole"] and [one["id"] for one in told["lines"]] == ["e0", "e1"]
-    assert 0.3 < told["lines"][0]["trust"] < 0.4 and told["lines"][0]["age_s"] >= 3600
+    shown = json.loads(command("show", str(path), "--json").stdout)
+    assert shown["whole"] and [line["id"] for line in shown["lines"]] == ["e0", "e1"]
+    assert 0.3 < shown["lines"][0]["trust"] < 0.4 and shown["lines"][0]["age_s"] >= 3600
     checked = command("verify", str(path), "--time-out", "0.3")
     assert checked.returncode == 1 and "no answer" in checked.stdout
     assert command("forget", str(path), "e9").returncode == 2
     assert command("forget", str(path), "e1").returncode == 0
-    assert [one["id"] for one in json.loads(command("show", str(path), "--json").stdout)["lines"]] == ["e0"]
+    assert [line["id"] for line in json.loads(command("show", str(path), "--json").stdout)["lines"]] == ["e0"]
     assert (
         command("forget", str(path)).returncode == 0 and command("show", str(tmp_path / "no")).returncode == 2
     )
@@ -204,20 +206,20 @@
 def test_list_that_becomes_empty_in_service_does_not_wipe_the_fleet(tmp_path: Path) -> None:
     rig = Rig(tmp_path, FLEET)
 
-    def emptied() -> None:
+    def send_empty_list() -> None:
         rig.registry.listed = {}
         for front in list(rig.registry.subscribers):
             rig.registry.send_full(front)
 
-    rig.at(300, emptied)
+    rig.at(300, send_empty_list)
     records = rig.run_clients(length=1200.0, rate=15.0)
-    assert rules_kept(records) and {request["how"] for request in records.requests} == {"delivered"}
+    assert keeps_rules(records) and {request["how"] for request in records.requests} == {"delivered"}
 
 
 def test_registry_that_hangs_or_breaks_off_is_followed_once_it_sends_a_list(tmp_path: Path) -> None:
-    """The registry accepts connections but sends nothing, then breaks off while it sends, then recovers.
+    """The registry accepts connections but sends nothing, then sends partial lists, then recovers.
 
-    The node must serve from its cache all the while.
+    The node must serve from its cache until a full list arrives.
     """
     rig = Rig(
         tmp_path,
@@ -227,16 +229,16 @@
     write_cache(rig, tmp_path / "memory", 1000.0)
     rig.registry.silent = True
 
-    def halves() -> None:
+    def send_partial_lists() -> None:
         rig.registry.silent, rig.registry.truncates_lists = False, True
 
-    def whole() -> None:
+    def send_full_lists() -> None:
         rig.registry.truncates_lists = False
 
-    rig.at(300, halves)
-    rig.at(800, whole)
+    rig.at(300, send_partial_lists)
+    rig.at(800, send_full_lists)
     records = rig.run_clients(length=1500.0, rate=15.0)
-    assert rules_kept(records) and {request["how"] for request in records.requests} == {"delivered"}
+    assert keeps_rules(records) and {request["how"] for request in records.requests} == {"delivered"}
     cache = rig.fronts[0].endpoint_cache
     assert cache and cache.cached_list and cache.cached_list.superseded
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,5 +1,5 @@
-"""The gateway with policies made for a test: the checker finds what wrong ones do, and the gateway keeps what
-it promises to any."""
+"""The gateway with policies made for tests: the checker reports the faults of faulty policies, and the
+gateway keeps its guarantees with any policy."""
 
 from __future__ import annotations
 
@@ -9,7 +9,17 @@
 from unittest.mock import Mock
 
 import pytest
-from gateway_rig import BODY, FLEET, PAIR, Scripted, Silent, answer_of, broken, ends, found
+from gateway_rig import (
+    BODY,
+    FLEET,
+    PAIR,
+    ScriptedPolicy,
+    SilentPolicy,
+    broken_rules,
+    broken_rules_with_slack,
+    final_answers,
+    get_answer,
+)
 
 from worksmux.checker.records import load
 from worksmux.fault_trial.small import Rig
@@ -43,11 +53,11 @@
 from worksmux.policy.settings import PolicySettings
 from worksmux.policy.state import Attempt, Engine, Outcome, Request
 
-# The checker finds what policies and gateways do that are wrong on purpose.
+# The checker reports the faults of deliberately faulty policies and gateways.
 
 
 class RepeatingPolicy(Router):
-    """Retries whatever happened, and promises that it was harmless."""
+    """Retries after every outcome, and rejects requests that were possibly executed."""
 
     def __init__(self, settings: PolicySettings, seed: int) -> None:
         super().__init__(settings, seed)
@@ -59,7 +69,7 @@
 
 
 class DrainIgnoringPolicy(Router):
-    """Takes every listed engine for ready."""
+    """Treats every listed engine as ready."""
 
     def _on_endpoint_list(self, event: EndpointListUpdate) -> None:
         for entry in event.entries:
@@ -68,7 +78,7 @@
 
 
 class ColdIgnoringPolicy(Router):
-    """Takes every engine for warm."""
+    """Treats every engine as warm."""
 
     def __init__(self, settings: PolicySettings, seed: int) -> None:
         super().__init__(settings, seed)
@@ -102,65 +112,65 @@
     rig = Rig(tmp_path, FLEET, RepeatingPolicy)
     for engine in rig.engines[1:3]:
         rig.at(100, rig.inject_fault, engine, "fail_fast", True)
-    assert broken(rig.run_clients("mark", effect="irreversible")) == [2]
+    assert broken_rules(rig.run_clients("mark", effect="irreversible")) == [2]
 
 
 def test_checker_finds_an_attempt_at_a_draining_engine(tmp_path: Path) -> None:
     rig = Rig(tmp_path, FLEET, DrainIgnoringPolicy)
     rig.at(300, rig.announce, rig.engines[1], "draining")
-    assert broken(rig.run_clients()) == [3]
+    assert broken_rules(rig.run_clients()) == [3]
 
 
 def test_checker_finds_an_overloaded_cold_engine(tmp_path: Path) -> None:
     rig = Rig(tmp_path, PAIR, ColdIgnoringPolicy, capacity=4.0)
     rig.at(300, rig.add_engine, "decode", 0, True)
     rig.at(300, rig.add_engine, "decode", 0, True)
-    assert 4 in found(rig.run_clients(length=2000.0, rate=80.0))
+    assert 4 in broken_rules_with_slack(rig.run_clients(length=2000.0, rate=80.0))
 
 
 def test_checker_finds_a_pinned_kv_cache(tmp_path: Path) -> None:
     rig = Rig(tmp_path, PAIR, NonReleasingPolicy)
     rig.at(300, rig.inject_fault, rig.engines[1], "hang")
-    assert 5 in found(rig.run_clients(length=800.0, patience=0.4))
+    assert 5 in broken_rules_with_slack(rig.run_clients(length=800.0, patience=0.4))
 
 
 def test_checker_finds_an_attempt_after_the_final_answer(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    send = RequestLifecycle._start_attempt
-
-    def wrong(self: RequestLifecycle, action: StartAttempt) -> None:
-        """A gateway that sends attempts for requests that are over."""
-        case = self.open_requests.get(action.attempt.request)
-        if case and case.final_answer:
-            case.final_answer, kept = None, case.final_answer
-            self.reactor.callLater(0.2, send, self, action)
-            case.final_answer = kept
-            case.in_flight[action.attempt] = Mock()  # the module may call it off
-            case.final_answer = None
+    start_attempt = RequestLifecycle._start_attempt
+
+    def start_after_final_answer(self: RequestLifecycle, action: StartAttempt) -> None:
+        """Starts attempts for requests that already have their final answer."""
+        context = self.open_requests.get(action.attempt.request)
+        if context and context.final_answer:
+            context.final_answer, final_answer = None, context.final_answer
+            self.reactor.callLater(0.2, start_attempt, self, action)
+            context.final_answer = final_answer
+            context.in_flight[action.attempt] = Mock()  # the policy may cancel it
+            context.final_answer = None
         else:
-            send(self, action)
+            start_attempt(self, action)
 
-    monkeypatch.setattr(RequestLifecycle, "_start_attempt", wrong)
+    monkeypatch.setattr(RequestLifecycle, "_start_attempt", start_after_final_answer)
     monkeypatch.setattr(
         StreamRelay, "is_disconnected", lambda self: False
-    )  # it would notice that the job is over
+    )  # it would show that the request has ended
     rig = Rig(tmp_path, [("prefill", 0)], LateSendingPolicy)  # no decode engine: every request is rejected
-    assert 1 in found(rig.run_clients(length=600.0, patience=0.4))
+    assert 1 in broken_rules_with_slack(rig.run_clients(length=600.0, patience=0.4))
 
 
 def test_checker_finds_a_client_without_an_answer(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(RequestLifecycle, "_answer_for_policy", lambda *_: None)
     monkeypatch.setattr(RequestLifecycle, "_deadline_missed", lambda *_: None)
     rig = Rig(tmp_path, [("prefill", 0)])
-    assert broken(rig.run_clients(length=400.0, patience=0.3)) == [1]
+    assert broken_rules(rig.run_clients(length=400.0, patience=0.3)) == [1]
 
 
-# What the gateway promises its policy.
+# The guarantees of the gateway to its policy.
 
 
-class Chooser(Scripted):
-    """Checks e1, prefills at e0 with a slot reserved at e2, decodes there; e3 is left out."""
+class FixedChoicePolicy(ScriptedPolicy):
+    """Checks the health of e1, prefills at e0, reserves a slot and decodes at e2, and never uses e3."""
 
     def react(self, now: float, event: Event) -> list[Action]:
         if isinstance(event, RequestArrived):
@@ -176,13 +186,13 @@
 
 
 def test_choices_of_the_policy_are_carried_out_as_made(tmp_path: Path) -> None:
-    rig = Rig(tmp_path, [("prefill", 0), ("prefill", 0), ("decode", 0), ("decode", 0)], Chooser)
+    rig = Rig(tmp_path, [("prefill", 0), ("prefill", 0), ("decode", 0), ("decode", 0)], FixedChoicePolicy)
     records = rig.run_clients(length=500.0)
-    module: Any = rig.fronts[0].core.id_map.policy
-    assert records.requests and ends(records) == {"delivered"}
+    policy: Any = rig.fronts[0].core.id_map.policy
+    assert records.requests and final_answers(records) == {"delivered"}
     assert {attempt.engine for attempt in records.attempts} == {"e0", "e2"}
     assert {engine for _, engine, _, _ in records.asked_places} == {"e2"}
-    kinds = [type(event).__name__ for event in module.told]
+    kinds = [type(event).__name__ for event in policy.events]
     assert {
         "EndpointListUpdate",
         "RequestArrived",
@@ -198,11 +208,11 @@
         and kinds.count("HealthCheckEnded") == requests
     )
     assert all(
-        event.outcome is Outcome.SERVED for event in module.told if isinstance(event, HealthCheckEnded)
+        event.outcome is Outcome.SERVED for event in policy.events if isinstance(event, HealthCheckEnded)
     )
 
 
-class AllActions(Scripted):
+class AllActionsPolicy(ScriptedPolicy):
     """Watches and fetches the list, sets a timer, prefills, cancels, releases, closes and logs."""
 
     def react(self, now: float, event: Event) -> list[Action]:
@@ -224,85 +234,91 @@
 
 
 def test_every_action_is_carried_out(tmp_path: Path) -> None:
-    rig = Rig(tmp_path, PAIR, AllActions, read_speed=1.0)
-    status, _, _ = answer_of(rig)
-    module: Any = rig.fronts[0].core.id_map.policy
-    told = [event for event in module.told if isinstance(event, AttemptEnded)]
-    assert status == 503 and [event.outcome for event in told] == [Outcome.CANCELLED]
+    rig = Rig(tmp_path, PAIR, AllActionsPolicy, read_speed=1.0)
+    status, _, _ = get_answer(rig)
+    policy: Any = rig.fronts[0].core.id_map.policy
+    ended_events = [event for event in policy.events if isinstance(event, AttemptEnded)]
+    assert status == 503 and [event.outcome for event in ended_events] == [Outcome.CANCELLED]
     assert (
-        sum(isinstance(event, EndpointListUpdate) for event in module.told) == 3
-    )  # at first, watched, fetched
-    lines = [line for line in load(tmp_path).lines if line["who"] == "e0"]
-    assert {"release"} <= {line["what"] for line in lines}
-    assert next(line for line in lines if line["what"] == "end")["how"] == "cut"
+        sum(isinstance(event, EndpointListUpdate) for event in policy.events) == 3
+    )  # at the start, after WatchEndpoints, after FetchEndpointList
+    journal_lines = [line for line in load(tmp_path).lines if line["who"] == "e0"]
+    assert {"release"} <= {line["what"] for line in journal_lines}
+    assert next(line for line in journal_lines if line["what"] == "end")["how"] == "cut"
 
 
 def test_client_that_disconnects_early_is_not_answered(tmp_path: Path) -> None:
-    rig = Rig(tmp_path, PAIR, Silent)
+    rig = Rig(tmp_path, PAIR, SilentPolicy)
     front = rig.front()
 
-    def leave() -> None:
+    def disconnect() -> None:
         call = rig.send_request(BODY, lambda *_: None)
         rig.reactor.callLater(0.1, call.abandon)
         rig.reactor.callLater(0.3, rig.reactor.stop)
 
-    rig.at(0, leave)
+    rig.at(0, disconnect)
     rig.run()
-    module: Any = front.core.id_map.policy
+    policy: Any = front.core.id_map.policy
     assert (
-        sum(isinstance(event, ClientDisconnected) for event in module.told) == 1
+        sum(isinstance(event, ClientDisconnected) for event in policy.events) == 1
         and not front.core.open_requests
     )
 
 
-class OneAction(Scripted):
-    """Ends each request at once by one action."""
+class OneActionPolicy(ScriptedPolicy):
+    """Ends each request at once by an action of `action_class`."""
 
-    how: type[Any] = RejectRequest
+    action_class: type[Any] = RejectRequest
 
     def react(self, now: float, event: Event) -> list[Action]:
-        return [self.how(event.request)] if isinstance(event, RequestArrived) else []
+        return [self.action_class(event.request)] if isinstance(event, RequestArrived) else []
+
 
+class RejectingPolicy(OneActionPolicy):
+    """Rejects each request and lets the client retry after 1.5 s."""
 
-class Deferring(OneAction):
     def react(self, now: float, event: Event) -> list[Action]:
         return [RejectRequest(event.request, 1500.0)] if isinstance(event, RequestArrived) else []
 
 
-class Breaking(OneAction):
-    how = AbortRequest
+class AbortingPolicy(OneActionPolicy):
+    """Aborts each request."""
 
+    action_class = AbortRequest
 
-def test_deferred_request_gets_retry_after(tmp_path: Path) -> None:
-    status, headers, body = answer_of(Rig(tmp_path, PAIR, Deferring))
+
+def test_rejected_request_gets_retry_after(tmp_path: Path) -> None:
+    status, headers, body = get_answer(Rig(tmp_path, PAIR, RejectingPolicy))
     assert status == 503 and headers["retry-after"] == "2" and headers["x-worksmux-answer"] == "deferred"
     assert json.loads(body)["error"]["code"] == "deferred"
 
 
-def test_broken_off_request_gets_no_retry_after(tmp_path: Path) -> None:
-    status, headers, body = answer_of(Rig(tmp_path, PAIR, Breaking))
+def test_aborted_request_gets_no_retry_after(tmp_path: Path) -> None:
+    status, headers, body = get_answer(Rig(tmp_path, PAIR, AbortingPolicy))
     assert (
         status == 502 and "retry-after" not in headers and json.loads(body)["error"]["code"] == "broken_off"
     )
 
 
 def test_gateway_answers_where_the_policy_lets_the_deadline_pass(tmp_path: Path) -> None:
-    rig = Rig(tmp_path, PAIR, Silent)
-    status, _, _ = answer_of(rig, x_worksmux_time_left_ms="300")
-    module: Any = rig.fronts[0].core.id_map.policy
-    assert status == 504 and any(isinstance(event, ClientDisconnected) for event in module.told)
+    rig = Rig(tmp_path, PAIR, SilentPolicy)
+    status, _, _ = get_answer(rig, x_worksmux_time_left_ms="300")
+    policy: Any = rig.fronts[0].core.id_map.policy
+    assert status == 504 and any(isinstance(event, ClientDisconnected) for event in policy.events)
+
 
+class FailingPolicy(ScriptedPolicy):
+    """Raises an exception when a request arrives."""
 
-class Faulty(Scripted):
     def react(self, now: float, event: Event) -> list[Action]:
         if isinstance(event, RequestArrived):
-            raise ZeroDivisionError("a fault of the module")
+            raise ZeroDivisionError("a fault of the policy")
         return []
 
 
-def test_failed_policy_breaks_off_its_requests_and_ends_the_gateway(tmp_path: Path) -> None:
-    rig = Rig(tmp_path, PAIR, Faulty)
+def test_failed_policy_aborts_its_requests_and_ends_the_gateway(tmp_path: Path) -> None:
+    rig = Rig(tmp_path, PAIR, FailingPolicy)
     ended: list[bool] = []
     rig.front().core.on_policy_failure = lambda: ended.append(True)
-    status, _, _ = answer_of(rig)
+    status, _, _ = get_answer(rig)
     assert status == 502 and ended == [True] and rig.fronts[0].core.failed
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -1,4 +1,4 @@
-"""Embeddings and rerank on loopback: batches over engines, failures during a batch, floods beside chat."""
+"""Embeddings and rerank on loopback: batches on several engines, faults during them, floods beside chat."""
 
 from __future__ import annotations
 
@@ -51,193 +51,207 @@
 }
 """
 )
-# For tests of the answers alone: on a starved machine an engine may be ejected for about a second, which is
-# the whole latency target of TEXT.
+# For tests of answers alone: on a machine short of CPU an engine may be ejected for about one second, which
+# is all of the latency target in TEXT.
 LONG_DEADLINES = SETTINGS + TEXT.removeprefix(SETTINGS).replace('"1s"', '"10s"').replace('"2s"', '"12s"')
 FLEET = [("prefill", 0), ("decode", 0), ("embedder", 0), ("embedder", 0), ("reranker", 1), ("reranker", 1)]
 Reply = tuple[int, dict[str, str], Any]
 
 
 class RecordingClient:
-    """Sends requests and records the replies; ends the run with the last one."""
+    """Sends requests, records the replies, and ends the run after the last one."""
 
     def __init__(self, rig: Rig) -> None:
         self.rig, self.replies, self.open = rig, {}, 0  # type: Rig, dict[Any, Reply], int
 
-    def ask(self, name: Any, path: str, body: dict[str, Any], **headers: str) -> Any:
+    def ask(self, name: Any, path: str, body: dict[str, Any], **request_headers: str) -> Any:
         self.open += 1
 
-        def ended(status: int, head: dict[str, str], reply: bytes, trouble: Any) -> None:
-            self.replies[name] = status, head, json.loads(reply) if reply else None
+        def on_end(status: int, headers: dict[str, str], reply: bytes, error: Any) -> None:
+            self.replies[name] = status, headers, json.loads(reply) if reply else None
             self.open -= 1
             if not self.open:
                 self.rig.reactor.callLater(0.1, self.rig.reactor.stop)
 
-        return self.rig.send_request(json.dumps(body).encode(), ended, path=path, **headers)
+        return self.rig.send_request(json.dumps(body).encode(), on_end, path=path, **request_headers)
 
-    def embed(self, name: Any, inputs: Any, **more: Any) -> Any:
-        return self.ask(name, embeddings.PATH, {"model": "vectors", "input": inputs, **more})
+    def embed(self, name: Any, inputs: Any, **fields: Any) -> Any:
+        return self.ask(name, embeddings.PATH, {"model": "vectors", "input": inputs, **fields})
 
-    def rank(self, name: Any, query: str, documents: list[str], **more: Any) -> Any:
-        return self.ask(name, rerank.PATH, {"model": "ranks", "query": query, "documents": documents, **more})
+    def rank(self, name: Any, query: str, documents: list[str], **fields: Any) -> Any:
+        return self.ask(
+            name, rerank.PATH, {"model": "ranks", "query": query, "documents": documents, **fields}
+        )
 
 
-def rigged(tmp_path: Path, text: str = TEXT, **spec: Any) -> tuple[Rig, RecordingClient]:
+def rig_and_client(tmp_path: Path, text: str = TEXT, **spec: Any) -> tuple[Rig, RecordingClient]:
     rig = Rig(tmp_path, FLEET, text=text, **{"read_speed": 20_000.0, **spec})
     rig.front()
     return rig, RecordingClient(rig)
 
 
-def play(rig: Rig, call: Callable[[], Any], within: float = 15.0) -> None:
+def run_with(rig: Rig, call: Callable[[], Any], max_run_s: float = 15.0) -> None:
     rig.reactor.callLater(0.3, call)
-    rig.run(within)
+    rig.run(max_run_s)
 
 
 def words(count: int, length: int = 40) -> list[str]:
-    return [f"text {at} ".ljust(length, "x") for at in range(count)]
+    return [f"text {index} ".ljust(length, "x") for index in range(count)]
 
 
 def test_every_form_of_input_returns_vectors_in_order(tmp_path: Path) -> None:
-    rig, client = rigged(tmp_path, LONG_DEADLINES)
+    rig, client = rig_and_client(tmp_path, LONG_DEADLINES)
 
-    def ask() -> None:
+    def send_requests() -> None:
         client.embed("one", "hello")
         client.embed("many", words(100))
         client.embed("ids", [1, 2, 3])
         client.embed("lists", [[1, 2], [3]], dimensions=2)
         client.embed("packed", ["a"], encoding_format="base64")
 
-    play(rig, ask)
-    found = {
-        name: [one["embedding"] for one in reply["data"]] for name, (_, _, reply) in client.replies.items()
+    run_with(rig, send_requests)
+    embeddings_by_name = {
+        name: [result["embedding"] for result in reply["data"]]
+        for name, (_, _, reply) in client.replies.items()
     }
-    assert found["one"] == [vector("vectors", "hello")] and found["ids"] == [vector("vectors", [1, 2, 3])]
-    assert found["many"] == [vector("vectors", one) for one in words(100)]
-    assert found["lists"] == [vector("vectors", [1, 2], 2), vector("vectors", [3], 2)]
-    assert embeddings.pack(found["packed"][0]) == embeddings.pack(vector("vectors", "a"))
+    assert embeddings_by_name["one"] == [vector("vectors", "hello")] and embeddings_by_name["ids"] == [
+        vector("vectors", [1, 2, 3])
+    ]
+    assert embeddings_by_name["many"] == [vector("vectors", text) for text in words(100)]
+    assert embeddings_by_name["lists"] == [vector("vectors", [1, 2], 2), vector("vectors", [3], 2)]
+    assert embeddings.pack(embeddings_by_name["packed"][0]) == embeddings.pack(vector("vectors", "a"))
     assert client.replies["many"][2]["usage"]["total_tokens"] == 1000
     attempts = [attempt for attempt in load(tmp_path).attempts if attempt.request_class == embeddings.PATH]
     assert {attempt.engine for attempt in attempts} == {"e2", "e3"} and len(attempts) >= 7 + 3
 
 
 def test_rerank_sorts_by_relevance(tmp_path: Path) -> None:
-    rig, client = rigged(tmp_path, LONG_DEADLINES)
+    rig, client = rig_and_client(tmp_path, LONG_DEADLINES)
 
-    def ask() -> None:
+    def send_requests() -> None:
         rig.inject_fault(rig.engines[4], "shuffle")
         client.rank("all", "q", words(60), return_documents=True)
         client.rank("top", "q", words(60), top_n=3)
 
-    play(rig, ask)
-    best = sorted(range(60), key=lambda at: (-score("q", words(60)[at]), at))
+    run_with(rig, send_requests)
+    by_relevance = sorted(range(60), key=lambda index: (-score("q", words(60)[index]), index))
     results = client.replies["all"][2]["results"]
-    assert [one["index"] for one in results] == best and results[0]["document"]["text"] == words(60)[best[0]]
-    assert [one["index"] for one in client.replies["top"][2]["results"]] == best[:3]
+    assert [result["index"] for result in results] == by_relevance and results[0]["document"][
+        "text"
+    ] == words(60)[by_relevance[0]]
+    assert [result["index"] for result in client.replies["top"][2]["results"]] == by_relevance[:3]
 
 
 @pytest.mark.parametrize("fault", ["few", "many", "fail_fast", "refuse", "hang"])
 def test_engine_fault_during_a_batch_loses_no_result(tmp_path: Path, fault: str) -> None:
-    rig, client = rigged(tmp_path)
+    rig, client = rig_and_client(tmp_path)
 
-    def ask() -> None:
+    def send_requests() -> None:
         rig.inject_fault(rig.engines[2], fault)
         rig.reactor.callLater(0.05, client.embed, "e", words(60))
         rig.reactor.callLater(0.05, client.embed, "f", words(3))
 
-    play(rig, ask)
+    run_with(rig, send_requests)
     for name, count in (("e", 60), ("f", 3)):
         status, _, reply = client.replies[name]
         assert status == 200
-        assert [one["embedding"] for one in reply["data"]] == [vector("vectors", one) for one in words(count)]
+        assert [result["embedding"] for result in reply["data"]] == [
+            vector("vectors", text) for text in words(count)
+        ]
 
 
 def test_batch_is_delivered_while_its_engine_drains(tmp_path: Path) -> None:
-    """An engine begins to drain while a batch runs there; later batches must go elsewhere."""
-    rig, client = rigged(tmp_path, read_speed=4000.0)
+    """An engine starts to drain while a batch runs there; later batches must go to other engines."""
+    rig, client = rig_and_client(tmp_path, read_speed=4000.0)
 
-    def later() -> None:
+    def send_later_request() -> None:
         client.open -= 1
         client.rank("later", "q", words(30))
 
-    def ask() -> None:
-        client.open += 1  # the later call ends the run
+    def send_requests() -> None:
+        client.open += 1  # the later request ends the run
         client.rank("r", "q", words(120))
         rig.reactor.callLater(0.05, rig.announce, rig.engines[4], "draining")
-        rig.reactor.callLater(0.4, later)
+        rig.reactor.callLater(0.4, send_later_request)
 
-    play(rig, ask)
+    run_with(rig, send_requests)
     assert [reply[0] for reply in client.replies.values()] == [200, 200]
     records = load(tmp_path)
-    told = records.told["a", "e4"].times[-1]
+    listed_at = records.told["a", "e4"].times[-1]
     assert all(verdict.kept for verdict in check(records, FIGURES))
     assert not [
-        attempt for attempt in records.attempts if attempt.engine == "e4" and attempt.got > told + 250
+        attempt for attempt in records.attempts if attempt.engine == "e4" and attempt.got > listed_at + 250
     ]
 
 
 def test_bad_input_in_a_shared_batch_fails_its_own_request_only(tmp_path: Path) -> None:
     """Eight requests share a batch, and the engines reject the input of one of them."""
-    rig, client = rigged(tmp_path, read_speed=4000.0)
+    rig, client = rig_and_client(tmp_path, read_speed=4000.0)
 
-    def ask() -> None:
+    def send_requests() -> None:
         for engine in rig.engines[2:4]:
             rig.inject_fault(engine, "bad")
         rig.reactor.callLater(0.05, client.embed, "busy", words(30))
-        for at in range(8):
-            rig.reactor.callLater(0.06, client.embed, at, "BAD" if at == 3 else f"small {at}")
+        for index in range(8):
+            rig.reactor.callLater(0.06, client.embed, index, "BAD" if index == 3 else f"small {index}")
 
-    play(rig, ask)
-    assert [client.replies[at][0] for at in range(8)] == [200, 200, 200, 400, 200, 200, 200, 200]
+    run_with(rig, send_requests)
+    assert [client.replies[index][0] for index in range(8)] == [200, 200, 200, 400, 200, 200, 200, 200]
     assert client.replies[3][2]["error"]["message"] == "an input is BAD"
     assert client.replies[5][2]["data"][0]["embedding"] == vector("vectors", "small 5")
 
 
 def test_disconnected_client_does_not_harm_others_in_its_batch(tmp_path: Path) -> None:
-    """Five requests share a batch, and one client disconnects; nothing may be left of it."""
-    rig, client = rigged(tmp_path, read_speed=2000.0)
+    """Five requests share a batch, and one client disconnects; no state of its request may remain."""
+    rig, client = rig_and_client(tmp_path, read_speed=2000.0)
 
-    def ask() -> None:
+    def send_requests() -> None:
         client.embed("busy", words(20))
-        for at in range(4):
-            client.embed(at, f"small {at}")
-        goes = rig.send_request(
+        for index in range(4):
+            client.embed(index, f"small {index}")
+        disconnecting_call = rig.send_request(
             json.dumps({"model": "vectors", "input": "goes"}).encode(), lambda *_: None, path=embeddings.PATH
         )
-        rig.reactor.callLater(0.02, goes.abandon)
+        rig.reactor.callLater(0.02, disconnecting_call.abandon)
 
-    play(rig, ask)
+    run_with(rig, send_requests)
     assert {reply[0] for reply in client.replies.values()} == {200}
     vectors = rig.fronts[0].clients.vectors
-    assert vectors and not vectors.open and not vectors.batches and not vectors.planner.out
+    assert vectors and not vectors.open_requests and not vectors.batches and not vectors.planner.out
 
 
 def test_flood_of_embeddings_is_rejected_early_and_chat_goes_on(tmp_path: Path) -> None:
-    """Embeddings come at eight times what their engines can process, beside usual chat."""
-    rig, client = rigged(tmp_path)
+    """Embeddings arrive at eight times the rate of their engines, beside chat at the usual rate."""
+    rig, client = rig_and_client(tmp_path)
     for engine in rig.engines[2:4]:
         engine.spec.read_speed = 4000.0
 
     def flood(number: int) -> None:
-        for at in range(4):
-            client.embed((number, at), [f"{number} {at} {one}"[:40] for one in words(40)], user=f"u{at % 4}")
+        for index in range(4):
+            client.embed(
+                (number, index), [f"{number} {index} {text}"[:40] for text in words(40)], user=f"u{index % 4}"
+            )
 
-    for tick in range(40):  # 160 calls of 400 tokens: eight times what can be read
+    for tick in range(40):  # 160 requests of 400 tokens: eight times the engines' rate
         rig.at(300 + 25 * tick, flood, tick)
-    client.open += 1  # the day ends the run
+    client.open += 1  # run_clients ends the run
     records = rig.run_clients(length=2800.0, rate=15.0)
-    done = [request["how"] for request in records.requests]  # on a busy machine the whole process may be late
-    assert done.count("delivered") >= 0.9 * len(done)
+    # On a busy machine the process itself may be late.
+    final_answers = [request["how"] for request in records.requests]
+    assert final_answers.count("delivered") >= 0.9 * len(final_answers)
     assert all(verdict.kept for verdict in check(records, FIGURES))
-    ends = [reply[0] for reply in client.replies.values()]
-    assert ends.count(200) > 12 and ends.count(429) > 60 and set(ends) <= {200, 429, 503, 504}
-    away = [int(reply[1]["retry-after-ms"]) for reply in client.replies.values() if reply[0] == 429]
-    assert min(away) >= 50 and len(set(away)) > len(away) / 4
-    chat = {attempt.engine for attempt in records.attempts if attempt.request_class != embeddings.PATH}
-    assert chat == {"e0", "e1"}
+    statuses = [reply[0] for reply in client.replies.values()]
+    assert statuses.count(200) > 12 and statuses.count(429) > 60 and set(statuses) <= {200, 429, 503, 504}
+    retry_after_ms = [int(reply[1]["retry-after-ms"]) for reply in client.replies.values() if reply[0] == 429]
+    assert min(retry_after_ms) >= 50 and len(set(retry_after_ms)) > len(retry_after_ms) / 4
+    chat_engines = {
+        attempt.engine for attempt in records.attempts if attempt.request_class != embeddings.PATH
+    }
+    assert chat_engines == {"e0", "e1"}
 
 
 @pytest.mark.parametrize(
-    ("body", "wanted"),
+    ("body", "expected_message"),
     [
         (b"{", "not an embeddings call"),
         (b'{"model":"v","input":[]}', "must not be empty"),
@@ -248,8 +262,8 @@
         (b'{"model":"v","input":[true]}', "mixes forms"),
     ],
 )
-def test_bad_request_names_its_fault(body: bytes, wanted: str) -> None:
-    with pytest.raises(InvalidRequestError, match=wanted):
+def test_bad_request_names_its_fault(body: bytes, expected_message: str) -> None:
+    with pytest.raises(InvalidRequestError, match=expected_message):
         embeddings.asked(body)
 
 
@@ -286,9 +300,9 @@
 
 
 def test_unknown_models_and_bad_requests_are_answered(tmp_path: Path) -> None:
-    rig, client = rigged(tmp_path)
+    rig, client = rig_and_client(tmp_path)
 
-    def ask() -> None:
+    def send_requests() -> None:
         client.ask("no model", embeddings.PATH, {"model": "ranks", "input": "a"})
         client.ask("too long", embeddings.PATH, {"model": "vectors", "input": "a" * 30_000})
         client.ask(
@@ -296,7 +310,7 @@
         )
         client.embed("fine", "a")
 
-    play(rig, ask)
+    run_with(rig, send_requests)
     assert {name: reply[0] for name, reply in client.replies.items()} == {
         "no model": 404,
         "too long": 400,
@@ -306,75 +320,77 @@
 
 
 def test_settings_of_single_stages_are_checked() -> None:
-    broken = (
+    invalid_settings = (
         TEXT.replace('kind "reranker" role="both" memory=1000000 call="rerank"\n', "")
         .replace("line-tokens 20000", "line-tokens 10")
         .replace('role="both" memory=1000000 call="emb', 'role="read" memory=1000000 call="emb')
     )
-    with pytest.raises(SettingsError) as told:
-        read_front(parse(broken))
-    text = str(told.value)
+    with pytest.raises(SettingsError) as raised:
+        read_front(parse(invalid_settings))
+    text = str(raised.value)
     assert "no kind of engine carries rerank" in text and "no full load could ever wait" in text
     assert 'embeddings is one stage; set role "both"' in text
 
 
 def test_engine_restart_during_a_batch_loses_no_score(tmp_path: Path) -> None:
-    """A rerank engine dies in the middle of a batch and starts again 140 ms later."""
-    rig, client = rigged(tmp_path, read_speed=4000.0)
+    """A rerank engine crashes during a batch and restarts 140 ms later."""
+    rig, client = rig_and_client(tmp_path, read_speed=4000.0)
 
-    def dies() -> None:
+    def crash_engine() -> None:
         rig.engines[4].model.fallen = True
         rig.engines[4].fall()
 
-    def ask() -> None:
+    def send_requests() -> None:
         client.rank("r", "q", words(120))
-        rig.reactor.callLater(0.06, dies)
+        rig.reactor.callLater(0.06, crash_engine)
         rig.reactor.callLater(0.2, setattr, rig.engines[4].model, "fallen", False)
 
-    play(rig, ask)
+    run_with(rig, send_requests)
     status, _, reply = client.replies["r"]
     assert status == 200 and len(reply["results"]) == 120
-    assert {one["relevance_score"] for one in reply["results"]} == {score("q", one) for one in words(120)}
+    assert {result["relevance_score"] for result in reply["results"]} == {
+        score("q", text) for text in words(120)
+    }
 
 
 def test_gateway_whose_loop_lags_sheds_the_least_valuable_requests(tmp_path: Path) -> None:
-    """The event loop is reported late at 40 samples; embeddings are worth less than chat."""
-    rig, client = rigged(tmp_path)
+    """40 samples report lag of the event loop; embeddings have a lower value than chat."""
+    rig, client = rig_and_client(tmp_path)
     monitor = rig.fronts[0].load_monitor
     assert monitor is not None
 
-    def late() -> None:
+    def report_lag() -> None:
         now = clock.now()
-        for step in range(40):  # as if each look had come far too late
+        for step in range(40):  # as if each sample had been far too late
             monitor.admission.update_pressure(now + 20_000.0 * step, Pressure(lag=3.0))
-        for at in range(20):
-            client.embed(at, f"text {at}")
+        for index in range(20):
+            client.embed(index, f"text {index}")
         client.ask(
             "chat",
             "/v1/chat/completions",
             {"model": "hint", "messages": [{"role": "user", "content": "a"}], "max_tokens": 2},
         )
 
-    play(rig, late)
-    embedded = [client.replies[at] for at in range(20)]
-    assert {reply[0] for reply in embedded} == {429}
-    assert "short" in embedded[0][2]["error"]["message"] and "retry-after" in embedded[0][1]
+    run_with(rig, report_lag)
+    embedding_replies = [client.replies[index] for index in range(20)]
+    assert {reply[0] for reply in embedding_replies} == {429}
+    assert "short" in embedding_replies[0][2]["error"]["message"] and "retry-after" in embedding_replies[0][1]
     monitor.admission.update_pressure(clock.now() + 1e9, Pressure())
     monitor.admission.update_pressure(clock.now() + 2e9, Pressure())
     assert monitor.admission.shedder.level == 0.0
 
 
 def test_gateway_that_stops_finishes_its_vector_requests_first(tmp_path: Path) -> None:
-    rig, client = rigged(tmp_path, read_speed=4000.0)
-    ended: list[bool] = []
+    rig, client = rig_and_client(tmp_path, read_speed=4000.0)
+    answered_at_end: list[bool] = []
 
-    def ask() -> None:
+    def send_requests() -> None:
         client.embed("out", words(30))
         rig.reactor.callLater(0.02, rig.fronts[0].stop)
-        rig.fronts[0].on_end = lambda: ended.append("out" in client.replies)
+        rig.fronts[0].on_end = lambda: answered_at_end.append("out" in client.replies)
 
-    play(rig, ask)
-    assert client.replies["out"][0] == 200 and ended == [True]
+    run_with(rig, send_requests)
+    assert client.replies["out"][0] == 200 and answered_at_end == [True]
 
 
 def test_batches_are_cut_by_counted_tokens(tmp_path: Path) -> None:
@@ -399,26 +415,26 @@
     rig = Rig(tmp_path, FLEET, text=text + counting, read_speed=20_000.0)
     rig.front()
     client = RecordingClient(rig)
-    inputs = [f"{at} " + "zq" * 60 for at in range(12)]  # many more tokens than their bytes suggest
+    inputs = [f"{index} " + "zq" * 60 for index in range(12)]  # far more tokens than estimated from bytes
 
-    def ask() -> None:
+    def send_requests() -> None:
         client.embed("counted", inputs)
-        goes = rig.send_request(
+        disconnecting_call = rig.send_request(
             json.dumps({"model": "vectors", "input": ["xy" * 3000]}).encode(),
             lambda *_: None,
             path=embeddings.PATH,
         )
-        rig.reactor.callLater(0.0, goes.abandon)
+        rig.reactor.callLater(0.0, disconnecting_call.abandon)
 
-    play(rig, ask, 30.0)
+    run_with(rig, send_requests, 30.0)
     status, _, reply = client.replies["counted"]
-    assert status == 200 and [one["embedding"] for one in reply["data"]] == [
-        vector("vectors", one) for one in inputs
+    assert status == 200 and [result["embedding"] for result in reply["data"]] == [
+        vector("vectors", text) for text in inputs
     ]
     attempts = [
         attempt
         for attempt in load(tmp_path).attempts
         if attempt.request_class == embeddings.PATH and attempt.how == "done"
     ]
-    guessed = sum(embeddings.tokens_of(one) for one in inputs)
-    assert guessed < 400 and len(attempts) > 1  # by the guess it would have been one load
+    estimated_tokens = sum(embeddings.tokens_of(text) for text in inputs)
+    assert estimated_tokens < 400 and len(attempts) > 1  # the estimate would give one batch
--- a/worksmux/gateway/active_versions.py
+++ b/worksmux/gateway/active_versions.py
@@ -1,4 +1,4 @@
-"""The versions that a gateway acts on: of its program, settings, tokenizers, endpoint list and plan."""
+"""Versions of what a gateway acts on: its program, settings, tokenizers, endpoint list and failover plan."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from ..failover.plan import Plan, encode
 from ..settings.front import FrontSettings
 
-NO_SERIAL = -1
+NO_SERIAL = -1  # no endpoint list has been digested
 
 
 def _digest(data: bytes) -> str:
@@ -20,30 +20,37 @@
 
 
 class ActiveVersions:
-    """Digests what stays the same while the process runs once, and the plan and the list as they change."""
+    """Computes the versions that the audit log records with each decision.
+
+    The program, the settings and the tokenizers are digested once, as the process starts.  The plan and the
+    endpoint list are digested again when they change.
+    """
 
     def __init__(self, settings: FrontSettings) -> None:
-        self._fixed = {
-            "program": Version(0, self._digest_of_program()),
-            "settings": Version(0, self._digest_of_settings(settings)),
+        self._fixed_versions = {
+            "program": Version(0, self._program_digest()),
+            "settings": Version(0, self._settings_digest(settings)),
         }
-        for name, path_of in sorted(settings.tokenizers.items()):
-            self._fixed[f"tokenizer {name}"] = Version(0, _digest(Path(path_of).read_bytes()))
+        for name, path in sorted(settings.tokenizers.items()):
+            self._fixed_versions[f"tokenizer {name}"] = Version(0, _digest(Path(path).read_bytes()))
         self._plan: Plan | None = None
         self._plan_digest = ""
         self._list_serial, self._list_digest = NO_SERIAL, ""
 
     @staticmethod
-    def _digest_of_program() -> str:
-        program = xxhash.xxh3_64()
+    def _program_digest() -> str:
+        program_hash = xxhash.xxh3_64()
         for path in sorted(Path(__file__).resolve().parent.parent.rglob("*.py")):
-            program.update(path.read_bytes())
-        return program.hexdigest()
+            program_hash.update(path.read_bytes())
+        return program_hash.hexdigest()
 
     @staticmethod
-    def _digest_of_settings(settings: FrontSettings) -> str:
-        """Of the settings that all gateways share, so that gateways can be compared."""
-        module = replace(settings.module, node_index=0, zone=0)  # which differ between gateways
+    def _settings_digest(settings: FrontSettings) -> str:
+        """The digest of the settings that all gateways share.
+
+        Settings that differ between gateways are left out, so that digests can be compared across the fleet.
+        """
+        module = replace(settings.module, node_index=0, zone=0)  # differ between gateways
         shared = repr(
             (
                 settings.zones,
@@ -58,16 +65,23 @@
         )
         return _digest(shared.encode())
 
-    def versions(self, plan: Plan, alone: bool, keeper: EndpointListReader) -> dict[str, Version]:
-        """`alone`: the gateway has lost the others, and acts on its last plan by itself."""
+    def versions(self, plan: Plan, is_isolated: bool, list_reader: EndpointListReader) -> dict[str, Version]:
+        """The current version of each item, by name.
+
+        `is_isolated` states that the gateway has lost contact with its fleet and acts on the last plan that
+        it received.
+        """
         if plan is not self._plan:
             self._plan, self._plan_digest = plan, _digest(encode(plan))
-        if keeper.serial != self._list_serial:
-            # By content: a registry that starts its serials anew sends the same list under another one.
-            lines = sorted((one.line.id, one.line.state, one.line.started) for one in keeper.known.values())
-            self._list_serial, self._list_digest = keeper.serial, _digest(repr(lines).encode())
+        if list_reader.serial != self._list_serial:
+            # The content is digested, not the serial: a registry that restarted may send the same list with
+            # another serial.
+            endpoints = sorted(
+                (known.line.id, known.line.state, known.line.started) for known in list_reader.known.values()
+            )
+            self._list_serial, self._list_digest = list_reader.serial, _digest(repr(endpoints).encode())
         return {
-            **self._fixed,
+            **self._fixed_versions,
             "list": Version(0, self._list_digest),
-            "plan": Version(plan.number, self._plan_digest + " alone" * alone),
+            "plan": Version(plan.number, self._plan_digest + " alone" * is_isolated),
         }
--- a/worksmux/gateway/admission_settings.py
+++ b/worksmux/gateway/admission_settings.py
@@ -1,4 +1,4 @@
-"""The admission controller's settings, from those of the gateway."""
+"""Derives the admission controller's settings from those of the gateway."""
 
 from __future__ import annotations
 
@@ -7,17 +7,25 @@
 from ..settings.shared import RequestClass
 
 CHAT_POOL = "chat"
-SHED_RISE_LAGS = 2  # times the lag's bound
+# Time constants of load shedding, as multiples of the bound on the event loop's lag.
+SHED_RISE_LAGS = 2
 SHED_FALL_LAGS = 20
 
 
 def admission_settings(settings: FrontSettings, bounds: Admission) -> AdmissionSettings:
-    """The request classes of chat come first, which are only shed; then those of each single stage."""
-    classes = [_class_settings(one, bounds, CHAT_POOL, 0.0, 0) for one in settings.request_classes]
+    """Builds the settings of the admission controller.
+
+    The request classes of chat come first; they are shed but never queued.  The request classes of each
+    single-stage API follow.
+    """
+    classes = [
+        _class_settings(request_class, bounds, CHAT_POOL, 0.0, 0)
+        for request_class in settings.request_classes
+    ]
     for stage in settings.lanes:
         classes += [
-            _class_settings(one, bounds, stage.call, float(bounds.line_tokens), bounds.line_calls)
-            for one in stage.request_classes
+            _class_settings(request_class, bounds, stage.call, float(bounds.line_tokens), bounds.line_calls)
+            for request_class in stage.request_classes
         ]
     min_retry_after_ms, max_retry_after_ms = bounds.stay_away
     return AdmissionSettings(
--- a/worksmux/gateway/answers.py
+++ b/worksmux/gateway/answers.py
@@ -1,7 +1,9 @@
-"""Answers that bring no results, as embeddings and rerank send them.
+"""Error answers of embeddings and rerank requests.
 
-429 where admission control rejected the request and 503 where it was deferred: both are harmless to repeat
-and carry `Retry-After`.  504 where its time ran out; it may have been executed.
+429: admission control or the limit on open requests rejected the request.  503: the policy rejected it, or
+the gateway is stopping.  A request with either status was not executed, can be retried safely, and gets
+`Retry-After`.  504: the request's deadline
+passed; it was possibly executed.
 """
 
 from __future__ import annotations
@@ -18,10 +20,10 @@
 Headers = tuple[tuple[str, str], ...]
 
 
-def answer_deferred(
+def answer_rejected(
     exchange: Exchange, status: int, message: str, retry_after_ms: float, headers: Headers = ()
 ) -> None:
-    """Tells the client that its request had no effect, and when to return."""
+    """Answers that the request was not executed, and after how long the client may retry."""
     error_type = "rate_limit_error" if status == TOO_MANY_REQUESTS else "server_error"
     retry_headers = (
         ("Retry-After", str(ceil(retry_after_ms / 1000))),
@@ -33,5 +35,6 @@
 
 
 def answer_timed_out(exchange: Exchange, headers: Headers) -> None:
+    """Answers that the deadline passed and that the request was possibly executed."""
     body = errors.error("the call's time ran out", "server_error", code="broken_off")
     exchange.answer(GATEWAY_TIMEOUT, body, headers=((ANSWER_HEADER, "broken-off"), *headers))
--- a/worksmux/gateway/attempts.py
+++ b/worksmux/gateway/attempts.py
@@ -1,7 +1,7 @@
-"""The calls of one attempt at an engine: prefill and decode over HTTP, and the outcome of each.
+"""HTTP calls that carry prefill and decode attempts to engines, and the outcome of each.
 
-`docs/outcomes.md` has the table of outcomes.  Each comes about in exactly one way; a response that makes no
-sense is an error of that attempt.
+`docs/outcomes.md` lists the outcomes.  Each outcome has exactly one cause.  A malformed response gives the
+outcome `ERROR`.
 """
 
 from __future__ import annotations
@@ -25,9 +25,10 @@
 
 
 def rejection_outcome(status: int, body: bytes) -> tuple[Outcome, int]:
-    """The outcome of a whole response that is no answer, and a note: 1 where the engine lost its KV cache.
+    """The outcome of a complete response that carries no answer, and a note.
 
-    429 means that the engine is full; any other status is an error.
+    Status 429 means that the engine is full; any other status is an error.  The note is 1 if the engine has
+    lost the request's KV cache.
     """
     if status != TOO_MANY_REQUESTS:
         return Outcome.ERROR, 0
@@ -35,9 +36,10 @@
 
 
 class EngineCall(AttemptCall):
-    """One HTTP request to an engine."""
+    """One attempt, sent to the engine as one HTTP request."""
 
     def send(self, headers: client.Headers, body: bytes) -> None:
+        """Sends the HTTP request of the attempt."""
         self.call = self.pool.call("POST", calls.CHAT, self, headers, body)
 
     def _rejection(self) -> tuple[Outcome, int]:
@@ -48,9 +50,13 @@
 
 
 class PrefillCall(EngineCall):
-    """Ends as READ with the handle of the KV cache, and the count of tokens that were found cached."""
+    """A prefill attempt, whose response carries the KV cache handle and the number of cached prompt tokens.
+
+    Its outcome is `PREFILLED` if the response is well-formed.
+    """
 
     def done(self) -> None:
+        """Ends the attempt with the complete response."""
         if self.status != OK:
             return super().done()
         try:
@@ -62,7 +68,10 @@
 
 
 class DecodeCall(StreamingAttempt, EngineCall):
-    """A stream of events that ends with a finish reason and `[DONE]`."""
+    """A decode attempt, whose response is a stream of events.
+
+    A complete stream contains at least one token and a finish reason, and ends with `[DONE]`.
+    """
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -95,7 +104,7 @@
         if self._finish_reason and self.attempt.first_token_at:
             self._end(Outcome.SERVED, self._usage.cached, (self._finish_reason, self._usage))
         else:
-            self._end(Outcome.ERROR)  # an end without an answer
+            self._end(Outcome.ERROR)  # `[DONE]` without a token or a finish reason
 
     def _on_stream_end(self) -> None:
         self._end(Outcome.ERROR)  # the response ended without [DONE]
--- a/worksmux/gateway/chat_engine_client.py
+++ b/worksmux/gateway/chat_engine_client.py
@@ -1,6 +1,6 @@
-"""Carries chat completions to engines over their HTTP API, with KV cache handles between prefill and decode.
+"""Carries chat completions to engines over HTTP, and passes KV cache handles from prefill to decode.
 
-Beside the attempts there are control calls: health checks, reservations of decode slots, and releases.
+Besides attempts it sends control calls: health checks, reservations of decode slots and releases.
 """
 
 from __future__ import annotations
@@ -20,14 +20,15 @@
 from .attempts import DecodeCall, EngineCall, PrefillCall, rejection_outcome
 from .metrics import Metrics
 
-MAX_RELEASE_ROUNDS = 20  # of `release_tries` calls each; after that the engine's lease has ended
+# A round is `release_tries` calls.  After this many rounds the engine's lease on the KV cache has expired.
+MAX_RELEASE_ROUNDS = 20
 SLOT_RESERVED_REPLY = b'{"held":true}'
 JSON_TYPE = ("Content-Type", "application/json")
 OK = 200
 
 
 class ChatEngineClient(RequestLifecycle):
-    """The gateway's side of the engines' protocol; see `RequestLifecycle` for what its hooks mean."""
+    """Implements the engine protocol of the gateway; `RequestLifecycle` describes the hooks."""
 
     metrics: Metrics
 
@@ -36,82 +37,91 @@
     ) -> None:
         super().__init__(id_map, reactor, metrics)
         self.settings = settings
-        self.name = name  # of this gateway and this start of it
-        self.stages: list[Any] = []  # the single-stage dispatchers, set by the process
-
-    def arrived(self, asked: chat.Asked, client_side: Client, arrived: float) -> RequestContext:
-        """Takes a request that came at `arrived` (milliseconds); from here on it is owed one answer."""
-        left = self._time_left_ms(asked)
+        self.name = name  # unique to this start of this gateway
+        self.stages: list[Any] = []  # single-stage dispatchers, set by GatewayProcess
+
+    def accept_request(
+        self, chat_request: chat.Asked, chat_client: Client, arrived_at: float
+    ) -> RequestContext:
+        """Accepts a request that arrived at `arrived_at` (milliseconds); it gets exactly one final answer."""
+        time_left_ms = self._time_left_ms(chat_request)
         self.last_request_id += 1
         request = Request(
             self.last_request_id,
-            asked.request_class,
-            asked.session,
-            asked.prefix,
-            asked.prompt,
-            asked.prefix_tokens,
-            float(asked.most),
-            arrived,
-            arrived + left,
-            is_retry=asked.repeat,
+            chat_request.request_class,
+            chat_request.session,
+            chat_request.prefix,
+            chat_request.prompt,
+            chat_request.prefix_tokens,
+            float(chat_request.most),
+            arrived_at,
+            arrived_at + time_left_ms,
+            is_retry=chat_request.repeat,
+        )
+        context = RequestContext(
+            request, chat_request, chat_client, f"{self.name}.{request.id}", chat_request.name
         )
-        case = RequestContext(request, asked, client_side, f"{self.name}.{request.id}", asked.name)
-        asked.label = asked.label or case.key
-        return self._accept(case)
-
-    def _time_left_ms(self, asked: chat.Asked) -> float:
-        """The client's deadline or the request class's, less the time for the answer's way back."""
-        request_class = self.settings.request_classes[asked.request_class]
-        limit = request_class.outer_limit + 2 * request_class.promised_per_k * asked.prompt / 1000
-        if asked.time_left is not None:
-            limit = min(limit, asked.time_left)
-        return max(0.0, limit - self.settings.transport.answer_margin)
-
-    def corrected(self, case: RequestContext) -> None:
-        """The prompt of a request that was taken by an upper bound has been counted.
-
-        Its prefix is taken over only before the first attempt, which has chosen an engine by it.
+        chat_request.label = chat_request.label or context.key
+        return self._accept(context)
+
+    def _time_left_ms(self, chat_request: chat.Asked) -> float:
+        """The time until the deadline of the client or of the request class, whichever is earlier.
+
+        The time that the answer takes back to the client is subtracted.
         """
-        request, asked = case.request, case.client_request
-        request.prompt_tokens = asked.prompt
+        request_class = self.settings.request_classes[chat_request.request_class]
+        limit_ms = request_class.outer_limit + 2 * request_class.promised_per_k * chat_request.prompt / 1000
+        if chat_request.time_left is not None:
+            limit_ms = min(limit_ms, chat_request.time_left)
+        return max(0.0, limit_ms - self.settings.transport.answer_margin)
+
+    def correct_prompt(self, context: RequestContext) -> None:
+        """Replaces the upper bound on a request's prompt length by the exact count.
+
+        The prefix is replaced only before the first attempt, because that attempt's engine was chosen by it.
+        """
+        request, chat_request = context.request, context.client_request
+        request.prompt_tokens = chat_request.prompt
         if not request.attempts:
-            request.prefix, request.prefix_tokens = asked.prefix, asked.prefix_tokens
+            request.prefix, request.prefix_tokens = chat_request.prefix, chat_request.prefix_tokens
 
-    def _log_fields(self, case: RequestContext) -> dict[str, Any]:
-        return {"tokens": case.result[1].completion_tokens if case.result else 0}
+    def _log_fields(self, context: RequestContext) -> dict[str, Any]:
+        return {"tokens": context.result[1].completion_tokens if context.result else 0}
 
     def _open_attempt(
-        self, case: RequestContext, attempt: Attempt, pool: client.Pool, time_out: float
+        self, context: RequestContext, attempt: Attempt, pool: client.Pool, timeout_ms: float
     ) -> EngineCall:
         if (
-            case.reserved_engine is not None
-            and case.reserved_engine is not attempt.engine
+            context.reserved_engine is not None
+            and context.reserved_engine is not attempt.engine
             and not attempt.is_prefill
         ):
-            self._let_go(case, case.reserved_engine)  # another decode engine was chosen
-        transport, asked = self.settings.transport, case.client_request
-        make = PrefillCall if attempt.is_prefill else DecodeCall
-        call = make(self.reactor, pool, attempt, self, time_out, transport.stream_silence, transport.reply)
-        kv_handle = case.kv_handle if attempt.request.kv_holder is not None else None
-        body = chat.to_reader(asked) if attempt.is_prefill else chat.to_writer(asked, kv_handle)
-        call.send(self._attempt_headers(case, attempt), body)
+            self._release_engine(context, context.reserved_engine)  # the policy chose another decode engine
+        transport, chat_request = self.settings.transport, context.client_request
+        call_class = PrefillCall if attempt.is_prefill else DecodeCall
+        call = call_class(
+            self.reactor, pool, attempt, self, timeout_ms, transport.stream_silence, transport.reply
+        )
+        kv_handle = context.kv_handle if attempt.request.kv_holder is not None else None
+        body = chat.to_reader(chat_request) if attempt.is_prefill else chat.to_writer(chat_request, kv_handle)
+        call.send(self._attempt_headers(context, attempt), body)
         return call
 
-    def _attempt_headers(self, case: RequestContext, attempt: Attempt) -> list[tuple[str, str]]:
-        asked = case.client_request
+    def _attempt_headers(self, context: RequestContext, attempt: Attempt) -> list[tuple[str, str]]:
+        chat_request = context.client_request
         headers = [
             JSON_TYPE,
-            (chat.REQUEST_ID, f"{case.key}.{attempt.number}"),
-            (calls.REQUEST, case.key),
+            (chat.REQUEST_ID, f"{context.key}.{attempt.number}"),
+            (calls.REQUEST, context.key),
             (calls.FRONT, self.settings.name),
-            (chat.LABEL, asked.label),
+            (chat.LABEL, chat_request.label),
         ]
         if self.plan_version is not None:
             headers.append((calls.PLAN, self.plan_version()))
-        if asked.exact:
-            headers.append((calls.PROMPT_TOKENS, str(int(asked.prompt))))
-        if asked.request_id:
-            headers.append((calls.TRY, asked.request_id))
+        if chat_request.exact:
+            headers.append((calls.PROMPT_TOKENS, str(int(chat_request.prompt))))
+        if chat_request.request_id:
+            headers.append((calls.TRY, chat_request.request_id))
         return headers
 
     def _control_call_limits(self) -> tuple[float, int, client.Headers]:
@@ -133,108 +143,119 @@
         return Outcome.SERVED, calls.load_report(headers.get(calls.LOAD))
 
     def _reserve_slot(self, request: Request, engine: Engine) -> None:
-        case = self.open_requests.get(request)
-        if case is None or case.final_answer:
+        context = self.open_requests.get(request)
+        if context is None or context.final_answer:
             return
-        prefill = next((attempt for attempt in case.in_flight if attempt.is_prefill), None)
-        if case.reserved_engine is not None and case.reserved_engine is not engine:
-            self._let_go(case, case.reserved_engine)
-        case.reserved_engine = engine
-        case.holding_engines[engine] = None
-
-        def ended(
-            status: int, headers: dict[str, str], reply: bytes, trouble: client.CallError | None
+        prefill = next((attempt for attempt in context.in_flight if attempt.is_prefill), None)
+        if context.reserved_engine is not None and context.reserved_engine is not engine:
+            self._release_engine(context, context.reserved_engine)
+        context.reserved_engine = engine
+        context.holding_engines[engine] = None
+
+        def on_end(
+            status: int, headers: dict[str, str], reply: bytes, error: client.CallError | None
         ) -> None:
-            answered = trouble is None and status == OK
-            reserved = answered and reply.replace(b" ", b"") == SLOT_RESERVED_REPLY
-            is_unwanted = bool(case.final_answer or case.first_token_at) or case.reserved_engine is not engine
-            if (reserved or not answered) and is_unwanted:
-                self._release_unwanted_slot(case, engine, answered)
-            if answered and prefill is not None and prefill.outcome is None and prefill in case.in_flight:
-                self.tell(SlotReserved(prefill, engine, reserved))
-
-        kv_source = self._kv_source(case, prefill)
-        body = chat.ENCODE.encode(calls.Place(case.key, request.prompt_tokens, kv_source))
-        self.control_call(engine, "POST", calls.PLACE, body, ended)
-
-    def _kv_source(self, case: RequestContext, prefill: Attempt | None) -> chat.KvParams | None:
-        """Where the decode engine can pull the KV cache from, ahead of the request."""
+            is_answered = error is None and status == OK
+            is_reserved = is_answered and reply.replace(b" ", b"") == SLOT_RESERVED_REPLY
+            is_obsolete = (
+                bool(context.final_answer or context.first_token_at) or context.reserved_engine is not engine
+            )
+            if (is_reserved or not is_answered) and is_obsolete:
+                self._release_unwanted_slot(context, engine, is_answered)
+            if (
+                is_answered
+                and prefill is not None
+                and prefill.outcome is None
+                and prefill in context.in_flight
+            ):
+                self.tell(SlotReserved(prefill, engine, is_reserved))
+
+        kv_source = self._kv_source(context, prefill)
+        body = chat.ENCODE.encode(calls.Place(context.key, request.prompt_tokens, kv_source))
+        self.control_call(engine, "POST", calls.PLACE, body, on_end)
+
+    def _kv_source(self, context: RequestContext, prefill: Attempt | None) -> chat.KvParams | None:
+        """The prefill engine from which the decode engine can pull the KV cache before the decode attempt."""
         if prefill is None or prefill.engine not in self.pools:
             return None
         pool = self.pools[prefill.engine]
-        return chat.KvParams(prefill.engine.id.decode(), pool.host, pool.port, [], case.key)
+        return chat.KvParams(prefill.engine.id.decode(), pool.host, pool.port, [], context.key)
 
-    def _release_unwanted_slot(self, case: RequestContext, engine: Engine, answered: bool) -> None:
-        """Releases a slot whose request has moved on while the reservation was out.
+    def _release_unwanted_slot(self, context: RequestContext, engine: Engine, is_answered: bool) -> None:
+        """Releases a decode slot that its request no longer needs when the reservation call ends.
 
-        Failure: the reservation was slow, or its answer is lost and it may yet be carried out; the slot would
-        then stay reserved for nobody.  After a lost answer a second release follows, in case the reservation
-        is carried out after the first.
+        Failure: the reservation was slow, or its answer was lost and the engine may still execute it.  The
+        slot would stay reserved although no request uses it.  After a lost answer a second release follows,
+        in case the engine executes the reservation after the first release.
         """
-        release = chat.ENCODE.encode(calls.Release(case.key))
+        release = chat.ENCODE.encode(calls.Release(context.key))
         self._release_until(engine, release, 1)
-        if not answered:
+        if not is_answered:
             pause_ms = self.settings.module.release_within_ms / 2
             self.reactor.callLater(pause_ms / 1000, self._release_until, engine, release, 1)
 
     def _release_kv_cache(self, request: Request) -> None:
-        case = self.open_requests.get(request)
-        if case is None:
+        context = self.open_requests.get(request)
+        if context is None:
             return
-        case.kv_handle = None
-        for engine in list(case.holding_engines):
-            self._let_go(case, engine)
-
-    def _let_go(self, case: RequestContext, engine: Engine) -> None:
-        case.holding_engines.pop(engine, None)
-        if case.reserved_engine is engine:
-            case.reserved_engine = None
-        self._release_until(engine, chat.ENCODE.encode(calls.Release(case.key)), 1)
+        context.kv_handle = None
+        for engine in list(context.holding_engines):
+            self._release_engine(context, engine)
+
+    def _release_engine(self, context: RequestContext, engine: Engine) -> None:
+        context.holding_engines.pop(engine, None)
+        if context.reserved_engine is engine:
+            context.reserved_engine = None
+        self._release_until(engine, chat.ENCODE.encode(calls.Release(context.key)), 1)
         self.metrics.release()
 
-    def _release_until(self, engine: Engine, body: bytes, tries: int) -> None:
-        """Repeats a release until the engine acknowledges it or has left the list.
+    def _release_until(self, engine: Engine, body: bytes, call_number: int) -> None:
+        """Repeats a release until the engine acknowledges it or leaves the endpoint list.
 
-        Failure: a release that gets lost leaves the KV cache pinned at the engine, and nobody else can free
-        it.  A release is harmless to repeat.  To an engine that is cut off they go on at a slower pace.
+        Failure: after a lost release the KV cache stays pinned at the engine, and no other process can free
+        it.  A release is idempotent.  After the first round the calls continue at longer intervals, for an
+        engine that is cut off by a network partition.
         """
-        sent = clock.now()
+        sent_at = clock.now()
 
-        def ended(
-            status: int, headers: dict[str, str], reply: bytes, trouble: client.CallError | None
+        def on_end(
+            status: int, headers: dict[str, str], reply: bytes, error: client.CallError | None
         ) -> None:
-            round_tries = self.settings.transport.release_tries
-            within_ms = self.settings.module.release_within_ms
-            if status == OK or engine.state == "gone" or tries >= MAX_RELEASE_ROUNDS * round_tries:
+            calls_per_round = self.settings.transport.release_tries
+            release_within_ms = self.settings.module.release_within_ms
+            if status == OK or engine.state == "gone" or call_number >= MAX_RELEASE_ROUNDS * calls_per_round:
                 return
-            if tries < round_tries:
-                pause_ms = within_ms / (2 * round_tries)
-            else:  # they begin `within_ms` apart, so that one arrives in time once a partition is over
-                pause_ms = max(0.0, sent + within_ms - clock.now())
-            self.reactor.callLater(pause_ms / 1000, self._release_until, engine, body, tries + 1)
+            if call_number < calls_per_round:
+                pause_ms = release_within_ms / (2 * calls_per_round)
+            else:  # calls start `release_within_ms` apart, so that one arrives in time after a partition ends
+                pause_ms = max(0.0, sent_at + release_within_ms - clock.now())
+            self.reactor.callLater(pause_ms / 1000, self._release_until, engine, body, call_number + 1)
 
-        self.control_call(engine, "POST", calls.RELEASE, body, ended)
+        self.control_call(engine, "POST", calls.RELEASE, body, on_end)
 
     def _tell_endpoints(self, event: EndpointListUpdate) -> None:
-        self.tell(self._of("chat", event))
+        self.tell(self._select_by_call("chat", event))
         for stage in self.stages:
-            stage.tell(self._of(stage.settings.call, event))
+            stage.tell(self._select_by_call(stage.settings.call, event))
+
+    def _select_by_call(self, call: str, event: EndpointListUpdate) -> EndpointListUpdate:
+        """The part of an endpoint list update with the engines that serve `call`.
 
-    def _of(self, call: str, event: EndpointListUpdate) -> EndpointListUpdate:
-        """The engines that serve a call: no policy knows those of another."""
+        Each policy knows only the engines of its own call.
+        """
         kinds = self.settings.kinds
         return EndpointListUpdate(
             event.scope, [entry for entry in event.entries if kinds[entry.kind].call == call]
         )
 
     def _new_pool(self, host: str, port: int) -> client.Pool:
-        bounds = self.settings.transport
+        transport = self.settings.transport
         return client.Pool(
             self.reactor,
             host,
             port,
-            bounds.connect_time_out,
-            bounds.keep_alive,
-            bounds.idle_connections,
-            bounds.head,
+            transport.connect_time_out,
+            transport.keep_alive,
+            transport.idle_connections,
+            transport.head,
         )
--- a/worksmux/gateway/clients.py
+++ b/worksmux/gateway/clients.py
@@ -1,8 +1,8 @@
-"""The clients' side: routes their exchanges, and answers chat completions whole or as a stream of events.
+"""Routes the exchanges of clients, and answers chat completions whole or as a stream of events.
 
-A deferred request is answered 503 with `Retry-After`; one that was broken off 502, or 504 where its time ran
-out.  Both name themselves in the header `x-worksmux-answer` and in the error's code.  A stream that breaks
-ends with an error event and without its last chunk.
+A rejected request is answered with 503 and `Retry-After`.  An aborted request is answered with 502, or with
+504 if its deadline passed.  The header `x-worksmux-answer` and the error's code tell the two apart.  A stream
+that is aborted ends with an error event and without its final chunk.
 """
 
 from __future__ import annotations
@@ -37,52 +37,58 @@
 MAX_QUOTED_METHOD_CHARACTERS = 20
 RETRY_AFTER_COUNTING_MS = 1000.0
 REJECTION_HEADERS = (("Retry-After", "1"), (ANSWER_HEADER, "deferred"))
-DEFERRED_MESSAGE = "the job was deferred: it has had no effect, and trying again is harmless"
-BROKEN_OFF_MESSAGE = "the job was broken off: it may have run, and trying again is not known to be harmless"
+REJECTED_MESSAGE = "the job was deferred: it has had no effect, and trying again is harmless"
+ABORTED_MESSAGE = "the job was broken off: it may have run, and trying again is not known to be harmless"
 
 
 class ChatClient(StreamRelay):
-    """The client of one chat completion; see `request_context.Client`."""
+    """The client of one chat completion; implements `request_context.Client`."""
 
-    def __init__(self, exchange: Exchange, asked: Asked) -> None:
+    def __init__(self, exchange: Exchange, chat_request: Asked) -> None:
         super().__init__(exchange)
-        self._asked = asked
-        self._parts: list[str] = []  # of an answer that is sent whole
+        self._chat_request = chat_request
+        self._content_parts: list[str] = []  # of an answer that is not streamed
 
     @property
     def _answer_headers(self) -> Headers:
-        return ((chat.REQUEST_ID, self._asked.request_id),) if self._asked.request_id else ()
+        return ((chat.REQUEST_ID, self._chat_request.request_id),) if self._chat_request.request_id else ()
 
     def send_content(self, content: str) -> None:
-        asked = self._asked
-        if not asked.stream:
-            self._parts.append(content)
+        """Sends one piece of a streamed answer, or keeps it for an answer that is sent whole."""
+        chat_request = self._chat_request
+        if not chat_request.stream:
+            self._content_parts.append(content)
             return
         is_first = self._begin(self._answer_headers)
-        self.exchange.send_piece(event(chat.chunk(asked.answer_id, asked.name, content, first=is_first)))
+        self.exchange.send_piece(
+            event(chat.chunk(chat_request.answer_id, chat_request.name, content, first=is_first))
+        )
 
     def complete(self, finish: str, usage: Usage) -> None:
-        asked = self._asked
-        if not asked.stream:
-            body = chat.whole(asked, "".join(self._parts), finish, usage)
+        """Ends the answer with its finish reason and token usage."""
+        chat_request = self._chat_request
+        if not chat_request.stream:
+            body = chat.whole(chat_request, "".join(self._content_parts), finish, usage)
             self.exchange.answer(OK, body, headers=self._answer_headers)
             return
         self._disconnect_backpressure()
-        last = event(chat.chunk(asked.answer_id, asked.name, finish=finish))
-        if asked.usage:
-            last += event(chat.chunk(asked.answer_id, asked.name, usage=usage))
-        self.exchange.send_piece(last + DONE)
+        final_events = event(chat.chunk(chat_request.answer_id, chat_request.name, finish=finish))
+        if chat_request.usage:
+            final_events += event(chat.chunk(chat_request.answer_id, chat_request.name, usage=usage))
+        self.exchange.send_piece(final_events + DONE)
         self.exchange.end()
 
-    def reject(self, stay_away: float) -> None:
+    def reject(self, retry_after_ms: float) -> None:
+        """Answers 503: the request was not executed."""
         retry_headers = (
-            ("Retry-After", str(ceil(stay_away / 1000))),
-            ("retry-after-ms", str(round(stay_away))),
+            ("Retry-After", str(ceil(retry_after_ms / 1000))),
+            ("retry-after-ms", str(round(retry_after_ms))),
         )
-        self._fail(SERVICE_UNAVAILABLE, "deferred", DEFERRED_MESSAGE, retry_headers)
+        self._fail(SERVICE_UNAVAILABLE, "deferred", REJECTED_MESSAGE, retry_headers)
 
     def abort(self, timed_out: bool) -> None:
-        self._fail(GATEWAY_TIMEOUT if timed_out else BAD_GATEWAY, "broken_off", BROKEN_OFF_MESSAGE)
+        """Answers 502, or 504 after the deadline: the request was possibly executed."""
+        self._fail(GATEWAY_TIMEOUT if timed_out else BAD_GATEWAY, "broken_off", ABORTED_MESSAGE)
 
     def _fail(self, status: int, code: str, message: str, headers: Headers = ()) -> None:
         body = errors.error(message, "server_error", code=code)
@@ -95,16 +101,18 @@
 
 
 class ClientRouter:
-    """Takes the exchanges of clients; while `stopping` it rejects new requests."""
+    """Routes the exchanges of clients by path and method; while `stopping` it rejects new requests."""
 
     def __init__(self, core: ChatEngineClient, tokens: TokenService | None = None) -> None:
-        """Without `tokens` the lengths of prompts are estimated."""
+        """Prompt lengths are counted by `tokens`; if it is None, they are estimated."""
         self.core = core
-        names = [one.name for one in core.settings.request_classes]
-        self.max_answer_tokens = [one.most_answer for one in core.settings.request_classes]
-        self.models = chat.models(names)  # the answer to GET /v1/models
-        self.on_request: Callable[[], None] | None = None  # called with each new chat completion
-        self.counting: dict[CountedRequest, None] = {}  # their prompts are being counted
+        names = [request_class.name for request_class in core.settings.request_classes]
+        self.max_answer_tokens = [
+            request_class.most_answer for request_class in core.settings.request_classes
+        ]
+        self.models = chat.models(names)  # body of the answer to GET /v1/models
+        self.on_request: Callable[[], None] | None = None  # called for each new chat completion
+        self.counting: dict[CountedRequest, None] = {}  # requests whose prompts are being counted
         self.stopping = False
         self.vectors: VectorService | None = None
         self._request_classes = {name: number for number, name in enumerate(names)}
@@ -121,14 +129,14 @@
             message = f"{path} takes {allowed}, not {method[:MAX_QUOTED_METHOD_CHARACTERS]}"
             self._answer_error(exchange, METHOD_NOT_ALLOWED, message, headers=(("Allow", allowed),))
         elif path == CHAT:
-            self._chat(exchange)
+            self._accept_chat(exchange)
         elif path == MODELS:
             exchange.answer(OK, self.models)
         elif self.vectors is not None:
             self.vectors(exchange, path)
 
     def _allowed_method(self, path: str) -> str | None:
-        """None where there is no such path."""
+        """The HTTP method that a path accepts; None for an unknown path."""
         if self.vectors is not None and path in VECTOR_PATHS:
             return "POST"
         return ALLOWED_METHODS.get(path)
@@ -145,13 +153,13 @@
         exchange.answer(status, errors.error(message, error_type, code=code), headers=headers)
 
     def _reject(self, exchange: Exchange, reason: str, message: str) -> None:
-        """Answers 503; the client may repeat its request."""
-        self.core.metrics.turned_away(reason)
+        """Answers 503: the request was not executed and can be retried.  `reason` labels the metric."""
+        self.core.metrics.not_accepted(reason)
         self._answer_error(
             exchange, SERVICE_UNAVAILABLE, message, "server_error", "deferred", REJECTION_HEADERS
         )
 
-    def _chat(self, exchange: Exchange) -> None:
+    def _accept_chat(self, exchange: Exchange) -> None:
         if self.stopping:
             exchange.set_header("connection", "close")
             return self._reject(exchange, "stopping", "the front is stopping; try another")
@@ -159,98 +167,107 @@
             return self._reject(exchange, "too many open", "the front holds as many jobs as it may")
         arrived_at = clock.now()
         try:
-            asked = chat.asked(
+            chat_request = chat.asked(
                 exchange.body(), exchange.header, self._request_classes, self.max_answer_tokens
             )
-        except errors.InvalidRequestError as bad:
-            self.core.metrics.turned_away("bad job")
-            exchange.answer(bad.status, bad.body)
+        except errors.InvalidRequestError as error:
+            self.core.metrics.not_accepted("bad job")
+            exchange.answer(error.status, error.body)
             return
-        if self.vectors is not None and self.vectors.admission.sheds(asked.request_class):
+        if self.vectors is not None and self.vectors.admission.sheds(chat_request.request_class):
             reason = "the front itself is short"
             return self._reject(exchange, reason, f"{reason}; come back later")
         if self._tokens is None:
-            self.submit(exchange, asked, arrived_at)
+            self.submit(exchange, chat_request, arrived_at)
         else:
-            CountedRequest(self, self._tokens, exchange, asked, arrived_at).start()
+            CountedRequest(self, self._tokens, exchange, chat_request, arrived_at).start()
 
-    def submit(self, exchange: Exchange, asked: Asked, arrived_at: float) -> RequestContext:
-        """Hands a request to the policy."""
+    def submit(self, exchange: Exchange, chat_request: Asked, arrived_at: float) -> RequestContext:
+        """Hands a request to the policy and watches for its client's disconnect."""
         if self.on_request:
             self.on_request()
-        chat_client = ChatClient(exchange, asked)
-        case = chat_client.context = self.core.arrived(asked, chat_client, arrived_at)
-        exchange.on_disconnect = lambda: self.core.client_disconnected(case)
-        return case
+        chat_client = ChatClient(exchange, chat_request)
+        context = chat_client.context = self.core.accept_request(chat_request, chat_client, arrived_at)
+        exchange.on_disconnect = lambda: self.core.client_disconnected(context)
+        return context
 
 
 class CountedRequest:
-    """A request whose prompt is being counted.
+    """A request whose prompt is being counted, before its first attempt.
 
-    No attempt has been sent; the verdict of the count decides what becomes of it.  One that goes on by an
-    upper bound is corrected once its exact count comes.
+    The verdict of the count decides whether the request is submitted or rejected.  A request that was
+    submitted with an upper bound on its prompt length is corrected when the exact count arrives.
     """
 
     def __init__(
-        self, router: ClientRouter, tokens: TokenService, exchange: Exchange, asked: Asked, arrived_at: float
+        self,
+        router: ClientRouter,
+        tokens: TokenService,
+        exchange: Exchange,
+        chat_request: Asked,
+        arrived_at: float,
     ) -> None:
         self._router, self._core, self._tokens = router, router.core, tokens
-        self._exchange, self._asked = exchange, asked
+        self._exchange, self._chat_request = exchange, chat_request
         self._arrived_at = arrived_at
         self._prompt: Prompt | None = None
-        self._case: RequestContext | None = None  # once it is submitted
+        self._context: RequestContext | None = None  # set when the request is submitted
 
     def start(self) -> None:
-        asked = self._asked
-        request_class = self._core.settings.request_classes[asked.request_class]
+        """Starts the count, limited by the latency target and the client's time left."""
+        chat_request = self._chat_request
+        request_class = self._core.settings.request_classes[chat_request.request_class]
         time_left_ms = request_class.promised_time
-        if asked.time_left is not None:
-            time_left_ms = min(time_left_ms, asked.time_left)
+        if chat_request.time_left is not None:
+            time_left_ms = min(time_left_ms, chat_request.time_left)
         self._router.counting[self] = None
         self._exchange.on_disconnect = self._client_disconnected
         self._prompt = self._tokens.count(
-            asked.parts,
-            asked.request_class,
+            chat_request.parts,
+            chat_request.request_class,
             request_class.most_prompt,
             time_left_ms,
-            asked.session,
-            self._counted,
+            chat_request.session,
+            self._on_count,
         )
 
     def _client_disconnected(self) -> None:
         if self._prompt is not None:
             self._tokens.cancel(self._prompt)
-        self._forget()
+        self._stop_counting()
 
-    def _forget(self) -> None:
+    def _stop_counting(self) -> None:
         self._router.counting.pop(self, None)
         if self._core.on_empty:
             self._core.on_empty()
 
-    def _counted(self, result: Result) -> None:
-        asked = self._asked
+    def _on_count(self, result: Result) -> None:
+        chat_request = self._chat_request
         self._core.metrics.counted(result.verdict.value, clock.now() - self._arrived_at)
-        asked.prompt, asked.exact = max(1.0, result.prompt), result.exact
-        if result.exact and not asked.named:
-            asked.prefix, asked.prefix_tokens = result.prefix, result.prefix_tokens
-        if self._case is not None:  # it went on by its bound
-            if not self._case.final_answer:
-                self._core.corrected(self._case)
+        chat_request.prompt, chat_request.exact = max(1.0, result.prompt), result.exact
+        if result.exact and not chat_request.named:
+            chat_request.prefix, chat_request.prefix_tokens = result.prefix, result.prefix_tokens
+        if self._context is not None:  # it was submitted with an upper bound
+            if not self._context.final_answer:
+                self._core.correct_prompt(self._context)
             return
         match result.verdict:
             case Verdict.TOO_LONG:
                 self._reject_length(result)
             case Verdict.DEFER:
-                self._core.metrics.turned_away("counting overloaded")
-                ChatClient(self._exchange, asked).reject(RETRY_AFTER_COUNTING_MS)
+                self._core.metrics.not_accepted("counting overloaded")
+                ChatClient(self._exchange, chat_request).reject(RETRY_AFTER_COUNTING_MS)
             case _:
-                self._case = self._router.submit(self._exchange, asked, self._arrived_at)
-        self._forget()
+                self._context = self._router.submit(self._exchange, chat_request, self._arrived_at)
+        self._stop_counting()
 
     def _reject_length(self, result: Result) -> None:
-        limit = self._core.settings.request_classes[self._asked.request_class].most_prompt
+        max_prompt_tokens = self._core.settings.request_classes[self._chat_request.request_class].most_prompt
         count = f"{result.least}" if result.exact else f"at least {result.least}"
-        message = f"the prompt has {count} tokens; {self._asked.name} takes {limit} at most; shorten it"
+        message = (
+            f"the prompt has {count} tokens; "
+            f"{self._chat_request.name} takes {max_prompt_tokens} at most; shorten it"
+        )
         body = errors.error(message, "invalid_request_error", "messages", "context_length_exceeded")
-        self._core.metrics.turned_away("prompt too long")
+        self._core.metrics.not_accepted("prompt too long")
         self._exchange.answer(BAD_REQUEST, body)
--- a/worksmux/gateway/fleet_metrics.py
+++ b/worksmux/gateway/fleet_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of what a gateway knows of the others in its fleet."""
+"""Metrics of a gateway's view of its fleet."""
 
 from __future__ import annotations
 
@@ -11,6 +11,8 @@
 
 
 class FleetMetrics:
+    """Gauges of the fleet's members, plan, consensus and messages as this gateway knows them."""
+
     def __init__(self, registry: CollectorRegistry) -> None:
         def gauge(name: str, text: str, labels: tuple[str, ...] = ()) -> Gauge:
             return Gauge(f"worksmux_fleet_{name}", text, labels, registry=registry)
@@ -27,8 +29,8 @@
         self._contradictions = gauge("contradictions", "Times that fronts told unlike things as agreed")
 
     def update(self, status: dict[str, Any]) -> None:
-        """`status` is that of the page /fleet."""
-        states = Counter(one["state"] for one in status["fronts"])
+        """Sets all gauges from the status that the page /fleet shows."""
+        states = Counter(node["state"] for node in status["fronts"])
         for state in MEMBER_STATES:
             self._fronts.labels(state).set(states[state])
         messages, council = status["messages"], status["council"]
--- a/worksmux/gateway/learned_state_store.py
+++ b/worksmux/gateway/learned_state_store.py
@@ -1,4 +1,4 @@
-"""Keeps what the policy has learned of engines on disk, and gives it back to the policy at a start."""
+"""Stores what the policy has learned about engines on disk, and restores it at a start."""
 
 from __future__ import annotations
 
@@ -24,55 +24,58 @@
 from ..storage.database import Store
 from .chat_engine_client import ChatEngineClient
 
-LEARNED = "learned"  # the table
+LEARNED = "learned"  # table
 SAVE_INTERVAL_MS = HISTORY_MS * SAVE_INTERVAL_FRACTION
 Put = Callable[[str, str, bytes | None], None]
 
 
 def read_learned(store: Store) -> LearnedState:
-    """What was learned, without the records that can't be decoded."""
-    kept = LearnedState(None, {})
+    """The stored learned state, without records that cannot be decoded."""
+    learned = LearnedState(None, {})
     for name, data in store.read(LEARNED).values.items():
         try:
             if name == FLEET_KEY:
-                kept.timings = msgspec.msgpack.decode(data, type=FleetTimings)
+                learned.timings = msgspec.msgpack.decode(data, type=FleetTimings)
             else:
-                kept.marks[name] = msgspec.msgpack.decode(data, type=EngineMarks)
+                learned.marks[name] = msgspec.msgpack.decode(data, type=EngineMarks)
         except msgspec.DecodeError:
             continue
-    return kept
+    return learned
 
 
 class LearnedStateStore:
-    """Watches the policy's events and saves what follows from them at regular intervals.
+    """Observes the policy's events and saves the learned state at regular intervals.
 
-    `put` writes a record by table and key, and deletes it where the value is None.
+    `put` writes a record by table and key, or deletes it if the value is None.
     """
 
     def __init__(self, core: ChatEngineClient, reactor: Reactor, put: Put) -> None:
         self._core, self._reactor, self._put = core, reactor, put
-        self._learner = LearnedStateRecorder([one.name for one in core.settings.request_classes])
+        self._recorder = LearnedStateRecorder(
+            [request_class.name for request_class in core.settings.request_classes]
+        )
         self._timer: Any = None
 
-    def restore(self, kept: LearnedState, turnover: Turnover, max_age_ms: float) -> None:
-        """Tells the policy what still holds, and starts to watch its events."""
+    def restore(self, learned: LearnedState, turnover: Turnover, max_age_ms: float) -> None:
+        """Passes learned state that is still valid to the policy, and starts to observe its events."""
         event = restored_state(
-            kept, self._learner.request_classes, self._engines(), clock.wall(), turnover, max_age_ms
+            learned, self._recorder.request_classes, self._engines(), clock.wall(), turnover, max_age_ms
         )
         self._core.tell(event)
-        self._core.on_event = self._learner.observe
+        self._core.on_event = self._recorder.observe
 
     def start(self) -> None:
+        """Starts the regular saves."""
         self._schedule_save()
 
     def stop(self) -> None:
-        """Saves for the last time."""
+        """Cancels the regular saves and saves once more."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._save()
 
     def _engines(self) -> list[tuple[Engine, float]]:
-        """Each engine with its start as it was listed."""
+        """Each known engine with its start time from the endpoint list."""
         known_engines = self._core.engine_list.list_reader.known.values()
         return [(known.engine, known.line.started) for known in known_engines]
 
@@ -84,6 +87,6 @@
         self._schedule_save()
 
     def _save(self) -> None:
-        changes = self._learner.changes(self._engines(), clock.now(), clock.wall())
+        changes = self._recorder.changes(self._engines(), clock.now(), clock.wall())
         for name, marks in changes.items():
             self._put(LEARNED, name, None if marks is None else msgspec.msgpack.encode(marks))
--- a/worksmux/gateway/load_monitor.py
+++ b/worksmux/gateway/load_monitor.py
@@ -20,7 +20,7 @@
 
 
 def resident_bytes() -> int:
-    """Memory that the process holds; 0 where the system has no /proc."""
+    """The process's resident memory; 0 on a system without /proc."""
     try:
         with open("/proc/self/statm", encoding="ascii") as file:
             return int(file.read().split()[1]) * PAGE_BYTES
@@ -32,8 +32,8 @@
     """Samples the event loop's lag, the open sockets and the memory.
 
     Args:
-        bounds: the values at which the gateway counts as short.
-        open_sockets: counts the sockets of clients and engines.
+        bounds: the limits of lag, sockets and memory, above which the gateway is overloaded.
+        open_sockets: returns the number of open sockets of clients and engines.
     """
 
     def __init__(
@@ -54,9 +54,11 @@
         self._stopped = False
 
     def start(self) -> None:
+        """Starts the regular samples."""
         self._schedule_sample(clock.now())
 
     def stop(self) -> None:
+        """Ends the regular samples."""
         self._stopped = True
 
     def _schedule_sample(self, now: float) -> None:
@@ -75,7 +77,7 @@
         )
         self.admission.update_pressure(now, pressure)
         level = self.admission.shedder.level
-        self._metrics.brownout(level, lag_ms)
+        self._metrics.shedding(level, lag_ms)
         if (level > 0) != self._is_shedding:
             self._is_shedding = level > 0
             self._log_change(pressure, lag_ms)
@@ -83,9 +85,9 @@
 
     def _log_change(self, pressure: Pressure, lag_ms: float) -> None:
         LOG.warning(
-            "the front is short and sheds the cheapest calls"
+            "gateway overloaded; the least valuable requests are shed"
             if self._is_shedding
-            else "the front is no longer short",
+            else "gateway no longer overloaded",
             lag_ms=round(lag_ms),
             lag=round(pressure.lag, 2),
             sockets=round(pressure.sockets, 2),
--- a/worksmux/gateway/metrics.py
+++ b/worksmux/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""The gateway's metrics, in the Prometheus text form."""
+"""Metrics of the gateway, in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -18,29 +18,31 @@
 
 
 class Metrics:
-    """See `counters.Counts` for what a request's life counts; the gauges are set by their owners."""
+    """Implements `forwarding.counters.Counters`; public gauges are set by the objects that they describe."""
 
     def __init__(self) -> None:
         self._registry = CollectorRegistry()
         self._create_request_metrics()
         self._create_decision_metrics()
         self._tokens = TokenMetrics(self._registry)
-        self._fleet: FleetMetrics | None = None  # only in a fleet
-        self.open = self._gauge("worksmux_open_jobs", "Jobs taken and not closed")
-        self.engines = self._gauge("worksmux_engines_ready", "Engines listed as ready")
-        self.serial = self._gauge("worksmux_list_serial", "Number of the list in force")
-        self.listed = self._gauge("worksmux_registry_connected", "1 while the registry is connected")
+        self._fleet: FleetMetrics | None = None  # None outside a fleet
+        self.open_requests = self._gauge("worksmux_open_jobs", "Jobs taken and not closed")
+        self.engines_ready = self._gauge("worksmux_engines_ready", "Engines listed as ready")
+        self.list_serial = self._gauge("worksmux_list_serial", "Number of the list in force")
+        self.registry_connected = self._gauge(
+            "worksmux_registry_connected", "1 while the registry is connected"
+        )
         self._shedding_level = self._gauge(
             "worksmux_brownout_level", "Classes that the front sheds, the cheapest first"
         )
         self._loop_lag = self._gauge("worksmux_loop_lag_seconds", "Lateness of the front's own loop")
-        self.held_back = self._gauge(
+        self.engines_held_back = self._gauge(
             "worksmux_engines_held_back", "Engines that flap and are not used for now"
         )
-        self.list_late = self._gauge(
+        self.list_lateness = self._gauge(
             "worksmux_list_late_seconds", "Lateness of the last list over the promptest"
         )
-        self.lines_lost = self._gauge(
+        self.log_lines_lost = self._gauge(
             "worksmux_log_lines_lost", "Log lines dropped as their reader was too slow"
         )
 
@@ -49,7 +51,7 @@
         self._ended = self._counter(
             "worksmux_jobs_ended", "Jobs ended, by final answer", "offering", "answer"
         )
-        self._turned_away = self._counter(
+        self._not_accepted = self._counter(
             "worksmux_turned_away", "Calls answered without becoming a job", "why"
         )
         self._first_token_time = self._histogram(
@@ -83,57 +85,66 @@
     def _histogram(self, name: str, text: str, buckets: tuple[float, ...], *labels: str) -> Histogram:
         return Histogram(name, text, labels, buckets=buckets, registry=self._registry)
 
-    def brownout(self, level: float, lag: float) -> None:
-        """`lag` is milliseconds."""
+    def shedding(self, level: float, lag_ms: float) -> None:
+        """Sets the number of request classes that are shed and the lag of the event loop."""
         self._shedding_level.set(level)
-        self._loop_lag.set(lag / 1000)
+        self._loop_lag.set(lag_ms / 1000)
 
     def arrived(self, request_class: str) -> None:
+        """Counts an accepted request."""
         self._arrived.labels(request_class).inc()
-        self.open.inc()
+        self.open_requests.inc()
 
     def ended(
-        self, request_class: str, answer: str, ms: float, first_ms: float | None, attempts: int
+        self, request_class: str, answer: str, duration_ms: float, first_ms: float | None, attempts: int
     ) -> None:
-        self.open.dec()
+        """Counts a request's final answer; `first_ms` is its time to first token."""
+        self.open_requests.dec()
         self._ended.labels(request_class, answer).inc()
-        self._request_time.labels(request_class).observe(ms / 1000)
+        self._request_time.labels(request_class).observe(duration_ms / 1000)
         self._attempts_per_request.observe(attempts)
         if first_ms is not None:
             self._first_token_time.labels(request_class).observe(first_ms / 1000)
 
-    def counted(self, verdict: str, ms: float) -> None:
-        """A prompt was counted, in `ms` milliseconds."""
-        self._tokens.counted(verdict, ms)
+    def counted(self, verdict: str, duration_ms: float) -> None:
+        """Records the verdict of a prompt's token count, and the time that the count took."""
+        self._tokens.counted(verdict, duration_ms)
 
     def tokens(self, service: TokenService) -> None:
-        """Updates the state of counting."""
+        """Updates the metrics of the token service."""
         self._tokens.update(service)
 
     def fleet(self, status: dict[str, Any]) -> None:
-        """Updates what the gateway knows of the others."""
+        """Updates the metrics of the fleet from the status of the page /fleet."""
         if self._fleet is None:
             self._fleet = FleetMetrics(self._registry)
         self._fleet.update(status)
 
-    def turned_away(self, why: str) -> None:
-        self._turned_away.labels(why).inc()
+    def not_accepted(self, reason: str) -> None:
+        """Counts a request that was answered before it was accepted."""
+        self._not_accepted.labels(reason).inc()
 
     def attempt(self, stage: str) -> None:
+        """Counts an attempt; `stage` is "moot" if it was not sent."""
         self._attempts.labels(stage).inc()
 
     def probe(self, outcome: str) -> None:
+        """Counts a health check or a probe."""
         self._probes.labels(outcome).inc()
 
     def release(self) -> None:
+        """Counts a started release of KV cache."""
         self._releases.inc()
 
     def overdue(self) -> None:
+        """Counts a request that passed its deadline without an answer of the policy."""
         self._overdue.inc()
 
-    def decision_round(self, ms: float, events: int) -> None:
-        self._decision_time.observe(ms / 1000)
+    def decision_round(self, duration_ms: float, events: int) -> None:
+        """Records the duration of a decision round and the number of its events."""
+        self._decision_time.observe(duration_ms / 1000)
         self._events.inc(events)
 
     def text(self) -> bytes:
+        """All metrics in the Prometheus text format."""
         return generate_latest(self._registry)
--- a/worksmux/gateway/serve.py
+++ b/worksmux/gateway/serve.py
@@ -1,4 +1,4 @@
-"""Builds a gateway from its settings and runs it: sockets, signals, reload and an orderly end."""
+"""Builds a gateway from its settings and runs it: sockets, signals, reload and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -38,35 +38,39 @@
 
 LOG = structlog.get_logger()
 SEED_BITS = 48
-FAULT_EXIT_DELAY_S = 0.2  # for the last answers to leave
+FAULT_EXIT_DELAY_S = 0.2  # time in which the last answers are sent
 
 
 def vocabularies(settings: FrontSettings) -> list[Vocabulary]:
-    """Each request class's tokenizer, each file read once; none where lengths are estimated.  Raises
-    BadTokenizer."""
+    """The tokenizer of each request class; an empty list if prompt lengths are estimated.
+
+    Each file is read once.  Raises TokenizerFormatError.
+    """
     if settings.counting is None:
         return []
-    loaded = {name: load_vocabulary(path) for name, path in settings.tokenizers.items()}
-    unused = next(iter(loaded.values()))  # fills the place of a single-stage class without a tokenizer
-    classes = [
+    loaded_by_name = {name: load_vocabulary(path) for name, path in settings.tokenizers.items()}
+    placeholder = next(iter(loaded_by_name.values()))  # for a single-stage request class without a tokenizer
+    request_classes = [
         *settings.request_classes,
-        *(one for stage in settings.lanes for one in stage.request_classes),
+        *(request_class for stage in settings.lanes for request_class in stage.request_classes),
     ]
-    return [loaded.get(one.tokenizer, unused) for one in classes]
+    return [loaded_by_name.get(request_class.tokenizer, placeholder) for request_class in request_classes]
 
 
 class GatewayProcess:
     """One gateway with its sockets.
 
-    `stop` takes no new request, finishes those that are open, then calls `on_end`.
+    After `stop` the gateway accepts no new request, finishes the open ones, and calls `on_end`.
     """
 
-    def __init__(self, settings: FrontSettings, reactor: Reactor, make: PolicyFactory | None = None) -> None:
-        """`make` builds the policy, in place of the one that the settings name."""
+    def __init__(
+        self, settings: FrontSettings, reactor: Reactor, make_policy: PolicyFactory | None = None
+    ) -> None:
+        """`make_policy` builds the policy instead of the one that the settings name."""
         self.settings, self.reactor = settings, reactor
         self.metrics = Metrics()
         seed = settings.seed if settings.seed is not None else secrets.randbits(SEED_BITS)
-        self._make_policy = make or POLICIES[settings.policy]
+        self._make_policy = make_policy or POLICIES[settings.policy]
         self.core = self._make_core(seed)
         self.engine_list = EngineList(settings.source, self.core, reactor)
         self.core.engine_list = self.engine_list
@@ -118,25 +122,28 @@
         return peering
 
     def _add_single_stages(self, bounds: Admission, seed: int) -> None:
-        """Embeddings and rerank: a dispatcher for each, and one admission controller before them."""
+        """Adds embeddings and rerank: a dispatcher for each, and one admission controller for both."""
         settings = self.settings
         dispatchers = {
-            one.call: StageDispatcher(one, self.core, seed + number + 1, self._make_policy)
-            for number, one in enumerate(settings.lanes)
+            stage.call: StageDispatcher(stage, self.core, seed + number + 1, self._make_policy)
+            for number, stage in enumerate(settings.lanes)
         }
         self.core.stages = list(dispatchers.values())
         admission = AdmissionController(admission_settings(settings, bounds), seed)
-        first_number = len(settings.request_classes)
-        vectors = VectorService(self.core, dispatchers, admission, bounds, first_number, self.tokens)
+        first_admission_number = len(settings.request_classes)
+        vectors = VectorService(
+            self.core, dispatchers, admission, bounds, first_admission_number, self.tokens
+        )
         self.clients.vectors = vectors
-        chat_names = [one.name for one in settings.request_classes]
-        self.clients.models = chat.models([*chat_names, *vectors.names()])
+        chat_names = [request_class.name for request_class in settings.request_classes]
+        self.clients.models = chat.models([*chat_names, *vectors.model_names()])
         self.load_monitor = LoadMonitor(self.reactor, admission, bounds, self.metrics, self._open_sockets)
 
     def _open_sockets(self) -> int:
         return len(self.client_server.channels) + sum(len(pool.open) for pool in self.core.pools.values())
 
     def start(self) -> None:
+        """Opens the ports, and starts the parts of the gateway."""
         port, self.port = listen(self.reactor, self.settings.listen, self.client_server)
         self._ports.append(port)
         port, self.watch_port = listen(self.reactor, self.settings.watch, self.watch_server)
@@ -146,7 +153,7 @@
         self.core.start()
         if self.endpoint_cache:
             self.endpoint_cache.start()
-            self.clients.on_request = self.endpoint_cache.request_came
+            self.clients.on_request = self.endpoint_cache.request_arrived
         if self.peering:
             self.peering.start()
         self.engine_list.start()
@@ -155,7 +162,7 @@
         LOG.info("serving", port=self.port, watch=self.watch_port, policy=self.settings.policy)
 
     def stop(self) -> None:
-        """Begins to drain; ends after the drain time at the latest."""
+        """Starts to drain; the gateway ends when no request is open, or after the drain time."""
         if self.stopping:
             return
         self.stopping = self.clients.stopping = True
@@ -170,13 +177,13 @@
         self._end_if_empty()
 
     def _end_if_empty(self) -> None:
-        vector_requests = self.clients.vectors.open if self.clients.vectors else None
+        vector_requests = self.clients.vectors.open_requests if self.clients.vectors else None
         is_empty = not self.core.open_requests and not self.clients.counting and not vector_requests
         if self.stopping and is_empty:
             self.reactor.callLater(0, self._end)
 
     def _end(self) -> None:
-        """Closes the clients' connections once the last answers are written; runs once."""
+        """Closes the clients' connections after the last answers are written; runs once."""
         if self._drain_timer is None:
             return
         if self._drain_timer.active():
@@ -184,11 +191,11 @@
         self._drain_timer = None
         if self.core.open_requests:
             LOG.error(
-                "jobs are still out at the end of the drain time; their clients see the connection close",
+                "requests are still open at the end of the drain time; their client connections are closed",
                 open=len(self.core.open_requests),
             )
         for channel in list(self.client_server.channels):
-            channel.transport.loseConnection()  # closes after what was written is sent
+            channel.transport.loseConnection()  # closes after all written data is sent
         wait_until_flushed(self.reactor, lambda: self.client_server.channels, self._ended)
 
     def _ended(self) -> None:
@@ -196,7 +203,7 @@
         self.on_end()
 
     def close(self) -> None:
-        """Stops everything at once."""
+        """Stops all parts of the gateway and closes all connections at once."""
         self.engine_list.stop()
         if self.load_monitor:
             self.load_monitor.stop()
@@ -215,38 +222,44 @@
                 channel.transport.abortConnection()
 
     def reload(self, path: str) -> None:
-        """Takes over the settings that can change in service; after any error everything stays as it was."""
+        """Applies settings that can change at run time; after any error the old settings stay in force."""
         try:
-            new = load_front(path)
+            new_settings = load_front(path)
         except SettingsError as error:
-            LOG.error("the settings were not reloaded", complaints=[str(one) for one in error.complaints])
+            LOG.error(
+                "configuration not reloaded", complaints=[str(complaint) for complaint in error.complaints]
+            )
             return
-        restart_only = changes_that_need_a_restart(self.settings, new)
+        restart_only = changes_that_need_a_restart(self.settings, new_settings)
         if restart_only:
-            LOG.error("the settings were not reloaded: these need a restart", sections=restart_only)
+            LOG.error("configuration not reloaded: these sections need a restart", sections=restart_only)
             return
         try:
-            self._reload_tokenizers(new)
+            self._reload_tokenizers(new_settings)
         except TokenizerFormatError as error:
-            LOG.error("the settings were not reloaded: the tokenizers at work stay", why=str(error))
+            LOG.error(
+                "configuration not reloaded: a tokenizer is unusable; the current ones stay", why=str(error)
+            )
             return
-        self.settings = self.core.settings = new
-        self._apply_bounds(new)
-        LOG.info("settings reloaded")
+        self.settings = self.core.settings = new_settings
+        self._apply_bounds(new_settings)
+        LOG.info("configuration reloaded")
 
-    def _reload_tokenizers(self, new: FrontSettings) -> None:
-        """Raises BadTokenizer, with the old ones still in use."""
+    def _reload_tokenizers(self, new_settings: FrontSettings) -> None:
+        """Reads the tokenizers again.  Raises TokenizerFormatError; then the old ones stay in use."""
         if not self.tokens:
             return
-        loaded = vocabularies(new)
-        pairs = zip(loaded, self.tokens.vocabularies, strict=True)
-        changed = sum(fresh.version != old.version for fresh, old in pairs)
-        self.tokens.use(loaded)
-        LOG.info("tokenizers read again", request_classes_changed=changed)
-
-    def _apply_bounds(self, new: FrontSettings) -> None:
-        transport = new.transport
-        self.clients.max_answer_tokens = [one.most_answer for one in new.request_classes]
+        new_vocabularies = vocabularies(new_settings)
+        pairs = zip(new_vocabularies, self.tokens.vocabularies, strict=True)
+        changed_count = sum(new.version != old.version for new, old in pairs)
+        self.tokens.use(new_vocabularies)
+        LOG.info("tokenizers reloaded", request_classes_changed=changed_count)
+
+    def _apply_bounds(self, new_settings: FrontSettings) -> None:
+        transport = new_settings.transport
+        self.clients.max_answer_tokens = [
+            request_class.most_answer for request_class in new_settings.request_classes
+        ]
         self.client_server.max_body_bytes = transport.body
         self.watch_server.max_body_bytes = transport.head
         self.client_server.max_head_bytes = self.watch_server.max_head_bytes = transport.head
@@ -258,9 +271,9 @@
 
 
 def run(path: str) -> int:
-    """Serves by the settings at `path` until SIGTERM; the exit code is 1 if the policy failed.
+    """Runs a gateway with the settings at `path` until SIGTERM; the exit code is 1 if the policy failed.
 
-    Raises SettingsError and BadTokenizer.
+    Raises SettingsError and TokenizerFormatError.
     """
     settings = load_front(path)
     reactor = the_reactor()
--- a/worksmux/gateway/settings_reload.py
+++ b/worksmux/gateway/settings_reload.py
@@ -1,4 +1,4 @@
-"""Which changes of the settings a running gateway can't take over."""
+"""Finds changes of the settings that need a restart of the gateway."""
 
 from __future__ import annotations
 
@@ -24,10 +24,12 @@
 
 
 def changes_that_need_a_restart(old: FrontSettings, new: FrontSettings) -> list[str]:
-    """The sections, by name; empty where `new` can be taken over as a whole."""
-    changed = [name for name in RESTART_ONLY_SECTIONS if getattr(old, name) != getattr(new, name)]
-    if [one.name for one in old.request_classes] != [one.name for one in new.request_classes]:
-        changed.append("offerings")
+    """The names of changed sections that need a restart; empty if all of `new` can be applied."""
+    changed_sections = [name for name in RESTART_ONLY_SECTIONS if getattr(old, name) != getattr(new, name)]
+    if [request_class.name for request_class in old.request_classes] != [
+        request_class.name for request_class in new.request_classes
+    ]:
+        changed_sections.append("offerings")
     if (old.counting is None) != (new.counting is None):
-        changed.append("counting")
-    return changed
+        changed_sections.append("counting")
+    return changed_sections
--- a/worksmux/gateway/stage.py
+++ b/worksmux/gateway/stage.py
@@ -1,9 +1,9 @@
-"""Dispatches single-stage requests, such as embeddings and rerank, to engines that answer them whole.
+"""Dispatches single-stage requests, such as embeddings and rerank, to engines.
 
-Each path has a dispatcher with a policy and engines of its own, so that a flood of one path reaches neither
-the in-flight limits nor the engines of another.  The policy is the same as for chat; here every engine both
-prefills and answers.  A dispatcher carries out the policy's actions, reports events to it and decides
-nothing.
+Each path has a dispatcher with a policy and engines of its own, so that a flood on one path affects neither
+the in-flight limits nor the engines of another.  The policy is the same as for chat, but every engine is a
+combined engine.  A dispatcher executes the policy's actions and reports events to the policy; it decides
+nothing itself.
 """
 
 from __future__ import annotations
@@ -34,43 +34,47 @@
 from .chat_engine_client import ChatEngineClient
 
 LOG = structlog.get_logger()
-BAD_INPUT_STATUSES = frozenset({400, 413, 422})  # the engine finds fault with the client's input
+BAD_INPUT_STATUSES = frozenset({400, 413, 422})  # the engine rejects the client's input
 
 
 class Batch(Protocol):
-    """What is sent to an engine in one request, and who hears of its end.
+    """The content of one request to an engine, and the callbacks for its end.
 
-    It gets exactly one of `delivered`, `rejected_input` and `failed`, unless it is dropped.
+    Exactly one of `served`, `input_rejected` and `failed` is called, unless the batch is dropped.
     """
 
-    def path(self) -> str: ...
+    def path(self) -> str:
+        """The HTTP path of the request."""
 
     def body(self) -> bytes:
-        """The body of the next attempt: what earlier ones did not bring."""
+        """The body of the next attempt, with the inputs that have no result yet."""
 
     def take_response(self, body: bytes) -> bool:
-        """Takes the body of a 200 response; returns whether nothing is missing any more."""
+        """Takes the body of a 200 response; returns whether all results are present."""
 
-    def delivered(self) -> None: ...
+    def served(self) -> None:
+        """All results are present."""
 
-    def rejected_input(self, message: str) -> None:
-        """The engine finds fault with the input."""
+    def input_rejected(self, message: str) -> None:
+        """The engine rejected the input with this message."""
 
-    def failed(self, deferred: bool) -> None:
-        """`deferred`: it has had no effect; otherwise its attempts or its time ran out."""
+    def failed(self, is_rejected: bool) -> None:
+        """No engine served the batch; `is_rejected` if it was not executed, else possibly executed."""
 
 
 class BatchCall(EngineCall):
-    """An attempt whose answer is one whole response."""
+    """An attempt of a batch, whose answer is one complete response."""
 
     def __init__(self, *args: Any, batch: Batch) -> None:
         super().__init__(*args)
         self._batch = batch
 
     def send(self, headers: client.Headers, body: bytes) -> None:
+        """Sends the HTTP request of the attempt."""
         self.call = self.pool.call("POST", self._batch.path(), self, headers, body)
 
     def done(self) -> None:
+        """Ends the attempt with the complete response."""
         if self.over:
             return
         if self.status == OK:
@@ -83,7 +87,7 @@
 
 
 class BatchContext:
-    """A batch with the request that the policy knows it by, and its calls that are out."""
+    """A batch, the request that represents it to the policy, and its calls in flight."""
 
     __slots__ = ("request", "batch", "key", "calls", "over")
 
@@ -94,12 +98,12 @@
 
 
 class StageDispatcher(DecisionLoop):
-    """Sends the batches of one path."""
+    """Sends the batches of one path to engines as the policy decides."""
 
     def __init__(
-        self, settings: StageSettings, core: ChatEngineClient, seed: int, make: PolicyFactory
+        self, settings: StageSettings, core: ChatEngineClient, seed: int, make_policy: PolicyFactory
     ) -> None:
-        super().__init__(IdMap(settings.module, seed, make), core.reactor, core.metrics)
+        super().__init__(IdMap(settings.module, seed, make_policy), core.reactor, core.metrics)
         self.settings = settings
         self._core = core
         self._contexts: dict[Request, BatchContext] = {}
@@ -108,7 +112,7 @@
     def submit(
         self, request_class: int, batch: Batch, cost: float, deadline: float, session: int
     ) -> BatchContext:
-        """Takes a batch, which from here on is owed one end.
+        """Accepts a batch, which gets exactly one end unless it is dropped.
 
         `cost` is in tokens, `deadline` in milliseconds of the clock; `session` is a hash.
         """
@@ -121,7 +125,7 @@
         return context
 
     def drop(self, context: BatchContext) -> None:
-        """Cancels a batch that nobody waits for any more; it is not told of its end."""
+        """Cancels a batch that no client waits for; none of its callbacks is called."""
         if not context.over:
             context.over = True
             self.tell(ClientDisconnected(context.request))
@@ -129,15 +133,18 @@
             self._forget_if_done(context)
 
     def on_first_token(self, attempt: Attempt) -> None:
-        """See `Listener`: a whole response has no beginning of its own."""
+        """See `AttemptListener`; never called for a batch, whose response is not streamed."""
 
     def on_content(self, attempt: Attempt, content: str) -> None:
-        """See `Listener`: nor has it any text before its end."""
+        """See `AttemptListener`; never called for a batch, whose response is not streamed."""
 
     def on_attempt_end(
         self, attempt: Attempt, outcome: Outcome, note: int, report: dict[str, float] | None, result: Any
     ) -> None:
-        """See `Listener`; `result` is the engine's message where it finds fault with the input."""
+        """Reports the outcome to the policy, and ends the batch if it was served.
+
+        `result` is the engine's message if it rejected the input.
+        """
         context = self._contexts.get(attempt.request)
         if context is None:
             return
@@ -149,21 +156,21 @@
         if outcome is Outcome.SERVED and not context.over:
             is_closed = context.over = True
             attempt.first_token_at, attempt.request.streaming = now, True
-            self.tell(FirstToken(attempt, now - attempt.sent_at))  # so that the policy learns the latency
+            self.tell(FirstToken(attempt, now - attempt.sent_at))  # the policy learns the latency from it
         self.tell(AttemptEnded(attempt, outcome, now - attempt.sent_at, is_closed, note, report))
         self._forget_if_done(context)
         if outcome is Outcome.SERVED and is_closed:
             if result:
-                context.batch.rejected_input(result)
+                context.batch.input_rejected(result)
             else:
-                context.batch.delivered()
+                context.batch.served()
 
     def _module_name(self) -> str:
         return self.settings.call
 
     def _abort_all(self) -> None:
         for context in list(self._contexts.values()):
-            self._fail(context, deferred=False)
+            self._fail(context, is_rejected=False)
         if self._core.on_policy_failure:
             self._core.on_policy_failure()
 
@@ -172,9 +179,9 @@
             case StartAttempt():
                 self._start_attempt(action)
             case RejectRequest(request, _):
-                self._fail(self._contexts.get(request), deferred=True)
+                self._fail(self._contexts.get(request), is_rejected=True)
             case AbortRequest(request):
-                self._fail(self._contexts.get(request), deferred=False)
+                self._fail(self._contexts.get(request), is_rejected=False)
             case CancelAttempt(attempt):
                 context = self._contexts.get(attempt.request)
                 if context is not None and attempt in context.calls:
@@ -184,18 +191,18 @@
             case CheckHealth(engine):
                 self._core.check_health(engine, self.tell)
             case WriteLog(text):
-                LOG.info("module", text=text)
+                LOG.info("policy", text=text)
             case _:
-                pass  # a single stage holds no KV cache, and the chat core fetches the endpoint list
+                pass  # a single stage has no KV cache, and ChatEngineClient fetches the endpoint list
 
     def _start_attempt(self, action: StartAttempt) -> None:
         attempt, request = action.attempt, action.attempt.request
-        context, left_ms = self._contexts.get(request), request.deadline - clock.now()
-        if context is None or context.over or left_ms <= 0 or attempt.engine not in self._core.pools:
+        context, time_left_ms = self._contexts.get(request), request.deadline - clock.now()
+        if context is None or context.over or time_left_ms <= 0 or attempt.engine not in self._core.pools:
             self.metrics.attempt("moot")
             self.tell(AttemptEnded(attempt, Outcome.NOT_SENT, 0.0, context is None or context.over))
             return
-        call = self._make_call(attempt, context.batch, action.timeout_ms, left_ms)
+        call = self._make_call(attempt, context.batch, action.timeout_ms, time_left_ms)
         context.calls[attempt] = call
         headers = [
             ("Content-Type", "application/json"),
@@ -206,26 +213,26 @@
         call.send(headers, context.batch.body())
         self.metrics.attempt(self.settings.call)
 
-    def _make_call(self, attempt: Attempt, batch: Batch, timeout_ms: float, left_ms: float) -> BatchCall:
-        """`timeout_ms` is the policy's, 0 for none; the time left bounds it."""
+    def _make_call(self, attempt: Attempt, batch: Batch, timeout_ms: float, time_left_ms: float) -> BatchCall:
+        """Builds the call of an attempt; the time left limits the policy's `timeout_ms` (0: none)."""
         transport = self._core.settings.transport
         return BatchCall(
             self.reactor,
             self._core.pools[attempt.engine],
             attempt,
             self,
-            min(timeout_ms, left_ms) if timeout_ms else left_ms,
+            min(timeout_ms, time_left_ms) if timeout_ms else time_left_ms,
             transport.stream_silence,
             transport.reply,
             batch=batch,
         )
 
-    def _fail(self, context: BatchContext | None, deferred: bool) -> None:
+    def _fail(self, context: BatchContext | None, is_rejected: bool) -> None:
         if context is not None and not context.over:
             context.over = True
             self._cancel_calls(context)
             self._forget_if_done(context)
-            context.batch.failed(deferred)
+            context.batch.failed(is_rejected)
 
     @staticmethod
     def _cancel_calls(context: BatchContext) -> None:
--- a/worksmux/gateway/status_pages.py
+++ b/worksmux/gateway/status_pages.py
@@ -1,4 +1,4 @@
-"""The pages of the watch port: metrics, health, and what the gateways of a fleet know."""
+"""Serves the pages of the watch port: metrics, health, and the state of the fleet."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class StatusPages:
-    """Answers the exchanges of the watch port."""
+    """Answers the exchanges of the watch port by path."""
 
     def __init__(self, gateway: GatewayProcess) -> None:
         self._gateway = gateway
@@ -42,9 +42,9 @@
             exchange.answer(NOT_FOUND, b"known here: /metrics /health /ready /live\n", PLAIN_TEXT)
 
     def _metrics(self) -> bytes:
-        """All metrics; those that are read from elsewhere are updated first."""
+        """All metrics, after an update of those that other objects hold."""
         gateway = self._gateway
-        gateway.metrics.lines_lost.set(gateway.writer.lost if gateway.writer else 0)
+        gateway.metrics.log_lines_lost.set(gateway.writer.lost if gateway.writer else 0)
         if gateway.tokens:
             gateway.metrics.tokens(gateway.tokens)
         if gateway.peering:
@@ -52,23 +52,29 @@
         return gateway.metrics.text()
 
     def _answer_health(self, exchange: Exchange) -> None:
-        """200 while new requests should come here."""
+        """Answers 200 while an engine is ready and the gateway is not stopping, else 503."""
         gateway = self._gateway
-        ready = gateway.engine_list.list_reader.ready_count
-        state = "stopping" if gateway.stopping else "serving" if ready else "no engine is listed as ready"
+        ready_count = gateway.engine_list.list_reader.ready_count
+        state = (
+            "stopping" if gateway.stopping else "serving" if ready_count else "no engine is listed as ready"
+        )
         fleet = f"; {gateway.peering.readiness_text()}" if gateway.peering else ""
-        text = f"{state}; engines ready: {ready}; open jobs: {len(gateway.core.open_requests)}{fleet}\n"
-        status = OK if ready and not gateway.stopping else SERVICE_UNAVAILABLE
+        text = f"{state}; engines ready: {ready_count}; open jobs: {len(gateway.core.open_requests)}{fleet}\n"
+        status = OK if ready_count and not gateway.stopping else SERVICE_UNAVAILABLE
         exchange.answer(status, text.encode(), PLAIN_TEXT)
 
     @staticmethod
-    def _answer_audit(exchange: Exchange, keeper: AuditLogKeeper) -> None:
-        """What all audit logs say, by `at` (milliseconds since 1970) or `job`; other gateways are asked
-        first."""
+    def _answer_audit(exchange: Exchange, audit_log_keeper: AuditLogKeeper) -> None:
+        """Answers what all audit logs record, by `at` (milliseconds since 1970) or `job`.
+
+        The records of other gateways are collected first.
+        """
         query = {key.decode("latin-1"): values[0].decode("latin-1") for key, values in exchange.args.items()}
         try:
-            at = float(query["at"]) if "at" in query else None
+            at_ms = float(query["at"]) if "at" in query else None
         except ValueError:
             return exchange.answer(BAD_REQUEST, b"at: expected milliseconds since 1970\n", PLAIN_TEXT)
         request = query.get("job", "")
-        keeper.collect(lambda: exchange.answer(OK, msgspec.json.encode(keeper.report(at, request))))
+        audit_log_keeper.collect(
+            lambda: exchange.answer(OK, msgspec.json.encode(audit_log_keeper.report(at_ms, request)))
+        )
--- a/worksmux/gateway/token_metrics.py
+++ b/worksmux/gateway/token_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the counting of prompts."""
+"""Metrics of token counting."""
 
 from __future__ import annotations
 
@@ -13,6 +13,8 @@
 
 
 class TokenMetrics:
+    """Metrics of counted prompts, of the piece cache and of the counting workers."""
+
     def __init__(self, registry: CollectorRegistry) -> None:
         def gauge(name: str, text: str) -> Gauge:
             return Gauge(f"worksmux_tokens_{name}", text, registry=registry)
@@ -34,10 +36,12 @@
         self._queued_bytes = gauge("line_bytes", "Bytes that wait to be counted")
 
     def counted(self, verdict: str, elapsed_ms: float) -> None:
+        """Records the verdict of a prompt's count and the time that the count took."""
         self._counted.labels(verdict).inc()
         self._counting_time.observe(elapsed_ms / 1000)
 
     def update(self, service: TokenService) -> None:
+        """Sets the gauges from the state of the token service."""
         self._cache_bytes.set(service.cache.used)
         self._pieces_kept.set(service.hits)
         self._pieces_missed.set(service.misses)
--- a/worksmux/gateway/vector_batches.py
+++ b/worksmux/gateway/vector_batches.py
@@ -1,4 +1,4 @@
-"""One batch of embeddings or rerank inputs on its way to an engine."""
+"""Batches of embeddings or rerank inputs that are sent to engines."""
 
 from __future__ import annotations
 
@@ -17,57 +17,68 @@
 
 
 class VectorBatch:
-    """A planner's load as a dispatcher's `Batch`; `on_end` is called with what follows from its end."""
+    """A load of the planner in the form of a dispatcher's `Batch`.
+
+    `on_end` is called with the planner's next step when the batch ends.
+    """
 
     def __init__(self, load: Load, planner: Planner, on_end: Callable[[VectorBatch, Step], None]) -> None:
         self.load = load
-        self.context: BatchContext | None = None  # once it is submitted
-        self.first_request: VectorRequest = load.wanted[0][0].item  # all share its group
+        self.context: BatchContext | None = None  # set when it is submitted
+        self.first_request: VectorRequest = load.wanted[0][0].item  # all requests of a load share its group
         self._planner = planner
         self._on_end = on_end
-        self._asked: list[tuple[Call, int]] = []  # the inputs of the latest attempt
-        self._results: dict[int, Any] = {}  # by their place in it
+        self._inputs: list[tuple[Call, int]] = []  # inputs of the last attempt, as call and index
+        self._results: dict[int, Any] = {}  # results by position in `_inputs`
 
     def path(self) -> str:
+        """The HTTP path of the batch's requests."""
         return self.first_request.path
 
     def body(self) -> bytes:
-        self._asked = self.load.needs()
+        """The body of the next attempt, with the inputs that have no result yet."""
+        self._inputs = self.load.needs()
         self._results = {}
-        return self.first_request.engine_body([(call.item, index) for call, index in self._asked])
+        return self.first_request.engine_body([(call.item, index) for call, index in self._inputs])
 
     def take_response(self, body: bytes) -> bool:
+        """Stores the results of a response; returns whether all needed results are present."""
         try:
-            self._results, usage = self.first_request.read_response(body, len(self._asked))
+            self._results, usage = self.first_request.read_response(body, len(self._inputs))
         except ValueError as error:
             LOG.warning(
-                "an engine's reply makes no sense", call=self.path(), why=str(error)[:MAX_LOGGED_CHARACTERS]
+                "malformed engine response; the attempt counts as an error",
+                call=self.path(),
+                why=str(error)[:MAX_LOGGED_CHARACTERS],
             )
             return False
         self._share_out_tokens(usage.total_tokens)
-        if len(self._results) == len(self._asked):
+        if len(self._results) == len(self._inputs):
             return True
         LOG.warning(
-            "an engine's reply lacks results",
+            "engine response lacks results; missing inputs are sent again",
             call=self.path(),
-            wanted=len(self._asked),
+            wanted=len(self._inputs),
             got=len(self._results),
         )
-        self._planner.partial(self.load, self._asked, self._results)
-        return not self.load.needs()  # the clients of what is missing may have disconnected meanwhile
+        self._planner.partial(self.load, self._inputs, self._results)
+        return not self.load.needs()  # clients of missing results may have disconnected
 
-    def delivered(self) -> None:
-        self._on_end(self, self._planner.delivered(self.load, self._asked, self._results))
+    def served(self) -> None:
+        """Passes the results to the planner."""
+        self._on_end(self, self._planner.delivered(self.load, self._inputs, self._results))
 
-    def rejected_input(self, message: str) -> None:
+    def input_rejected(self, message: str) -> None:
+        """Reports to the planner that an engine rejected the input."""
         self._on_end(self, self._planner.refused(self.load, message))
 
-    def failed(self, deferred: bool) -> None:
-        how = How.DEFERRED if deferred else How.BROKEN
-        self._on_end(self, self._planner.failed(clock.now(), self.load, how))
+    def failed(self, is_rejected: bool) -> None:
+        """Reports to the planner that no engine served the batch."""
+        batch_end = How.DEFERRED if is_rejected else How.BROKEN
+        self._on_end(self, self._planner.failed(clock.now(), self.load, batch_end))
 
     def _share_out_tokens(self, tokens: int) -> None:
-        """Adds the engine's count to the requests, in proportion to the costs of their inputs."""
-        total_cost = sum(call.costs[index] for call, index in self._asked) or 1.0
-        for call, index in self._asked:
+        """Adds the engine's token count to the requests, in proportion to the costs of their inputs."""
+        total_cost = sum(call.costs[index] for call, index in self._inputs) or 1.0
+        for call, index in self._inputs:
             call.item.engine_tokens += tokens * call.costs[index] / total_cost
--- a/worksmux/gateway/vector_requests.py
+++ b/worksmux/gateway/vector_requests.py
@@ -1,4 +1,4 @@
-"""Embeddings and rerank requests of clients, from their exchange to their final answer."""
+"""Embeddings and rerank requests of clients: parsing, token counts, engine requests and answers."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 
 EMBEDDINGS, RERANK = "embeddings", "rerank"
 PATHS = {embeddings.PATH: EMBEDDINGS, rerank.PATH: RERANK}
-MAX_QUOTED_CHARACTERS = 100  # of a client's text, in an error
+MAX_QUOTED_CHARACTERS = 100  # of the client's text in an error message
 NOT_FOUND = 404
 
 
 class RequestEnd(Enum):
-    """How a request ended; the values stand in metrics and logs."""
+    """How a request ended; the values are used in metrics and logs."""
 
-    DELIVERED = "delivered"
-    DEFERRED = "deferred"
-    BROKEN_OFF = "broken off"
+    SERVED = "delivered"
+    REJECTED = "deferred"
+    ABORTED = "broken off"
     BAD_INPUT = "bad input"
     CLIENT_DISCONNECTED = "left"
 
 
 @dataclass(frozen=True, slots=True)
 class VectorClass:
-    """A request class with its numbers at the admission controller and at its dispatcher."""
+    """A request class with its index in the admission controller and in its dispatcher."""
 
     settings: RequestClass
     admission_number: int
@@ -42,7 +42,10 @@
 
 
 class VectorRequest:
-    """One client's request.  `admission` and `call` are how the controller and the planner know it."""
+    """One client's request.
+
+    `admission` represents it in the admission controller, and `call` in the planner.
+    """
 
     path = ""
 
@@ -50,26 +53,28 @@
         self,
         exchange: Exchange,
         vector_class: VectorClass,
-        asked: embeddings.Asked | rerank.Asked,
+        client_request: embeddings.Asked | rerank.Asked,
         arrived_at: float,
         deadline: float,
         bounds: Bounds,
     ) -> None:
         self.exchange = exchange
         self.vector_class = vector_class
-        self.asked = asked
+        self.client_request = client_request
         self.arrived_at = arrived_at
-        self.admitted_at = arrived_at  # until it is admitted
+        self.admitted_at = arrived_at  # replaced when it is admitted
         self.request_id = exchange.header(chat.REQUEST_ID) or ""
-        self.engine_tokens = 0.0  # as the engines count them
+        self.engine_tokens = 0.0  # the engines' count
         self.overdue_timer: Any = None
         self.prompt: Prompt | None = None  # while its tokens are counted
         self.is_planned = False
         self.end: RequestEnd | None = None
-        cost = sum(asked.costs)
+        cost = sum(client_request.costs)
         target_at = min(self._latency_target_at(cost), deadline)
         self.admission = self._admission_request(cost, target_at, deadline)
-        self.call = Call(asked.costs, self._batch_group(), bounds, arrived_at, target_at, deadline, self)
+        self.call = Call(
+            client_request.costs, self._batch_group(), bounds, arrived_at, target_at, deadline, self
+        )
 
     def _latency_target_at(self, cost: float) -> float:
         settings = self.vector_class.settings
@@ -77,7 +82,7 @@
 
     def _admission_request(self, cost: float, target_at: float, deadline: float) -> AdmissionRequest:
         exchange = self.exchange
-        caller = self.asked.user or exchange.header("authorization") or exchange.client_host()
+        caller = self.client_request.user or exchange.header("authorization") or exchange.client_host()
         sender = f"{PATHS[self.path]}\0{caller}\0".encode("utf-8", "surrogatepass")
         retry_count = exchange.header(chat.REPEAT) or ""
         return AdmissionRequest(
@@ -93,80 +98,96 @@
         )
 
     def _batch_group(self) -> tuple[Any, ...]:
-        """Requests of the same group may share a batch."""
+        """The key of requests that may share a batch."""
         raise NotImplementedError
 
     def texts_to_count(self) -> list[str]:
-        """Texts whose tokens are to be counted; empty where the lengths are known."""
+        """The texts whose tokens are counted; empty if their lengths are known."""
         raise NotImplementedError
 
     @property
     def answer_headers(self) -> tuple[tuple[str, str], ...]:
+        """The headers of the answer: the client's request id, if it sent one."""
         return ((chat.REQUEST_ID, self.request_id),) if self.request_id else ()
 
     def engine_body(self, inputs: list[tuple[Any, int]]) -> bytes:
-        """The body of a batch for inputs of requests of its group: (request, index)."""
+        """The body of a batch with inputs of requests of the same group, given as (request, index)."""
         raise NotImplementedError
 
     def read_response(self, body: bytes, count: int) -> tuple[dict[int, Any], embeddings.Usage]:
-        """Results by their place in a batch of `count` inputs.  Raises ValueError."""
+        """The results by position in a batch of `count` inputs, and the usage.  Raises ValueError."""
         raise NotImplementedError
 
     def answer_body(self, results: list[Any]) -> bytes:
+        """The body of the client's answer."""
         raise NotImplementedError
 
 
 class EmbeddingRequest(VectorRequest):
+    """A request for embeddings; requests of the same model and dimensions may share a batch."""
+
     path = embeddings.PATH
-    asked: embeddings.Asked
+    client_request: embeddings.Asked
 
     def _batch_group(self) -> tuple[Any, ...]:
-        return EMBEDDINGS, self.asked.model, self.asked.dimensions, None
+        return EMBEDDINGS, self.client_request.model, self.client_request.dimensions, None
 
     def texts_to_count(self) -> list[str]:
-        return [one for one in self.asked.inputs if isinstance(one, str)]
+        """The inputs that are texts; inputs of token ids have known lengths."""
+        return [text for text in self.client_request.inputs if isinstance(text, str)]
 
     def engine_body(self, inputs: list[tuple[Any, int]]) -> bytes:
-        values = [request.asked.inputs[index] for request, index in inputs]
-        return embeddings.to_engine(self.asked.model, values, self.asked.dimensions)
+        """The embeddings request with these inputs."""
+        values = [request.client_request.inputs[index] for request, index in inputs]
+        return embeddings.to_engine(self.client_request.model, values, self.client_request.dimensions)
 
     def read_response(self, body: bytes, count: int) -> tuple[dict[int, Any], embeddings.Usage]:
-        found, usage = embeddings.vectors(body, count)
-        return dict(found), usage
+        """The embeddings by position, and the usage."""
+        embeddings_by_index, usage = embeddings.vectors(body, count)
+        return dict(embeddings_by_index), usage
 
     def answer_body(self, results: list[Any]) -> bytes:
-        return embeddings.whole(self.asked.model, self.asked.form, results, round(self.engine_tokens))
+        """The embeddings answer in the encoding that the client asked for."""
+        return embeddings.whole(
+            self.client_request.model, self.client_request.form, results, round(self.engine_tokens)
+        )
 
 
 class RerankRequest(VectorRequest):
+    """A request to rank documents; it shares no batch."""
+
     path = rerank.PATH
-    asked: rerank.Asked
+    client_request: rerank.Asked
 
     def _batch_group(self) -> tuple[Any, ...]:
-        return RERANK, self.asked.model, None, id(self)  # its query is its own, so it shares no batch
+        return RERANK, self.client_request.model, None, id(self)  # a batch has one query
 
     def texts_to_count(self) -> list[str]:
-        return [f"{self.asked.query} {text}" for text in self.asked.inputs]
+        """Each document with the query."""
+        return [f"{self.client_request.query} {text}" for text in self.client_request.inputs]
 
     def engine_body(self, inputs: list[tuple[Any, int]]) -> bytes:
-        documents = [self.asked.inputs[index] for _, index in inputs]
-        return rerank.to_engine(self.asked.model, self.asked.query, documents)
+        """The rerank request with these documents."""
+        documents = [self.client_request.inputs[index] for _, index in inputs]
+        return rerank.to_engine(self.client_request.model, self.client_request.query, documents)
 
     def read_response(self, body: bytes, count: int) -> tuple[dict[int, Any], embeddings.Usage]:
-        found, usage = rerank.scores(body, count)
-        return dict(found), usage
+        """The relevance scores by position, and the usage."""
+        scores_by_index, usage = rerank.scores(body, count)
+        return dict(scores_by_index), usage
 
     def answer_body(self, results: list[Any]) -> bytes:
+        """The rerank answer, sorted by relevance."""
         answer_id = f"rerank-{self.request_id or id(self)}"
-        return rerank.whole(answer_id, self.asked, results, round(self.engine_tokens))
+        return rerank.whole(answer_id, self.client_request, results, round(self.engine_tokens))
 
 
 class RequestReader:
-    """Reads requests from exchanges.
+    """Parses and checks requests.
 
     Args:
-        classes: by path name and model.
-        bounds: of a batch, by path name.
+        classes: request classes by path name and model.
+        bounds: limits of a batch by path name.
     """
 
     def __init__(
@@ -177,25 +198,26 @@
         self._classes, self._bounds = classes, bounds
 
     def read(self, exchange: Exchange, call: str, answer_margin_ms: float) -> VectorRequest:
-        """`answer_margin_ms` is taken off the time left, for the answer's way back.
+        """Parses the request of an exchange.
 
+        `answer_margin_ms` is subtracted from the time left, since the answer takes time back to the client.
         Raises InvalidRequestError.
         """
         body = exchange.body()
-        asked: embeddings.Asked | rerank.Asked
-        asked = embeddings.asked(body) if call == EMBEDDINGS else rerank.asked(body)
-        vector_class = self._class_of(call, asked.model)
-        self._check_length(asked, vector_class.settings)
+        client_request: embeddings.Asked | rerank.Asked
+        client_request = embeddings.asked(body) if call == EMBEDDINGS else rerank.asked(body)
+        vector_class = self._class_of(call, client_request.model)
+        self._check_length(client_request, vector_class.settings)
         arrived_at = clock.now()
         deadline = arrived_at + self._time_left_ms(exchange, vector_class.settings, answer_margin_ms)
         bounds = self._bounds[call]
-        if isinstance(asked, embeddings.Asked):
-            return EmbeddingRequest(exchange, vector_class, asked, arrived_at, deadline, bounds)
-        return RerankRequest(exchange, vector_class, asked, arrived_at, deadline, bounds)
+        if isinstance(client_request, embeddings.Asked):
+            return EmbeddingRequest(exchange, vector_class, client_request, arrived_at, deadline, bounds)
+        return RerankRequest(exchange, vector_class, client_request, arrived_at, deadline, bounds)
 
     def _class_of(self, call: str, model: str) -> VectorClass:
-        known = self._classes.get((call, model))
-        if known is None:
+        vector_class = self._classes.get((call, model))
+        if vector_class is None:
             raise errors.InvalidRequestError(
                 f"the model {model[:MAX_QUOTED_CHARACTERS]!r} does not exist for {call}; GET /v1/models "
                 "lists those that do",
@@ -203,14 +225,14 @@
                 "model_not_found",
                 NOT_FOUND,
             )
-        return known
+        return vector_class
 
     @staticmethod
-    def _check_length(asked: embeddings.Asked | rerank.Asked, settings: RequestClass) -> None:
-        longest = max(asked.costs)
-        if longest > settings.most_prompt:
+    def _check_length(client_request: embeddings.Asked | rerank.Asked, settings: RequestClass) -> None:
+        max_input_tokens = max(client_request.costs)
+        if max_input_tokens > settings.most_prompt:
             raise errors.InvalidRequestError(
-                f"an input has about {longest:.0f} tokens; {asked.model} takes "
+                f"an input has about {max_input_tokens:.0f} tokens; {client_request.model} takes "
                 f"{settings.most_prompt} at most; shorten it",
                 "input",
                 "context_length_exceeded",
@@ -218,6 +240,8 @@
 
     @staticmethod
     def _time_left_ms(exchange: Exchange, settings: RequestClass, answer_margin_ms: float) -> float:
-        named = chat.figure(exchange.header(chat.TIME_LEFT), chat.TIME_LEFT)
-        limit = settings.outer_limit if named is None else min(named, settings.outer_limit)
-        return max(0.0, limit - answer_margin_ms)
+        client_limit_ms = chat.figure(exchange.header(chat.TIME_LEFT), chat.TIME_LEFT)
+        limit_ms = (
+            settings.outer_limit if client_limit_ms is None else min(client_limit_ms, settings.outer_limit)
+        )
+        return max(0.0, limit_ms - answer_margin_ms)
--- a/worksmux/gateway/vectors.py
+++ b/worksmux/gateway/vectors.py
@@ -1,8 +1,8 @@
 """Serves embeddings and rerank: admission, token counting, batching, and one final answer to each request.
 
-A request passes the admission controller, is counted, and goes to the planner, which cuts requests into
-batches; the dispatcher of its path sends these to engines.  Statuses: 200 delivered; 400 and 404 for what
-can't be served; the others are in `vector_answers`.
+The admission controller admits a request, the token service counts its tokens, and the planner divides
+requests into batches, which the dispatcher of their path sends to engines.  Statuses: 200 for a served
+request; 400 and 404 for a request that cannot be served; `answers` lists the others.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from .answers import (
     SERVICE_UNAVAILABLE,
     TOO_MANY_REQUESTS,
-    answer_deferred,
+    answer_rejected,
     answer_timed_out,
 )
 from .chat_engine_client import ChatEngineClient
@@ -45,11 +45,11 @@
 RETRY_AFTER_STOP_MS = 1000.0
 NO_TOKEN_LIMIT = 10**9
 NO_SESSION = 0
-ACCEPTED_ENDS = (RequestEnd.DELIVERED, RequestEnd.CLIENT_DISCONNECTED, RequestEnd.BAD_INPUT)
+ACCEPTED_ENDS = (RequestEnd.SERVED, RequestEnd.CLIENT_DISCONNECTED, RequestEnd.BAD_INPUT)
 
 
 class VectorService:
-    """Takes the exchanges of both paths."""
+    """Serves the exchanges of both paths."""
 
     def __init__(
         self,
@@ -60,10 +60,13 @@
         first_admission_number: int,
         tokens: TokenService | None = None,
     ) -> None:
-        """`first_admission_number` is that of the dispatchers' first request class; theirs follow those of
-        chat.  Without `tokens` the lengths are estimated from bytes."""
+        """Numbers the request classes of the dispatchers and builds the planner.
+
+        `first_admission_number` is the index of the dispatchers' first request class in the admission
+        controller, where theirs follow those of chat.  Without `tokens` lengths are estimated from bytes.
+        """
         self.admission = admission
-        self.open: dict[VectorRequest, None] = {}
+        self.open_requests: dict[VectorRequest, None] = {}
         self.batches: dict[Load, VectorBatch] = {}
         self.planner = Planner(lambda call: admission.may_retry(call.item.admission.request_class))
         self.stopping = False
@@ -83,28 +86,28 @@
         self._timer_at = 0.0
 
     def _number_classes(self, first_admission_number: int) -> dict[tuple[str, str], VectorClass]:
-        found: dict[tuple[str, str], VectorClass] = {}
+        classes: dict[tuple[str, str], VectorClass] = {}
         for dispatcher in self._dispatchers.values():
             for number, settings in enumerate(dispatcher.settings.request_classes):
                 key = dispatcher.settings.call, settings.name
-                found[key] = VectorClass(settings, first_admission_number + len(found), number)
-        return found
+                classes[key] = VectorClass(settings, first_admission_number + len(classes), number)
+        return classes
 
-    def names(self) -> list[str]:
-        """The names of the request classes, which are the models that clients ask for."""
+    def model_names(self) -> list[str]:
+        """The names of the request classes, which clients use as model names."""
         return [name for _, name in self._classes]
 
     def __call__(self, exchange: Exchange, path: str) -> None:
         metrics = self._core.metrics
         if self.stopping:
-            metrics.turned_away("stopping")
+            metrics.not_accepted("stopping")
             exchange.set_header("connection", "close")
-            return answer_deferred(
+            return answer_rejected(
                 exchange, SERVICE_UNAVAILABLE, "the front is stopping; try another", RETRY_AFTER_STOP_MS
             )
-        if len(self.open) >= self._bounds.open_calls:
-            metrics.turned_away("too many open")
-            return answer_deferred(
+        if len(self.open_requests) >= self._bounds.open_calls:
+            metrics.not_accepted("too many open")
+            return answer_rejected(
                 exchange,
                 TOO_MANY_REQUESTS,
                 "the front holds as many calls as it may",
@@ -112,19 +115,19 @@
             )
         try:
             request = self._reader.read(exchange, PATHS[path], self._core.settings.transport.answer_margin)
-        except errors.InvalidRequestError as bad:
-            metrics.turned_away("bad job")
-            return exchange.answer(bad.status, bad.body)
+        except errors.InvalidRequestError as error:
+            metrics.not_accepted("bad job")
+            return exchange.answer(error.status, error.body)
         self._take(request)
 
     def _take(self, request: VectorRequest) -> None:
-        """From here on the request is owed one final answer."""
-        self.open[request] = None
+        """Accepts a request, which gets exactly one final answer, and passes it to admission."""
+        self.open_requests[request] = None
         self._core.metrics.arrived(request.vector_class.settings.name)
         slack_ms = float(self._core.settings.module.answer_slack_ms)
-        left_ms = request.call.give_up_at - request.arrived_at
+        time_left_ms = request.call.give_up_at - request.arrived_at
         request.overdue_timer = self._core.reactor.callLater(
-            (left_ms + slack_ms) / 1000, self._time_out, request
+            (time_left_ms + slack_ms) / 1000, self._time_out, request
         )
         request.exchange.on_disconnect = lambda: self._finish(request, RequestEnd.CLIENT_DISCONNECTED)
         self._apply_admission(self.admission.arrived(clock.now(), request.admission))
@@ -140,9 +143,9 @@
         self._schedule_tick()
 
     def _count_tokens(self, request: VectorRequest) -> None:
-        """Counts an admitted request's tokens and plans it; without a count in time, by the estimate.
+        """Counts an admitted request's tokens and plans it; without a count in time the estimate is used.
 
-        Counting comes after admission, so that a rejected request costs none.
+        Counting follows admission, so that no count is spent on a rejected request.
         """
         texts = request.texts_to_count()
         if self._tokens is None or not request.vector_class.settings.tokenizer or not texts:
@@ -157,8 +160,8 @@
         )
 
     def _tokens_counted(self, request: VectorRequest, result: Result) -> None:
-        """Shares an exact count out over the inputs in proportion to their estimates."""
-        if request.end is not None or request.is_planned:  # it has ended, or was planned by the estimate
+        """Divides an exact count among the inputs in proportion to their estimates, and plans the request."""
+        if request.end is not None or request.is_planned:  # ended, or planned with the estimate
             return
         request.is_planned = True
         call = request.call
@@ -176,8 +179,8 @@
             self._answer(done)
         for load in step.send:
             self._send(load)
-        for at, load in step.later:
-            self._core.reactor.callLater(max(0.0, at - clock.now()) / 1000, self._send, load)
+        for due_at, load in step.later:
+            self._core.reactor.callLater(max(0.0, due_at - clock.now()) / 1000, self._send, load)
         self._schedule_tick()
 
     def _dispatcher_of(self, batch: VectorBatch) -> StageDispatcher:
@@ -198,15 +201,17 @@
         self._apply_plan(step)
 
     def _schedule_tick(self) -> None:
-        times = [at for at in (self.admission.next_time(), self.planner.next_time()) if at is not None]
-        at = min(times, default=None)
+        times = [
+            due_at for due_at in (self.admission.next_time(), self.planner.next_time()) if due_at is not None
+        ]
+        due_at = min(times, default=None)
         if self._timer is not None and self._timer.active():
-            if at == self._timer_at:  # called several times a request, and most calls change nothing
+            if due_at == self._timer_at:  # runs several times per request, and most runs change nothing
                 return
             self._timer.cancel()
-        if at is not None:
-            self._timer_at = at
-            self._timer = self._core.reactor.callLater(max(0.0, at - clock.now()) / 1000, self._tick)
+        if due_at is not None:
+            self._timer_at = due_at
+            self._timer = self._core.reactor.callLater(max(0.0, due_at - clock.now()) / 1000, self._tick)
 
     def _tick(self) -> None:
         now = clock.now()
@@ -214,7 +219,7 @@
         self._apply_plan(self.planner.tick(now))
 
     def _answer(self, done: Done) -> None:
-        """The planner is done with a request."""
+        """Answers a request that the planner has finished."""
         request: VectorRequest = done.call.item
         exchange, headers = request.exchange, request.answer_headers
         if done.bad:
@@ -223,45 +228,45 @@
             self._finish(request, RequestEnd.BAD_INPUT)
         elif done.how is None:
             exchange.answer(OK, request.answer_body(done.call.results), headers=headers)
-            self._finish(request, RequestEnd.DELIVERED)
+            self._finish(request, RequestEnd.SERVED)
         elif done.how is How.DEFERRED:
-            answer_deferred(
+            answer_rejected(
                 exchange,
                 SERVICE_UNAVAILABLE,
                 "the call was deferred: it has had no effect, and trying again is harmless",
                 self._bounds.stay_away[0],
                 headers,
             )
-            self._finish(request, RequestEnd.DEFERRED)
+            self._finish(request, RequestEnd.REJECTED)
         else:
             answer_timed_out(exchange, headers)
-            self._finish(request, RequestEnd.BROKEN_OFF)
+            self._finish(request, RequestEnd.ABORTED)
 
     def _time_out(self, request: VectorRequest) -> None:
         if request.end is None:
             answer_timed_out(request.exchange, request.answer_headers)
-            self._finish(request, RequestEnd.BROKEN_OFF)
+            self._finish(request, RequestEnd.ABORTED)
 
     def _reject(self, rejection: Rejection) -> None:
         request: VectorRequest = rejection.request.item
         if request.end is None:
             reason = rejection.reason.value
-            self._core.metrics.turned_away(reason)
-            answer_deferred(
+            self._core.metrics.not_accepted(reason)
+            answer_rejected(
                 request.exchange,
                 TOO_MANY_REQUESTS,
                 f"turned away: {reason}; come back later",
                 rejection.retry_after_ms,
                 request.answer_headers,
             )
-            self._finish(request, RequestEnd.DEFERRED)
+            self._finish(request, RequestEnd.REJECTED)
 
     def _finish(self, request: VectorRequest, end: RequestEnd) -> None:
-        """Bookkeeping of the one final answer."""
+        """Records the final answer of a request; later calls do nothing."""
         if request.end is not None:
             return
         request.end = end
-        self.open.pop(request, None)
+        self.open_requests.pop(request, None)
         if request.overdue_timer is not None and request.overdue_timer.active():
             request.overdue_timer.cancel()
         if request.prompt is not None and not request.is_planned and self._tokens is not None:
@@ -273,7 +278,7 @@
             self._apply_plan(self.planner.left(request.call))
         self._end_admission(request, now, end in ACCEPTED_ENDS)
         LOG.info(
-            "call",
+            "vector request ended",
             request_class=name,
             answer=end.value,
             ms=round(elapsed_ms, 1),
