--- a/tests/test_node_ends.py
+++ b/tests/test_node_ends.py
@@ -127,7 +127,7 @@
 
     It was not sent: it neither counts as possibly executed nor restarts the time limit of a release.
     """
-    for end, outcome in (("cancel", Outcome.CANCELLED), ("_time_is_up", Outcome.TIMED_OUT)):
+    for end, outcome in (("cancel", Outcome.CANCELLED), ("_on_timeout", Outcome.TIMED_OUT)):
         ends: list[Outcome] = []
         listener: Any = SimpleNamespace(
             on_attempt_end=lambda attempt, outcome, *_, ends=ends: ends.append(outcome)
--- a/tests/test_node_startup.py
+++ b/tests/test_node_startup.py
@@ -171,7 +171,7 @@
             len(id_map.engines),
             len(id_map.policy.engines),
             len(rig.node.core.pools),
-            len(discovery.keeper.known),
+            len(discovery.list_reader.known),
         )
         < 8
     )
--- a/worksmux/forwarding/__init__.py
+++ b/worksmux/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""What both daemons share: the life of requests, their attempts, and the loop around the decision module."""
+"""Code shared by the gateway and the node: request lifecycle, attempts, and the loop that runs the policy."""
--- a/worksmux/forwarding/attempt.py
+++ b/worksmux/forwarding/attempt.py
@@ -1,6 +1,6 @@
-"""The call that carries one attempt, whatever the protocol: its time-out, its end, and the flow of a stream.
+"""Protocol-independent base classes of attempts: timeout, outcome, and flow control of a stream.
 
-A protocol derives from `AttemptCall` and says what the engine's replies mean.
+A protocol derives from `AttemptCall` and interprets the engine's replies.
 """
 
 from __future__ import annotations
@@ -14,33 +14,33 @@
 
 
 class AttemptListener(Protocol):
-    """Is called with what an attempt meets: at most one first token, and exactly one end, last."""
+    """Receives the events of an attempt: at most one first token, and exactly one end as the last event."""
 
     def on_first_token(self, attempt: Attempt) -> None:
-        """The answer begins."""
+        """Handles the start of the answer."""
 
     def on_content(self, attempt: Attempt, content: Any) -> None:
-        """A piece of the answer, in the protocol's form."""
+        """Handles a piece of the answer, in the protocol's form."""
 
     def on_attempt_end(
         self, attempt: Attempt, outcome: Outcome, note: int, report: dict[str, float] | None, result: Any
     ) -> None:
-        """The end.
+        """Handles the end of the attempt.
 
-        `note` and `result` depend on the protocol and outcome (such as cached tokens and a handle of KV
-        cache); `report` is the engine's load.
+        `note` and `result` depend on the protocol and the outcome, for example the number of cached tokens
+        and a KV cache handle. `report` is the engine's load report.
         """
 
 
-def outcome_of(trouble: client.CallError) -> Outcome:
-    """The outcome of a call that brought no whole reply."""
-    if isinstance(trouble, client.NotSentError):
+def outcome_of(error: client.CallError) -> Outcome:
+    """Returns the outcome of a call that ended without a complete reply."""
+    if isinstance(error, client.NotSentError):
         return Outcome.UNREACHABLE
-    return Outcome.RESET if isinstance(trouble, client.ConnectionBrokenError) else Outcome.ERROR
+    return Outcome.RESET if isinstance(error, client.ConnectionBrokenError) else Outcome.ERROR
 
 
 class AttemptCall:
-    """One attempt; it receives the engine's reply from `net.client`."""
+    """One attempt in flight; `net.client` calls it with the engine's reply."""
 
     def __init__(
         self,
@@ -52,45 +52,49 @@
         max_stream_gap_ms: float,
         max_body_bytes: int,
     ) -> None:
-        """`timeout_ms` runs until the answer begins, then `max_stream_gap_ms` between two pieces of it."""
+        """Starts the timeout.
+
+        `timeout_ms` limits the time until the answer begins, `max_stream_gap_ms` the time between two pieces
+        of the answer.
+        """
         self.reactor, self.pool, self.attempt, self.listener = reactor, pool, attempt, listener
         self.max_stream_gap_ms, self.max_body_bytes = max_stream_gap_ms, max_body_bytes
-        self.status = 0  # of the reply; 0: none yet
+        self.status = 0  # HTTP status of the reply; 0: none received yet
         self.headers: dict[str, str] = {}
         self.body = bytearray()
         self.over = False
         self.end_reason = ""  # for the log
-        self.timer: Timer = TimeOut(reactor, max(0.0, timeout_ms) / 1000, self._time_is_up)
+        self.timer: Timer = TimeOut(reactor, max(0.0, timeout_ms) / 1000, self._on_timeout)
         self.call: client.Call | None = None
 
     def _rejection(self) -> tuple[Outcome, int]:
-        """Outcome and note of a whole reply that is no answer."""
+        """Returns outcome and note of a complete reply that is not an answer."""
         raise NotImplementedError
 
     def _load_report(self) -> dict[str, float] | None:
-        """The engine's load report in the reply, if any."""
+        """Returns the engine's load report from the reply, None without one."""
         raise NotImplementedError
 
     def cancel(self) -> None:
-        """Ends the attempt; the engine sees its connection close."""
+        """Cancels the attempt by closing its connection, which the engine observes."""
         self.end_reason = self.end_reason or "cancelled"
         self._end(self._outcome_if_sent(Outcome.CANCELLED))
 
     def withdraw(self) -> None:
-        """Ends the attempt only if it was not sent, that is while its last byte has not left."""
+        """Ends the attempt only if the last byte of its request has not been sent."""
         if not self._sent:
             self.end_reason = self.end_reason or "withdrawn before it was sent"
             self._end(Outcome.NOT_SENT)
 
     @property
     def _sent(self) -> bool:
-        """Whether the last byte of the request has left; the engine cannot execute it before."""
+        """Whether the last byte of the request was sent; before that the engine cannot execute it."""
         return bool(self.status) or self.call is not None and self.call.written
 
     def _outcome_if_sent(self, outcome: Outcome) -> Outcome:
         return outcome if self._sent else Outcome.NOT_SENT
 
-    def _time_is_up(self) -> None:
+    def _on_timeout(self) -> None:
         self.end_reason = "timed out"
         self._end(self._outcome_if_sent(Outcome.TIMED_OUT))
 
@@ -107,52 +111,52 @@
     # Called by `net.client` with the reply.
 
     def head(self, status: int, headers: dict[str, str]) -> None:
-        """Takes the head of the reply."""
+        """Receives status and headers of the reply."""
         self.status, self.headers = status, headers
 
     def piece(self, data: bytes) -> None:
-        """Takes a piece of the reply's body."""
+        """Buffers a piece of the body; a body over `max_body_bytes` ends the attempt with an error."""
         if len(self.body) + len(data) > self.max_body_bytes:
             self._end(Outcome.ERROR)
         else:
             self.body += data
 
     def done(self) -> None:
-        """The reply is whole."""
+        """Handles the end of a complete reply."""
         self.end_reason = f"status {self.status}"
         self._end(*self._rejection())
 
-    def failed(self, trouble: client.CallError) -> None:
-        """The call ended without a whole reply."""
-        self.end_reason = str(trouble)
-        self._end(outcome_of(trouble))
+    def failed(self, error: client.CallError) -> None:
+        """Ends the attempt after its call failed before the reply was complete."""
+        self.end_reason = str(error)
+        self._end(outcome_of(error))
 
 
 class StreamingAttempt(AttemptCall):
-    """An attempt whose answer is a stream; as a push producer it pauses while the client cannot take more."""
+    """An attempt whose answer is a stream; a push producer that pauses while the client's buffer is full."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         self.streaming = False
-        self.last_piece_at = 0.0  # milliseconds of the clock; 0: none yet
+        self.last_piece_at = 0.0  # clock time in ms; 0: no piece received yet
         self.paused = False
 
     def _on_stream_data(self, data: bytes) -> None:
-        """Takes a piece of the stream."""
+        """Processes a piece of the stream."""
         raise NotImplementedError
 
     def _on_stream_end(self) -> None:
-        """The reply has ended cleanly, the stream with it."""
+        """Handles the end of a reply whose transfer encoding was complete."""
         raise NotImplementedError
 
     def head(self, status: int, headers: dict[str, str]) -> None:
-        """Takes the head of the reply, which says whether a stream follows."""
+        """Receives status and headers, which tell whether a stream follows."""
         super().head(status, headers)
         content_type = headers.get("content-type", "").lower()
         self.streaming = status == 200 and content_type.startswith("text/event-stream")
 
     def piece(self, data: bytes) -> None:
-        """Takes a piece of the stream or of another reply."""
+        """Receives a piece of the stream, or of the body of a reply that is not a stream."""
         if self.over:
             return
         if self.streaming:
@@ -161,7 +165,7 @@
             super().piece(data)
 
     def done(self) -> None:
-        """The reply is whole."""
+        """Handles the end of a complete reply or stream."""
         if self.over:
             return
         if self.streaming:
@@ -170,7 +174,7 @@
             super().done()
 
     def _relay(self, content: Any) -> None:
-        """Passes a piece of the answer on to the client; with the first one the answer has begun."""
+        """Passes a piece of the answer to the listener; the first piece starts the answer."""
         if not self.last_piece_at:
             self.timer.cancel()
             self._check_gap_in(self.max_stream_gap_ms)
@@ -182,24 +186,27 @@
         self.timer = self.reactor.callLater(delay_ms / 1000, self._check_gap)
 
     def _check_gap(self) -> None:
-        """Ends a stream that stalls; one timer for each gap, as one for each token would cost too much."""
-        left_ms = self.last_piece_at + self.max_stream_gap_ms - clock.now()
-        if left_ms <= 0 or self.paused:
-            self._time_is_up()
+        """Ends a stream that stalls.
+
+        One timer runs per `max_stream_gap_ms`: restarting a timer for each token would cost too much.
+        """
+        remaining_ms = self.last_piece_at + self.max_stream_gap_ms - clock.now()
+        if remaining_ms <= 0 or self.paused:
+            self._on_timeout()
         else:
-            self._check_gap_in(left_ms)
+            self._check_gap_in(remaining_ms)
 
-    # Twisted's push producer: called by the client's transport.
+    # Interface of Twisted's push producer, called by the client's transport.
 
     def pauseProducing(self) -> None:
-        """The client's buffer is full."""
+        """Pauses reading from the engine because the client's buffer is full."""
         self.paused = True
         transport = self._transport()
         if transport is not None:
             transport.pauseProducing()
 
     def resumeProducing(self) -> None:
-        """The client takes more."""
+        """Resumes reading from the engine because the client's buffer has space."""
         self.last_piece_at = clock.now()
         self.paused = False
         transport = self._transport()
@@ -207,10 +214,10 @@
             transport.resumeProducing()
 
     def stopProducing(self) -> None:
-        """The client disconnected; the lifecycle learns it from the exchange and cancels the attempt."""
+        """Does nothing: the exchange reports the disconnect to the lifecycle, which cancels the attempt."""
 
     def _transport(self) -> Any:
-        """The engine's transport, None where there is none any more."""
+        """Returns the transport of the engine's connection, None if the connection is closed."""
         if self.over or self.call is None or self.call.connection is None:
             return None
         return self.call.connection.transport
--- a/worksmux/forwarding/control_call.py
+++ b/worksmux/forwarding/control_call.py
@@ -1,4 +1,4 @@
-"""One call beside the requests, such as a health check or a release, with its own time-out."""
+"""Calls to engines that carry no client request, such as health checks and releases."""
 
 from __future__ import annotations
 
@@ -10,38 +10,39 @@
 
 
 class OutgoingCall(Protocol):
-    """A control call in flight, as its sender sees it."""
+    """The sender's handle of a control call in flight."""
 
     @property
     def connected(self) -> bool:
-        """Whether its connection has come up."""
+        """Whether the connection of the call is established."""
 
     def end(self) -> None:
-        """Gives it up; `on_end` is not called any more."""
+        """Abandons the call; `on_end` is not called afterwards."""
 
 
 class UnreachableCall:
-    """A call to an engine whose address is not known; it fails in the reactor's next iteration."""
+    """A call to an engine without a known address, which fails in the reactor's next iteration."""
 
     connected = False
 
     def __init__(self, reactor: Reactor, on_end: client.ResponseCallback) -> None:
-        trouble = client.NotSentError("no address is known")
-        self._timer: Timer = reactor.callLater(0, on_end, 0, {}, b"", trouble)
+        error = client.NotSentError("the engine has no known address")
+        self._timer: Timer = reactor.callLater(0, on_end, 0, {}, b"", error)
 
     def end(self) -> None:
-        """Gives it up; `on_end` is not called any more."""
+        """Abandons the call; `on_end` is not called afterwards."""
         if self._timer.active():
             self._timer.cancel()
 
 
 class ControlCall:
-    """A call whose connection has `timeout_ms` to come up, and as long again to be answered.
+    """A call with `timeout_ms` to connect and, once connected, another `timeout_ms` to be answered.
 
-    `on_end` is called once, with status 0 and no trouble where the time ran out; never after `end`.
+    `on_end` is called once, with status 0 and no error after a timeout, and never after `end`.
 
-    Failure: the reactor is late, and a single time-out over both would end a call that was written late
-    before its answer could have come. The time starts anew with the connection, so each part has all of it.
+    Failure: the reactor is late, and a single timeout over connecting and answering ends a call that was
+    written late before its answer can arrive. The timer restarts when the connection is established, so each
+    part has the full `timeout_ms`.
     """
 
     def __init__(
@@ -65,7 +66,7 @@
         self.connected = self._call.up
 
     def end(self) -> None:
-        """Gives it up; `on_end` is not called any more."""
+        """Abandons the call; `on_end` is not called afterwards."""
         self._stop_timer()
         self._call.abandon()
 
@@ -79,10 +80,10 @@
         self._on_end(0, {}, b"", None)
 
     def _ended(
-        self, status: int, headers: dict[str, str], reply: bytes, trouble: client.CallError | None
+        self, status: int, headers: dict[str, str], reply: bytes, error: client.CallError | None
     ) -> None:
         self._stop_timer()
-        self._on_end(status, headers, reply, trouble)
+        self._on_end(status, headers, reply, error)
 
     def _start_timer(self) -> TimeOut:
         return TimeOut(self._reactor, self._timeout_ms / 1000, self._timed_out)
--- a/worksmux/forwarding/counters.py
+++ b/worksmux/forwarding/counters.py
@@ -1,4 +1,4 @@
-"""What the forwarding code counts; each daemon keeps the figures in a form of its own."""
+"""Interface of the counters that the forwarding code updates; gateway and node implement it."""
 
 from __future__ import annotations
 
@@ -6,27 +6,27 @@
 
 
 class Counters(Protocol):
-    """Times are milliseconds."""
+    """Counts events of requests and attempts; all durations are milliseconds."""
 
     def arrived(self, request_class: str) -> None:
-        """A request was accepted."""
+        """Counts an accepted request."""
 
     def ended(
         self, request_class: str, answer: str, ms: float, first_ms: float | None, attempts: int
     ) -> None:
-        """A request has its final answer; `first_ms` is its time to first token."""
+        """Counts a request that has its final answer; `first_ms` is its time to first token."""
 
     def attempt(self, stage: str) -> None:
-        """An attempt was started: "read" (prefill), "write" (decode), or "moot" where it was not sent."""
+        """Counts an attempt by stage: "read" (prefill), "write" (decode), "moot" if it was not sent."""
 
     def probe(self, outcome: str) -> None:
-        """A health check ended."""
+        """Counts a health check that ended."""
 
     def release(self) -> None:
-        """A release of KV cache was started."""
+        """Counts the start of a KV cache release."""
 
     def overdue(self) -> None:
-        """A request passed its deadline without an answer of the policy."""
+        """Counts a request whose deadline passed before the policy answered it."""
 
     def decision_round(self, ms: float, events: int) -> None:
-        """The policy decided on a batch of events."""
+        """Counts a decision round over `events` events that took `ms`."""
--- a/worksmux/forwarding/decision_loop.py
+++ b/worksmux/forwarding/decision_loop.py
@@ -1,7 +1,7 @@
-"""The loop around one decision module (the policy).
+"""The loop that runs a policy.
 
-A decision round hands over all events since the last round, in order, and executes the actions that the
-module answers with, in order.
+A decision round passes all events since the last round to the policy, in order, and executes the actions that
+the policy returns, in order.
 """
 
 from __future__ import annotations
@@ -20,27 +20,27 @@
 from .counters import Counters
 
 LOG = structlog.get_logger()
-SLOW_ROUND_MS = 50.0  # longer rounds are logged
+SLOW_ROUND_MS = 50.0  # longer decision rounds are logged
 
 
 class DecisionLoop:
-    """Collects events and runs decision rounds; a subclass executes the actions and keeps the requests."""
+    """Collects events and runs decision rounds; a subclass executes the actions and stores the requests."""
 
     def __init__(self, id_map: IdMap, reactor: Reactor, metrics: Counters) -> None:
         self.id_map, self.reactor, self.metrics = id_map, reactor, metrics
-        self.failed = False  # the module raised an exception: it is not called again
-        self.on_event: Callable[[float, Event], None] | None = None  # with the time, before each round
-        self.before_round: Callable[[float], None] | None = None  # with the time; may add events
+        self.failed = False  # the policy raised an exception and is not called again
+        self.on_event: Callable[[float, Event], None] | None = None  # before each round
+        self.before_round: Callable[[float], None] | None = None  # called with the time; may add events
         self._events: list[Event] = []
         self._scheduled = False
 
     def tell(self, event: Event) -> None:
-        """Adds an event to the next round."""
+        """Queues an event for the next decision round."""
         self._events.append(event)
         self.wake()
 
     def wake(self) -> None:
-        """Schedules a round, also where there is no event yet."""
+        """Schedules a decision round, even without events."""
         if not self._scheduled:
             self._scheduled = True
             self.reactor.callLater(0, self._run_round)
@@ -52,7 +52,7 @@
         events, self._events = self._events, []
         if not self.failed:
             self._decide(events)
-        self._after_round()  # also after a failure: attempts in flight still end
+        self._after_round()  # also after the policy failed: attempts in flight still end
 
     def _decide(self, events: list[Event]) -> None:
         start, cpu_start_s = clock.now(), time.thread_time()
@@ -75,8 +75,10 @@
     def _log_slow_round(
         self, start: float, decided: float, cpu_start_s: float, events: list[Event], actions: list[Action]
     ) -> None:
-        """`start` and `decided` are milliseconds of the clock, `cpu_start_s` seconds of this thread's CPU
-        time."""
+        """Logs a decision round longer than `SLOW_ROUND_MS`.
+
+        `start` and `decided` are clock times in ms; `cpu_start_s` is this thread's CPU time at the start.
+        """
         LOG.warning(
             "slow decision round",
             duration_ms=round(clock.now() - start),
@@ -88,15 +90,15 @@
         )
 
     def _module_name(self) -> str:
-        """The module's name in the log."""
+        """Returns the policy's name in the log."""
         raise NotImplementedError
 
     def _execute(self, action: Action) -> None:
         raise NotImplementedError
 
     def _abort_all(self) -> None:
-        """Ends every open request: the module has failed."""
+        """Aborts every open request after the policy has failed."""
         raise NotImplementedError
 
     def _after_round(self) -> None:
-        """Called at the end of each round; does nothing by default."""
+        """Runs at the end of each round; does nothing by default."""
--- a/worksmux/forwarding/engine_client.py
+++ b/worksmux/forwarding/engine_client.py
@@ -1,4 +1,4 @@
-"""Connections and control calls to engines, as both daemons use them around their decision loop."""
+"""Connections and control calls to engines, shared by gateway and node."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 
 class EngineClient(DecisionLoop):
-    """A decision loop with a connection pool for each engine; a protocol says what its calls look like."""
+    """A decision loop with a connection pool for each engine; subclasses define the protocol of the calls."""
 
     def __init__(self, id_map: IdMap, reactor: Reactor, metrics: Counters) -> None:
         super().__init__(id_map, reactor, metrics)
         self.pools: dict[Engine, client.Pool] = {}
 
-    # What a protocol brings.
+    # Implemented by each protocol.
 
     def _new_pool(self, host: str, port: int) -> client.Pool:
-        """Connections to an engine's address."""
+        """Returns a connection pool for an engine's address."""
         raise NotImplementedError
 
     def _control_call_limits(self) -> tuple[float, int, client.Headers]:
-        """Of each control call: its time-out in milliseconds, the bytes of its reply, and its headers."""
+        """Returns timeout in ms, maximum reply size in bytes, and headers of control calls."""
         raise NotImplementedError
 
     def _health_check_path(self) -> str:
@@ -38,7 +38,7 @@
     def _health_check_result(
         self, status: int, headers: dict[str, str], reply: bytes
     ) -> tuple[Outcome, dict[str, float] | None]:
-        """Outcome and load report of a whole reply to a health check."""
+        """Returns outcome and load report of a complete reply to a health check."""
         raise NotImplementedError
 
     # Control calls.
@@ -46,7 +46,7 @@
     def control_call(
         self, engine: Engine, method: str, path: str, body: bytes, on_end: client.ResponseCallback
     ) -> OutgoingCall:
-        """Sends a call beside the requests; an engine that was never listed is unreachable."""
+        """Sends a control call; the call fails as unreachable if the engine was never listed."""
         if engine not in self.pools:
             return UnreachableCall(self.reactor, on_end)
         timeout_ms, max_reply_bytes, headers = self._control_call_limits()
@@ -55,15 +55,13 @@
         )
 
     def check_health(self, engine: Engine, on_result: Callable[[Event], None]) -> None:
-        """Sends a health check; `on_result` gets the event that tells its end."""
+        """Sends a health check and passes the resulting event to `on_result`."""
         sent_at = clock.now()
 
-        def ended(
-            status: int, headers: dict[str, str], reply: bytes, trouble: client.CallError | None
-        ) -> None:
+        def ended(status: int, headers: dict[str, str], reply: bytes, error: client.CallError | None) -> None:
             report = None
-            if trouble is not None:
-                outcome = outcome_of(trouble)
+            if error is not None:
+                outcome = outcome_of(error)
             elif not status:
                 outcome = Outcome.TIMED_OUT
             else:
@@ -76,14 +74,14 @@
     # The endpoint list.
 
     def endpoints_updated(self, event: EndpointListUpdate) -> None:
-        """The endpoint list has changed."""
+        """Applies a change of the endpoint list and reports it to the policy."""
         for entry in event.entries:
             if entry.state == "gone":
                 self._close_connections(entry.engine)
         self._tell_endpoints(event)
 
     def address_changed(self, engine: Engine, host: str, port: int) -> None:
-        """An engine has a new address, or its first; attempts in flight stay where they are."""
+        """Replaces the pool of an engine with a new or first address; attempts in flight are unaffected."""
         self._close_connections(engine)
         self.pools[engine] = self._new_pool(host, port)
 
@@ -91,6 +89,6 @@
         self.tell(event)
 
     def _close_connections(self, engine: Engine) -> None:
-        """Closes the idle connections to an engine."""
+        """Closes the idle connections to an engine, if it has a pool."""
         if engine in self.pools:
             self.pools[engine].close()
--- a/worksmux/forwarding/log_setup.py
+++ b/worksmux/forwarding/log_setup.py
@@ -1,7 +1,7 @@
-"""Structured logging by structlog: JSON lines or console text, written by a thread of its own.
+"""Structured logging with structlog: JSON lines or console text, written by a separate thread.
 
-Failure: whatever reads standard error stalls, and a blocking write would stop the reactor. Lines wait in a
-bounded queue instead; once it is full they are dropped and counted.
+Failure: the reader of standard error stalls, and a blocking write stops the reactor. Lines wait in a bounded
+queue instead; while the queue is full, new lines are dropped and counted.
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
 
 
 class LogWriter:
-    """Writes lines in order on a thread; `lost` counts those dropped."""
+    """Writes lines in order on a thread; `lost` counts dropped lines."""
 
     def __init__(self, sink: IO[str], max_queued_lines: int = MAX_QUEUED_LINES) -> None:
         self.sink, self.lost = sink, 0
-        self.lines: queue.Queue[str | None] = queue.Queue(max_queued_lines)  # None ends the thread
+        self.lines: queue.Queue[str | None] = queue.Queue(max_queued_lines)  # None stops the thread
         self.thread = threading.Thread(target=self._run, name="log writer", daemon=True)
         self.thread.start()
 
     def line(self, text: str) -> None:
-        """Queues a line; never blocks."""
+        """Queues a line without blocking; drops it if the queue is full."""
         try:
             self.lines.put_nowait(text)
         except queue.Full:
             self.lost += 1
 
     def close(self, timeout_s: float = CLOSE_TIMEOUT_S) -> None:
-        """Writes what is queued, and gives up after about `timeout_s` seconds."""
+        """Writes the queued lines and stops the thread; waits at most about `2 * timeout_s`."""
         try:
             self.lines.put(None, timeout=timeout_s)
         except queue.Full:
@@ -50,12 +50,15 @@
                 self.sink.write(text + "\n")
                 if self.lines.empty():
                     self.sink.flush()
-        except (OSError, ValueError):  # the sink is closed: the queue fills, and what follows is counted
+        except (
+            OSError,
+            ValueError,
+        ):  # the sink is closed: the queue fills, later lines are lost
             self.lost += 1
 
 
 class _QueueLogger:
-    """The logger that structlog writes to."""
+    """The logger that structlog calls; passes each line to a `LogWriter`."""
 
     def __init__(self, writer: LogWriter) -> None:
         self.writer = writer
@@ -71,9 +74,9 @@
 
 
 def set_up(log_format: str, level: str, sink: IO[str] | None = None, **bound_fields: str) -> LogWriter:
-    """Sends all structlog events to `sink` (default: standard error).
+    """Configures structlog to write to `sink` (default: standard error).
 
-    `log_format` is "json" or "console", `level` a key of `LEVELS`; `bound_fields` stand in each event.
+    `log_format` is "json" or "console", `level` a key of `LEVELS`; `bound_fields` are added to each event.
     """
     writer = LogWriter(sink or sys.stderr)
     logger = _QueueLogger(writer)
--- a/worksmux/forwarding/open_requests.py
+++ b/worksmux/forwarding/open_requests.py
@@ -1,4 +1,4 @@
-"""The requests that are open and what their clients are owed: one final answer each, in time."""
+"""The open requests: each gets exactly one final answer, by its deadline."""
 
 from __future__ import annotations
 
@@ -19,37 +19,43 @@
 from .request_log import request_fields
 
 LOG = structlog.get_logger()
-# Reactor iterations that a missed deadline waits: a time-out looks once more, tells the policy, which
-# answers.
+# Reactor iterations between a missed deadline and its answer: in these a timeout checks once more, reports to
+# the policy, and the policy answers.
 DEADLINE_GRACE_ITERATIONS = 3
-FINAL_ANSWER_DECISION = -1  # the number that `on_decision` gets where others are numbers of attempts
+FINAL_ANSWER_DECISION = -1  # passed to `on_decision` in place of an attempt number
 
 
 class OpenRequests(EngineClient):
-    """Keeps the context of each request from its arrival until it is answered and nothing is in flight."""
+    """Stores each request's context from arrival until it is answered and has no attempt in flight."""
 
     def __init__(self, id_map: IdMap, reactor: Reactor, metrics: Counters) -> None:
         super().__init__(id_map, reactor, metrics)
         self.module_settings = id_map.settings
         self.open_requests: dict[Request, RequestContext] = {}
         self.last_request_id = 0
-        self.on_policy_failure: Callable[[], None] | None = None  # the policy has failed
-        # With a request's key and the number of an attempt or `FINAL_ANSWER_DECISION`.
+        self.on_policy_failure: Callable[[], None] | None = None  # called once the policy has failed
+        # Called with a request's key and an attempt number or `FINAL_ANSWER_DECISION`.
         self.on_decision: Callable[[str, int], None] | None = None
-        self.on_empty: Callable[[], None] | None = None  # at the end of a request
-        self._answered: list[RequestContext] = []  # are closed after the round, once nothing is in flight
+        self.on_empty: Callable[[], None] | None = None  # called when a request is closed
+        self._answered: list[RequestContext] = []  # closed after the round, once no attempt is in flight
 
     def _log_fields(self, context: RequestContext) -> dict[str, Any]:
-        """What the protocol adds to the log line of a request."""
+        """Returns protocol-specific fields for the log line of a request."""
         return {}
 
     def _accept(self, context: RequestContext) -> RequestContext:
-        """Hands a request to the policy; from here on its client is owed one final answer."""
+        """Passes a request to the policy and starts its deadline timer.
+
+        From here on the client must get exactly one final answer.
+        """
         request = context.request
         slack_ms = float(self.module_settings.answer_slack_ms)
-        left_ms = max(0.0, request.deadline + slack_ms - clock.now())
+        remaining_ms = max(0.0, request.deadline + slack_ms - clock.now())
         context.deadline_timer = TimeOut(
-            self.reactor, left_ms / 1000, lambda: self._deadline_missed(context), DEADLINE_GRACE_ITERATIONS
+            self.reactor,
+            remaining_ms / 1000,
+            lambda: self._deadline_missed(context),
+            DEADLINE_GRACE_ITERATIONS,
         )
         self.open_requests[request] = context
         self.metrics.arrived(context.class_name)
@@ -57,7 +63,10 @@
         return context
 
     def client_disconnected(self, context: RequestContext) -> None:
-        """Ends the request and its attempts; those that have not been sent are withdrawn."""
+        """Ends the request of a disconnected client.
+
+        Attempts that were not sent are withdrawn; an attempt whose stream has begun is cancelled.
+        """
         if not context.final_answer:
             context.answer_reason = "client disconnected"
             self._finish(context, FinalAnswer.CLIENT_DISCONNECTED)
@@ -69,7 +78,10 @@
                 call.withdraw()
 
     def _deadline_missed(self, context: RequestContext) -> None:
-        """Answers in place of a policy that let the deadline pass; its client would wait for ever."""
+        """Aborts a request whose deadline passed without an answer from the policy.
+
+        Its client would wait forever otherwise.
+        """
         if context.final_answer or context.first_token_at:
             return
         LOG.error("request missed its deadline without an answer", request=context.key)
@@ -85,7 +97,7 @@
         retry_after_ms: float = 0.0,
         result: Any = None,
     ) -> None:
-        """Gives the final answer, unless there is one."""
+        """Sends the final answer, unless one was sent."""
         if context.final_answer:
             return
         context.final_answer = answer
@@ -103,7 +115,7 @@
         self.wake()  # the next round closes the request
 
     def _close(self, context: RequestContext) -> None:
-        """Forgets a request that is answered and has no attempt in flight; logs its end."""
+        """Removes and logs an answered request, unless an attempt is in flight."""
         request = context.request
         if context.in_flight or self.open_requests.pop(request, None) is None:
             return
@@ -122,16 +134,18 @@
     # The decision loop.
 
     def _after_round(self) -> None:
-        """Closes the requests that were answered.
+        """Closes the answered requests.
 
         Failure: a client disconnects during prefill, the attempt is cancelled in this round, and the policy
-        releases its KV cache in the next. That release needs the context, so a request stays open while an
-        end of one of its attempts has not been handed to the policy.
+        releases the KV cache in the next round. That release needs the request context, so a request stays
+        open until the policy has received the end of each of its attempts.
         """
         answered, self._answered = self._answered, []
-        undelivered = {event.attempt.request for event in self._events if isinstance(event, AttemptEnded)}
+        requests_with_pending_ends = {
+            event.attempt.request for event in self._events if isinstance(event, AttemptEnded)
+        }
         for context in answered:
-            if context.request in undelivered:
+            if context.request in requests_with_pending_ends:
                 self._answered.append(context)
             else:
                 self._close(context)
--- a/worksmux/forwarding/process.py
+++ b/worksmux/forwarding/process.py
@@ -1,4 +1,4 @@
-"""How a daemon's process starts, takes signals and ends, whichever protocol it serves."""
+"""Start, signal handling and shutdown of a daemon process, independent of its protocol."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .log_setup import LogWriter
 
 LOG = structlog.get_logger()
-FLUSH_TIMEOUT_MS = 1000.0  # that the last answers have to leave
+FLUSH_TIMEOUT_MS = 1000.0  # for sending the last answers
 FLUSH_POLL_MS = 5.0
 
 
@@ -24,7 +24,7 @@
     stop: Callable[[], None],
     reload: Callable[[], None],
 ) -> bool:
-    """Calls `start` and runs until the reactor is stopped; returns False where `start` raised.
+    """Calls `start` and runs the reactor until it is stopped; returns False if `start` raised.
 
     SIGTERM and SIGINT call `stop`, SIGHUP calls `reload`.
     """
@@ -33,11 +33,11 @@
         for number, call in ((signal.SIGTERM, stop), (signal.SIGINT, stop), (signal.SIGHUP, reload)):
             signal.signal(number, lambda *_, call=call: reactor.callFromThread(call))
 
-    reactor.callLater(0, install_signal_handlers)  # after Twisted has installed its own
+    reactor.callLater(0, install_signal_handlers)  # after Twisted installs its own handlers
     try:
         start()
     except Exception as error:
-        LOG.error("cannot listen", reason=str(error), pid=os.getpid())
+        LOG.error("start failed; the process exits", reason=str(error), pid=os.getpid())
         return False
     else:
         reactor.run()
@@ -54,8 +54,8 @@
 ) -> None:
     """Calls `then` once `is_waiting` is false, or after `timeout_ms`.
 
-    Failure: the process ends while the last answers are still in its buffers, and their clients see a cut
-    connection.
+    Failure: the process exits while the last answers are still in its send buffers, and their clients see a
+    truncated answer.
     """
     deadline = clock.now() + timeout_ms
 
--- a/worksmux/forwarding/request_context.py
+++ b/worksmux/forwarding/request_context.py
@@ -1,4 +1,4 @@
-"""What the daemon keeps of one request: its client, its attempts in flight and its final answer."""
+"""The state of one request: its client, its attempts in flight and its final answer."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class FinalAnswer(StrEnum):
-    """How a request ended for its client; the values stand in logs and metrics."""
+    """How a request ended for its client; logs and metrics contain the values."""
 
     SERVED = "delivered"
     REJECTED = "deferred"  # not executed; the client may retry
@@ -26,16 +26,16 @@
         """Whether the client has closed its connection."""
 
     def send_content(self, content: Any, /) -> None:
-        """Sends one piece of the answer."""
+        """Sends a piece of the answer."""
 
     def complete(self, *result: Any) -> None:
-        """Ends an answer that is whole; `result` is what the protocol's decode attempt ended with."""
+        """Ends a complete answer; `result` is the result of the protocol's decode attempt."""
 
     def reject(self, retry_after_ms: float) -> None:
-        """Answers that the request was not executed; 0: no time to wait is named."""
+        """Answers that the request was not executed; with `retry_after_ms` 0 the answer has no retry time."""
 
     def abort(self, timed_out: bool) -> None:
-        """Answers that the request has possibly been executed, or cuts the stream that has begun."""
+        """Answers that the request was possibly executed, or truncates a stream that has begun."""
 
 
 class RunningAttempt(Protocol):
@@ -44,10 +44,10 @@
     end_reason: str  # for the log
 
     def cancel(self) -> None:
-        """Closes its connection."""
+        """Cancels the attempt by closing its connection."""
 
     def withdraw(self) -> None:
-        """Ends it only if it has not been sent yet."""
+        """Ends the attempt only if it has not been sent."""
 
 
 @dataclass(eq=False, slots=True)
@@ -57,23 +57,23 @@
     request: Request
     client_request: Any  # as parsed by the daemon's protocol
     client: Client
-    key: str  # the request's id towards engines
-    class_name: str  # its request class
-    kv_handle: Any = None  # of the KV cache that its prefill left, where the protocol has handles
-    holding_engines: dict[Engine, None] = field(default_factory=dict)  # may hold KV cache or a decode slot
-    reserved_engine: Engine | None = None  # holds the decode slot
-    in_flight: dict[Attempt, Any] = field(default_factory=dict)  # the protocol's `RunningAttempt` of each
+    key: str  # the request id that engines get
+    class_name: str  # name of its request class
+    kv_handle: Any = None  # handle of the KV cache from its prefill, if the protocol has handles
+    holding_engines: dict[Engine, None] = field(default_factory=dict)  # may hold its KV cache or decode slot
+    reserved_engine: Engine | None = None  # holds its reserved decode slot
+    in_flight: dict[Attempt, Any] = field(default_factory=dict)  # with the protocol's `RunningAttempt`
     final_answer: FinalAnswer | None = None
     timed_out: bool = False
     deadline_timer: Timer | None = None
-    first_token_at: float = 0.0  # milliseconds of the clock; 0: none yet
-    last_cancelled_at: float = 0.0  # when this side last ended one of its attempts
-    result: Any = None  # of the attempt that served it
-    cached_tokens: int = 0  # prompt tokens whose KV cache its prefills found
+    first_token_at: float = 0.0  # clock time in ms; 0: none yet
+    last_cancelled_at: float = 0.0  # clock time of the last cancelled or timed-out attempt
+    result: Any = None  # of the attempt that served the request
+    cached_tokens: int = 0  # prompt tokens that its prefills found in KV cache
     answer_reason: str = ""  # for the log
     attempt_end_reasons: dict[Attempt, str] = field(default_factory=dict)  # for the log
 
     def stop_deadline_timer(self) -> None:
-        """From here on the deadline is no longer this side's to watch."""
+        """Stops the deadline timer, if it runs."""
         if self.deadline_timer is not None and self.deadline_timer.active():
             self.deadline_timer.cancel()
--- a/worksmux/forwarding/request_lifecycle.py
+++ b/worksmux/forwarding/request_lifecycle.py
@@ -1,9 +1,9 @@
-"""The life of requests: executes what the policy decides and tells it what becomes of attempts.
+"""The request lifecycle: executes the policy's actions and reports the outcomes of attempts to the policy.
 
-Nothing is decided here. This module keeps what the policy relies on: each attempt has exactly one outcome, no
-attempt is sent for a request that has ended, a stream that has begun belongs to its client, and each client
-gets one final answer. A protocol derives from `RequestLifecycle` and brings its attempt calls, its control
-calls and its side of the client.
+This module makes no routing decisions. It guarantees what the policy relies on: each attempt has exactly one
+outcome, no attempt is sent for a request that has ended, a stream that has begun is never replaced by the one
+of another attempt, and each client gets one final answer. A protocol derives from `RequestLifecycle` and
+implements the attempts, the control calls and the client side.
 """
 
 from __future__ import annotations
@@ -41,32 +41,32 @@
 
 
 class RequestLifecycle(OpenRequests):
-    """Carries the attempts of all open requests of a daemon."""
+    """Runs the attempts of all open requests of a gateway or node."""
 
     def __init__(self, id_map: IdMap, reactor: Reactor, metrics: Counters) -> None:
         super().__init__(id_map, reactor, metrics)
-        self.engine_list: Any = None  # the source of the endpoint list, set by who builds both
+        self.engine_list: Any = None  # source of the endpoint list, set after construction
         self.plan_version: Callable[[], str] | None = None  # of the fleet's plan, sent with each attempt
-        self.on_attempt: Callable[[Engine, Outcome], None] | None = None  # at the end of an attempt
+        self.on_attempt: Callable[[Engine, Outcome], None] | None = None  # called when an attempt ends
 
-    # What a protocol brings.
+    # Implemented by each protocol.
 
     def _open_attempt(
         self, context: RequestContext, attempt: Attempt, pool: client.Pool, timeout_ms: float
     ) -> RunningAttempt:
-        """Starts an attempt; calls its listener only after this returns."""
+        """Starts an attempt, which calls its listener only after this method returns."""
         raise NotImplementedError
 
     def _reserve_slot(self, request: Request, engine: Engine) -> None:
-        """Reserves a decode slot for a request that is in prefill."""
+        """Reserves a decode slot for a request whose prefill runs."""
         raise NotImplementedError
 
     def _release_kv_cache(self, request: Request) -> None:
-        """Releases all that engines hold for a request, with retries until a release has arrived."""
+        """Releases all KV cache held for a request, with retries until a release is acknowledged."""
         raise NotImplementedError
 
     def start(self) -> None:
-        """Runs a first round without events, in which the policy asks for the endpoint list."""
+        """Schedules a first decision round without events, in which the policy requests the endpoint list."""
         self.wake()
 
     def _module_name(self) -> str:
@@ -75,7 +75,7 @@
     # Called by attempts.
 
     def on_first_token(self, attempt: Attempt) -> None:
-        """The answer begins, unless another attempt's stream has the client already."""
+        """Starts the answer, or cancels the attempt if the request is already streaming or answered."""
         context = self.open_requests[attempt.request]
         if attempt.request.streaming or context.final_answer:
             context.in_flight[attempt].cancel()
@@ -87,11 +87,11 @@
         self.tell(FirstToken(attempt, now - attempt.sent_at))
 
     def _on_answer_begun(self, context: RequestContext) -> None:
-        """The decode engine has taken what was held for the request."""
+        """Forgets the holding engines: the decode engine took the KV cache when the answer began."""
         context.holding_engines.clear()
 
     def on_content(self, attempt: Attempt, content: Any) -> None:
-        """Passes a piece of the answer to the client."""
+        """Sends a piece of the answer to the client."""
         context = self.open_requests[attempt.request]
         if not context.final_answer and attempt.first_token_at:
             context.client.send_content(content)
@@ -99,7 +99,7 @@
     def on_attempt_end(
         self, attempt: Attempt, outcome: Outcome, note: int, report: dict[str, float] | None, result: Any
     ) -> None:
-        """Takes the end of an attempt, which may be the end of its request, and tells the policy."""
+        """Applies the outcome of an attempt, which may end its request, and reports it to the policy."""
         context = self.open_requests.get(attempt.request)
         if context is None:  # the policy has failed and all requests were aborted
             return
@@ -121,7 +121,7 @@
     def _record_kv_cache(
         self, context: RequestContext, attempt: Attempt, outcome: Outcome, call: Any
     ) -> None:
-        """Notes that the engine may hold KV cache now, also where the reply to its prefill was lost."""
+        """Records that the engine may hold KV cache, even if the reply to its prefill was lost."""
         if attempt.is_prefill and outcome not in (Outcome.FULL, Outcome.UNREACHABLE, Outcome.NOT_SENT):
             context.holding_engines[attempt.engine] = None
 
@@ -138,7 +138,7 @@
         elif attempt.first_token_at:
             context.timed_out = outcome is Outcome.TIMED_OUT
             context.answer_reason = "stream broke"
-            self._finish(context, FinalAnswer.ABORTED)  # no other attempt can go on with a stream
+            self._finish(context, FinalAnswer.ABORTED)  # no other attempt can continue a stream
         elif outcome is Outcome.FULL and note == 1:  # the engine lost the KV cache
             context.kv_handle = None
 
@@ -148,11 +148,11 @@
         match action:
             case StartAttempt():
                 self._start_attempt(action)
-            case RejectRequest(request, retry_after_ms, why):
-                self._note_reason(request, why)
+            case RejectRequest(request, retry_after_ms, reason):
+                self._record_reason(request, reason)
                 self._answer_for_policy(request, FinalAnswer.REJECTED, retry_after_ms)
-            case AbortRequest(request, why):
-                self._note_reason(request, why)
+            case AbortRequest(request, reason):
+                self._record_reason(request, reason)
                 self._answer_for_policy(request, FinalAnswer.ABORTED)
             case CancelAttempt(attempt):
                 context = self.open_requests.get(attempt.request)
@@ -177,13 +177,13 @@
             case _:
                 LOG.warning("unsupported action of the policy", action=type(action).__name__)
 
-    def _note_reason(self, request: Request, reason: str) -> None:
+    def _record_reason(self, request: Request, reason: str) -> None:
         context = self.open_requests.get(request)
         if context is not None and not context.final_answer:
             context.answer_reason = reason
 
     def _answer_for_policy(self, request: Request, answer: FinalAnswer, retry_after_ms: float = 0.0) -> None:
-        """Gives the final answer that the policy has decided on."""
+        """Sends the final answer that the policy decided on."""
         context = self.open_requests.get(request)
         if context:
             self._finish(context, answer, retry_after_ms)
@@ -192,30 +192,34 @@
         attempt, request = action.attempt, action.attempt.request
         context = self.open_requests.get(request)
         if context is not None and not context.final_answer and context.client.is_disconnected():
-            self.client_disconnected(context)  # before the reactor reports it
-        left_ms = request.deadline - clock.now()
-        if context is None or self._is_moot(context, left_ms):
+            self.client_disconnected(context)  # the reactor has not reported it yet
+        remaining_ms = request.deadline - clock.now()
+        if context is None or self._is_moot(context, remaining_ms):
             self.metrics.attempt("moot")
             ended = context is None or bool(context.final_answer)
             self.tell(AttemptEnded(attempt, Outcome.NOT_SENT, 0.0, ended))
             return
         if attempt.engine not in self.pools:
-            raise LookupError(f"the policy sends to an engine without an address: {attempt.engine.id!r}")
+            raise LookupError(
+                f"the policy started an attempt at engine {attempt.engine.id!r}, which has no known address"
+            )
         if self.on_decision:
             self.on_decision(context.key, attempt.number)
-        timeout_ms = min(action.timeout_ms, left_ms) if action.timeout_ms else left_ms
+        timeout_ms = min(action.timeout_ms, remaining_ms) if action.timeout_ms else remaining_ms
         pool = self.pools[attempt.engine]
         context.in_flight[attempt] = self._open_attempt(context, attempt, pool, timeout_ms)
         self.metrics.attempt("read" if attempt.is_prefill else "write")
 
-    def _is_moot(self, context: RequestContext, left_ms: float) -> bool:
-        """Whether an attempt would be sent for nothing: its request has ended, begun, or used up its
-        limits."""
+    def _is_moot(self, context: RequestContext, remaining_ms: float) -> bool:
+        """Whether an attempt would be pointless.
+
+        It is if its request is answered, is streaming, has no time left, or is over its attempt limit.
+        """
         request = context.request
         max_attempts = int(self.module_settings.max_attempts)
         return (
             bool(context.final_answer)
             or request.streaming
-            or left_ms <= 0
+            or remaining_ms <= 0
             or len(request.attempts) > max_attempts
         )
--- a/worksmux/forwarding/request_log.py
+++ b/worksmux/forwarding/request_log.py
@@ -1,4 +1,4 @@
-"""The log line of a request that has ended."""
+"""Fields of the log line of a request that has ended."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def request_fields(context: RequestContext, now: float) -> dict[str, Any]:
-    """The fields of the line; `now` is in milliseconds of the clock, and times count from the arrival."""
+    """Returns the fields of the line; `now` is a clock time in ms, logged times count from the arrival."""
     request = context.request
     first_token_ms = context.first_token_at - request.arrived if context.first_token_at else None
     return {
--- a/worksmux/forwarding/stream_relay.py
+++ b/worksmux/forwarding/stream_relay.py
@@ -1,5 +1,4 @@
-"""The client's side of a streamed answer: its first piece begins it, and the client's reading paces the
-engine."""
+"""The client side of a streamed answer, with backpressure from a slow client to the engine."""
 
 from __future__ import annotations
 
@@ -8,7 +7,7 @@
 
 
 class StreamRelay:
-    """One client's exchange; `context` is set once its request is accepted."""
+    """Relays a stream to one client's exchange; `context` is set once the request is accepted."""
 
     def __init__(self, exchange: Exchange) -> None:
         self.exchange = exchange
@@ -20,7 +19,7 @@
         return self.exchange.client_is_gone()
 
     def _begin(self, headers: tuple[tuple[str, str], ...] = ()) -> bool:
-        """Begins the answer if this is its first piece, and returns whether it is."""
+        """Sends the head of the answer unless it was sent; returns whether this call sent it."""
         if self.begun:
             return False
         self.begun = True
@@ -29,9 +28,9 @@
         return True
 
     def _connect_backpressure(self) -> None:
-        """Makes a client that reads slowly pause the engine's stream.
+        """Lets a client that reads slowly pause the engine's stream.
 
-        Failure: the rest of the stream would be buffered in this process, which shows as growing memory.
+        Failure: the rest of the stream is buffered in this process, which shows as growing memory.
         """
         if self.context is not None and not self.exchange.over:
             for attempt, call in self.context.in_flight.items():
--- a/worksmux/node/__init__.py
+++ b/worksmux/node/__init__.py
@@ -1,2 +1,1 @@
-"""A front node on the operators' platform: its configuration, protocol, discovery and releases of KV
-cache."""
+"""The node on the operators' platform: configuration, protocol, discovery and KV cache releases."""
--- a/worksmux/node/attempts.py
+++ b/worksmux/node/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts by the platform's protocol; `docs/node.md` has the table of outcomes."""
+"""Attempts in the platform's protocol; `docs/node.md` has the table of outcomes."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 from .errors import CorruptStreamError
 from .event_stream import EventStream
 
-MAX_HEAD_AGE_MS = 20.0  # an older head is written again, as the time left in it is too long
+MAX_HEAD_AGE_MS = 20.0  # an older request head is rewritten, as the time left in it is too long
 
 
 class NodeAttempt(AttemptCall):
-    """An attempt whose reply may be a rejection. Times are milliseconds of the clock."""
+    """An attempt whose reply may be a rejection; its times are clock times in ms."""
 
-    report_fields: list[str] = []  # the names of the load report's figures
+    report_fields: list[str] = []  # names of the metrics read from load reports
     client_request: ClientRequest
     head_written_at = 0.0
-    expires_at = 0.0  # the end of the time left that the engine is sent
-    written_at = 0.0  # when its connection was up and its bytes were handed over
+    expires_at = 0.0  # the end of the time left that is sent to the engine
+    written_at = 0.0  # when its request was written to an established connection; 0: not yet
     has_waited_for_release = False
-    monitored = False  # by the monitor of unresponsive attempts
-    last_piece_at = 0.0  # of its stream
+    monitored = False  # by the `UnresponsiveAttemptMonitor`
+    last_piece_at = 0.0  # of its stream; 0: none yet
 
     def send(self, client_request: ClientRequest, timeout_ms: float) -> client.Call:
-        """Starts the call."""
+        """Starts the call to the engine."""
         self.client_request, self.head_written_at = client_request, clock.now()
         self.expires_at = self.head_written_at + timeout_ms
         self.call = self.pool.call("POST", client_request.path, self, self._headers(), client_request.body)
@@ -36,15 +36,18 @@
 
     def _headers(self) -> list[tuple[str, str]]:
         request = self.client_request
-        left_ms = max(1, round(self.expires_at - clock.now()))
-        headers = [(protocol.REQUEST_ID, request.key), (protocol.TIME_LEFT, str(left_ms)), *request.headers]
+        remaining_ms = max(1, round(self.expires_at - clock.now()))
+        headers = [
+            (protocol.REQUEST_ID, request.key),
+            (protocol.TIME_LEFT, str(remaining_ms)),
+            *request.headers,
+        ]
         if not any(name.lower() == "content-type" for name, _ in request.headers):
             headers.append(("Content-Type", "application/json"))
         return headers
 
     def refresh_head(self) -> None:
-        """Writes the head again with the time that is left now, as its connection has taken time to come
-        up."""
+        """Rewrites an outdated request head with the time left after connecting took its time."""
         if self.call is not None and clock.now() - self.head_written_at > MAX_HEAD_AGE_MS:
             request = self.client_request
             self.call.data = client.encode_request(
@@ -52,25 +55,26 @@
             )
 
     def resume(self) -> None:
-        """Its wait for a release is over."""
+        """Sends the attempt after its wait for a release."""
         if self.call is not None:
             self.call.go()
 
     @property
     def engine(self) -> Engine:
-        """The engine that it is sent to."""
+        """The engine that executes the attempt."""
         return self.attempt.engine
 
     @property
     def is_prefill(self) -> bool:
-        """Whether it is a prefill."""
+        """Whether the attempt is a prefill."""
         return self.attempt.is_prefill
 
     @property
     def engine_responsive_at(self) -> float:
-        """When its engine was last known to run.
+        """The latest clock time at which the engine was known to run.
 
-        That is the start of the newest call that it answered, or the latest piece of this attempt's stream.
+        This is the start of the newest call that the engine answered, or the latest piece of this attempt's
+        stream.
         """
         return max(self.pool.latest_answered_start_ms, self.last_piece_at)
 
@@ -82,17 +86,20 @@
 
 
 class PrefillAttempt(NodeAttempt):
-    """Ends as PREFILLED with the number of cached tokens."""
+    """A prefill attempt, which ends as PREFILLED with the number of cached tokens."""
 
     def done(self) -> None:
-        """The reply is whole."""
+        """Handles the end of a complete reply."""
         if self.status != 202:
             return super().done()
         self._end(Outcome.PREFILLED, engine_reply.cached_tokens(bytes(self.body)))
 
 
 class DecodeAttempt(StreamingAttempt, NodeAttempt):
-    """Relays a stream of events unchanged; it is whole with its last chunk."""
+    """A decode attempt, which relays a stream of events unchanged.
+
+    The stream is complete with the last chunk of its transfer encoding.
+    """
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -116,5 +123,5 @@
             self._end(Outcome.ERROR)
 
     def _load_report(self) -> dict[str, float] | None:
-        in_stream = engine_reply.parse_load_report(self.stream.load_report, self.report_fields)
-        return in_stream or super()._load_report()
+        report_in_stream = engine_reply.parse_load_report(self.stream.load_report, self.report_fields)
+        return report_in_stream or super()._load_report()
--- a/worksmux/node/client_request.py
+++ b/worksmux/node/client_request.py
@@ -1,4 +1,4 @@
-"""A client's request, parsed from its head and body."""
+"""Parsing of client requests."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 MAX_ID_CHARACTERS = 128
 MAX_TIME_LEFT_MS = 3_600_000
-MAX_TOKENS = 10_000_000  # of each length that a client names
-MAX_DIGITS = 20  # of any number; longer ones are not converted
+MAX_TOKENS = 10_000_000  # of each length that a client gives
+MAX_DIGITS = 20  # of a number; longer ones are not converted
 MAX_HEX_KEY_DIGITS = 16  # 64 bits
-# Of one connection alone (RFC 9110, 7.6.1), or written anew for each attempt.
+# Hop-by-hop headers (RFC 9110, 7.6.1) and headers that are written for each attempt.
 NOT_FORWARDED = frozenset(
     {
         "connection",
@@ -38,30 +38,32 @@
 )
 TOKEN_CHARACTERS = frozenset("!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyz")  # RFC 9110, 5.6.2
 
-HeaderValues = Callable[[str], list[str]]  # gives all values of a header
+HeaderValues = Callable[[str], list[str]]  # returns all values of a header
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """What a client asks for; lengths are tokens."""
+    """A parsed client request; lengths are in tokens."""
 
-    key: str  # the client's id of it
+    key: str  # the request id that the client chose
     request_class: int
-    session: int  # as a number for hashing; 0: none
-    prefix: int  # as a number for hashing; 0: none
+    session: int  # hash of the session key; 0: none
+    prefix: int  # hash of the shared prefix's key; 0: none
     prompt_tokens: float
     prefix_tokens: float
     max_answer_tokens: float
     time_left_ms: float
     retried: bool
     resumed: bool
-    path: str  # with its query
+    path: str  # with the query string
     body: bytes
-    headers: list[tuple[str, str]] = field(default_factory=list)  # the client's, for each attempt
+    headers: list[tuple[str, str]] = field(
+        default_factory=list
+    )  # the client's end-to-end headers, sent with each attempt
 
 
 class _Body(msgspec.Struct):
-    """The fields of a body that are checked here; the rest is for the engine."""
+    """The body fields that the node checks; the engine interprets the others."""
 
     messages: list[msgspec.Raw]
     stream: bool = False
@@ -73,7 +75,7 @@
 def parse_client_request(
     header: HeaderValues, path: str, body: bytes, request_classes: dict[str, int]
 ) -> ClientRequest:
-    """Parses a request; `request_classes` has the index of each name. Raises InvalidRequestError."""
+    """Parses a request; `request_classes` maps names to indexes. Raises InvalidRequestError."""
     if header("Transfer-Encoding") and header("Content-Length"):
         raise InvalidRequestError(400, "Content-Length and Transfer-Encoding exclude each other")
     key = _parse_id(header)
@@ -134,7 +136,7 @@
 
 
 def _parse_lengths(attributes: dict[str, str]) -> tuple[int, int, int]:
-    """The tokens of the prompt, of its shared prefix, and of the longest answer; 0 where none is given."""
+    """Returns the tokens of prompt, shared prefix and longest answer; 0 for each that is not given."""
     prompt, prefix, max_answer = (
         parse_whole_number(attributes.get(name, "0"), MAX_TOKENS)
         for name in ("prompt_len", "prefix_len", "max_out")
@@ -154,7 +156,7 @@
 
 
 def hash_key(text: str) -> int:
-    """A key as a number for hashing, the same at every node; 0 for none.
+    """Returns a hash of a key that is equal at all nodes; 0 for an empty key.
 
     >>> hash_key("00000000000000ff"), hash_key(""), hash_key("a course") == hash_key("a course")
     (255, 0, True)
@@ -170,7 +172,7 @@
 
 
 def parse_whole_number(text: str | None, maximum: int) -> int | None:
-    """Plain digits up to `maximum`; None for all else, signs and spaces included.
+    """Parses ASCII digits up to `maximum`; returns None for anything else, including signs and spaces.
 
     >>> parse_whole_number("4800", 9999), parse_whole_number("-1", 9), parse_whole_number("1e3", 9999)
     (4800, None, None)
@@ -183,9 +185,9 @@
 
 
 def end_to_end_headers(headers: Iterable[tuple[str, list[str]]]) -> list[tuple[str, str]]:
-    """The end-to-end fields of a client's head, which every attempt carries unchanged.
+    """Returns a client's end-to-end headers, which every attempt carries unchanged.
 
-    They are not interpreted here: an idempotency key, for one, is for the engine.
+    The node does not interpret them; an idempotency key, for example, is for the engine.
 
     >>> end_to_end_headers([("Idempotency-Key", ["9e"]), ("Connection", ["close, X-Hop"]), ("X-Hop", ["1"])])
     [('Idempotency-Key', '9e')]
--- a/worksmux/node/clients.py
+++ b/worksmux/node/clients.py
@@ -1,4 +1,4 @@
-"""The clients' side of a node: checks heads, relays streams unchanged, gives one answer to each request."""
+"""The node's HTTP interface for clients: validates requests, relays streams, sends one answer per request."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 class StreamClient(StreamRelay):
-    """The client of one request, a `forwarding.request_context.Client`."""
+    """The client of one request; implements `forwarding.request_context.Client`."""
 
     def send_content(self, content: bytes) -> None:
-        """Sends whole events."""
+        """Sends complete server-sent events."""
         self._begin()
         self.exchange.send_piece(content)
 
     def complete(self, *result: object) -> None:
-        """Ends the stream."""
+        """Ends a complete stream."""
         self._disconnect_backpressure()
         self.exchange.end()
 
@@ -33,23 +33,23 @@
         self._answer_error(REJECTED_STATUS, message, headers)
 
     def abort(self, timed_out: bool) -> None:
-        """Answers that the request has possibly been executed."""
+        """Answers that the request was possibly executed."""
         self._answer_error(TIMED_OUT_STATUS if timed_out else ABORTED_STATUS, "broken off: it may have run")
 
     def _answer_error(self, status: int, message: str, headers: tuple[tuple[str, str], ...] = ()) -> None:
         if self.begun:
             self._disconnect_backpressure()
-            self.exchange.truncate()  # without the last chunk, by which the client sees that it is not whole
+            self.exchange.truncate()  # no last chunk: the client detects the truncation
         else:
             self.exchange.answer(status, errors.error(message, "server_error"), headers=headers)
 
 
 class NodeClients:
-    """Takes the calls of clients; `ready` says whether new ones should come."""
+    """Handles client calls; `ready` is what the readiness path reports while the policy works."""
 
     def __init__(self, core: NodeCore) -> None:
         self.core = core
-        self.request_classes = {name: at for at, name in enumerate(core.request_classes)}
+        self.request_classes = {name: index for index, name in enumerate(core.request_classes)}
         self.ready = False
 
     def __call__(self, exchange: Exchange) -> None:
@@ -69,7 +69,7 @@
         exchange.answer(status, text, "text/plain")
 
     def _answer_invalid(self, exchange: Exchange, status: int, message: str) -> None:
-        """Answers what is no valid request, and closes its connection, whose framing may be wrong too."""
+        """Answers an invalid request and closes its connection, whose framing may be wrong too."""
         self.core.metrics.turned_away(str(status))
         exchange.close_after_answer()
         exchange.answer(status, errors.error(message, "invalid_request_error"))
--- a/worksmux/node/config.py
+++ b/worksmux/node/config.py
@@ -1,4 +1,4 @@
-"""The configuration of a node: the file that LB_CONFIG names, and single variables for what it leaves out."""
+"""The node's configuration: the file named by LB_CONFIG, with environment variables for missing values."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from .endpoint_list import HostList
 from .errors import ConfigError
 
-Address = tuple[str, int]  # host, port
+Address = tuple[str, int]  # host and port
 
 FILE_VARIABLE = "LB_CONFIG"
 NAME_VARIABLE = "LB_NAME"
 LISTEN_VARIABLE = "LB_LISTEN"
 DISCOVERY_VARIABLE = "LB_DISCOVERY"
-MAX_QUOTED_CHARACTERS = 60  # of a wrong value, in an error
+MAX_QUOTED_CHARACTERS = 60  # of an invalid value in an error message
 
 
 class _Limits(msgspec.Struct):
@@ -51,18 +51,18 @@
     listen: Address
     discovery: Address
     seed: int
-    cores: float  # the part of one core that the node gets
-    memory_bytes: float  # 0: no limit is named
-    sockets: int  # file descriptors in all
-    known: HostList  # the endpoint list as this node last had it
-    settings: PolicySettings  # of the policy
+    cores: float  # CPU limit in cores, may be below 1
+    memory_bytes: float  # 0: no limit is given
+    sockets: int  # limit of open file descriptors
+    known: HostList  # the last endpoint list of an earlier run
+    settings: PolicySettings
     request_classes: list[str]
     kinds: list[str]
     zones: list[str]
 
 
 def parse_address(text: str | None, place: str) -> Address:
-    """Parses an address; `place` stands in the error. Raises ConfigError.
+    """Parses an address; `place` is its location for the error message. Raises ConfigError.
 
     >>> parse_address("127.0.0.1:3000", "listen")
     ('127.0.0.1', 3000)
@@ -71,12 +71,12 @@
     worksmux.node.errors.ConfigError: f: $.listen: an address host:port was expected, found 127.0.0.1
     """
     if not text:
-        raise ConfigError(f"{place}: an address host:port was expected, it is missing")
+        raise ConfigError(f"{place}: an address host:port was expected, but it is missing")
     try:
         return units.address(text)
     except ValueError:
-        found = text[:MAX_QUOTED_CHARACTERS]
-        raise ConfigError(f"{place}: an address host:port was expected, found {found}") from None
+        quoted = text[:MAX_QUOTED_CHARACTERS]
+        raise ConfigError(f"{place}: an address host:port was expected, found {quoted}") from None
 
 
 def _parse_seed(value: str | int, place: str) -> int:
@@ -87,30 +87,30 @@
 
 
 def parse_config(data: bytes, place: str, variables: Mapping[str, str]) -> Config:
-    """Parses a file; `place` is its name, for errors. What it leaves out is taken from the variables.
+    """Parses a configuration file; environment variables replace a missing name, `listen` or `discovery`.
 
-    Raises ConfigError.
+    `place` is the file's name for error messages. Raises ConfigError.
     """
     try:
         file = FILE_DECODER.decode(data)
         settings = settings_from(file.settings, "$.settings")
         root = JsonObject(file.settings, "$.settings")
         request_classes = [
-            JsonObject(service, f"$.settings.services[{at}]").text("name")
-            for at, service in enumerate(file.settings["services"])
+            JsonObject(service, f"$.settings.services[{index}]").text("name")
+            for index, service in enumerate(file.settings["services"])
         ]
         kinds, zones = root.texts("kinds"), root.texts("zones", [])
-    except (PlatformSettingsError, msgspec.ValidationError) as error:  # they name the place in the file
+    except (PlatformSettingsError, msgspec.ValidationError) as error:  # its text names the place in the file
         raise ConfigError(f"{place}: {error}") from None
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise ConfigError(f"{place}: {len(data)} bytes: whole JSON was expected: {error}") from None
     if len(settings.engine_roles) != len(kinds):
         raise ConfigError(
-            f"{place}: $.settings.extra.duty_by_kind: one role a kind was expected, {len(kinds)}"
+            f"{place}: $.settings.extra.duty_by_kind: {len(kinds)} roles were expected, one per kind"
         )
     name = file.name or variables.get(NAME_VARIABLE)
     if not name:
-        raise ConfigError(f"{place}: $.name: a name was expected, neither it nor {NAME_VARIABLE} is given")
+        raise ConfigError(f"{place}: $.name: a name was expected, but neither it nor {NAME_VARIABLE} is set")
     listen = file.listen or variables.get(LISTEN_VARIABLE)
     discovery = file.discovery or variables.get(DISCOVERY_VARIABLE)
     return Config(
@@ -130,14 +130,16 @@
 
 
 def load(variables: Mapping[str, str]) -> Config:
-    """Reads the file that the environment's variables name. Raises ConfigError."""
+    """Reads the configuration file that LB_CONFIG names. Raises ConfigError."""
     path = variables.get(FILE_VARIABLE)
     if not path:
         raise ConfigError(
-            f"{FILE_VARIABLE}: the path of the configuration was expected, the variable is not set"
+            f"{FILE_VARIABLE}: the path of the configuration file was expected, but the variable is not set"
         )
     try:
         data = Path(path).read_bytes()
     except OSError as error:
-        raise ConfigError(f"{path}: a configuration in JSON was expected: {error.strerror}") from None
+        raise ConfigError(
+            f"{path}: a readable configuration file in JSON was expected: {error.strerror}"
+        ) from None
     return parse_config(data, path, variables)
--- a/worksmux/node/core.py
+++ b/worksmux/node/core.py
@@ -1,4 +1,4 @@
-"""The life of requests on the platform's protocol: attempts, KV cache and its release, health checks."""
+"""The request lifecycle in the platform's protocol: attempts, KV cache releases, health checks."""
 
 from __future__ import annotations
 
@@ -23,23 +23,22 @@
 from .unresponsive_attempts import UnresponsiveAttemptMonitor
 
 HOST = "app.svc"
-MAX_HEAD_BYTES = 2**14  # of an engine's reply
-MAX_BODY_BYTES = 2**18  # of a client's request and an engine's reply
-MAX_STREAM_GAP_MS = 4000.0  # between two events; a client waits for at most 5 s
-# Each call opens a connection of its own. An attempt that breaks on a reused connection has possibly been
-# executed, as engines close idle ones at any moment, while a connection that can't be opened proves that it
-# has not.
+MAX_HEAD_BYTES = 2**14  # of an engine reply
+MAX_BODY_BYTES = 2**18  # of a client request or an engine reply
+MAX_STREAM_GAP_MS = 4000.0  # between two events; clients wait for at most 5 s
+# Each call opens its own connection. An attempt whose reused connection breaks was possibly executed, as
+# engines close idle connections at any moment; a connection that cannot be opened proves that it was not.
 MAX_IDLE_CONNECTIONS = 0
-CLIENT_RTT_ALLOWANCE_MS = 10.0  # subtracted from the client's time left, for the way there and back
-CLOSE_SETTLE_MS = 20.0  # for an engine to see the close of an attempt's connection
-HELD_BACK_STEPS = 2  # steps of a release: for so long an attempt waits for its acknowledgement
-DEFAULT_RELEASE_TIME_LIMIT_MS = 1000.0  # where the settings name none
-DEFAULT_CONNECT_TIMEOUT_MS = 250.0  # where the settings name none
+CLIENT_RTT_ALLOWANCE_MS = 10.0  # subtracted from the client's time left for the round trip
+CLOSE_SETTLE_MS = 20.0  # for an engine to see that an attempt's connection closed
+MAX_RELEASE_WAIT_STEPS = 2  # release steps that an attempt waits for an acknowledgement
+DEFAULT_RELEASE_TIME_LIMIT_MS = 1000.0  # if the settings have none
+DEFAULT_CONNECT_TIMEOUT_MS = 250.0  # if the settings have none
 OUTCOMES_UNSEEN_BY_ENGINE = frozenset({Outcome.CANCELLED, Outcome.TIMED_OUT, Outcome.RESET})
 
 
 class NodeCore(RequestLifecycle):
-    """All open requests of a node."""
+    """Manages all open requests of a node."""
 
     metrics: NodeCounts
 
@@ -61,12 +60,12 @@
         self.unresponsive_attempts = UnresponsiveAttemptMonitor(
             reactor, self.releaser, self._check_liveness if id_map.settings.may_check_health else None
         )
-        self.kv_claims: dict[Request, KvClaims] = {}  # of the open requests
+        self.kv_claims: dict[Request, KvClaims] = {}  # claims of the open requests
         self.prefill_work = PrefillWorkEstimate(self.releaser.time_limit_ms)
-        self._releases_due: list[RequestContext] = []  # after the round
+        self._releases_due: list[RequestContext] = []  # releases to start after the round
 
     def arrived(self, client_request: ClientRequest, client_side: Client, arrived: float) -> RequestContext:
-        """Accepts a request that came at `arrived` (milliseconds of the clock)."""
+        """Accepts a request that arrived at `arrived` (clock time in ms)."""
         self.last_request_id += 1
         request = Request(
             self.last_request_id,
@@ -88,10 +87,10 @@
         return self._accept(context)
 
     def _close(self, context: RequestContext) -> None:
-        """Closes a request; starts the release of what its attempts have left.
+        """Starts the release of KV cache that the request's attempts have left, and closes the request.
 
-        Failure: the node stops with its last request. The release starts first, so that the node waits for
-        it.
+        Failure: the node exits after its last request without releasing the KV cache. The release starts
+        before the request is closed, so that the node waits for it.
         """
         if not context.in_flight and context.request in self.open_requests:
             self._start_release(context)
@@ -99,11 +98,11 @@
         super()._close(context)
 
     def _answer_for_policy(self, request: Request, answer: FinalAnswer, retry_after_ms: float = 0.0) -> None:
-        """Gives the final answer; a rejection waits until engines have seen the end of cancelled attempts.
+        """Sends the final answer; a rejection waits until engines have seen the end of cancelled attempts.
 
-        Failure: the rejection overtakes the close of an attempt's connection. The client retries while the
-        engine still executes the first attempt, which shows as a side effect that happens twice. Idempotent
-        requests need no wait.
+        Failure: the rejection reaches the client before the engine sees the attempt's connection close. The
+        client retries while the engine still executes the first attempt, which shows as a duplicated side
+        effect. Idempotent requests need no wait.
         """
         context = self.open_requests.get(request)
         if (
@@ -127,7 +126,7 @@
     def _release_kv_cache(self, request: Request) -> None:
         context = self.open_requests.get(request)
         if context is not None:
-            self._releases_due.append(context)  # the same round may start an attempt that pauses the release
+            self._releases_due.append(context)  # the same round may start an attempt, which pauses releases
 
     def _after_round(self) -> None:
         super()._after_round()
@@ -136,7 +135,7 @@
             self._start_release(context)
 
     def _start_release(self, context: RequestContext) -> None:
-        """Releases what is held for a request, unless an attempt with a connection is in flight."""
+        """Releases the KV cache held for a request, unless an attempt with a connection is in flight."""
         claims = self.kv_claims.get(context.request)
         if claims is None or any(call.call.up for call in context.in_flight.values()):
             return
@@ -149,7 +148,7 @@
         self, context: RequestContext, attempt: Attempt, outcome: Outcome, call: NodeAttempt
     ) -> None:
         if call is None or outcome in (Outcome.UNREACHABLE, Outcome.NOT_SENT):
-            return  # it never arrived: the time limit of the release runs on
+            return  # it never arrived: the time limit of the release continues
         now = clock.now()
         claims = self.kv_claims[context.request]
         self.releaser.stop_beside(claims)
@@ -165,7 +164,7 @@
             self._monitor(context, other)
 
     def _work_left_ms(self, context: RequestContext, call: NodeAttempt, now: float) -> float:
-        """How long an engine that runs may go on with an attempt that this side has given up."""
+        """Returns how long an engine that runs may continue an abandoned attempt."""
         if not call.is_prefill:
             return 0.0  # a decode engine that waits for KV cache stops at once
         return self.prefill_work.work_left_ms(
@@ -173,19 +172,19 @@
         )
 
     def _on_answer_begun(self, context: RequestContext) -> None:
-        """The decode engine has taken one KV cache; what other prefills left is released at the end."""
+        """Removes the claim of the KV cache that the decode engine took; other claims are released later."""
         if context.request.kv_holder is not None:
             self.kv_claims[context.request].remove_taken(context.request.kv_holder)
 
     def _monitor(self, context: RequestContext, call: NodeAttempt) -> None:
-        """Monitors an attempt where KV cache may be held for its request beside it."""
+        """Starts monitoring an attempt if other KV cache may be held for its request."""
         claims = self.kv_claims[context.request]
         if claims.claims and not call.monitored:
             call.monitored = True
             self.unresponsive_attempts.watch(claims, call, lambda: self._start_release(context))
 
     def _check_liveness(self, engine: Engine) -> None:
-        """Sends a health check whose result the policy does not get; any reply shows that the engine runs."""
+        """Sends a health check only to see whether the engine replies; the policy does not get the result."""
         self.check_health(engine, lambda _: None)
 
     # Attempts.
@@ -193,8 +192,10 @@
     def _open_attempt(
         self, context: RequestContext, attempt: Attempt, pool: client.Pool, timeout_ms: float
     ) -> NodeAttempt:
-        make = PrefillAttempt if attempt.is_prefill else DecodeAttempt
-        node_attempt = make(self.reactor, pool, attempt, self, timeout_ms, MAX_STREAM_GAP_MS, MAX_BODY_BYTES)
+        attempt_class = PrefillAttempt if attempt.is_prefill else DecodeAttempt
+        node_attempt = attempt_class(
+            self.reactor, pool, attempt, self, timeout_ms, MAX_STREAM_GAP_MS, MAX_BODY_BYTES
+        )
         node_attempt.report_fields = list(self.module_settings.load_report_fields)
         call = node_attempt.send(context.client_request, timeout_ms)
         if call.up:
@@ -205,11 +206,11 @@
         return node_attempt
 
     def _on_connected(self, context: RequestContext, call: NodeAttempt) -> None:
-        """Sends the attempt now that its connection is up, or withdraws it.
+        """Sends the attempt on its established connection, or withdraws it.
 
-        Failure: connecting can take longer than the request lives. The client disconnects, another attempt
-        answers, or the engine starts draining, and the request would run for nobody. Nothing has been written
-        yet, so withdrawing here is proof that the engine did not execute it.
+        Failure: while connecting, the client disconnects, another attempt answers, or the engine starts
+        draining, and the attempt executes for nobody. Nothing was written yet, so withdrawing the attempt
+        here proves that the engine did not execute it.
         """
         if not context.final_answer and context.client.is_disconnected():
             self.client_disconnected(context)
@@ -224,10 +225,10 @@
     def _wait_for_release(
         self, context: RequestContext, node_attempt: NodeAttempt, release: KvRelease
     ) -> None:
-        """Holds an attempt back until the release is acknowledged, or for `HELD_BACK_STEPS`.
+        """Delays an attempt until the release is acknowledged, at most for `MAX_RELEASE_WAIT_STEPS`.
 
-        Failure: the attempt would pause a release that is due, or the release would free the KV cache that
-        the attempt brings.
+        Failure: the attempt pauses a release that is due, or the release frees the KV cache that the attempt
+        produces.
         """
         assert node_attempt.call is not None
         node_attempt.has_waited_for_release = node_attempt.call.held_back = True
@@ -240,11 +241,11 @@
                 self._on_connected(context, node_attempt)
                 node_attempt.resume()
 
-        timer = TimeOut(self.reactor, HELD_BACK_STEPS * self.releaser.step_ms / 1000, resume)
+        timer = TimeOut(self.reactor, MAX_RELEASE_WAIT_STEPS * self.releaser.step_ms / 1000, resume)
         release.on_acknowledged = resume
 
     def _on_written(self, context: RequestContext, call: NodeAttempt) -> None:
-        """The attempt is about to be written: no release may free its KV cache."""
+        """Pauses releases as the attempt is about to be written: none may free its KV cache."""
         self.releaser.pause(self.kv_claims[context.request])
         call.written_at = clock.now()
         self._monitor(context, call)
@@ -268,12 +269,12 @@
         )
 
     def _reserve_slot(self, request: Request, engine: Engine) -> None:
-        raise LookupError("the platform's protocol has no reservation of decode slots")
+        raise LookupError("the policy reserved a decode slot, which the platform's protocol does not support")
 
     # The endpoint list.
 
     def address_changed(self, engine: Engine, host: str, port: int) -> None:
-        """An engine has a new address, or its first."""
+        """Replaces the connection pool of an engine with a new or first address."""
         super().address_changed(engine, host, port)
         self.release_targets.add(engine)
         self.pools[engine].on_heard = lambda: self.release_targets.mark_responsive(engine)
@@ -294,7 +295,7 @@
     def forget_gone(self) -> list[Engine]:
         """Forgets and returns the engines that have left the list and that the policy no longer needs.
 
-        Failure: in a fleet whose engines are replaced all day, memory would grow with each that has left.
+        Failure: in a fleet whose engines are constantly replaced, memory grows with each engine that leaves.
         """
         gone = [engine for engine in self.pools if engine.state == "gone" and self.id_map.forget(engine)]
         for engine in gone:
--- a/worksmux/node/counters.py
+++ b/worksmux/node/counters.py
@@ -1,4 +1,4 @@
-"""What a node counts of itself, for its log: the platform has no listener for metrics."""
+"""The node's counters, written to its log: the platform has no listener for metrics."""
 
 from __future__ import annotations
 
@@ -9,50 +9,50 @@
 
 
 class NodeCounts:
-    """Counters since they were last taken, a `forwarding.counters.Counters`."""
+    """Counters since the last `take`; implements `forwarding.counters.Counters`."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
-        self.open = 0  # requests
+        self.open = 0  # open requests
 
     def arrived(self, request_class: str) -> None:
-        """A request was accepted."""
+        """Counts an accepted request."""
         self.open += 1
         self.counts["accepted"] += 1
 
     def ended(
         self, request_class: str, answer: str, ms: float, first_ms: float | None, attempts: int
     ) -> None:
-        """A request has its final answer."""
+        """Counts a request that has its final answer."""
         self.open -= 1
         self.counts[answer] += 1
 
     def attempt(self, stage: str) -> None:
-        """An attempt was started, or was moot."""
+        """Counts an attempt that was started or was moot."""
         self.counts[STAGE_FIELDS[stage]] += 1
 
     def probe(self, outcome: str) -> None:
-        """A health check ended."""
+        """Counts a health check that ended."""
         self.counts["health_checks"] += 1
 
     def release(self) -> None:
-        """A release of KV cache was started."""
+        """Counts the start of a KV cache release."""
         self.counts["releases"] += 1
 
     def overdue(self) -> None:
-        """A request missed its deadline."""
+        """Counts a request that missed its deadline."""
         self.counts["deadlines_missed"] += 1
 
     def decision_round(self, ms: float, events: int) -> None:
-        """The policy decided on a batch of events."""
+        """Counts a decision round."""
         self.counts["decision_rounds"] += 1
 
     def turned_away(self, reason: str) -> None:
-        """A call of a client was answered without becoming a request."""
+        """Counts a client call that was answered without becoming a request."""
         self.counts[f"turned away: {reason}"] += 1
 
     def closed(self, closes: Counter[str]) -> None:
-        """Connections of clients that this side ended, by reason."""
+        """Counts client connections that the node closed, by reason."""
         for reason, count in closes.items():
             self.counts[f"closed: {reason}"] += count
 
--- a/worksmux/node/discovery_watch.py
+++ b/worksmux/node/discovery_watch.py
@@ -1,4 +1,4 @@
-"""One watch on discovery: an HTTP reply that stays open and brings JSON objects, one for each change."""
+"""A watch on discovery: an open HTTP reply that streams one JSON object per change."""
 
 from __future__ import annotations
 
@@ -9,56 +9,56 @@
 from ..net import client
 from .endpoint_list import HOST_LIST_DECODER, HostList
 
-MAX_OBJECT_BYTES = 2**22  # of a list with thousands of engines, indented
-PARSE_GROWTH = 1.5  # an incomplete object is parsed again once it has grown by this factor
+MAX_OBJECT_BYTES = 2**22  # enough for an indented list of thousands of engines
+PARSE_GROWTH = 1.5  # an incomplete object is parsed again after growing by this factor
 
 
 class WatchOwner(Protocol):
-    """Is called with what a watch meets."""
+    """Receives the events of a watch."""
 
     address: tuple[str, int]
 
     def on_event(self, watch: DiscoveryWatch, hosts: HostList | None) -> None:
-        """An object has come, or an empty line (None), which is a heartbeat."""
+        """Handles a received list, or a heartbeat (None), which is an empty line."""
 
     def on_corrupt_event(self, watch: DiscoveryWatch, reason: str) -> None:
-        """What came is no object."""
+        """Handles data that is not a valid object."""
 
     def on_lost(self, watch: DiscoveryWatch, reason: str) -> None:
-        """The watch has ended."""
+        """Handles the end of the watch."""
 
 
 class DiscoveryWatch:
-    """Receives one reply; what comes after its end is dropped. An object may come on several lines."""
+    """Receives one reply and drops data after its end. An object may span several lines."""
 
     def __init__(self, owner: WatchOwner, now: float) -> None:
-        """`now` is the time at which it is opened, milliseconds of the clock."""
+        """`now` is the clock time in ms at which the watch is opened."""
         self.owner, self.opened_at, self.address = owner, now, owner.address
         self.call: client.Call | None = None
         self.over = False
-        self._line_begin = bytearray()  # of a line that is not whole
-        self._lines: list[bytes] = []  # of an object that is not whole
-        self._size = 0  # bytes in them
-        self._parsed_size = 0  # their bytes at the last parse, which failed
-        self._open_braces = 0  # in them, if no name has a brace
+        self._line_begin = bytearray()  # of an incomplete line
+        self._lines: list[bytes] = []  # of an incomplete object
+        self._size = 0  # bytes in these lines
+        self._parsed_size = 0  # bytes at the last failed parse
+        self._open_braces = 0  # in these lines, counting braces inside strings too
 
     @property
     def has_partial_object(self) -> bool:
-        """Whether an object has begun that is not whole."""
+        """Whether an object was received in part."""
         return bool(self._line_begin or self._lines)
 
     # Called by `net.client` with the reply.
 
     def head(self, status: int, headers: dict[str, str]) -> None:
-        """Takes the head of the reply."""
+        """Receives status and headers of the reply."""
         if status != 200:
             self.end(f"status {status}")
 
     def piece(self, data: bytes) -> None:
-        """Takes a piece of the reply.
+        """Receives a piece of the reply.
 
-        Failure: a long list in many small pieces, where copying all that came before with each piece would
-        block the reactor. Each piece is appended to the buffer.
+        Failure: a long list arrives in many small pieces, and copying the earlier ones for each piece blocks
+        the reactor. Each piece is appended to a buffer instead.
         """
         end, *begins = data.split(b"\n")
         self._line_begin += end
@@ -70,23 +70,23 @@
             self.owner.on_corrupt_event(self, "an object is too long")
 
     def done(self) -> None:
-        """The reply has ended."""
+        """Handles the end of the reply."""
         self.end("it ended")
 
-    def failed(self, trouble: client.CallError) -> None:
-        """The call ended without a whole reply."""
-        self.end(str(trouble))
+    def failed(self, error: client.CallError) -> None:
+        """Handles the failure of the call."""
+        self.end(str(error))
 
-    # Its end.
+    # End of the watch.
 
     def end(self, reason: str) -> None:
-        """Closes the watch and tells its owner."""
+        """Closes the watch and reports the end to its owner."""
         if not self.over:
             self.close()
             self.owner.on_lost(self, reason)
 
     def close(self) -> None:
-        """Closes the watch; its owner is not called any more."""
+        """Closes the watch; its owner is not called afterwards."""
         self.over = True
         if self.call is not None:
             self.call.abandon()
@@ -101,10 +101,10 @@
         self._lines.append(line)
         self._size += len(line)
         self._open_braces += line.count(b"{") - line.count(b"}")
-        # A brace in a name hides the end of an object from the count; an empty line shows it.
+        # A brace inside a string makes the count miss the end of an object; an empty line marks it then.
         if not text and self._size > self._parsed_size and self._parse():
             return
-        if not text.endswith(b"}"):  # the object can't end here
+        if not text.endswith(b"}"):  # the object cannot end here
             if not text or not self._lines[0].lstrip().startswith(b"{"):
                 self.owner.on_corrupt_event(self, "no object")
             return
@@ -113,10 +113,10 @@
         self._parse()
 
     def _parse(self) -> bool:
-        """Parses the lines so far; returns whether the object is whole.
+        """Parses the lines so far; returns whether they are a complete object.
 
-        Failure: a list with a line for each of thousands of engines is parsed from its start at each line,
-        which blocks the reactor. `PARSE_GROWTH` bounds how often.
+        Failure: a list with one line for each of thousands of engines is parsed from the start at each line,
+        which blocks the reactor. `PARSE_GROWTH` bounds the number of parses.
         """
         self._parsed_size = self._size
         try:
--- a/worksmux/node/endpoint_list.py
+++ b/worksmux/node/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The platform's endpoint list in JSON, converted into the form of `endpoints.list_reader`. Free of I/O."""
+"""Conversion of the platform's JSON endpoint list for `endpoints.list_reader`, without I/O."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Endpoint(msgspec.Struct):
-    """One engine; `since_ms` is its latest start in Unix time, 0 for long ago."""
+    """One engine of the list; `since_ms` is its latest start in Unix time, 0 for long ago."""
 
     name: str
     address: str = ""
@@ -27,7 +27,7 @@
 
 
 class HostList(msgspec.Struct):
-    """The whole list (a snapshot) or the endpoints that changed."""
+    """The full list (a snapshot) or the endpoints that changed."""
 
     index: int = 0
     snapshot: bool = True
@@ -40,8 +40,8 @@
 def convert(hosts: HostList, previous_index: int, wall_ms: float) -> tuple[Listing, list[str]]:
     """Converts a list; returns it with a note for each endpoint that was left out.
 
-    `wall_ms` is Unix time. `previous_index` is taken for the index before: no change is ever missed on this
-    platform, as a watch opens with what changed since the index that it names, or with the whole list.
+    `wall_ms` is Unix time. `previous_index` is used as the index before this list: this platform never skips
+    a change, as a watch starts with the changes since the index that it requests, or with the full list.
     """
     lines, notes = [], []
     for endpoint in hosts.endpoints:
@@ -55,7 +55,7 @@
 
 
 def _convert_endpoint(endpoint: Endpoint) -> Line | str:
-    """The endpoint's line, or a note on why it has none."""
+    """Returns the endpoint's line, or a note on why it is left out."""
     if endpoint.status not in STATES:
         return f"engine {endpoint.name}: unknown status {endpoint.status[:40]}"
     state = STATES[endpoint.status]
@@ -64,7 +64,7 @@
     except ValueError:
         if state != "gone":
             return f"engine {endpoint.name}: no address host:port: {endpoint.address[:60]}"
-        host, port = "", 0  # it keeps the address that it had
+        host, port = "", 0  # the engine keeps its known address
     return Line(
         endpoint.name,
         host,
--- a/worksmux/node/engine_reply.py
+++ b/worksmux/node/engine_reply.py
@@ -1,4 +1,4 @@
-"""What an engine's whole reply means."""
+"""Interpretation of complete engine replies."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from ..policy.state import Outcome
 from .protocol import NOT_EXECUTED, parse_attributes
 
-KV_CACHE_LOST = 410  # the status of a decode engine that could not get the KV cache
+KV_CACHE_LOST = 410  # status of a decode engine that could not fetch the KV cache
 REJECTING_STATUSES = frozenset({503, 504, KV_CACHE_LOST})
 
 
 class CachedTokens(msgspec.Struct):
-    """How much of a prompt had its KV cache ready."""
+    """The number of prompt tokens found in KV cache."""
 
     cached_tokens: int = 0
 
@@ -21,7 +21,7 @@
 
 
 def cached_tokens(body: bytes) -> int:
-    """The cached tokens in the reply to a prefill; 0 where it names none."""
+    """Returns the cached tokens from the reply to a prefill; 0 if it has none."""
     try:
         return max(0, CACHED_TOKENS_DECODER.decode(body).cached_tokens)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
@@ -29,7 +29,9 @@
 
 
 def rejection(status: int, headers: dict[str, str]) -> tuple[Outcome, int]:
-    """Outcome and note of a reply that is neither an answer nor a finished prefill; note 1: KV cache lost.
+    """Returns outcome and note of a reply that is neither an answer nor a finished prefill.
+
+    Note 1 means that the KV cache is lost.
 
     >>> rejection(503, {"x-not-processed": "1"}), rejection(410, {"x-not-processed": "1"})
     ((<Outcome.FULL: 'full'>, 0), (<Outcome.FULL: 'full'>, 1))
@@ -42,7 +44,7 @@
 
 
 def parse_load_report(text: str | None, fields: list[str]) -> dict[str, float] | None:
-    """The figures of a load report that `fields` names; None where there are none or they can't be parsed.
+    """Returns the metrics of a load report that `fields` names; None without any or if parsing fails.
 
     >>> parse_load_report("inflight=7,queue=2,util=0.61", ["inflight", "util"])
     {'inflight': 7.0, 'util': 0.61}
@@ -50,12 +52,12 @@
     (None, None)
     """
     try:
-        figures = {name: float(value) for name, value in parse_attributes(text).items()}
+        metrics = {name: float(value) for name, value in parse_attributes(text).items()}
     except ValueError:
         return None
     report = {
-        name: figures[name]
+        name: metrics[name]
         for name in fields
-        if name in figures and figures[name] == figures[name]  # no NaN
+        if name in metrics and metrics[name] == metrics[name]  # not NaN
     }
     return report or None
--- a/worksmux/node/errors.py
+++ b/worksmux/node/errors.py
@@ -1,4 +1,4 @@
-"""The errors of a node."""
+"""Errors of the node package."""
 
 from __future__ import annotations
 
@@ -10,12 +10,11 @@
 
 
 class ConfigError(NodeError):
-    """The configuration is wrong; one line with the file or variable, the place in it, and what was
-    expected."""
+    """An invalid configuration; one line with the file or variable, the place, and what was expected."""
 
 
 class InvalidRequestError(NodeError):
-    """A client's request is rejected before it is accepted; `status` and `reason` stand in the answer."""
+    """An invalid client request, which is answered with `status` and `reason`."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -23,8 +22,7 @@
 
 
 class CorruptStreamError(NodeError):
-    """An engine's stream holds what is no event; `intact` are the whole events before it that were not
-    relayed."""
+    """Invalid data in an engine's stream; `intact` has the complete events before it, not relayed yet."""
 
     def __init__(self, reason: str, intact: bytes = b"") -> None:
         super().__init__(reason)
--- a/worksmux/node/event_stream.py
+++ b/worksmux/node/event_stream.py
@@ -1,4 +1,4 @@
-"""Cuts an engine's stream into whole server-sent events and checks each."""
+"""Splits an engine's stream into server-sent events and validates each."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 
 
 class EventStream:
-    """One stream; its events are relayed unchanged.
+    """One stream whose events are relayed unchanged.
 
-    Failure: a transfer chunk with a wrong size lets other bytes in among the events. Each event is checked,
-    so that they end the stream instead of reaching the client.
+    Failure: a transfer chunk with a wrong size mixes other bytes into the events. Each event is validated, so
+    that such bytes end the stream instead of reaching the client.
 
     >>> stream = EventStream(1000)
     >>> stream.feed(b'data: {"choices":[]}\\n\\nda')
@@ -43,15 +43,15 @@
 
     def __init__(self, max_event_bytes: int) -> None:
         self.max_event_bytes = max_event_bytes
-        self.done = False  # the last event has come
+        self.done = False  # the last event was received
         self.cached_tokens = 0
         self.load_report: str | None = None
         self._rest = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Takes a piece of the stream and returns the events that are whole with it.
+        """Adds a piece of the stream and returns the events that it completes.
 
-        Raises CorruptStreamError, with the whole events before the fault.
+        Raises CorruptStreamError, with the complete events before the invalid data.
         """
         buffer, events, begin = self._rest + data, [], 0  # type: bytes, list[bytes], int
         for blank_line in EVENT_END.finditer(buffer):
@@ -64,22 +64,22 @@
             begin = blank_line.end()
         self._rest = buffer[begin:]
         if len(self._rest) > self.max_event_bytes:
-            raise CorruptStreamError("an event does not end", b"".join(events))
+            raise CorruptStreamError("an event exceeds the maximum size", b"".join(events))
         return b"".join(events)
 
     @property
     def is_cut(self) -> bool:
-        """Whether an event has begun that is not whole."""
+        """Whether the last event is incomplete."""
         return any(line.strip() and not line.startswith(b":") for line in self._rest.split(b"\n"))
 
     def _check(self, event: bytes) -> bytes:
-        """The part of an event that is relayed: no comments, and nothing after the last event."""
+        """Returns the part of an event to relay: without comments, and empty after the last event."""
         if event.startswith(b":") or b"\n:" in event:
             event = b"\n".join(line for line in event.split(b"\n") if not self._take_comment(line))
         if not event.strip() or self.done:
             return b""
         if not event.startswith(DATA_FIELD):
-            raise CorruptStreamError("no event")
+            raise CorruptStreamError("a block without a data field")
         data = event.removeprefix(DATA_FIELD).strip()
         if data == LAST_EVENT:
             self.done = True
@@ -87,13 +87,13 @@
         try:
             usage = CHUNK_DECODER.decode(data).usage
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-            raise CorruptStreamError("an event that can't be read") from None
+            raise CorruptStreamError("an event whose data is not a valid chunk") from None
         if usage is not None and usage.prompt_tokens_details is not None:
             self.cached_tokens = usage.prompt_tokens_details.cached_tokens
         return event
 
     def _take_comment(self, line: bytes) -> bool:
-        """Whether a line is a comment; the engine's load report stands in one."""
+        """Whether a line is a comment; stores the load report if the comment has one."""
         if not line.startswith(b":"):
             return False
         name, _, value = line[1:].partition(b":")
--- a/worksmux/node/kv_claims.py
+++ b/worksmux/node/kv_claims.py
@@ -1,28 +1,26 @@
-"""KV cache that engines may hold for one request, attempt by attempt. Free of I/O and clock.
-
-Each attempt that may have left KV cache at its engine has a claim of its own; two attempts at one engine have
-two. The states of a claim and its transitions:
-
-    state      meaning                                    next HELD       the engine has finished prefill
-    removed, when a decode engine takes that KV cache or any
-                                                          engine acknowledges a release
-    POSSIBLE   this side ended the attempt, or its        RELEASED, when any engine acknowledges a release
-               connection broke: KV cache may be there
-               now, or appear later
-    RELEASED   nothing is there now; KV cache may still   removed, when its engine acknowledges a release
-    after
-               appear                                     it has run for long enough to finish its work
-
-A release acknowledged by any running engine frees all KV cache that is held for its request at that moment,
-wherever it lies. It does not free what an engine finishes later: an engine that is cut off or hangs has not
-seen the attempt's end, and one that has seen it may go on with a prefill that has begun. So a POSSIBLE claim
-is removed only by a release that its own engine acknowledges, once that engine is known to have run for as
-long as the work may take.
-
-The time limit for a release counts from `due_since`. It restarts when an attempt ends that is known to have
-arrived; an attempt that may not have arrived leaves it as it is, unless a release was acknowledged beside it.
-
-Times are milliseconds of one clock.
+"""KV cache that engines may hold for one request, tracked per attempt, without I/O or clock.
+
+Each attempt that may have left KV cache at its engine has its own claim; two attempts at one engine have two.
+The states of a claim and its transitions:
+
+- HELD: the engine has finished prefill. Removed when a decode engine takes that KV cache or any engine
+  acknowledges a release.
+- POSSIBLE: this process ended the attempt, or its connection broke; KV cache may exist now or appear later.
+  Becomes RELEASED when any engine acknowledges a release.
+- RELEASED: no KV cache exists now, but it may still appear. Removed when the claim's engine acknowledges a
+  release after it has run for long enough to finish its work.
+
+A release acknowledged by any running engine frees all KV cache held for the request at that moment, at every
+engine. It does not free KV cache that an engine finishes later: an engine that is cut off or hangs has not
+seen the end of the attempt, and one that has seen it may continue a prefill that has begun. So a POSSIBLE
+claim is removed only by a release that its own engine acknowledges, after that engine is known to have run
+for as long as the work may take.
+
+The time limit of a release counts from `due_since`. The end of an attempt that is known to have arrived
+restarts it. The end of an attempt that may not have arrived does not, unless a release was acknowledged
+beside that attempt.
+
+All times are clock times in ms.
 """
 
 from __future__ import annotations
@@ -33,11 +31,11 @@
 
 from ..policy.state import Engine
 
-MAX_SILENCE_MS = 30_000.0  # an engine that is silent for longer has lost what it held
+MAX_SILENCE_MS = 30_000.0  # an engine that is silent for longer no longer holds KV cache
 
 
 class ClaimState(Enum):
-    """What is known of the KV cache that an attempt may have left."""
+    """What is known about the KV cache that an attempt may have left."""
 
     HELD = "held"
     POSSIBLE = "possible"
@@ -46,19 +44,19 @@
 
 @dataclass(eq=False, slots=True)
 class KvClaim:
-    """What one attempt may have left at its engine."""
+    """The KV cache that one attempt may have left at its engine."""
 
     engine: Engine
     state: ClaimState
-    since: float  # the end of the attempt
-    work_left_ms: float = 0.0  # how long the engine may go on with the attempt, if it runs
-    responsive_since: float | None = None  # from when on the engine is known to run
-    refusing_since: float | None = None  # of connections, with none opened in between
+    since: float  # when the attempt ended
+    work_left_ms: float = 0.0  # how long the engine, if it runs, may continue the attempt
+    responsive_since: float | None = None  # since when the engine is known to run
+    refusing_since: float | None = None  # first of the uninterrupted connection refusals
 
     def is_settled_by(self, sent_at: float, now: float) -> bool:
-        """Notes that its engine has acknowledged a release sent at `sent_at`.
+        """Records that the claim's engine acknowledged a release sent at `sent_at`.
 
-        Returns whether KV cache can no longer appear.
+        Returns whether KV cache of this attempt can no longer appear.
         """
         if sent_at < self.since:
             return False
@@ -71,23 +69,23 @@
 
 @dataclass(eq=False, slots=True)
 class KvClaims:
-    """All claims of one request; `key` is its id towards engines."""
+    """All claims of one request; `key` is the request id that engines get."""
 
     key: str
     claims: list[KvClaim] = field(default_factory=list)
-    due_since: float | None = None  # the start of the time limit; None: nothing is held
-    acknowledged_at: float | None = None  # the last acknowledged release, or a later end of an attempt
-    # A release was acknowledged while an attempt was in flight that may not have arrived.
+    due_since: float | None = None  # start of the time limit; None: no KV cache may be held now
+    acknowledged_at: float | None = None  # last acknowledged release, or a later attempt end
+    # When a release was acknowledged while an attempt was in flight that may not have arrived.
     acknowledged_beside: float | None = None
 
     def add_held(self, engine: Engine, now: float) -> None:
-        """An engine has finished prefill, or its reply made no sense."""
+        """Adds a HELD claim: the engine finished prefill, or sent an invalid reply."""
         self._add(KvClaim(engine, ClaimState.HELD, now))
 
     def add_possible(self, engine: Engine, now: float, work_left_ms: float) -> None:
-        """This side ended an attempt, or its connection broke.
+        """Adds a POSSIBLE claim: this process ended an attempt, or its connection broke.
 
-        An engine that runs may go on with the attempt for `work_left_ms`.
+        An engine that runs may continue the attempt for `work_left_ms`.
         """
         self._add(KvClaim(engine, ClaimState.POSSIBLE, now, work_left_ms))
 
@@ -97,7 +95,7 @@
             self.due_since = claim.since
 
     def remove_taken(self, engine: Engine) -> None:
-        """A decode engine has taken the newest KV cache that `engine` held."""
+        """Removes the newest HELD claim at `engine`: a decode engine took that KV cache."""
         for claim in reversed(self.claims):
             if claim.engine is engine and claim.state is ClaimState.HELD:
                 self.claims.remove(claim)
@@ -105,14 +103,17 @@
         self._stop_if_not_due()
 
     def attempt_ended(self, now: float, arrived: bool) -> None:
-        """An attempt is over; `arrived`: its engine is known to have received it."""
+        """Applies the end of an attempt to the time limit.
+
+        `arrived` tells whether the engine is known to have received the attempt.
+        """
         if arrived or self.acknowledged_beside is not None:
             self.due_since = None if self.due_since is None else now
             self.acknowledged_at = None if self.acknowledged_at is None else now
         self.acknowledged_beside = None
 
     def release_acknowledged(self, engine: Engine, sent_at: float, now: float) -> None:
-        """An engine has acknowledged a release sent at `sent_at`; no attempt was in flight."""
+        """Applies a release sent at `sent_at` and acknowledged by `engine`, with no attempt in flight."""
         remaining = []
         for claim in self.claims:
             settled = claim.engine is engine and claim.is_settled_by(sent_at, now)
@@ -122,18 +123,18 @@
         self.claims, self.due_since, self.acknowledged_at = remaining, None, now
 
     def connection_opened(self, engine: Engine) -> None:
-        """A connection to an engine has come up: its process lives, also where it does not answer."""
+        """Records an established connection: the engine's process lives, even if it does not answer."""
         for claim in self.claims:
             if claim.engine is engine:
                 claim.refusing_since = None
 
     def connection_refused(self, engine: Engine, sent_at: float, min_refusing_ms: float) -> None:
-        """An engine's machine has refused a connection that was opened at `sent_at`.
+        """Records that a connection opened at `sent_at` was refused.
 
-        After `min_refusing_ms` of nothing but refusals its process has died, and its KV cache with it. A
-        single refusal proves nothing: an engine refuses also while its queue of connections is full.
+        After `min_refusing_ms` of refusals only, the engine's process has died and its KV cache is gone. A
+        single refusal proves nothing: an engine also refuses while its accept queue is full.
         """
-        for claim in [one for one in self.claims if one.engine is engine and sent_at >= one.since]:
+        for claim in [item for item in self.claims if item.engine is engine and sent_at >= item.since]:
             if claim.refusing_since is None:
                 claim.refusing_since = sent_at
             elif sent_at >= claim.refusing_since + min_refusing_ms:
@@ -141,7 +142,7 @@
         self._stop_if_not_due()
 
     def remove_expired(self, now: float) -> None:
-        """Removes the claims at engines that have restarted, or have been silent for `MAX_SILENCE_MS`."""
+        """Removes claims at engines that have restarted, and claims older than `MAX_SILENCE_MS`."""
         self.claims = [
             claim
             for claim in self.claims
@@ -160,7 +161,7 @@
 
     @property
     def possible_since(self) -> float | None:
-        """Since when KV cache may be held without a release; None: none is."""
+        """The time since which KV cache may be held without a release; None if none may be."""
         times = [] if self.due_since is None else [self.due_since]
         if self.acknowledged_at is not None and any(
             claim.state is ClaimState.RELEASED for claim in self.claims
@@ -169,7 +170,7 @@
         return min(times, default=None)
 
     def work_left_ms(self, now: float) -> float:
-        """How long it takes at most until engines that run have finished; infinite where one is silent."""
+        """Returns the longest time until all engines have finished; infinite while one is unresponsive."""
         ends = [
             inf if claim.responsive_since is None else claim.responsive_since + claim.work_left_ms
             for claim in self.claims
--- a/worksmux/node/kv_release.py
+++ b/worksmux/node/kv_release.py
@@ -1,19 +1,19 @@
 """Sends releases for one request until its claims (`kv_claims.KvClaims`) are settled.
 
-A release acknowledged by any running engine frees everything that is held for a request. So it goes first to
-the engines with claims and then, at each step, to one engine more: a connection that does not come up is
-known as such only after half of the time limit. The less of that limit is left, the more engines are tried at
+A release acknowledged by any running engine frees all KV cache held for a request. So it goes first to the
+engines with claims and then, at each step, to one more engine: a connection that cannot be established is
+detected only after half of the time limit. The less of that limit is left, the more engines are tried at
 once.
 
-KV cache can still appear after an acknowledged release, at an engine that goes on with its attempt (RELEASED
-claims). The release is sent again when that engine should have finished, and then once each time limit, until
-this is ruled out.
+KV cache can still appear after an acknowledged release, at an engine that continues its attempt (RELEASED
+claims). The release is sent again when that engine should have finished, and then once per time limit, until
+KV cache can no longer appear.
 
 No release is sent while an attempt is in flight, as it would free the KV cache that the attempt needs or
-brings. The exception is an attempt whose engine is unresponsive (`unresponsive_attempts`): it may not have
+produces. The exception is an attempt whose engine is unresponsive (`unresponsive_attempts`): it may not have
 arrived, and the time limit runs.
 
-Times are milliseconds.
+All times are in ms.
 """
 
 from __future__ import annotations
@@ -33,19 +33,19 @@
 from .kv_claims import KvClaims
 
 LOG = structlog.get_logger()
-STEPS_PER_TIME_LIMIT = 8  # a step is also the first delay before a retry
-SINGLE_TARGET_STEPS = 4  # steps that try one engine more; later ones try two
-MAX_CALLS = 8  # in flight for one release, beside those to engines with claims
-MAX_CALLS_PER_ENGINE = 3  # in flight while their connections do not come up
-MAX_TARGETS_PER_ROUND = 4  # without claims, when hardly any time is left
-RETRY_STEPS_WHILE_DUE = 2  # between two calls to an engine with claims, while a release is due
-# Fractions and multiples of the time limit.
-LATE_FRACTION = 0.6  # after it two engines are tried at once
-VERY_LATE_FRACTION = 0.75  # after it `MAX_TARGETS_PER_ROUND` engines are tried at once
-HOPELESS_FRACTION = 1.75  # after it an acknowledgement is unlikely, and fewer engines are tried again
-MAX_WORK_DELAY = 1.25  # the next release waits for the end of an engine's work, if that is not later
-DEAD_AFTER = 4.0  # an engine whose machine refuses every connection for that long has died
-MAX_RETRY_DELAY = 8.0  # between two calls to an engine that does not answer
+STEPS_PER_TIME_LIMIT = 8  # a step is also the base of the retry backoff
+SINGLE_TARGET_STEPS = 4  # steps that try one more engine each; later steps try two
+MAX_CALLS = 8  # in flight per release, besides those to engines with claims
+MAX_CALLS_PER_ENGINE = 3  # in flight while none of their connections is established
+MAX_TARGETS_PER_ROUND = 4  # engines without claims, when little time is left
+RETRY_STEPS_WHILE_DUE = 2  # maximum delay between calls to an engine while a release is due
+# Fractions and multiples of the release time limit.
+LATE_FRACTION = 0.6  # from then on two engines are tried at once
+VERY_LATE_FRACTION = 0.75  # from then on `MAX_TARGETS_PER_ROUND` engines are tried at once
+HOPELESS_FRACTION = 1.75  # from then on an acknowledgement is unlikely and fewer engines are tried
+MAX_WORK_DELAY = 1.25  # the longest wait for an engine to finish before the next pass
+DEAD_AFTER = 4.0  # an engine that refuses every connection for this long has died
+MAX_RETRY_DELAY = 8.0  # maximum delay between calls to an engine that does not answer
 
 
 class ReleaseCall(Protocol):
@@ -58,30 +58,30 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseEnvironment:
-    """What a release works with."""
+    """The reactor, callbacks and time limit that all releases share."""
 
     reactor: Reactor
     call: ReleaseCall
-    choose_target: Callable[[set[Engine]], Engine | None]  # an engine outside the set
-    time_limit_ms: float  # in which a release has to be acknowledged
-    on_settled: Callable[[KvRelease], None]  # no claim is left
+    choose_target: Callable[[set[Engine]], Engine | None]  # returns an engine outside the set
+    time_limit_ms: float  # for a release to be acknowledged
+    on_settled: Callable[[KvRelease], None]  # called when no claim is left
 
     @property
     def step_ms(self) -> float:
-        """The time between two rounds while the release is urgent."""
+        """The time between two rounds while a release is urgent."""
         return self.time_limit_ms / STEPS_PER_TIME_LIMIT
 
 
 @dataclass(eq=False, slots=True)
 class _Call:
-    """A call in flight."""
+    """A release call in flight."""
 
     engine: Engine
     call: OutgoingCall
 
 
 class Phase(Enum):
-    """What a release is doing."""
+    """The phase of a release."""
 
     PAUSED = "an attempt is in flight"
     SENDING = "engines are tried until one acknowledges"
@@ -95,28 +95,28 @@
     def __init__(self, environment: ReleaseEnvironment, claims: KvClaims) -> None:
         self.claims = claims
         self.phase = Phase.PAUSED
-        # Called once, with the next acknowledgement or the end of sending.
+        # Called once, at the next acknowledgement or when sending stops.
         self.on_acknowledged: Callable[[], None] | None = None
         self._environment = environment
         self._path = protocol.HOLDS_PATH + claims.key
         self._rounds = 0
-        self._due_since: float | None = None  # the start of the time limit in the current pass
-        self._tried: dict[Engine, None] = {}  # in this pass over all engines
+        self._due_since: float | None = None  # start of the time limit of the current pass
+        self._tried: dict[Engine, None] = {}  # engines tried in the current pass
         self._first_pass_over = False
-        self._failures: dict[Engine, int] = {}  # calls since the engine's last answer
+        self._failures: dict[Engine, int] = {}  # calls since the last acknowledgement
         self._retry_at: dict[Engine, float] = {}
         self._calls: list[_Call] = []
         self._timer: Timer | None = None
 
     @property
     def is_sending(self) -> bool:
-        """Whether engines are tried now."""
+        """Whether release calls are being sent."""
         return self.phase in (Phase.SENDING, Phase.BESIDE)
 
     def start(self, beside: bool = False) -> None:
-        """Starts, or resumes after a pause.
+        """Starts sending, or resumes after a pause.
 
-        A pass is resumed where the time limit has not restarted, so that engines which did not answer before
+        The pass is resumed if the time limit has not restarted, so that engines which did not answer before
         the pause are not tried first again.
         """
         if self._due_since is None or self._due_since != self.claims.due_since:
@@ -127,7 +127,7 @@
         self._run_round()
 
     def pause(self) -> None:
-        """Sends nothing more: an attempt arrives at an engine, or the release is over."""
+        """Stops sending, because an attempt is about to arrive at an engine or the release is over."""
         self.phase = Phase.PAUSED
         self._end_calls(kept=set())
         self._stop_timer()
@@ -149,7 +149,7 @@
         self._try_claimed(now)
         for _ in range(self._other_targets(now)):
             self._try_another(again=True)
-        if not self._calls:  # no other engine is left
+        if not self._calls:  # no other engine is available
             self._retry_at.clear()
             self._try_claimed(now)
         self._rounds += 1
@@ -163,43 +163,45 @@
     # Which engines are tried.
 
     def _may_try(self, engine: Engine, now: float) -> bool:
-        """Whether it is time to send a call to an engine, first or again.
+        """Whether it is time for a first or another call to an engine.
 
-        Failure: a connection never comes up, which is known only after most of the time limit. Another one is
-        opened meanwhile.
+        Failure: a connection is never established, which is detected only after most of the time limit.
+        Another one is opened meanwhile.
         """
-        calls = [one.call for one in self._calls if one.engine is engine]
+        calls = [item.call for item in self._calls if item.engine is engine]
         if any(call.connected for call in calls) or len(calls) >= MAX_CALLS_PER_ENGINE:
             return False
         return self._retry_at.get(engine, 0.0) <= now
 
     def _try_claimed(self, now: float) -> None:
-        """Sends to the engines with claims, if it is time for each."""
+        """Sends a call to each engine with claims for which it is time."""
         for engine in {claim.engine: None for claim in self.claims.claims}:
             if self._may_try(engine, now):
                 self._send(engine)
 
     def _other_targets(self, now: float) -> int:
-        """How many engines without claims are tried in this round: the less time is left, the more."""
+        """Returns the number of engines without claims to try in this round; it grows as time runs out."""
         since = self.claims.possible_since
-        used = 0.0 if since is None else (now - since) / self._environment.time_limit_ms
-        if self._rounds and VERY_LATE_FRACTION <= used < HOPELESS_FRACTION:
+        used_fraction = 0.0 if since is None else (now - since) / self._environment.time_limit_ms
+        if self._rounds and VERY_LATE_FRACTION <= used_fraction < HOPELESS_FRACTION:
             return MAX_TARGETS_PER_ROUND
-        if self._rounds > SINGLE_TARGET_STEPS or self._rounds and used >= LATE_FRACTION:
+        if self._rounds > SINGLE_TARGET_STEPS or self._rounds and used_fraction >= LATE_FRACTION:
             return 2
         if self._rounds or not self._calls:
             return 1
         if self.claims.due_since is None:
             any_responsive = any(claim.responsive_since is not None for claim in self.claims.claims)
             return 0 if any_responsive else 1
-        return (used >= LATE_FRACTION) + (used >= VERY_LATE_FRACTION)
+        return (used_fraction >= LATE_FRACTION) + (used_fraction >= VERY_LATE_FRACTION)
 
     def _try_another(self, again: bool) -> None:
-        """Sends to one engine without claims; with `again` also to one that was tried, once all others
-        were."""
+        """Sends a call to one engine without claims.
+
+        With `again`, a new pass starts once all engines were tried.
+        """
         claimed = {claim.engine for claim in self.claims.claims}
-        calling = {one.engine for one in self._calls}
-        if sum(one.engine not in claimed for one in self._calls) >= MAX_CALLS:
+        calling = {call.engine for call in self._calls}
+        if sum(call.engine not in claimed for call in self._calls) >= MAX_CALLS:
             return
         target = self._environment.choose_target({*claimed, *calling, *self._tried})
         if target is None and again:
@@ -219,25 +221,23 @@
         self._tried[engine] = None
         self._delay_retry(engine, sent_at)
 
-        def ended(
-            status: int, headers: dict[str, str], reply: bytes, trouble: client.CallError | None
-        ) -> None:
+        def ended(status: int, headers: dict[str, str], reply: bytes, error: client.CallError | None) -> None:
             if call not in self._calls:
                 return
             self._calls.remove(call)
             if call.call.connected:
                 self.claims.connection_opened(engine)
-            if 200 <= status < 300 and trouble is None:
+            if 200 <= status < 300 and error is None:
                 self._failures.pop(engine, None)
                 self._on_acknowledged(engine, sent_at)
             else:
-                self._on_failure(engine, sent_at, trouble, first)
+                self._on_failure(engine, sent_at, error, first)
 
         call = _Call(engine, self._environment.call(engine, "DELETE", self._path, b"", ended))
         self._calls.append(call)
 
     def _delay_retry(self, engine: Engine, now: float) -> None:
-        """Exponential backoff, bounded more tightly while a release is due."""
+        """Sets the next call time by exponential backoff, with a lower maximum while a release is due."""
         environment = self._environment
         failures = self._failures[engine] = self._failures.get(engine, 0) + 1
         max_delay_ms = (
@@ -248,15 +248,15 @@
         self._retry_at[engine] = now + min(max_delay_ms, environment.step_ms * 2.0**failures)
 
     def _on_failure(
-        self, engine: Engine, sent_at: float, trouble: client.CallError | None, first: bool
+        self, engine: Engine, sent_at: float, error: client.CallError | None, first: bool
     ) -> None:
-        if isinstance(trouble, client.ConnectRefusedError):
+        if isinstance(error, client.ConnectRefusedError):
             min_refusing_ms = DEAD_AFTER * self._environment.time_limit_ms
             self.claims.connection_refused(engine, sent_at, min_refusing_ms)
             if not self.claims.claims:
                 return self._environment.on_settled(self)
         if first and self.is_sending and not self._first_pass_over:
-            self._try_another(again=False)  # at once: a refusal comes long before the next step
+            self._try_another(again=False)  # at once: a refusal arrives long before the next step
 
     def _on_acknowledged(self, engine: Engine, sent_at: float) -> None:
         now = clock.now()
@@ -276,16 +276,16 @@
         self._notify_acknowledged()
 
     def _next_pass_ms(self, now: float) -> float:
-        """The delay of the next pass: until the engines should have finished, if that is soon."""
+        """Returns the delay until the next pass: until the engines should have finished, if that is soon."""
         time_limit_ms, work_left_ms = self._environment.time_limit_ms, self.claims.work_left_ms(now)
         return work_left_ms + 1.0 if 0 < work_left_ms <= MAX_WORK_DELAY * time_limit_ms else time_limit_ms
 
     def _end_calls(self, kept: set[Engine]) -> None:
-        """Gives up the calls in flight, except those to the engines in `kept`."""
-        ended = [one for one in self._calls if one.engine not in kept]
-        self._calls = [one for one in self._calls if one.engine in kept]
-        for one in ended:
-            one.call.end()
+        """Abandons the calls in flight, except those to the engines in `kept`."""
+        ended = [call for call in self._calls if call.engine not in kept]
+        self._calls = [call for call in self._calls if call.engine in kept]
+        for call in ended:
+            call.call.end()
 
     def _notify_acknowledged(self) -> None:
         on_acknowledged, self.on_acknowledged = self.on_acknowledged, None
--- a/worksmux/node/kv_releaser.py
+++ b/worksmux/node/kv_releaser.py
@@ -1,4 +1,4 @@
-"""All releases of a node: starts and pauses them as attempts come and go."""
+"""All releases of a node, started and paused as attempts end and start."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class KvReleaser:
-    """Keeps the releases that are not settled; `running` has them by the request's id."""
+    """Manages the unsettled releases; `running` maps request ids to them."""
 
     def __init__(
         self,
@@ -20,43 +20,43 @@
         choose_target: Callable[[set[Engine]], Engine | None],
         time_limit_ms: float,
     ) -> None:
-        """`choose_target` gives an engine outside a set that is likely to acknowledge, or None."""
+        """`choose_target` returns an engine outside a set that is likely to acknowledge, or None."""
         self.running: dict[str, KvRelease] = {}
         self._environment = ReleaseEnvironment(reactor, call, choose_target, time_limit_ms, self._forget)
         self.time_limit_ms, self.step_ms = time_limit_ms, self._environment.step_ms
 
     def claims_of(self, key: str) -> KvClaims:
-        """The claims of a request, among them those that an earlier one with the same id has left."""
+        """Returns the claims of a request, including those of an earlier request with the same id."""
         release = self.running.get(key)
         return KvClaims(key) if release is None else release.claims
 
     def start(self, claims: KvClaims) -> None:
-        """Releases all that is held; no attempt is in flight."""
+        """Releases all KV cache held for a request without an attempt in flight."""
         release = self._release_of(claims)
         if release.phase in (Phase.PAUSED, Phase.BESIDE):
             release.pause()
             release.start()
 
     def start_beside(self, claims: KvClaims) -> None:
-        """Releases all that is held beside an attempt whose engine is unresponsive."""
+        """Releases all KV cache held for a request beside an attempt whose engine is unresponsive."""
         release = self._release_of(claims)
         if release.phase is Phase.PAUSED:
             release.start(beside=True)
 
     def stop_beside(self, claims: KvClaims) -> None:
-        """The attempt whose engine was unresponsive is over."""
+        """Pauses a release beside an attempt, because that attempt is over."""
         release = self.running.get(claims.key)
         if release is not None and release.phase is Phase.BESIDE:
             release.pause()
 
     def pause(self, claims: KvClaims) -> None:
-        """An attempt arrives at an engine; what was not acknowledged stays due."""
+        """Pauses a release, because an attempt is about to arrive; unacknowledged claims stay due."""
         release = self.running.get(claims.key)
         if release is not None:
             release.pause()
 
     def unacknowledged(self, claims: KvClaims) -> KvRelease | None:
-        """The release that is being sent for what may be held now, and has no acknowledgement yet."""
+        """Returns the release that is being sent for KV cache held now, None once it is acknowledged."""
         release = self.running.get(claims.key)
         if release is None or release.phase is not Phase.SENDING or not claims.is_due:
             return None
@@ -70,7 +70,7 @@
 
     @property
     def has_claims(self) -> bool:
-        """Whether KV cache may be held now, or still appear."""
+        """Whether KV cache may be held now or may still appear."""
         return any(release.claims.claims for release in self.running.values())
 
     @property
--- a/worksmux/node/limits.py
+++ b/worksmux/node/limits.py
@@ -1,23 +1,23 @@
-"""How a node divides its file descriptors. Free of I/O."""
+"""Division of the node's file descriptors between their uses, without I/O."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-RESERVED_SOCKETS = 24  # for the log, the reactor, two watches on discovery, the listener, and a margin
-CLIENT_FRACTION = 0.6  # of the rest
-REQUEST_FRACTION = 0.75  # of what is left for engines; the others are for releases and health checks
+RESERVED_SOCKETS = 24  # for log, reactor, two discovery watches, listener, and a margin
+CLIENT_FRACTION = 0.6  # of the remaining descriptors
+REQUEST_FRACTION = 0.75  # of those for engines; the rest is for releases and health checks
 
 
 class Shares(NamedTuple):
-    """The file descriptors for each use."""
+    """The limits that follow from the file descriptors for each use."""
 
-    clients: int  # connections of clients
-    requests: int  # open at once: each may hold a connection on both sides
+    clients: int  # client connections
+    requests: int  # open requests, each of which may use a connection on both sides
 
 
 def shares(sockets: int) -> Shares:
-    """Divides `sockets` file descriptors.
+    """Returns the shares of `sockets` file descriptors.
 
     >>> shares(512)
     Shares(clients=292, requests=147)
--- a/worksmux/node/prefill_work.py
+++ b/worksmux/node/prefill_work.py
@@ -1,4 +1,4 @@
-"""How long an engine may go on with a prefill that this side has given up. Times are milliseconds."""
+"""Estimates how long an engine may continue an abandoned prefill; all times are in ms."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 MAX_RECENT_PREFILLS = 32
 SLOWEST_FACTOR = 3.0  # an abandoned prefill may take this many times the slowest recent one
-ENGINE_EXPIRY_DELAY_MS = 150.0  # for an engine to end an attempt whose time is over
+ENGINE_EXPIRY_DELAY_MS = 150.0  # for an engine to end an attempt after its time is over
 
 
 class _Prefill(NamedTuple):
@@ -16,26 +16,26 @@
 
 
 class PrefillWorkEstimate:
-    """Estimates from the prefills that ended lately."""
+    """Estimates the remaining work of abandoned prefills from recent prefills."""
 
     def __init__(self, min_work_ms: float) -> None:
-        """`min_work_ms` is a lower bound of each estimate."""
+        """`min_work_ms` is the lower bound of each estimate."""
         self._min_work_ms = min_work_ms
         self._recent: deque[_Prefill] = deque(maxlen=MAX_RECENT_PREFILLS)
 
     def record(self, tokens: float, duration_ms: float) -> None:
-        """A prefill has ended."""
+        """Records a finished prefill."""
         self._recent.append(_Prefill(tokens, duration_ms))
 
     def work_left_ms(self, tokens: float, written_at: float, expires_at: float, now: float) -> float:
-        """How long an engine that runs may go on, at least for what is left of the time that it was sent.
+        """Returns how long an engine that runs may continue, at least the rest of the time it was sent.
 
-        An engine that was silent may begin only when it runs again. It takes a multiple of the slowest recent
-        prefill then, or all of the time that it was sent, where no recent prefill was as large or as slow.
+        An engine that was unresponsive may begin only when it runs again. The estimate is then a multiple of
+        the slowest recent prefill, or all the time it was sent if no recent prefill was as large or as slow.
         """
         ends_at = expires_at + ENGINE_EXPIRY_DELAY_MS
-        slowest_ms = max((one.duration_ms for one in self._recent), default=0.0)
-        largest = max((one.tokens for one in self._recent), default=0.0)
+        slowest_ms = max((prefill.duration_ms for prefill in self._recent), default=0.0)
+        largest = max((prefill.tokens for prefill in self._recent), default=0.0)
         is_unprecedented = tokens > largest or now - written_at > slowest_ms
         full_ms = ends_at - written_at if is_unprecedented else SLOWEST_FACTOR * slowest_ms
         return max(self._min_work_ms, ends_at - now, full_ms)
--- a/worksmux/node/protocol.py
+++ b/worksmux/node/protocol.py
@@ -1,28 +1,28 @@
-"""Names of the platform's protocol: paths and headers, and the form of its attribute lists."""
+"""Paths, headers and attribute lists of the platform's protocol."""
 
 from __future__ import annotations
 
-# Paths that clients call.
+# Paths of the node.
 CHAT_PATH = "/v1/chat/completions"
 READY_PATH = "/up"
 # Paths of engines.
-HOLDS_PATH = "/v1/holds/"  # with a request's id: its KV cache
+HOLDS_PATH = "/v1/holds/"  # followed by a request id: the KV cache held for it
 ALIVE_PATH = "/alive"
 LOAD_PATH = "/metrics/load"
-# Headers of requests.
+# Request headers.
 REQUEST_ID = "X-Request-ID"
 REQUEST_CLASS = "X-Priority-Class"
 SESSION = "X-Route-Key"
 TIME_LEFT = "X-Timeout-Ms"
 ATTRIBUTES = "X-Attrs"
 RETRIED = "X-Retried"
-# Headers of engines' replies, in lower case.
+# Headers of engine replies, in lower case.
 LOAD = "x-server-load"
 NOT_EXECUTED = "x-not-processed"
 
 
 def parse_attributes(text: str | None) -> dict[str, str]:
-    """Parses the attributes of a header; what has no name is left out.
+    """Parses the `name=value` pairs of a header; parts without a name are ignored.
 
     >>> parse_attributes("prefix=5c, prompt_len=12")
     {'prefix': '5c', 'prompt_len': '12'}
--- a/worksmux/node/release_targets.py
+++ b/worksmux/node/release_targets.py
@@ -1,4 +1,4 @@
-"""Chooses the engine that is most likely to acknowledge a release."""
+"""Choice of the engine that is most likely to acknowledge a release."""
 
 from __future__ import annotations
 
@@ -8,41 +8,41 @@
 
 from ..policy.state import Engine
 
-MAX_CANDIDATES = 512  # that one choice looks at
+MAX_CANDIDATES = 512  # examined in one choice
 
 
 class ReleaseTargets:
-    """The engines, ordered by when they last answered; those that never answered come first.
+    """The engines ordered by their last answer, with those that never answered first.
 
-    Failure: with thousands of engines, a search through all of them for each of dozens of releases blocks the
-    reactor, as after a network cut. The order makes the first few candidates good enough.
+    Failure: after a network cut among thousands of engines, a search through all of them for each of dozens
+    of releases blocks the reactor. The order makes the last few engines good enough candidates.
     """
 
     def __init__(self, own_zone: int) -> None:
-        """`own_zone` is this process's zone."""
+        """`own_zone` is the zone of this node."""
         self._own_zone = own_zone
-        self._by_last_answer: OrderedDict[Engine, None] = OrderedDict()  # the latest is last
+        self._by_last_answer: OrderedDict[Engine, None] = OrderedDict()  # latest answer last
 
     def add(self, engine: Engine) -> None:
-        """Adds an engine with a new address, from which nothing has come yet."""
+        """Adds an engine with a new address, which has not answered there yet."""
         self._by_last_answer[engine] = None
         self._by_last_answer.move_to_end(engine, last=False)
 
     def mark_responsive(self, engine: Engine) -> None:
-        """The engine has answered."""
+        """Records an answer of an engine."""
         if engine in self._by_last_answer:
             self._by_last_answer.move_to_end(engine)
 
     def remove(self, engine: Engine) -> None:
-        """The engine is forgotten."""
+        """Removes an engine."""
         self._by_last_answer.pop(engine, None)
 
     def choose(self, excluded: Collection[Engine]) -> Engine | None:
-        """Returns an engine that is listed and not excluded, None where there is none.
+        """Returns an engine that is listed and not excluded, None if there is none.
 
-        A ready one is preferred, then one of a zone without excluded engines, then one of the own zone, then
-        the one that answered last. Failure: a whole zone is cut off and the engines that answered lately all
-        lie in it; the preference for another zone finds one that can acknowledge.
+        Preferred are, in this order: a ready engine, one in a zone without excluded engines, one in this
+        node's zone, the one that answered last. Failure: a zone is cut off, and all engines that answered
+        recently are in it; the preference for another zone finds an engine that can acknowledge.
         """
         tried_zones = {engine.zone for engine in excluded}
         best_rank = (True, True, self._own_zone not in tried_zones)
--- a/worksmux/node/serve.py
+++ b/worksmux/node/serve.py
@@ -1,4 +1,4 @@
-"""Starts and stops a front node: sockets, signals, orderly shutdown."""
+"""Start and shutdown of a node: sockets, signals and draining."""
 
 from __future__ import annotations
 
@@ -31,20 +31,20 @@
 
 LOG = structlog.get_logger()
 CONFIG_ERROR_EXIT_CODE = 2
-CLIENT_IDLE_TIMEOUT_MS = 2000.0  # of a connection without an open request
-REQUEST_READ_TIMEOUT_MS = 2600.0  # for a request to come whole; a client is owed an end within 3 s
-DRAIN_ACCEPT_MS = 700.0  # after SIGTERM, for connections that are still on their way
-DRAIN_ACCEPT_ITERATIONS = 3  # of the reactor after that: a connection is accepted, read and taken
+CLIENT_IDLE_TIMEOUT_MS = 2000.0  # of a client connection without an open request
+REQUEST_READ_TIMEOUT_MS = 2600.0  # to receive a complete request; clients must get an end within 3 s
+DRAIN_ACCEPT_MS = 700.0  # after SIGTERM, for connections still being established
+DRAIN_ACCEPT_ITERATIONS = 3  # further reactor iterations to accept, read and handle a connection
 COUNTERS_PERIOD_MS = 1000.0
-DISCOVERY_WAIT_MS = 250.0  # for the first event of discovery, before the node listens
-MAX_DISCOVERY_WAIT_MS = 3000.0  # for a first event that has begun: a long list takes time to parse
-DISCOVERY_POLL_MS = 50.0  # while that event is not whole
-DISCOVERY_WAIT_ITERATIONS = 3  # of the reactor after the wait: what has come is read
+DISCOVERY_WAIT_MS = 250.0  # for discovery's first event before the node listens
+MAX_DISCOVERY_WAIT_MS = 3000.0  # for a partly received first event, as a long list takes long
+DISCOVERY_POLL_MS = 50.0  # while that event is incomplete
+DISCOVERY_WAIT_ITERATIONS = 3  # further reactor iterations to read received data
 RESTART_SECTIONS = ("name", "listen", "settings", "request_classes", "kinds", "zones")
 
 
 class Node:
-    """One front node with its sockets; `stop` answers what it has accepted, then calls `on_end`."""
+    """One node with its sockets; `stop` answers all accepted requests, then calls `on_end`."""
 
     def __init__(self, config: Config, reactor: Reactor) -> None:
         self.config, self.reactor = config, reactor
@@ -74,7 +74,7 @@
         self.stopping = False
         self.accepting = True
         self.ended = False
-        self.failed = False  # it could not listen
+        self.failed = False  # listening failed
         self._counters_timer: Timer | None = None
         self._discovery_timer: Timer | None = None
         self._discovery_deadline = 0.0
@@ -82,7 +82,7 @@
     # Start.
 
     def start(self) -> None:
-        """Opens the watch on discovery; the node listens once that has sent its first event."""
+        """Opens the watch on discovery; the node listens after discovery's first event or a timeout."""
         self.discovery.restore(self.config.known)
         self.discovery.start()
         self.lateness.start()
@@ -90,10 +90,10 @@
         self._log_counters()
 
     def _wait_for_discovery(self) -> None:
-        """Starts the wait in the reactor's next iteration.
+        """Starts the wait for discovery, in the reactor's next iteration after the start.
 
-        Failure: applying the last list of thousands of engines takes as long as the wait, which would be over
-        before anything could be received.
+        Failure: applying the last list of thousands of engines takes as long as the wait, which ends before
+        anything can be received.
         """
         self.discovery.on_first_event = self._serve
         self._discovery_deadline = clock.now() + MAX_DISCOVERY_WAIT_MS
@@ -108,10 +108,10 @@
             self._serve()
 
     def _serve(self) -> None:
-        """Listens for clients.
+        """Starts to listen for clients.
 
-        Failure: requests are sent by the list of an earlier run, to engines that have left since. A request
-        can come within milliseconds of the start, so the node listens only after discovery's first event.
+        Failure: requests are routed by the list of an earlier run, to engines that have left since. A request
+        can arrive within milliseconds of the start, so the node first waits for discovery's first event.
         """
         if self.listener is not None or self.stopping or self.failed:
             return
@@ -119,7 +119,7 @@
         try:
             self.listener, self.port = listen(self.reactor, self.config.listen, self.server)
         except Exception as error:
-            LOG.error("cannot listen", reason=str(error))
+            LOG.error("listening failed; the node exits", reason=str(error))
             self.failed = True
             return self._end()
         self.clients.ready = True
@@ -141,24 +141,24 @@
         self._counters_timer = self.reactor.callLater(COUNTERS_PERIOD_MS / 1000, self._log_counters)
 
     def reload(self, variables: Mapping[str, str]) -> None:
-        """Takes discovery's new address; a configuration with an error changes nothing."""
+        """Applies a new discovery address; an invalid configuration changes nothing."""
         try:
-            fresh = load(variables)
+            loaded = load(variables)
         except ConfigError as error:
             LOG.error("configuration not reloaded", reason=str(error))
             return
-        old = self.config
-        changed = [name for name in RESTART_SECTIONS if getattr(old, name) != getattr(fresh, name)]
+        previous = self.config
+        changed = [name for name in RESTART_SECTIONS if getattr(previous, name) != getattr(loaded, name)]
         if changed:
             LOG.warning("configuration change needs a restart", sections=changed)
-        self.config = replace(old, discovery=fresh.discovery)
-        self.discovery.move(fresh.discovery)
-        LOG.info("configuration reloaded", discovery=fresh.discovery)
+        self.config = replace(previous, discovery=loaded.discovery)
+        self.discovery.move(loaded.discovery)
+        LOG.info("configuration reloaded", discovery=loaded.discovery)
 
     # Shutdown.
 
     def stop(self) -> None:
-        """Drains: accepts what is on its way, answers it, releases KV cache, and ends."""
+        """Drains and ends: accepts connections for a short time, answers all requests, releases KV cache."""
         if self.stopping:
             return
         self.stopping, self.clients.ready = True, False
@@ -174,7 +174,7 @@
         self._end_if_drained()
 
     def _end_if_drained(self) -> None:
-        """Ends once no request is open, what was written is out, and no KV cache may be held any more."""
+        """Ends once no request is open, all answers are sent, and no KV cache may be held."""
         if self.accepting or not self.stopping or self.core.open_requests or self.ended:
             return
         self.ended = True
@@ -217,13 +217,15 @@
     except ConfigError as error:
         print(f"worksmux node: {error}", file=sys.stderr)
         return CONFIG_ERROR_EXIT_CODE
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the reactor runs; its default would end the process
+    signal.signal(
+        signal.SIGHUP, signal.SIG_IGN
+    )  # until the reactor runs; the default action ends the process
     reactor = the_reactor()
     writer = set_up("json", "info", node=config.name)
     node = Node(config, reactor)
     node.on_end = reactor.stop
-    # Failure: the garbage collector walks through all engines again and again and blocks the reactor
-    # meanwhile. What exists by now, the program and the first list, stays for good and is frozen.
+    # Failure: the garbage collector repeatedly traverses the objects of all engines and blocks the reactor.
+    # The objects that exist when serving starts (program and first list) are long-lived and are frozen.
     node.on_serving = gc.freeze
     started = run_reactor(reactor, writer, node.start, node.stop, lambda: node.reload(variables))
     return int(not started or node.failed)
--- a/worksmux/node/unresponsive_attempts.py
+++ b/worksmux/node/unresponsive_attempts.py
@@ -1,20 +1,20 @@
-"""Attempts whose engine is unresponsive while KV cache may be held for their request.
+"""Monitoring of attempts whose engine is unresponsive while KV cache may be held for their request.
 
-An attempt that was written into a network cut, or to an engine that hangs, has not arrived; one at a machine
-that has vanished is over, though its connection stays open. No engine sees it in flight then, and the time
-limit of the release runs. So each attempt beside claims is monitored until it is over. Once its engine has
-been silent for most of that limit, a release is sent beside it:
+An attempt that was written during a network cut, or to an engine that hangs, has not arrived. An attempt at a
+machine that has vanished is over, though its connection stays open. In both cases no engine executes the
+attempt, and the time limit of the release runs. So each attempt of a request with claims is monitored until
+it is over. Once its engine has been silent for most of that limit, a release is sent beside it:
 
 - An attempt without a connection: the release frees the KV cache that it needs. It is sent only while a
   release is due.
-- A decode stream: the release does no harm. It is sent while the engine is silent.
-- A decode attempt that waits for KV cache: the release does no harm if the attempt has arrived. It is sent
+- A decode stream: the release is harmless. It is sent while the engine is silent.
+- A decode attempt that waits for KV cache: the release is harmless if the attempt has arrived. It is sent
   while the engine is silent.
-- A prefill: the release frees the KV cache that it brings. It is sent while nothing shows that the prefill
+- A prefill: the release frees the KV cache that it produces. It is sent while nothing shows that the prefill
   has arrived. A health check is tried first; where none is allowed the release is sent once, or while one is
   due.
 
-Times are milliseconds.
+All times are in ms.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
 from .kv_claims import KvClaims
 from .kv_releaser import KvReleaser
 
-SILENT_FRACTION = 0.6  # of the time limit: an engine that is silent for so long is unresponsive
-HEALTH_CHECK_STEPS = 2  # steps of a release in which a health check has to be answered
+SILENT_FRACTION = 0.6  # of the time limit: an engine that is silent for this long is unresponsive
+HEALTH_CHECK_STEPS = 2  # release steps within which a health check must be answered
 
 
 class MonitoredAttempt(Protocol):
-    """What is needed to know of an attempt in flight."""
+    """The view of an attempt in flight that the monitor needs."""
 
     @property
     def over(self) -> bool: ...
@@ -43,15 +43,15 @@
 
     @property
     def is_prefill(self) -> bool:
-        """Whether it is a prefill."""
+        """Whether the attempt is a prefill."""
 
     @property
     def written_at(self) -> float:
-        """When its connection was up and it was written; 0 before."""
+        """When the attempt was written to its established connection; 0 before."""
 
     @property
     def engine_responsive_at(self) -> float:
-        """When its engine was last known to run."""
+        """When the attempt's engine was last known to run."""
 
 
 class UnresponsiveAttemptMonitor:
@@ -60,15 +60,15 @@
     def __init__(
         self, reactor: Reactor, releaser: KvReleaser, check_health: Callable[[Engine], None] | None
     ) -> None:
-        """`check_health` sends a health check to an engine; None where that is not allowed."""
+        """`check_health` sends a health check to an engine; None if health checks are not allowed."""
         self.reactor, self.releaser, self.check_health = reactor, releaser, check_health
 
     def watch(self, claims: KvClaims, attempt: MonitoredAttempt, release: Callable[[], None]) -> None:
         """Monitors an attempt until it is over.
 
-        `release` frees what is held for its request, where no other attempt has a connection.
+        `release` releases the KV cache held for the request, unless another attempt has a connection.
         """
-        _Monitor(self, claims, attempt, release).look_when_due()
+        _Monitor(self, claims, attempt, release).schedule_check()
 
 
 class _Monitor:
@@ -82,16 +82,16 @@
         release: Callable[[], None],
     ) -> None:
         self._owner, self._claims, self._attempt, self._release = owner, claims, attempt, release
-        self._checked = False  # a health check is out for a prefill
-        self._released_unchecked = False  # a release was sent beside a prefill without a health check
-        self._next_release_at = 0.0  # while there is no connection
+        self._health_checked = False  # a health check was sent for the prefill
+        self._released_unchecked = False  # a release was sent beside an unchecked prefill
+        self._next_release_at = 0.0  # while the attempt has no connection
 
-    def look_when_due(self) -> None:
-        due = self._silent_since() + SILENT_FRACTION * self._owner.releaser.time_limit_ms
-        self._look_in(due - clock.now())
+    def schedule_check(self) -> None:
+        due_at = self._silent_since() + SILENT_FRACTION * self._owner.releaser.time_limit_ms
+        self._check_in(due_at - clock.now())
 
-    def _look_in(self, delay_ms: float) -> None:
-        self._owner.reactor.callLater(max(self._owner.releaser.step_ms, delay_ms) / 1000, self._look)
+    def _check_in(self, delay_ms: float) -> None:
+        self._owner.reactor.callLater(max(self._owner.releaser.step_ms, delay_ms) / 1000, self._check)
 
     def _silent_since(self) -> float:
         if self._arrived:
@@ -105,13 +105,13 @@
         attempt = self._attempt
         return bool(attempt.written_at) and attempt.engine_responsive_at >= attempt.written_at
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         attempt = self._attempt
         if attempt.over or attempt.is_prefill and self._arrived:
             return
         unresponsive_at = self._silent_since() + SILENT_FRACTION * self._owner.releaser.time_limit_ms
         if not self._claims.claims or clock.now() < unresponsive_at:
-            self.look_when_due()
+            self.schedule_check()
         elif not attempt.written_at:
             self._release_without_connection()
         elif attempt.is_prefill:
@@ -123,27 +123,27 @@
         if clock.now() >= self._next_release_at:
             self._next_release_at = clock.now() + self._owner.releaser.time_limit_ms
             self._release()
-        self._look_in(0.0)  # its connection may come up at any moment
+        self._check_in(0.0)  # its connection may be established at any moment
 
     def _release_beside_prefill(self) -> None:
         check_health = self._owner.check_health
         if check_health is None:
             self._release_beside_unchecked_prefill()
-        elif self._checked:
-            self._checked = False
+        elif self._health_checked:
+            self._health_checked = False
             self._release_beside()
         else:
-            self._checked = True
+            self._health_checked = True
             check_health(self._attempt.engine)
-            self._look_in(HEALTH_CHECK_STEPS * self._owner.releaser.step_ms)
+            self._check_in(HEALTH_CHECK_STEPS * self._owner.releaser.step_ms)
 
     def _release_beside_unchecked_prefill(self) -> None:
         if self._released_unchecked and not self._claims.is_due:
-            self._look_in(self._owner.releaser.time_limit_ms)
+            self._check_in(self._owner.releaser.time_limit_ms)
         else:
             self._released_unchecked = True
             self._release_beside()
 
     def _release_beside(self) -> None:
         self._owner.releaser.start_beside(self._claims)
-        self._look_in(self._owner.releaser.time_limit_ms)
+        self._check_in(self._owner.releaser.time_limit_ms)
