--- a/tests/node_rig.py
+++ b/tests/node_rig.py
@@ -1,4 +1,4 @@
-"""A front node between scripted peers on loopback: what they send is in the test."""
+"""A node between scripted peers on loopback; each test scripts what the peers send."""
 
 from __future__ import annotations
 
@@ -57,49 +57,57 @@
 ANSWER = STREAM + b"".join(map(chunk, EVENTS)) + LAST_CHUNK
 
 
-def ask(
-    key: str = "a1", request_class: str = "chat", left: str = "3000", body: bytes = BODY, more: str = ""
+def chat_request(
+    key: str = "a1",
+    request_class: str = "chat",
+    time_left: str = "3000",
+    body: bytes = BODY,
+    extra_headers: str = "",
 ) -> bytes:
     return (
         f"POST /v1/chat/completions HTTP/1.1\r\nHost: app.svc\r\nX-Request-ID: {key}\r\n"
-        f"X-Priority-Class: {request_class}\r\nX-Route-Key: 7f\r\nX-Timeout-Ms: {left}\r\n"
-        f"X-Attrs: prefix=5c,prompt_len=500,prefix_len=100,max_out=80\r\n{more}"
+        f"X-Priority-Class: {request_class}\r\nX-Route-Key: 7f\r\nX-Timeout-Ms: {time_left}\r\n"
+        f"X-Attrs: prefix=5c,prompt_len=500,prefix_len=100,max_out=80\r\n{extra_headers}"
         f"Content-Length: {len(body)}\r\n\r\n"
     ).encode() + body
 
 
 class Peer(Protocol):
-    """One connection; `got` is all that came, `ended` whether it is over, `clean` whether without a reset."""
+    """One connection.
+
+    `received` has the received data, `ended` tells whether the connection is closed, `clean` whether it
+    closed without a reset.
+    """
 
     def __init__(self, on_data: Callable[[Peer], None] | None = None) -> None:
-        self.on_data, self.got, self.ended, self.clean = on_data, b"", False, False
+        self.on_data, self.received, self.ended, self.clean = on_data, b"", False, False
 
     def dataReceived(self, data: bytes) -> None:
-        self.got += data
+        self.received += data
         if self.on_data:
             self.on_data(self)
 
     def connectionLost(self, reason: Any = None) -> None:
         self.ended, self.clean = True, reason is not None and bool(reason.check(ConnectionDone))
 
-    def whole(self) -> bytes | None:
-        """The next whole request, taken off what came."""
-        head, end, rest = self.got.partition(b"\r\n\r\n")
+    def next_request(self) -> bytes | None:
+        """Removes the next complete request from the received data and returns it; None without one."""
+        head, end, rest = self.received.partition(b"\r\n\r\n")
         length = next(
             (int(line[15:]) for line in head.split(b"\r\n") if line.startswith(b"Content-Length:")), 0
         )
         if not end or len(rest) < length:
             return None
-        self.got = rest[length:]
+        self.received = rest[length:]
         return head + end + rest[:length]
 
 
 class Engine:
-    """Answers each whole request by `script(request)`: bytes to send, or None to close."""
+    """An engine that answers each complete request with `script(request)`; None resets the connection."""
 
     def __init__(self, rig: Rig, name: str, kind: str, script: Callable[[bytes], bytes | None]) -> None:
         self.name, self.kind, self.script = name, kind, script
-        self.asked: list[bytes] = []
+        self.requests: list[bytes] = []
         self.release_answer = NO_CONTENT
         self.on_release: Callable[[], Any] = lambda: None
         self.peers: list[Peer] = []
@@ -111,8 +119,8 @@
         return self.peers[-1]
 
     def _data(self, peer: Peer) -> None:
-        while (request := peer.whole()) is not None:
-            self.asked.append(request)
+        while (request := peer.next_request()) is not None:
+            self.requests.append(request)
             if request.startswith(b"DELETE"):
                 self.on_release()
             answer = self.release_answer if request.startswith(b"DELETE") else self.script(request)
@@ -120,8 +128,8 @@
                 return peer.transport.abortConnection()  # type: ignore[union-attr]
             peer.transport.write(answer)  # type: ignore[union-attr]
 
-    def verbs(self) -> list[bytes]:
-        return [request.split(b" ")[0] for request in self.asked]
+    def methods(self) -> list[bytes]:
+        return [request.split(b" ")[0] for request in self.requests]
 
     def entry(self, status: str = "SERVING") -> dict[str, Any]:
         return {
@@ -136,8 +144,8 @@
         }
 
 
-class Silent:
-    """An address where connections never come up: its queue of one is full and nobody accepts."""
+class UnacceptingListener:
+    """A listener where connections are never established: its accept queue of one is full."""
 
     def __init__(self) -> None:
         self.sockets = [socket.socket()]
@@ -151,12 +159,12 @@
             self.sockets.append(filling)
 
     def close(self) -> None:
-        for one in self.sockets:
-            one.close()
+        for opened in self.sockets:
+            opened.close()
 
 
-class Hosts:
-    """Discovery: each watch gets a head and then the lines of `tell`."""
+class DiscoveryServer:
+    """Discovery: each watch gets a response head and `first`, then the lists of `send_list`."""
 
     def __init__(self, rig: Rig, first: bytes = chunk(b"\n")) -> None:
         self.watches: list[Peer] = []
@@ -165,47 +173,49 @@
         self.port, self.port_number = listen(rig.reactor, ("127.0.0.1", 0), factory)
 
     def _data(self, peer: Peer) -> None:
-        if peer.whole() is not None:
+        if peer.next_request() is not None:
             self.watches.append(peer)
             head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
             peer.transport.write(head + self.first)  # type: ignore[union-attr]
 
-    def tell(self, index: int, *entries: dict[str, Any], snapshot: bool = False) -> None:
+    def send_list(self, index: int, *entries: dict[str, Any], snapshot: bool = False) -> None:
         line = json.dumps({"index": index, "snapshot": snapshot, "endpoints": entries}).encode() + b"\n"
         self.watches[-1].transport.write(chunk(line))  # type: ignore[union-attr]
 
 
 class Rig:
-    """A node with the engines added before `start`."""
+    """A node with the engines that were added before `start`."""
 
     def __init__(self, sockets: int = 256) -> None:
         self.reactor: Any = EPollReactor()  # type: ignore[no-untyped-call]
         self.engines: list[Engine] = []
-        self.hosts = Hosts(self)
+        self.discovery_server = DiscoveryServer(self)
         self.sockets = sockets
         self.node: Any = None
 
     def engine(self, kind: str, script: Callable[[bytes], bytes | None] | None = None) -> Engine:
-        usual = PREFILL_REPLY if kind == "prefill" else ANSWER
-        self.engines.append(Engine(self, f"e{len(self.engines)}", kind, script or (lambda _: usual)))
+        default_reply = PREFILL_REPLY if kind == "prefill" else ANSWER
+        self.engines.append(Engine(self, f"e{len(self.engines)}", kind, script or (lambda _: default_reply)))
         return self.engines[-1]
 
     def config(self) -> Config:
         config = {
             "name": "n",
             "listen": "127.0.0.1:0",
-            "discovery": f"127.0.0.1:{self.hosts.port_number}",
+            "discovery": f"127.0.0.1:{self.discovery_server.port_number}",
             "seed": "8c",
             "limits": {"sockets": self.sockets},
             "settings": SETTINGS,
-            "known": {"index": 1, "snapshot": True, "endpoints": [one.entry() for one in self.engines]},
+            "known": {"index": 1, "snapshot": True, "endpoints": [engine.entry() for engine in self.engines]},
         }
         return parse_config(json.dumps(config).encode(), "config.json", {})
 
     def start(self) -> Rig:
         self.node = Node(self.config(), self.reactor)
         self.node.start()
-        self.until(lambda: self.node.listener and (self.node.discovery.current or not self.hosts.first))
+        self.run_until(
+            lambda: self.node.listener and (self.node.discovery.current or not self.discovery_server.first)
+        )
         return self
 
     def client(self, *data: bytes) -> Peer:
@@ -214,37 +224,40 @@
         factory.doStart = factory.doStop = factory.startedConnecting = lambda *_: None
         factory.clientConnectionLost = factory.clientConnectionFailed = lambda *_: None
         self.reactor.connectTCP("127.0.0.1", self.node.port, factory)
-        self.until(lambda: peer.connected)
+        self.run_until(lambda: peer.connected)
         for piece in data:
             peer.transport.write(piece)  # type: ignore[union-attr]
         return peer
 
-    def until(self, reached: Callable[[], Any], seconds: float = 8.0) -> None:
-        """Lets time go by until something is so."""
+    def run_until(self, reached: Callable[[], Any], seconds: float = 8.0) -> None:
+        """Runs the reactor until `reached` returns a true value."""
         end = monotonic() + seconds
         while not reached():
-            assert monotonic() < end, "it never came"
+            assert monotonic() < end, f"condition not reached within {seconds} s"
             self.reactor.iterate(0.01)
 
-    def answered(self, peer: Peer) -> bytes:
-        """The status of a whole answer, or of what came before the connection ended."""
-        self.until(
+    def wait_for_status(self, peer: Peer) -> bytes:
+        """Waits for a complete answer or the end of the connection; returns the status."""
+        self.run_until(
             lambda: (
                 peer.ended
-                or peer.got.endswith(LAST_CHUNK)
-                or b"\r\n\r\n" in peer.got
-                and (b"Content-Length" in peer.got or b"content-length" in peer.got)
+                or peer.received.endswith(LAST_CHUNK)
+                or b"\r\n\r\n" in peer.received
+                and (b"Content-Length" in peer.received or b"content-length" in peer.received)
             )
         )
-        return peer.got[9:12]
+        return peer.received[9:12]
 
-    def idle(self) -> None:
-        """Waits until no request is open and no release is left."""
-        self.until(lambda: not self.node.core.open_requests and not self.node.core.releaser.running)
+    def wait_until_idle(self) -> None:
+        """Waits until no request is open and no release is running."""
+        self.run_until(lambda: not self.node.core.open_requests and not self.node.core.releaser.running)
 
 
 def hold_connections(rig: Rig, engine: Engine) -> list[Callable[[], Any]]:
-    """Connections to an engine come up only when the test calls what this gathers, the oldest first."""
+    """Delays connections to an engine.
+
+    Returns the list of delayed connections, oldest first; calling an item establishes its connection.
+    """
     connect, waiting = rig.reactor.connectTCP, []  # type: Any, list[Callable[[], Any]]
 
     class Connector:
@@ -260,8 +273,8 @@
     return waiting
 
 
-def rig_of_two(decode_engine: Any = None, sockets: int = 256) -> Rig:
-    """A started node with a prefill engine and a decode engine; `decode_engine` scripts the latter."""
+def start_two_engine_rig(decode_engine: Any = None, sockets: int = 256) -> Rig:
+    """Starts a node with a prefill engine and a decode engine that is scripted by `decode_engine`."""
     rig = Rig(sockets)
     rig.engine("prefill")
     rig.engine("decode", decode_engine)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,7 +1,7 @@
-"""Every point that a request can be at, combined with what may end it there: SIGTERM, a client disconnect,
-the end of an engine's connection.
+"""Each stage of a request combined with what may end it there: SIGTERM, a client disconnect, a broken engine
+connection.
 
-The fake peers wait until they have seen the other side; nothing waits by the clock for something to happen.
+The fake peers wait until they observe the other side; no test waits for a fixed time for something to happen.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     Engine,
     Peer,
     Rig,
-    ask,
+    chat_request,
     chunk,
     hold_connections,
 )
@@ -31,13 +31,13 @@
 from worksmux.net import clock
 from worksmux.node import core, serve
 
-LOST = b"HTTP/1.1 410 Gone\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
+KV_CACHE_LOST_REPLY = b"HTTP/1.1 410 Gone\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 POINTS = ("waiting", "connecting to prefill", "in prefill", "connecting to decode", "in decode", "streaming")
 
 
 @dataclass
 class Scene:
-    """A node with one request at a point; connections to engines come up when `up` is called."""
+    """A node with one request at a point; `up` establishes the delayed connections to engines."""
 
     rig: Rig = field(default_factory=Rig)
     waiting: dict[str, list[Callable[[], Any]]] = field(default_factory=dict)
@@ -52,8 +52,8 @@
             self.waiting[engine.name] = hold_connections(self.rig, engine)
 
     def up(self, engine: Engine) -> None:
-        """The oldest connection to an engine that waits comes up."""
-        self.rig.until(lambda: self.waiting[engine.name])
+        """Establishes the oldest delayed connection to an engine."""
+        self.rig.run_until(lambda: self.waiting[engine.name])
         self.waiting[engine.name].pop(0)()
 
     def all_up(self) -> None:
@@ -61,82 +61,82 @@
             while queue:
                 queue.pop(0)()
 
-    def to(self, point: str, request_class: str = "chat", left: str = "3000") -> socket.socket:
-        """A request whose progress is stopped at a point; gives its client's connection."""
-        rig, at = self.rig, POINTS.index(point)
+    def request_at(self, point: str, request_class: str = "chat", left: str = "3000") -> socket.socket:
+        """Sends a request, stops its progress at a point, and returns its client's connection."""
+        rig, position = self.rig, POINTS.index(point)
         if point == "waiting":
-            self._no_room(True)
+            self._set_prefill_unavailable(True)
         client = socket.create_connection(("127.0.0.1", rig.node.port))
-        client.sendall(ask(request_class=request_class, left=left))
+        client.sendall(chat_request(request_class=request_class, time_left=left))
         client.setblocking(False)
-        rig.until(lambda: rig.node.core.open_requests)
-        if at >= 1:
-            rig.until(lambda: self.waiting[self.prefill_engine.name])
-        if at >= 2:
+        rig.run_until(lambda: rig.node.core.open_requests)
+        if position >= 1:
+            rig.run_until(lambda: self.waiting[self.prefill_engine.name])
+        if position >= 2:
             self.up(self.prefill_engine)
-            rig.until(lambda: self.prefill_engine.asked)
-        if at >= 3:
+            rig.run_until(lambda: self.prefill_engine.requests)
+        if position >= 3:
             self.prefill_engine.peers[-1].transport.write(PREFILL_REPLY)  # type: ignore[union-attr]
-            rig.until(lambda: self.waiting[self.decode_engine.name])
-        if at >= 4:
+            rig.run_until(lambda: self.waiting[self.decode_engine.name])
+        if position >= 4:
             self.up(self.decode_engine)
-            rig.until(lambda: self.decode_engine.asked)
-        if at >= 5:
+            rig.run_until(lambda: self.decode_engine.requests)
+        if position >= 5:
             self.decode_engine.peers[-1].transport.write(STREAM + chunk(EVENTS[0]))  # type: ignore[union-attr]
-            rig.until(
+            rig.run_until(
                 lambda: [
                     context for context in rig.node.core.open_requests.values() if context.first_token_at
                 ]
             )
         return client
 
-    def _no_room(self, on: bool) -> None:
+    def _set_prefill_unavailable(self, on: bool) -> None:
         for engine in self.rig.node.core.pools:
             engine.skipped_until = 1e12 if on and engine.id.decode() == self.prefill_engine.name else 0.0
 
     def finish(self, point: str) -> None:
-        """Everything goes its way from the point."""
-        self._no_room(False)
+        """Lets the request continue from the point to its answer."""
+        self._set_prefill_unavailable(False)
         self.rig.node.core.wake()
         self.prefill_engine.script, self.decode_engine.script = (lambda _: PREFILL_REPLY), (lambda _: ANSWER)
-        at = POINTS.index(point)
-        if at == 2:
+        position = POINTS.index(point)
+        if position == 2:
             self.prefill_engine.peers[-1].transport.write(PREFILL_REPLY)  # type: ignore[union-attr]
-        elif at == 4:
+        elif position == 4:
             self.decode_engine.peers[-1].transport.write(ANSWER)  # type: ignore[union-attr]
-        elif at == 5:
+        elif position == 5:
             self.decode_engine.peers[-1].transport.write(  # type: ignore[union-attr]
                 b"".join(map(chunk, EVENTS[1:])) + LAST_CHUNK
             )
 
     def read_all(self, client: socket.socket) -> bytes:
-        """What a client gets until its connection ends or an answer is whole."""
-        got: list[bytes] = []
+        """Returns what a client receives until its connection ends or an answer is complete."""
+        received: list[bytes] = []
 
-        def over() -> bool:
+        def done() -> bool:
             self.all_up()
             try:
                 piece = client.recv(100_000)
             except BlockingIOError:
                 return False
             except ConnectionResetError:
-                got.append(b"RESET")
+                received.append(b"RESET")
                 return True
-            got.append(piece)
-            whole = b"".join(got)
-            return not piece or whole.endswith(LAST_CHUNK) or b"content-length" in whole.lower()
+            received.append(piece)
+            joined = b"".join(received)
+            return not piece or joined.endswith(LAST_CHUNK) or b"content-length" in joined.lower()
 
-        self.rig.until(over)
-        return b"".join(got)
+        self.rig.run_until(done)
+        return b"".join(received)
 
-    def turns(self, count: int = 40) -> None:
-        """Lets all that is due happen, and connections come up."""
+    def run_iterations(self, count: int = 40) -> None:
+        """Runs the reactor and establishes all delayed connections."""
         for _ in range(count):
             self.all_up()
             self.rig.reactor.iterate(0.001)
 
-    def effects(self) -> int:
-        return sum(request.startswith(b"POST") for request in self.decode_engine.asked)
+    def decode_attempts(self) -> int:
+        return sum(request.startswith(b"POST") for request in self.decode_engine.requests)
 
 
 @pytest.fixture
@@ -151,168 +151,174 @@
 @pytest.mark.parametrize("point", POINTS)
 @pytest.mark.parametrize("request_class", ["chat", "mark"])
 def test_request_accepted_before_sigterm_is_answered(scene: Scene, point: str, request_class: str) -> None:
-    client = scene.to(point, request_class)
+    client = scene.request_at(point, request_class)
     scene.rig.node.stop()
     assert not scene.ended
     scene.finish(point)
-    got = scene.read_all(client)
-    assert got[9:12] == b"200" and got.count(b"[DONE]") == 1 and got.endswith(LAST_CHUNK)
+    received = scene.read_all(client)
+    assert received[9:12] == b"200" and received.count(b"[DONE]") == 1 and received.endswith(LAST_CHUNK)
     client.close()
-    scene.rig.until(lambda: scene.ended)
-    assert scene.effects() == 1 and not scene.rig.node.core.releaser.is_due
+    scene.rig.run_until(lambda: scene.ended)
+    assert scene.decode_attempts() == 1 and not scene.rig.node.core.releaser.is_due
 
 
 @pytest.mark.parametrize("point", POINTS[1:5])
 def test_shutdown_releases_after_a_client_disconnect(scene: Scene, point: str) -> None:
     """The last client disconnects while the node shuts down.
 
-    The process ends only after the release that this calls for.
+    The node ends only after the release that the disconnect requires.
     """
-    client = scene.to(point)
+    client = scene.request_at(point)
     scene.rig.node.stop()
-    scene.rig.until(lambda: not scene.rig.node.accepting)
+    scene.rig.run_until(lambda: not scene.rig.node.accepting)
     client.close()
 
-    def over() -> bool:
+    def done() -> bool:
         scene.all_up()
         return bool(scene.ended)
 
-    scene.rig.until(over)
-    deletes = sum(engine.verbs().count(b"DELETE") for engine in scene.rig.engines)
+    scene.rig.run_until(done)
+    deletes = sum(engine.methods().count(b"DELETE") for engine in scene.rig.engines)
     assert deletes >= 1 if point != "connecting to prefill" else deletes == 0
 
 
 def test_request_accepted_by_the_kernel_alone_is_answered(scene: Scene) -> None:
     rig = scene.rig
     scene.prefill_engine.script, scene.decode_engine.script = (lambda _: PREFILL_REPLY), (lambda _: ANSWER)
-    client = socket.create_connection(("127.0.0.1", rig.node.port))  # accepted by the machine alone
-    client.sendall(ask())
+    client = socket.create_connection(("127.0.0.1", rig.node.port))  # accepted by the kernel only
+    client.sendall(chat_request())
     client.setblocking(False)
     rig.node.stop()
-    got = scene.read_all(client)
-    assert got[9:12] == b"200" and got.endswith(LAST_CHUNK)
+    received = scene.read_all(client)
+    assert received[9:12] == b"200" and received.endswith(LAST_CHUNK)
     client.close()
-    rig.until(lambda: scene.ended)
+    rig.run_until(lambda: scene.ended)
 
 
 def test_partial_request_at_sigterm_is_answered(scene: Scene) -> None:
-    rig, data = scene.rig, ask()
+    rig, data = scene.rig, chat_request()
     scene.prefill_engine.script, scene.decode_engine.script = (lambda _: PREFILL_REPLY), (lambda _: ANSWER)
     client = socket.create_connection(("127.0.0.1", rig.node.port))
     client.sendall(data[:150])
     client.setblocking(False)
-    rig.until(lambda: [one for one in rig.node.server.channels if one.receiving])
+    rig.run_until(
+        lambda: [open_channel for open_channel in rig.node.server.channels if open_channel.receiving]
+    )
     rig.node.stop()
-    scene.turns()
+    scene.run_iterations()
     client.sendall(data[150:])
-    got = scene.read_all(client)
+    received = scene.read_all(client)
     assert (
-        got[9:12] == b"200" and got.endswith(LAST_CHUNK) and b"close" in got.partition(b"\r\n\r\n")[0].lower()
+        received[9:12] == b"200"
+        and received.endswith(LAST_CHUNK)
+        and b"close" in received.partition(b"\r\n\r\n")[0].lower()
     )
     client.close()
-    rig.until(lambda: scene.ended)
+    rig.run_until(lambda: scene.ended)
 
 
-def test_request_that_crosses_an_idle_close_reaches_no_engine(scene: Scene) -> None:
+def test_request_during_an_idle_close_reaches_no_engine(scene: Scene) -> None:
     rig = scene.rig
     client = socket.create_connection(("127.0.0.1", rig.node.port))
     client.sendall(b"GET /up HTTP/1.1\r\n\r\n")
-    rig.until(lambda: [one for one in rig.node.server.channels if one.has_answered])
-    client.sendall(ask())
+    rig.run_until(
+        lambda: [open_channel for open_channel in rig.node.server.channels if open_channel.has_answered]
+    )
+    client.sendall(chat_request())
     rig.node.stop()
-    scene.turns()
+    scene.run_iterations()
     client.close()
-    rig.until(lambda: scene.ended)
-    assert not scene.prefill_engine.asked and rig.node.core.last_request_id == 0
+    rig.run_until(lambda: scene.ended)
+    assert not scene.prefill_engine.requests and rig.node.core.last_request_id == 0
 
 
-# A client that leaves.
+# Client disconnects.
 
 
 @pytest.mark.parametrize("point", POINTS)
 @pytest.mark.parametrize("request_class", ["chat", "mark"])
 def test_no_attempt_starts_after_a_client_disconnect(scene: Scene, point: str, request_class: str) -> None:
-    client = scene.to(point, request_class)
-    sent = [request for engine in scene.rig.engines for request in engine.asked]
+    client = scene.request_at(point, request_class)
+    sent = [request for engine in scene.rig.engines for request in engine.requests]
     client.close()
-    scene.rig.until(
+    scene.rig.run_until(
         lambda: (
             [context for context in scene.rig.node.core.open_requests.values() if context.final_answer]
             or not scene.rig.node.core.open_requests
         )
     )
-    scene.finish("connecting to prefill")  # whatever is asked from now on is answered
-    scene.turns()
+    scene.finish("connecting to prefill")  # from now on the engines answer every request
+    scene.run_iterations()
 
-    def over() -> bool:
+    def done() -> bool:
         scene.all_up()
         return not scene.rig.node.core.open_requests and not scene.rig.node.core.releaser.running
 
-    scene.rig.until(over)
-    later = [request for engine in scene.rig.engines for request in engine.asked if request not in sent]
+    scene.rig.run_until(done)
+    later = [request for engine in scene.rig.engines for request in engine.requests if request not in sent]
     assert all(request.startswith(b"DELETE") for request in later)
 
 
 @pytest.mark.parametrize("point", ["connecting to prefill", "connecting to decode"])
 def test_unread_disconnect_is_seen_before_an_attempt(scene: Scene, point: str) -> None:
-    """A client disconnects while the connection to an engine comes up, and the reactor has not read it.
+    """A client disconnects while a connection to an engine is established, and the reactor has not read it.
 
-    The node looks for it before it sends.
+    The node checks for the disconnect before it sends.
     """
-    client = scene.to(point)
+    client = scene.request_at(point)
     engine = scene.prefill_engine if point == "connecting to prefill" else scene.decode_engine
-    (channel,) = [one for one in scene.rig.node.server.channels if one.busy]
-    channel.transport.stopReading()  # the reactor does not come to read it
+    (channel,) = [open_channel for open_channel in scene.rig.node.server.channels if open_channel.busy]
+    channel.transport.stopReading()  # the reactor does not read the disconnect
     client.close()
     scene.up(engine)
-    scene.turns()
-    assert not any(request.startswith(b"POST") for request in engine.asked)
+    scene.run_iterations()
+    assert not any(request.startswith(b"POST") for request in engine.requests)
     assert not scene.rig.node.core.open_requests
 
 
-# What cannot be repeated.
+# Broken attempts.
 
 
 @pytest.mark.parametrize("point", ["in prefill", "in decode"])
 @pytest.mark.parametrize("request_class", ["chat", "mark"])
-@pytest.mark.parametrize("how", ["reset", "end", "half an answer", "noise"])
+@pytest.mark.parametrize("failure", ["reset", "end", "half an answer", "noise"])
 def test_broken_attempt_is_retried_only_if_harmless(
-    scene: Scene, point: str, request_class: str, how: str
+    scene: Scene, point: str, request_class: str, failure: str
 ) -> None:
-    client = scene.to(point, request_class)
+    client = scene.request_at(point, request_class)
     engine = scene.prefill_engine if point == "in prefill" else scene.decode_engine
-    wire: Any = engine.peers[-1].transport
+    transport: Any = engine.peers[-1].transport
     scene.prefill_engine.script, scene.decode_engine.script = (lambda _: PREFILL_REPLY), (lambda _: ANSWER)
-    match how:
+    match failure:
         case "reset":
-            wire.abortConnection()
+            transport.abortConnection()
         case "end":
-            wire.loseConnection()
+            transport.loseConnection()
         case "half an answer":
-            wire.write(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Enc")
-            wire.loseConnection()
+            transport.write(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Enc")
+            transport.loseConnection()
         case "noise":
-            wire.write(b"\x00\xff\r\n\r\n")
+            transport.write(b"\x00\xff\r\n\r\n")
     status = scene.read_all(client)[9:12]
     may_have_run = point == "in decode"
     if request_class == "mark" and may_have_run:
-        assert status == b"502" and scene.effects() == 1  # neither repeated nor refused
+        assert status == b"502" and scene.decode_attempts() == 1  # neither retried nor rejected
     else:
-        assert status in (b"200", b"503") and scene.effects() <= 2
+        assert status in (b"200", b"503") and scene.decode_attempts() <= 2
     client.close()
 
 
 @pytest.mark.parametrize("request_class", ["chat", "mark"])
 def test_attempt_known_not_executed_is_always_retried(scene: Scene, request_class: str) -> None:
-    client = scene.to("in decode", request_class)
-    wire: Any = scene.decode_engine.peers[-1].transport
+    client = scene.request_at("in decode", request_class)
+    transport: Any = scene.decode_engine.peers[-1].transport
     scene.prefill_engine.script, scene.decode_engine.script = (lambda _: PREFILL_REPLY), (lambda _: ANSWER)
-    wire.write(LOST)
-    assert scene.read_all(client)[9:12] == b"200" and scene.effects() == 2
+    transport.write(KV_CACHE_LOST_REPLY)
+    assert scene.read_all(client)[9:12] == b"200" and scene.decode_attempts() == 2
     client.close()
 
 
-# A process that dies behind an accept.
+# Broken connections.
 
 
 @pytest.mark.parametrize("request_class", ["chat", "mark"])
@@ -320,117 +326,120 @@
 def test_broken_connection_proves_only_what_was_not_sent(
     scene: Scene, request_class: str, written: bool
 ) -> None:
-    """A connection breaks before or after the last byte has left.
+    """A connection breaks before or after the last byte is sent.
 
-    Before it nothing was executed; after it something possibly was, also where the engine read nothing.
+    Before it, nothing was executed. After it, the request was possibly executed, even if
+    the engine read nothing.
     """
-    client = scene.to("connecting to decode", request_class)
+    client = scene.request_at("connecting to decode", request_class)
     if written:
         scene.decode_engine.script = lambda _: None  # the request is received and the connection reset
     else:
         scene.rig.engines[1].port.stopListening()  # refused
     for _ in range(3):
-        scene.turns()
+        scene.run_iterations()
     status = scene.read_all(client)[9:12]
-    assert scene.effects() == 0 if not written else scene.effects() >= 1
+    assert scene.decode_attempts() == 0 if not written else scene.decode_attempts() >= 1
     if request_class == "mark" and written:
-        assert status == b"502" and scene.effects() == 1
+        assert status == b"502" and scene.decode_attempts() == 1
     else:
         assert status == b"503"
     client.close()
 
 
-# Requests and events in pieces.
+# Requests and events in several pieces.
 
 
 def test_request_in_single_bytes_is_one_request(scene: Scene) -> None:
     scene.prefill_engine.script, scene.decode_engine.script = (lambda _: PREFILL_REPLY), (lambda _: ANSWER)
     client = socket.create_connection(("127.0.0.1", scene.rig.node.port))
     client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    head = ask().replace(b"X-Timeout-Ms: 3000", b"x-timeout-ms:\t3000 ")
+    head = chat_request().replace(b"X-Timeout-Ms: 3000", b"x-timeout-ms:\t3000 ")
     data = b"\r\n" + head.replace(b"Host: ", b"HOST:")
-    for at in range(len(data)):
-        client.sendall(data[at : at + 1])
+    for index in range(len(data)):
+        client.sendall(data[index : index + 1])
         scene.rig.reactor.iterate(0)
     client.setblocking(False)
-    got = scene.read_all(client)
-    assert got[9:12] == b"200" and scene.effects() == 1 and scene.rig.node.core.last_request_id == 1
+    received = scene.read_all(client)
+    assert (
+        received[9:12] == b"200" and scene.decode_attempts() == 1 and scene.rig.node.core.last_request_id == 1
+    )
     client.close()
 
 
 def test_pipelined_requests_are_answered_in_order(scene: Scene) -> None:
     scene.prefill_engine.script, scene.decode_engine.script = (lambda _: PREFILL_REPLY), (lambda _: ANSWER)
     client = socket.create_connection(("127.0.0.1", scene.rig.node.port))
-    client.sendall(ask("p1") + ask("p2") + b"GET /up HTTP/1.1\r\n\r\n")
+    client.sendall(chat_request("p1") + chat_request("p2") + b"GET /up HTTP/1.1\r\n\r\n")
     client.setblocking(False)
-    got: list[bytes] = []
+    received: list[bytes] = []
 
-    def over() -> bool:
+    def done() -> bool:
         scene.all_up()
         try:
-            got.append(client.recv(100_000))
+            received.append(client.recv(100_000))
         except BlockingIOError:
             return False
-        return b"serving" in b"".join(got)
+        return b"serving" in b"".join(received)
 
-    scene.rig.until(over)
-    assert b"".join(got).count(b"[DONE]") == 2 and scene.rig.node.core.last_request_id == 2
+    scene.rig.run_until(done)
+    assert b"".join(received).count(b"[DONE]") == 2 and scene.rig.node.core.last_request_id == 2
     client.close()
 
 
 @pytest.mark.parametrize("size", [1, 7, 10_000])
 def test_each_event_reaches_the_client_at_once(scene: Scene, size: int) -> None:
-    """An engine sends an event and waits until the client has seen it before it sends the next.
+    """An engine sends the next event only after the client has received the last one.
 
-    No event is held back or merged with the next.
+    No event is delayed until the next one.
     """
-    scene.to("in decode").close()  # its client leaves; another one comes
-    scene.turns()
+    scene.request_at("in decode").close()  # this client disconnects; another one follows
+    scene.run_iterations()
     rig = scene.rig
     scene.prefill_engine.script = lambda _: PREFILL_REPLY
-    peer: Peer = rig.client(ask("b1"))
+    peer: Peer = rig.client(chat_request("b1"))
 
     def reached() -> bool:
         scene.all_up()
-        return any(b"b1" in request for request in scene.decode_engine.asked)
+        return any(b"b1" in request for request in scene.decode_engine.requests)
 
-    rig.until(reached)
-    wire: Any = scene.decode_engine.peers[-1].transport
-    wire.write(STREAM)
+    rig.run_until(reached)
+    transport: Any = scene.decode_engine.peers[-1].transport
+    transport.write(STREAM)
     for number, event in enumerate(EVENTS[:1] * 5 + EVENTS[1:]):
         data = chunk(event)
-        for at in range(0, len(data), size):
-            wire.write(data[at : at + size])
+        for offset in range(0, len(data), size):
+            transport.write(data[offset : offset + size])
             rig.reactor.iterate(0)
-        rig.until(lambda number=number: peer.got.count(b"data:") == number + 1)
-    wire.write(LAST_CHUNK)
-    rig.until(lambda: peer.got.endswith(LAST_CHUNK))
+        rig.run_until(lambda number=number: peer.received.count(b"data:") == number + 1)
+    transport.write(LAST_CHUNK)
+    rig.run_until(lambda: peer.received.endswith(LAST_CHUNK))
 
 
-# Time-outs, engines that change, descriptors.
+# Timeouts, replaced engines, file descriptors.
 
 
 def test_stalled_stream_is_cut_for_its_client(scene: Scene, monkeypatch: Any) -> None:
     monkeypatch.setattr(core, "MAX_STREAM_GAP_MS", 60.0)
-    client = scene.to("streaming")
-    got = scene.read_all(client)
-    assert EVENTS[0] in got and not got.endswith(LAST_CHUNK)
-    scene.rig.until(lambda: scene.decode_engine.peers[-1].ended)
+    client = scene.request_at("streaming")
+    received = scene.read_all(client)
+    assert EVENTS[0] in received and not received.endswith(LAST_CHUNK)
+    scene.rig.run_until(lambda: scene.decode_engine.peers[-1].ended)
     client.close()
 
 
 @pytest.mark.parametrize("point", POINTS[:5])
 @pytest.mark.parametrize("request_class", ["chat", "mark"])
 def test_late_reactor_lets_the_policy_answer_first(scene: Scene, point: str, request_class: str) -> None:
-    """The reactor is blocked past a deadline, and all timers come due at once.
+    """The reactor is blocked past a deadline, and all timers expire at once.
 
-    The policy answers, which knows more of the request than the guard of its deadline does.
+    The policy answers first, as it knows more about the request than the deadline timer does.
     """
-    client = scene.to(point, request_class, left="400")
+    client = scene.request_at(point, request_class, left="400")
     (context,) = scene.rig.node.core.open_requests.values()
-    while clock.now() < context.request.deadline + 30:  # the reactor does not turn
+    while clock.now() < context.request.deadline + 30:  # the reactor does not run
         pass
-    scene.rig.until(lambda: context.final_answer)
+    scene.rig.run_until(lambda: context.final_answer)
     may_have_run = request_class == "mark" and point == "in decode"
     assert context.final_answer == ("broken off" if may_have_run else "deferred")
     assert "deadlines_missed" not in scene.rig.node.counts.counts
@@ -443,7 +452,7 @@
     scene: Scene, point: str, request_class: str
 ) -> None:
     begun = clock.now()
-    client = scene.to(point, request_class, left="400")
+    client = scene.request_at(point, request_class, left="400")
 
     def answered() -> bool:
         try:
@@ -451,50 +460,50 @@
         except BlockingIOError:
             return False
 
-    scene.rig.until(answered)
+    scene.rig.run_until(answered)
     may_have_run = request_class == "mark" and point == "in decode"
     assert client.recv(1000)[9:12] in ((b"502", b"504") if may_have_run else (b"503",))
-    assert clock.now() - begun < 400 + 100  # a busy machine has its share in it
+    assert clock.now() - begun < 400 + 100  # margin for a busy machine
     client.close()
 
 
 def test_nothing_is_sent_to_an_engine_replaced_while_connecting(scene: Scene) -> None:
-    """An engine is replaced by another process at its address while a connection to it comes up.
+    """An engine is replaced by another process at its address while a connection to it is established.
 
-    The attempt, meant for the old process, is not sent.
+    The attempt is not sent, as it is for the old process.
     """
     rig = scene.rig
-    client = scene.to("connecting to prefill", left="900")
+    client = scene.request_at("connecting to prefill", left="900")
     old, new = scene.prefill_engine.entry("DELETED"), {**scene.prefill_engine.entry("DRAINING"), "name": "e9"}
-    rig.hosts.tell(2, old, new)
-    rig.until(lambda: [one for one in rig.node.core.pools if one.state == "gone"])
-    scene.turns()
-    assert scene.read_all(client)[9:12] == b"503" and not scene.prefill_engine.asked
+    rig.discovery_server.send_list(2, old, new)
+    rig.run_until(lambda: [engine for engine in rig.node.core.pools if engine.state == "gone"])
+    scene.run_iterations()
+    assert scene.read_all(client)[9:12] == b"503" and not scene.prefill_engine.requests
     client.close()
 
 
 def test_release_survives_a_shortage_of_descriptors(scene: Scene) -> None:
-    client = scene.to("in prefill")
+    client = scene.request_at("in prefill")
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     spare = os.dup(0)
     resource.setrlimit(resource.RLIMIT_NOFILE, (spare + 3, hard))
-    taken = [spare]
+    descriptors = [spare]
     client.close()
     for _ in range(60):
         try:
             while True:
-                taken.append(os.dup(0))  # whatever becomes free is gone again at once
+                descriptors.append(os.dup(0))  # takes each descriptor that becomes free
         except OSError:
             scene.all_up()
             scene.rig.reactor.iterate(0.002)
-    assert b"DELETE" not in scene.prefill_engine.verbs() + scene.decode_engine.verbs()
-    for one in taken:
-        os.close(one)
+    assert b"DELETE" not in scene.prefill_engine.methods() + scene.decode_engine.methods()
+    for descriptor in descriptors:
+        os.close(descriptor)
     resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
-    def heard() -> bool:
+    def released() -> bool:
         scene.all_up()
-        return b"DELETE" in scene.prefill_engine.verbs() + scene.decode_engine.verbs()
+        return b"DELETE" in scene.prefill_engine.methods() + scene.decode_engine.methods()
 
-    scene.rig.until(heard)
-    scene.rig.until(lambda: scene.all_up() or not scene.rig.node.core.releaser.running)
+    scene.rig.run_until(released)
+    scene.rig.run_until(lambda: scene.all_up() or not scene.rig.node.core.releaser.running)
--- a/tests/test_kv_claims.py
+++ b/tests/test_kv_claims.py
@@ -1,4 +1,4 @@
-"""What engines may hold for one request, and what proves that they no longer do."""
+"""Claims on KV cache that engines may hold for one request, and the proof that settles them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from worksmux.node.kv_claims import MAX_SILENCE_MS, ClaimState, KvClaims
 from worksmux.policy.state import Engine
 
-WITHIN = 400.0  # milliseconds of nothing but refused connections, after which an engine has died
+MIN_REFUSING_MS = 400.0  # an engine that only refuses connections for this long has died
 ENGINES = [Engine(bytes([at]), at, state="ready") for at in range(4)]
 
 
@@ -18,13 +18,12 @@
     claims.add_held(prefill_engine, 100.0)
     claims.add_possible(unseen, 200.0, 500.0)
     assert claims.is_due and claims.due_since == 100.0
-    claims.release_acknowledged(other, 210.0, 212.0)  # frees all that is held now, wherever it lies
+    claims.release_acknowledged(other, 210.0, 212.0)  # frees all KV cache held now, at every engine
     (claim,) = claims.claims
     assert not claims.is_due and claim.engine is unseen and claim.state is ClaimState.RELEASED
     assert claims.due_since is None
-    claims.release_acknowledged(
-        other, 2000.0, 2001.0
-    )  # another engine's answer does not show that it has finished
+    # Another engine's acknowledgement does not show that this one has finished.
+    claims.release_acknowledged(other, 2000.0, 2001.0)
     claims.release_acknowledged(unseen, 2100.0, 2102.0)  # it may have begun only now
     claims.release_acknowledged(unseen, 2600.0, 2601.0)
     assert claims.claims
@@ -64,7 +63,7 @@
     assert claims.due_since == 100.0
     claims.attempt_ended(400.0, arrived=True)
     assert claims.due_since == 400.0
-    claims.acknowledged_beside = 500.0  # freed what the attempt did not take
+    claims.acknowledged_beside = 500.0  # freed the KV cache that the attempt did not take
     claims.attempt_ended(900.0, arrived=False)
     assert claims.due_since == 900.0
 
@@ -73,27 +72,28 @@
     claims = KvClaims("a1")
     engine = ENGINES[0]
     claims.add_possible(engine, 100.0, 500.0)
-    claims.connection_refused(engine, 90.0, WITHIN)  # before the attempt's end: no proof
-    claims.connection_refused(engine, 110.0, WITHIN)
-    claims.connection_refused(engine, 110.0 + WITHIN / 2, WITHIN)  # an engine that is full refuses too
+    claims.connection_refused(engine, 90.0, MIN_REFUSING_MS)  # before the end of the attempt: no proof
+    claims.connection_refused(engine, 110.0, MIN_REFUSING_MS)
+    # An overloaded engine refuses too.
+    claims.connection_refused(engine, 110.0 + MIN_REFUSING_MS / 2, MIN_REFUSING_MS)
     claims.release_acknowledged(engine, 600.0, 601.0)
-    claims.connection_refused(engine, 700.0, WITHIN)
+    claims.connection_refused(engine, 700.0, MIN_REFUSING_MS)
     assert claims.claims
-    claims.connection_refused(engine, 700.0 + WITHIN, WITHIN)
+    claims.connection_refused(engine, 700.0 + MIN_REFUSING_MS, MIN_REFUSING_MS)
     assert not claims.claims
 
 
 def test_engine_with_a_full_connection_queue_has_not_died() -> None:
-    """An engine hangs and refuses connections while its queue of them is full, and takes others in between.
+    """An engine hangs and refuses connections while its accept queue is full, but accepts some in between.
 
     Its process lives, so the claim stays.
     """
     claims = KvClaims("a1")
     engine = ENGINES[0]
     claims.add_possible(engine, 100.0, 500.0)
-    claims.connection_refused(engine, 110.0, WITHIN)
-    claims.connection_opened(engine)  # nobody answered, but its machine took the connection
-    claims.connection_refused(engine, 110.0 + WITHIN, WITHIN)
+    claims.connection_refused(engine, 110.0, MIN_REFUSING_MS)
+    claims.connection_opened(engine)  # no answer, but the connection was accepted
+    claims.connection_refused(engine, 110.0 + MIN_REFUSING_MS, MIN_REFUSING_MS)
     assert claims.claims
 
 
@@ -114,39 +114,41 @@
 EVENTS = st.tuples(
     st.sampled_from(["held", "possible", "taken", "released"]), st.integers(0, 3), st.integers(0, 300)
 )
-WORK = 400.0
+WORK_MS = 400.0
 
 
 @given(st.lists(EVENTS, max_size=25))
 def test_no_claim_is_removed_without_proof(events: list[tuple[str, int, int]]) -> None:
     """Several attempts of one request leave claims at several engines, in any order.
 
-    A claim is removed only by what proves that its own KV cache is gone.
+    A claim is removed only by proof that its own KV cache is gone.
     """
     claims, now = KvClaims("a1"), 0.0
-    sure: list[int] = []  # engines, one entry for each read
-    unsure: list[tuple[int, float, float]] = []  # engine, end, when its engine is known to run
-    for name, at, ms in events:
+    held: list[int] = []  # engine indexes, one entry per prefill
+    possible: list[tuple[int, float, float]] = []  # engine index, end, known to run since
+    for name, index, ms in events:
         now += ms
         match name:
             case "held":
-                claims.add_held(ENGINES[at], now)
-                sure.append(at)
+                claims.add_held(ENGINES[index], now)
+                held.append(index)
             case "possible":
-                claims.add_possible(ENGINES[at], now, WORK)
-                unsure.append((at, now, -1.0))
+                claims.add_possible(ENGINES[index], now, WORK_MS)
+                possible.append((index, now, -1.0))
             case "taken":
-                claims.remove_taken(ENGINES[at])
-                if at in sure:
-                    sure.remove(at)
+                claims.remove_taken(ENGINES[index])
+                if index in held:
+                    held.remove(index)
             case "released":
-                claims.release_acknowledged(ENGINES[at], now, now)
-                sure.clear()
-                unsure = [
-                    (one, end, now if one == at and runs < 0 else runs)
-                    for one, end, runs in unsure
-                    if one != at or runs < 0 or now < runs + WORK
+                claims.release_acknowledged(ENGINES[index], now, now)
+                held.clear()
+                possible = [
+                    (other, end, now if other == index and running_since < 0 else running_since)
+                    for other, end, running_since in possible
+                    if other != index or running_since < 0 or now < running_since + WORK_MS
                 ]
-        wanted = sorted([ENGINES[one].key for one in sure] + [ENGINES[one].key for one, _, _ in unsure])
-        assert sorted(claim.engine.key for claim in claims.claims) == wanted
-        assert not sure or claims.is_due
+        expected = sorted(
+            [ENGINES[other].key for other in held] + [ENGINES[other].key for other, _, _ in possible]
+        )
+        assert sorted(claim.engine.key for claim in claims.claims) == expected
+        assert not held or claims.is_due
--- a/tests/test_many_engines.py
+++ b/tests/test_many_engines.py
@@ -1,7 +1,7 @@
-"""A node process among thousands of engines, over sockets, judged by what clients and engines see.
+"""A node process among thousands of engines over sockets, checked at its clients and engines.
 
-Incident c5f349: with 3,200 engines one iteration of the reactor took seconds, so that answers, drains and
-releases came late. Engines share a few listeners here, as the node distinguishes them by name.
+Incident c5f349: with 3,200 engines one iteration of the reactor took seconds, which delayed answers, drains
+and releases. The engines share a few listeners here, as the node distinguishes engines by name.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 from typing import Any, NamedTuple
 
 import pytest
-from node_rig import ANSWER, PREFILL_REPLY, SETTINGS, Engine, Peer, Rig, ask
-
-ENGINES, LISTENERS, FRONTS = 3200, 16, 200
-HUNG = 5  # of the listeners of each kind, one in so many never answers
-REQUESTS, PAUSE = 16, 0.25  # seconds between two requests
-TIME_LEFT = 2000  # milliseconds that each client waits
-LATE = 0.5  # seconds after its time in which an answer earns nothing, yet counts
-DRAIN_GRACE = 0.25 + 0.75  # seconds after a drain was told; the second part for this test's own lateness
-ANSWERED = TIME_LEFT / 1000 + 30.0  # seconds in which even a node that stands still has answered
-SETTLED = 6.0  # seconds after the last answer in which all that is held has been let go
-CORES, PERIOD = 0.4, 0.05  # part of a core that the node gets, in each of these seconds
-STARTING = 30.0  # seconds in which a process has to be ready
-OBJECTS = 8  # of each engine, at least, that a collector would look at
+from node_rig import ANSWER, PREFILL_REPLY, SETTINGS, Engine, Peer, Rig, chat_request
+
+ENGINES, LISTENERS, NODES = 3200, 16, 200
+HUNG_INTERVAL = 5  # of the listeners of each kind, one in this many never answers
+REQUESTS, PAUSE_S = 16, 0.25  # PAUSE_S: between two requests
+TIME_LEFT_MS = 2000  # how long each client waits
+MAX_LATE_S = 0.5  # an answer up to this much after its time is not counted as late
+DRAIN_GRACE_S = 0.25 + 0.75  # after a drain was sent; the second part is margin for this test process
+ANSWER_TIMEOUT_S = TIME_LEFT_MS / 1000 + 30.0  # within this time even a stalled node has answered
+RELEASE_TIMEOUT_S = 6.0  # within this time after the last answer all KV cache is released
+CPU_SHARE, CPU_PERIOD_S = 0.4, 0.05  # CPU share of the node, and the period of its stops
+START_TIMEOUT_S = 30.0  # for the node to serve
+MIN_OBJECTS_PER_ENGINE = 8  # minimum number of objects per engine that the garbage collector would traverse
 ALIVE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 
@@ -39,22 +39,22 @@
 
     def __init__(self, rig: Rig) -> None:
         self.rig = rig
-        self.attempts: list[tuple[int, float]] = []  # listener, when it arrived
-        self.held: set[str] = set()  # requests whose KV cache is held
+        self.attempts: list[tuple[int, float]] = []  # listener and arrival time
+        self.held: set[str] = set()  # ids of requests whose KV cache is held
         self.drained_at = 0.0
         self.listeners: list[Engine] = []
-        for at in range(LISTENERS):
-            kind = "prefill" if at % 2 else "decode"
-            self.listeners.append(rig.engine(kind, self._script(at, kind)))
+        for index in range(LISTENERS):
+            kind = "prefill" if index % 2 else "decode"
+            self.listeners.append(rig.engine(kind, self._script(index, kind)))
             self.listeners[-1].on_release = lambda listener=self.listeners[-1]: self._released(listener)
-        self.entries = [self._entry(at) for at in range(ENGINES)]
+        self.entries = [self._entry(index) for index in range(ENGINES)]
 
-    def _entry(self, at: int) -> dict[str, Any]:
-        entry = self.listeners[at % LISTENERS].entry()
-        return entry | {"name": f"s-{at:05d}", "zone": "abc"[at // 10 % 3], "group": at // 10}
+    def _entry(self, index: int) -> dict[str, Any]:
+        entry = self.listeners[index % LISTENERS].entry()
+        return entry | {"name": f"s-{index:05d}", "zone": "abc"[index // 10 % 3], "group": index // 10}
 
     def _script(self, listener: int, kind: str) -> Any:
-        hung = listener // 2 % HUNG == HUNG - 1
+        hung = listener // 2 % HUNG_INTERVAL == HUNG_INTERVAL - 1
 
         def answer(request: bytes) -> bytes:
             if request.startswith(b"GET"):
@@ -74,23 +74,23 @@
         return answer
 
     def _released(self, listener: Engine) -> None:
-        self.held.discard(listener.asked[-1].split(b" ")[1].rpartition(b"/")[2].decode())
+        self.held.discard(listener.requests[-1].split(b" ")[1].rpartition(b"/")[2].decode())
 
     def drain(self) -> None:
-        """All engines of the first two listeners, one of each kind, are told draining."""
-        leaving = [entry for at, entry in enumerate(self.entries) if at % LISTENERS < 2]
-        self.rig.hosts.tell(3, *[entry | {"status": "DRAINING"} for entry in leaving])
+        """Lists all engines of the first two listeners, one of each kind, as draining."""
+        leaving = [entry for index, entry in enumerate(self.entries) if index % LISTENERS < 2]
+        self.rig.discovery_server.send_list(3, *[entry | {"status": "DRAINING"} for entry in leaving])
         self.drained_at = time.monotonic()
 
-    def start_anew(self) -> None:
-        """Half of those that serve are told as just started."""
+    def restart_half(self) -> None:
+        """Lists half of the serving engines as just started."""
         now = time.time() * 1000
-        serving = [entry for at, entry in enumerate(self.entries) if at % LISTENERS >= 2]
-        self.rig.hosts.tell(2, *[entry | {"since_ms": now} for entry in serving[::2]])
+        serving = [entry for index, entry in enumerate(self.entries) if index % LISTENERS >= 2]
+        self.rig.discovery_server.send_list(2, *[entry | {"since_ms": now} for entry in serving[::2]])
 
 
 class NodeProcess:
-    """`worksmux node` with its log in a file."""
+    """A `worksmux node` process with its log in a file."""
 
     def __init__(self, folder: Path, config: dict[str, Any]) -> None:
         path = folder / "config.json"
@@ -105,12 +105,12 @@
             )
 
     def port(self) -> int:
-        """Where it serves; 0 while it does not yet."""
+        """Returns the port where the node serves; 0 before."""
         match = re.search(rb'"port":(\d+).*"event":"serving"', self.log.read_bytes())
         return int(match[1]) if match else 0
 
-    def frozen(self) -> int:
-        """Objects that its collector leaves alone since it serves."""
+    def frozen_objects(self) -> int:
+        """Returns the number of objects frozen for the garbage collector."""
         match = re.search(rb'"frozen_objects":(\d+).*"event":"serving"', self.log.read_bytes())
         assert match is not None
         return int(match[1])
@@ -128,13 +128,13 @@
     return {
         "name": "n",
         "listen": "127.0.0.1:0",
-        "discovery": f"127.0.0.1:{rig.hosts.port_number}",
+        "discovery": f"127.0.0.1:{rig.discovery_server.port_number}",
         "seed": "8c",
-        "limits": {"sockets": 1024, "cores": CORES},
+        "limits": {"sockets": 1024, "cores": CPU_SHARE},
         "settings": {
             **SETTINGS,
             "zones": ["a", "b", "c"],
-            "balancers": FRONTS,
+            "balancers": NODES,
             "prices": {"cross_zone": 0.02},
         },
         "known": {"index": 1, "snapshot": True, "endpoints": fleet.entries},
@@ -142,7 +142,7 @@
 
 
 class CoreShare:
-    """Gives a process part of a core, as the platform does: it is stopped and continued by signals."""
+    """Limits a process to part of a core, as the platform does, by SIGSTOP and SIGCONT."""
 
     def __init__(self, rig: Rig, process: subprocess.Popen[bytes]) -> None:
         self.rig, self.process, self.ended = rig, process, False
@@ -151,11 +151,11 @@
     def _pause(self) -> None:
         if not self.ended:
             self.process.send_signal(signal.SIGSTOP)
-            self.rig.reactor.callLater((1 - CORES) * PERIOD, self._go_on)
+            self.rig.reactor.callLater((1 - CPU_SHARE) * CPU_PERIOD_S, self._continue)
 
-    def _go_on(self) -> None:
+    def _continue(self) -> None:
         self.process.send_signal(signal.SIGCONT)
-        self.rig.reactor.callLater(CORES * PERIOD, self._pause)
+        self.rig.reactor.callLater(CPU_SHARE * CPU_PERIOD_S, self._pause)
 
     def end(self) -> None:
         self.ended = True
@@ -163,82 +163,90 @@
 
 
 class Traffic:
-    """Requests by new connections; each has its final answer, or is over its time."""
+    """Sends requests on new connections and records when they are answered."""
 
     def __init__(self, rig: Rig, port: int) -> None:
         self.rig, self.port = rig, port
-        self.asked: list[tuple[Peer, float]] = []
+        self.requests: list[tuple[Peer, float]] = []
         self.answered: dict[Peer, float] = {}
 
-    def ask(self) -> None:
-        self.rig.node = self  # its port is where the rig's clients connect
-        number = len(self.asked)
-        request = ask(f"{number:016x}", left=str(TIME_LEFT))
+    def send_request(self) -> None:
+        self.rig.node = self  # the rig's clients connect to its port
+        number = len(self.requests)
+        request = chat_request(f"{number:016x}", time_left=str(TIME_LEFT_MS))
         request = request.replace(b"Route-Key: 7f", b"Route-Key: %x" % (7 * number + 1))
         request = request.replace(b"prefix=5c", b"prefix=%x" % (5 * number + 1))
         peer = self.rig.client(request)
-        self.asked.append((peer, time.monotonic()))
-
-    def look(self) -> None:
-        for peer, _ in self.asked:
-            whole = peer.ended or peer.got.endswith(b"0\r\n\r\n") or b"content-length" in peer.got.lower()
-            if whole and peer not in self.answered:
+        self.requests.append((peer, time.monotonic()))
+
+    def record_answers(self) -> None:
+        for peer, _ in self.requests:
+            is_complete = (
+                peer.ended
+                or peer.received.endswith(b"0\r\n\r\n")
+                or b"content-length" in peer.received.lower()
+            )
+            if is_complete and peer not in self.answered:
                 self.answered[peer] = time.monotonic()
 
     def late(self) -> list[float]:
-        """Seconds by which answers came after their time; for those not answered yet, so far."""
+        """Returns the seconds by which answers are late; for missing answers, the lateness so far."""
         now = time.monotonic()
-        over = [self.answered.get(peer, now) - asked - TIME_LEFT / 1000 for peer, asked in self.asked]
-        return [seconds for seconds in over if seconds > LATE]
+        lateness = [
+            self.answered.get(peer, now) - sent_at - TIME_LEFT_MS / 1000 for peer, sent_at in self.requests
+        ]
+        return [seconds for seconds in lateness if seconds > MAX_LATE_S]
 
 
-class Day(NamedTuple):
+class Run(NamedTuple):
     fleet: Fleet
     traffic: Traffic
     node: NodeProcess
 
 
 @pytest.fixture(scope="module")
-def day(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Day]:
-    """A release among thousands of engines: some drain, others start cold, while requests go on."""
+def run(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Run]:
+    """Requests among thousands of engines while some engines drain and others start cold."""
     rig = Rig()
     fleet = Fleet(rig)
     node = NodeProcess(tmp_path_factory.mktemp("node"), config_of(rig, fleet))
     try:
-        rig.until(lambda: node.port() and rig.hosts.watches, STARTING)
+        rig.run_until(lambda: node.port() and rig.discovery_server.watches, START_TIMEOUT_S)
         traffic = Traffic(rig, node.port())
         share = CoreShare(rig, node.process)
-        for at in range(REQUESTS):
-            if at == REQUESTS // 4:
-                fleet.start_anew()
-            if at == REQUESTS // 2:
+        for index in range(REQUESTS):
+            if index == REQUESTS // 4:
+                fleet.restart_half()
+            if index == REQUESTS // 2:
                 fleet.drain()
-            traffic.ask()
-            until = time.monotonic() + PAUSE
-            rig.until(lambda until=until: traffic.look() or time.monotonic() > until)
-        rig.until(lambda: traffic.look() or len(traffic.answered) == REQUESTS, ANSWERED)
-        until = time.monotonic() + SETTLED
-        rig.until(lambda: not fleet.held or time.monotonic() > until, 2 * SETTLED)
+            traffic.send_request()
+            end = time.monotonic() + PAUSE_S
+            rig.run_until(lambda end=end: traffic.record_answers() or time.monotonic() > end)
+        rig.run_until(lambda: traffic.record_answers() or len(traffic.answered) == REQUESTS, ANSWER_TIMEOUT_S)
+        end = time.monotonic() + RELEASE_TIMEOUT_S
+        rig.run_until(lambda: not fleet.held or time.monotonic() > end, 2 * RELEASE_TIMEOUT_S)
         share.end()
-        yield Day(fleet, traffic, node)
+        yield Run(fleet, traffic, node)
     finally:
         node.end()
 
 
-def test_requests_are_answered_in_time_among_thousands_of_engines(day: Day) -> None:
-    assert day.node.process.poll() is None
-    assert len(day.fleet.attempts) >= REQUESTS
-    assert not day.traffic.late(), day.node.slow_rounds()
+def test_requests_are_answered_in_time_among_thousands_of_engines(run: Run) -> None:
+    assert run.node.process.poll() is None
+    assert len(run.fleet.attempts) >= REQUESTS
+    assert not run.traffic.late(), run.node.slow_rounds()
 
 
-def test_engines_are_frozen_for_the_garbage_collector(day: Day) -> None:
-    assert day.node.frozen() > OBJECTS * ENGINES
+def test_engines_are_frozen_for_the_garbage_collector(run: Run) -> None:
+    assert run.node.frozen_objects() > MIN_OBJECTS_PER_ENGINE * ENGINES
 
 
-def test_no_attempt_starts_at_draining_engines_among_thousands(day: Day) -> None:
-    due = day.fleet.drained_at + DRAIN_GRACE
-    assert [listener for listener, at in day.fleet.attempts if listener < 2 and at > due] == []
+def test_no_attempt_starts_at_draining_engines_among_thousands(run: Run) -> None:
+    due = run.fleet.drained_at + DRAIN_GRACE_S
+    assert [
+        listener for listener, arrived_at in run.fleet.attempts if listener < 2 and arrived_at > due
+    ] == []
 
 
-def test_no_kv_cache_stays_held_among_thousands_of_engines(day: Day) -> None:
-    assert not day.fleet.held, day.node.slow_rounds()
+def test_no_kv_cache_stays_held_among_thousands_of_engines(run: Run) -> None:
+    assert not run.fleet.held, run.node.slow_rounds()
--- a/tests/test_node_config.py
+++ b/tests/test_node_config.py
@@ -46,13 +46,13 @@
     )
 
 
-def paths(value: Any, at: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-    """Places of all values in a JSON object."""
-    inner = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
+def paths(value: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+    """Returns the paths of all values in a JSON object."""
+    items = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
     return (
-        [at, *(place for key, value in inner for place in paths(value, (*at, key)))]
-        if at
-        else [place for key, value in inner for place in paths(value, (key,))]
+        [path, *(place for key, value in items for place in paths(value, (*path, key)))]
+        if path
+        else [place for key, value in items for place in paths(value, (key,))]
     )
 
 
@@ -60,54 +60,54 @@
 
 
 @pytest.mark.parametrize("value", [MISSING, None, "x", -1, 0, 1e308, [], {}, True, [[]]], ids=repr)
-def test_missing_or_odd_setting_is_rejected_or_usable(value: Any) -> None:
-    """Each setting in turn is missing or has an odd value.
+def test_missing_or_unusual_setting_is_rejected_or_usable(value: Any) -> None:
+    """Each setting in turn is missing or has an unusual value.
 
-    The answer is an error that names its place, or a policy that decides with it; never a traceback.
+    The result is an error that names the setting, or a policy that works; never another exception.
     """
     for place in paths(SETTINGS):
         settings = json.loads(json.dumps(SETTINGS))
-        inner = settings
+        parent = settings
         for key in place[:-1]:
-            inner = inner[key]
+            parent = parent[key]
         if value is not MISSING:
-            inner[place[-1]] = value
-        elif isinstance(inner, dict):
-            del inner[place[-1]]
+            parent[place[-1]] = value
+        elif isinstance(parent, dict):
+            del parent[place[-1]]
         try:
-            told_to = config_of(settings)
+            parsed = config_of(settings)
         except ConfigError as error:
             assert str(error).startswith("c.json: $.settings"), (place, error)
             continue
-        id_map = IdMap(told_to.settings, 1)
-        engines = [id_map.engine(name, at + 1) for at, name in enumerate((b"r", b"w"))]
+        id_map = IdMap(parsed.settings, 1)
+        engines = [id_map.engine(name, number + 1) for number, name in enumerate((b"r", b"w"))]
         entries = [
             EndpointEntry(engine, "ready", 0.0, 0, 0, kind, 1.0)
             for kind, engine in enumerate(engines)
-            if kind < len(told_to.kinds)
+            if kind < len(parsed.kinds)
         ]
         request = Request(1, 0, 1, 0, 500.0, 0.0, 80.0, 1000.0, 4000.0)
         id_map.decide(1000.0, [EndpointListUpdate("full", entries), id_map.request_arrived(request)])
-        for at in range(1, 8):
+        for number in range(1, 8):
             ends = [
                 AttemptEnded(attempt, Outcome.PREFILLED if attempt.is_prefill else Outcome.RESET, 5.0, False)
                 for attempt in request.in_flight
             ]
-            id_map.decide(1000.0 + 600 * at, [*ends, TimerFired(0)])
+            id_map.decide(1000.0 + 600 * number, [*ends, TimerFired(0)])
 
 
 def test_settings_without_zones_have_one_zone() -> None:
-    """The settings name no zones, and the engines do.
+    """The settings name no zones, but the engines have zones.
 
-    All engines belong to the only zone; none may be left out of the fleet.
+    All engines belong to a single zone; none may be left out.
     """
-    unnamed = {key: value for key, value in SETTINGS.items() if key != "zones"}
-    for settings in (unnamed, {**unnamed, "zones": []}):
-        told_to = config_of(settings)
-        keeper = EndpointListReader(told_to.kinds, told_to.zones, lambda name: Engine(name.encode(), 1))
+    settings_without_zones = {key: value for key, value in SETTINGS.items() if key != "zones"}
+    for settings in (settings_without_zones, {**settings_without_zones, "zones": []}):
+        parsed = config_of(settings)
+        list_reader = EndpointListReader(parsed.kinds, parsed.zones, lambda name: Engine(name.encode(), 1))
         for zone in ("", "a", "b"):
             endpoint = Endpoint(f"e{zone}", "127.0.0.1:3", zone, "decode")
-            event = keeper.take(1.0, convert(HostList(1, True, [endpoint]), 0, 0.0)[0]).event
+            event = list_reader.take(1.0, convert(HostList(1, True, [endpoint]), 0, 0.0)[0]).event
             assert event is not None
             assert [(entry.state, entry.zone) for entry in event.entries] == [("ready", 0)]
 
@@ -118,7 +118,7 @@
     with pytest.raises(ConfigError, match="none.json"):
         config.load({"LB_CONFIG": str(tmp_path / "none.json")})
     (tmp_path / "c.json").write_text(json.dumps({"settings": SETTINGS}))
-    found = config.load(
+    loaded = config.load(
         {
             "LB_CONFIG": str(tmp_path / "c.json"),
             "LB_NAME": "n3",
@@ -126,7 +126,11 @@
             "LB_DISCOVERY": "127.0.0.1:8500",
         }
     )
-    assert (found.name, found.listen, found.request_classes) == ("n3", ("127.0.0.1", 3000), ["chat", "mark"])
+    assert (loaded.name, loaded.listen, loaded.request_classes) == (
+        "n3",
+        ("127.0.0.1", 3000),
+        ["chat", "mark"],
+    )
 
 
 def test_invalid_endpoints_are_omitted_with_a_note() -> None:
@@ -136,6 +140,6 @@
         Endpoint("c", "h:1", status="?"),
         Endpoint("d", status="DELETED"),
     ]
-    made, notes = convert(HostList(5, False, hosts), 4, 1000.0)
-    assert [(line.id, line.state) for line in made.engines] == [("a", "ready"), ("d", "gone")]
+    listing, notes = convert(HostList(5, False, hosts), 4, 1000.0)
+    assert [(line.id, line.state) for line in listing.engines] == [("a", "ready"), ("d", "gone")]
     assert len(notes) == 2
--- a/tests/test_node_releases.py
+++ b/tests/test_node_releases.py
@@ -1,8 +1,8 @@
-"""Releases of KV cache, against engines that send the very bytes."""
+"""KV cache releases, against engines with scripted bytes."""
 
 from __future__ import annotations
 
-from node_rig import ANSWER, PREFILL_REPLY, Rig, Silent, ask, rig_of_two
+from node_rig import ANSWER, PREFILL_REPLY, Rig, UnacceptingListener, chat_request, start_two_engine_rig
 
 from worksmux.policy.state import Engine
 
@@ -10,52 +10,52 @@
 def test_release_arrives_before_the_prefill_that_follows() -> None:
     """A prefill breaks, and another one is started for the same request.
 
-    The release for the first is acknowledged before the second is written, and none is sent until the
-    answer is over: a release frees the KV cache of the second prefill too, at whichever engine it arrives.
+    The release for the first is acknowledged before the second is written, and no other release is sent until
+    the answer is complete: a release also frees the KV cache of the second prefill, at every engine.
     """
-    rig, reads, order = Rig(), [None, PREFILL_REPLY], []  # type: Rig, list[bytes | None], list[str]
+    rig, replies, order = Rig(), [None, PREFILL_REPLY], []  # type: Rig, list[bytes | None], list[str]
 
     def prefill(request: bytes) -> bytes | None:
         order.append("prefill")
-        return reads.pop(0)
+        return replies.pop(0)
 
     prefill_engines = [rig.engine("prefill", prefill) for _ in range(2)]
     decode_engine = rig.engine("decode", lambda _: order.append("decode") or ANSWER)  # type: ignore[func-returns-value]
     for engine in rig.engines:
         engine.on_release = lambda: order.append("release")
     rig.start()
-    peer = rig.client(ask())
-    rig.until(lambda: b"[DONE]" in peer.got)
+    peer = rig.client(chat_request())
+    rig.run_until(lambda: b"[DONE]" in peer.received)
     assert order[:4] == ["prefill", "release", "prefill", "decode"]
-    rig.idle()
+    rig.wait_until_idle()
     broken = next(engine for engine in prefill_engines if engine.peers[0].ended)
-    assert b"DELETE" in broken.verbs() and decode_engine.verbs().count(b"POST") == 1
+    assert b"DELETE" in broken.methods() and decode_engine.methods().count(b"POST") == 1
 
 
 def test_release_is_acknowledged_by_another_engine() -> None:
     """A prefill engine dies after it has reset the attempt.
 
-    The release goes to another engine, and one acknowledgement is enough.
+    The release is sent to another engine, and one acknowledgement is enough.
     """
     rig = Rig()
     rig.engine("prefill", lambda _: rig.engines[0].port.stopListening() and None)
     rig.engine("decode")
     rig.start()
-    peer = rig.client(ask(left="600"))
-    rig.answered(peer)
-    rig.until(lambda: b"DELETE" in rig.engines[1].verbs())
-    rig.idle()  # one acknowledgement is enough
+    peer = rig.client(chat_request(time_left="600"))
+    rig.wait_for_status(peer)
+    rig.run_until(lambda: b"DELETE" in rig.engines[1].methods())
+    rig.wait_until_idle()  # one acknowledgement is enough
 
 
 def test_release_prefers_zones_not_tried_and_its_own() -> None:
-    rig = rig_of_two()
+    rig = start_two_engine_rig()
     core = rig.node.core
     first, *rest = [
-        Engine(b"%d" % zone, at, zone=zone, state="ready") for at, zone in enumerate((1, 1, 2, 0))
+        Engine(b"%d" % zone, index, zone=zone, state="ready") for index, zone in enumerate((1, 1, 2, 0))
     ]
     for engine in list(core.pools):
         core.release_targets.remove(engine)
-    for engine in (first, rest[2], rest[1], rest[0]):  # the one in its own zone longest ago
+    for engine in (first, rest[2], rest[1], rest[0]):  # the engine in the own zone answered longest ago
         core.address_changed(engine, "127.0.0.1", 1)
         core.pools[engine].on_heard()
     tried = {first}
@@ -65,32 +65,32 @@
 
 
 def test_release_is_sent_while_an_attempt_is_connecting() -> None:
-    """A prefill breaks, and the connection of the next attempt does not come up, as its engine is cut off.
+    """A prefill breaks, and the next attempt's connection is not established, as its engine is cut off.
 
-    The release is sent meanwhile; waiting for attempts that never arrive would delay it for ever.
+    The release is sent meanwhile; waiting for attempts that never arrive would delay it forever.
     """
-    rig, silent = Rig(), Silent()
+    rig, unreachable = Rig(), UnacceptingListener()
     prefill_engines = [rig.engine("prefill", lambda _: None) for _ in range(2)]
     rig.engine("decode")
     rig.start()
-    peer = rig.client(ask())
-    rig.until(lambda: any(engine.asked for engine in prefill_engines))
-    (broken, other) = sorted(prefill_engines, key=lambda engine: not engine.asked)
+    peer = rig.client(chat_request())
+    rig.run_until(lambda: any(engine.requests for engine in prefill_engines))
+    (broken, other) = sorted(prefill_engines, key=lambda engine: not engine.requests)
     for engine, pool in rig.node.core.pools.items():
         if engine.id.decode() == other.name:
-            pool.port = silent.port
+            pool.port = unreachable.port
     broken.script = lambda _: b""
-    rig.until(lambda: b"DELETE" in broken.verbs())
+    rig.run_until(lambda: b"DELETE" in broken.methods())
     (context,) = rig.node.core.open_requests.values()
-    assert [call.call.up for call in context.in_flight.values()] == [False] and not peer.got
-    silent.close()
+    assert [call.call.up for call in context.in_flight.values()] == [False] and not peer.received
+    unreachable.close()
 
 
 def test_client_disconnect_ends_its_attempt_and_releases() -> None:
-    rig = rig_of_two(lambda _: b"")
-    peer = rig.client(ask())
-    rig.until(lambda: rig.engines[1].asked)
+    rig = start_two_engine_rig(lambda _: b"")
+    peer = rig.client(chat_request())
+    rig.run_until(lambda: rig.engines[1].requests)
     peer.transport.abortConnection()  # type: ignore[union-attr]
-    rig.until(lambda: rig.engines[1].peers[0].ended)
-    rig.idle()
-    assert b"DELETE" in rig.engines[0].verbs()
+    rig.run_until(lambda: rig.engines[1].peers[0].ended)
+    rig.wait_until_idle()
+    assert b"DELETE" in rig.engines[0].methods()
--- a/tests/test_node_streams.py
+++ b/tests/test_node_streams.py
@@ -1,4 +1,4 @@
-"""Streams of events from engines: what is relayed, what is checked, and backpressure."""
+"""Event streams of engines: relaying, validation and backpressure."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from node_rig import ANSWER, EVENTS, LAST_CHUNK, STREAM, ask, chunk, rig_of_two
+from node_rig import ANSWER, EVENTS, LAST_CHUNK, STREAM, chat_request, chunk, start_two_engine_rig
 
 from worksmux.node.engine_reply import parse_load_report
 from worksmux.node.errors import CorruptStreamError
@@ -16,10 +16,12 @@
 
 @given(st.lists(st.integers(0, len(b"".join(EVENTS))), max_size=6))
 def test_stream_is_relayed_unchanged_in_any_pieces(cuts: list[int]) -> None:
-    whole, stream = b"".join(EVENTS), EventStream(1000)
-    places = [0, *sorted(cuts), len(whole)]
-    given_on = b"".join(stream.feed(whole[a:b]) for a, b in zip(places, places[1:], strict=False))
-    assert given_on == whole and stream.done and not stream.is_cut
+    stream_data, stream = b"".join(EVENTS), EventStream(1000)
+    boundaries = [0, *sorted(cuts), len(stream_data)]
+    relayed = b"".join(
+        stream.feed(stream_data[a:b]) for a, b in zip(boundaries, boundaries[1:], strict=False)
+    )
+    assert relayed == stream_data and stream.done and not stream.is_cut
 
 
 @pytest.mark.parametrize(
@@ -42,22 +44,21 @@
 
 @pytest.mark.parametrize("end", [b"\n\n", b"\r\n\r\n", b"\n\r\n"])
 def test_event_is_relayed_with_its_last_byte(end: bytes) -> None:
-    """An engine sends events byte by byte, with any kind of line end.
+    """An engine sends events byte by byte, with any line ending.
 
-    Each event is relayed with its last byte, and not held back until the next event or the end of the
-    stream.
+    Each event is relayed with its last byte, not delayed until the next event or the end of the stream.
     """
     stream = EventStream(1000)
     for event in EVENTS:
         data = event.strip() + end
-        assert [stream.feed(data[at : at + 1]) for at in range(len(data))][-1] == data
+        assert [stream.feed(data[index : index + 1]) for index in range(len(data))][-1] == data
     assert stream.done and not stream.is_cut
 
 
-GOOD = STREAM + chunk(EVENTS[0])
+STREAM_START = STREAM + chunk(EVENTS[0])
 
 
-SPOILT = [
+CORRUPT_REPLIES = [
     b"\x00\xff noise\r\n\r\n",
     b"HTTP/1.1 200 OK\r\n" + b"X: " + b"y" * 20000,
     b"HTTP/9 nonsense\r\n\r\n",
@@ -68,55 +69,58 @@
 ]
 
 
-@pytest.mark.parametrize("spoilt", SPOILT)
-def test_corrupt_reply_is_retried_only_if_idempotent(spoilt: bytes) -> None:
-    """A decode engine answers with a reply that is corrupt from its start.
+@pytest.mark.parametrize("corrupt", CORRUPT_REPLIES)
+def test_corrupt_reply_is_retried_only_if_idempotent(corrupt: bytes) -> None:
+    """A decode engine sends a reply that is corrupt from its start.
 
-    The attempt has possibly been executed: an idempotent request is retried, a non-idempotent one is
-    aborted.
+    The attempt was possibly executed: an idempotent request is retried, a non-idempotent one is aborted.
     """
-    answers = [spoilt]
-    rig = rig_of_two(lambda _: answers.pop() if answers else ANSWER)
+    answers = [corrupt]
+    rig = start_two_engine_rig(lambda _: answers.pop() if answers else ANSWER)
     rig.engine("decode", lambda _: answers.pop() if answers else ANSWER)
-    rig.hosts.tell(2, rig.engines[2].entry())
-    assert rig.answered(rig.client(ask("a1"))) == b"200"
-    answers.append(spoilt)
-    assert rig.answered(rig.client(ask("a2", "mark"))) in (b"502", b"504")
-    rig.idle()
-    assert sum(b"X-Request-ID: a2" in request for one in rig.engines[1:] for request in one.asked) == 1
-
-
-@pytest.mark.parametrize("spoilt", [b"zz\r\n", b"c0000000\r\nxx", b"4\r\ndata: {}\n\n\r\n", b"\x00\xff\r\n"])
-def test_stream_that_becomes_corrupt_is_cut_for_its_client(spoilt: bytes) -> None:
-    rig = rig_of_two(lambda _: GOOD + spoilt)
-    peer = rig.client(ask())
-    rig.until(lambda: peer.ended)
-    assert EVENTS[0] in peer.got and not peer.got.endswith(LAST_CHUNK) and b"xx" not in peer.got
+    rig.discovery_server.send_list(2, rig.engines[2].entry())
+    assert rig.wait_for_status(rig.client(chat_request("a1"))) == b"200"
+    answers.append(corrupt)
+    assert rig.wait_for_status(rig.client(chat_request("a2", "mark"))) in (b"502", b"504")
+    rig.wait_until_idle()
+    assert (
+        sum(b"X-Request-ID: a2" in request for engine in rig.engines[1:] for request in engine.requests) == 1
+    )
+
+
+@pytest.mark.parametrize("corrupt", [b"zz\r\n", b"c0000000\r\nxx", b"4\r\ndata: {}\n\n\r\n", b"\x00\xff\r\n"])
+def test_stream_that_becomes_corrupt_is_cut_for_its_client(corrupt: bytes) -> None:
+    rig = start_two_engine_rig(lambda _: STREAM_START + corrupt)
+    peer = rig.client(chat_request())
+    rig.run_until(lambda: peer.ended)
+    assert (
+        EVENTS[0] in peer.received and not peer.received.endswith(LAST_CHUNK) and b"xx" not in peer.received
+    )
 
 
 @pytest.mark.parametrize("extra", [ANSWER, b"HTTP/1.1 503 No\r\n\r\n", b"\x00\xff"])
 def test_bytes_after_an_answer_harm_no_request(extra: bytes) -> None:
-    rig = rig_of_two(lambda _: b"HTTP/1.1 103 Early Hints\r\n\r\n" + ANSWER + extra)
+    rig = start_two_engine_rig(lambda _: b"HTTP/1.1 103 Early Hints\r\n\r\n" + ANSWER + extra)
     for key in ("a1", "a2"):
-        peer = rig.client(ask(key))
-        assert rig.answered(peer) == b"200" and peer.got.count(b"[DONE]") == 1
+        peer = rig.client(chat_request(key))
+        assert rig.wait_for_status(peer) == b"200" and peer.received.count(b"[DONE]") == 1
 
 
 def test_slow_client_pauses_its_engine() -> None:
     """A client stops reading while its engine streams 25 MB.
 
-    The node pauses the engine; it must not buffer the stream.
+    The node pauses the engine and must not buffer the stream.
     """
-    rig = rig_of_two(lambda _: GOOD)
-    peer = rig.client(ask())
-    rig.until(lambda: EVENTS[0] in peer.got)
+    rig = start_two_engine_rig(lambda _: STREAM_START)
+    peer = rig.client(chat_request())
+    rig.run_until(lambda: EVENTS[0] in peer.received)
     peer.transport.pauseProducing()  # type: ignore[union-attr]
-    wire: Any = rig.engines[1].peers[0].transport
+    transport: Any = rig.engines[1].peers[0].transport
     for _ in range(400):
-        wire.write(chunk(EVENTS[0] * 800))  # 25 MB in all: more than the sockets of both sides hold
+        transport.write(chunk(EVENTS[0] * 800))  # 25 MB in all, more than both sides' socket buffers
         rig.reactor.iterate(0)
     (context,) = rig.node.core.open_requests.values()
-    rig.until(lambda: [call for call in context.in_flight.values() if call.paused])
-    (channel,) = [one for one in rig.node.server.channels if one.busy]
-    held = len(channel.transport.dataBuffer) + channel.transport._tempDataLen
-    assert held < 2**20 and len(wire.dataBuffer) + wire._tempDataLen > 2**20
+    rig.run_until(lambda: [call for call in context.in_flight.values() if call.paused])
+    (channel,) = [open_channel for open_channel in rig.node.server.channels if open_channel.busy]
+    buffered_bytes = len(channel.transport.dataBuffer) + channel.transport._tempDataLen
+    assert buffered_bytes < 2**20 and len(transport.dataBuffer) + transport._tempDataLen > 2**20
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,4 @@
-"""Nothing in the program is fitted to a deployment: no name of a site's classes, kinds, zones or tenants."""
+"""The program contains no names of a deployment site: no classes, kinds, zones or tenants."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def names(site: dict[str, Any]) -> set[str]:
-    """Every name that a site file gives to something of its deployment."""
+    """Returns all names that a site file defines."""
     tiers = site["tier"]
     named = [
         site,
@@ -24,22 +24,26 @@
         *site.get("tenant", []),
         *(kind for tier in tiers for kind in tier["kind"]),
     ]
-    return {one["name"] for one in named} | set(site["net"]["zones"])
+    return {item["name"] for item in named} | set(site["net"]["zones"])
 
 
 @pytest.mark.parametrize("path", SITES, ids=lambda path: path.stem)
-def test_program_names_nothing_of_a_site(path: Path) -> None:
-    found = names(tomllib.loads(path.read_text()))
-    assert len(found) >= 6
-    word = re.compile("|".join(rf"(?<![\w-]){re.escape(name)}(?![\w-])" for name in sorted(found)))
-    assert not [(file.name, match[0]) for file in PROGRAM for match in word.finditer(file.read_text())]
+def test_program_contains_no_names_of_a_site(path: Path) -> None:
+    site_names = names(tomllib.loads(path.read_text()))
+    assert len(site_names) >= 6
+    pattern = re.compile("|".join(rf"(?<![\w-]){re.escape(name)}(?![\w-])" for name in sorted(site_names)))
+    assert not [(file.name, match[0]) for file in PROGRAM for match in pattern.finditer(file.read_text())]
 
 
-def test_variants_differ_in_what_a_program_could_be_fitted_to() -> None:
+def test_sites_differ_in_names_and_class_values() -> None:
     sites = [tomllib.loads(path.read_text()) for path in SITES]
     assert len(sites) >= 2
     for key in ("aim_ms", "deadline_ms", "worth"):
-        seen = [{one[key] for one in site["class"]} for site in sites]
-        assert seen[0] != seen[1], key
+        values = [{request_class[key] for request_class in site["class"]} for site in sites]
+        assert values[0] != values[1], key
     assert not names(sites[0]) & names(sites[1])
-    assert {one["effect"] for site in sites for one in site["class"]} == {"safe", "keyed", "unsafe"}
+    assert {request_class["effect"] for site in sites for request_class in site["class"]} == {
+        "safe",
+        "keyed",
+        "unsafe",
+    }
