--- a/worksmux/forwarding/request_context.py
+++ b/worksmux/forwarding/request_context.py
@@ -57,7 +57,7 @@
     request: Request
     client_request: Any  # as parsed by the daemon's protocol
     client: Client
-    key: str  # the request id that engines get
+    key: str  # the request id in calls to engines
     class_name: str  # name of its request class
     kv_handle: Any = None  # handle of the KV cache from its prefill, if the protocol has handles
     holding_engines: dict[Engine, None] = field(default_factory=dict)  # may hold its KV cache or decode slot
--- a/worksmux/node/clients.py
+++ b/worksmux/node/clients.py
@@ -53,6 +53,7 @@
         self.ready = False
 
     def __call__(self, exchange: Exchange) -> None:
+        """Handles one client call."""
         path = exchange.uri.decode("latin-1").partition("?")[0]
         if path == protocol.CHAT_PATH and exchange.method == b"POST":
             self._chat(exchange)
--- a/worksmux/node/discovery.py
+++ b/worksmux/node/discovery.py
@@ -115,7 +115,7 @@
         self._poll_in(min(POLL_MS, self._next_open_at - now) if needed else POLL_MS)
 
     def _needs_watch(self, now: float) -> bool:
-        """Whether there is no current watch, or it is silent for too long or uses an previous address."""
+        """Whether there is no current watch, or it is silent for too long or uses a previous address."""
         current = self.current
         return (
             current is None
--- a/worksmux/node/kv_claims.py
+++ b/worksmux/node/kv_claims.py
@@ -69,7 +69,7 @@
 
 @dataclass(eq=False, slots=True)
 class KvClaims:
-    """All claims of one request; `key` is the request id that engines get."""
+    """All claims of one request; `key` is the request id in calls to engines."""
 
     key: str
     claims: list[KvClaim] = field(default_factory=list)
--- a/worksmux/node/kv_release.py
+++ b/worksmux/node/kv_release.py
@@ -38,7 +38,7 @@
 MAX_CALLS = 8  # in flight per release, besides those to engines with claims
 MAX_CALLS_PER_ENGINE = 3  # in flight while none of their connections is established
 MAX_TARGETS_PER_ROUND = 4  # engines without claims, when little time is left
-RETRY_STEPS_WHILE_DUE = 2  # maximum delay between calls to an engine while a release is due
+RETRY_STEPS_WHILE_DUE = 2  # maximum steps between calls to an engine while a release is due
 # Fractions and multiples of the release time limit.
 LATE_FRACTION = 0.6  # from then on two engines are tried at once
 VERY_LATE_FRACTION = 0.75  # from then on `MAX_TARGETS_PER_ROUND` engines are tried at once
@@ -53,7 +53,9 @@
 
     def __call__(
         self, engine: Engine, method: str, path: str, body: bytes, on_end: client.ResponseCallback, /
-    ) -> OutgoingCall: ...
+    ) -> OutgoingCall:
+        """Sends the call to `engine` and passes its result to `on_end`."""
+        ...
 
 
 @dataclass(frozen=True, slots=True)
--- a/worksmux/node/unresponsive_attempts.py
+++ b/worksmux/node/unresponsive_attempts.py
@@ -36,10 +36,14 @@
     """The view of an attempt in flight that the monitor needs."""
 
     @property
-    def over(self) -> bool: ...
+    def over(self) -> bool:
+        """Whether the attempt has ended."""
+        ...
 
     @property
-    def engine(self) -> Engine: ...
+    def engine(self) -> Engine:
+        """The engine that executes the attempt."""
+        ...
 
     @property
     def is_prefill(self) -> bool:
