--- a/benchmarks/front_against_relay.py
+++ b/benchmarks/front_against_relay.py
@@ -60,12 +60,14 @@
         if reader:
             return exchange.answer(
                 200,
-                chat.ENCODE.encode(chat.ReadReply(chat.KvParams("r", "127.0.0.1", 1), chat.Usage(9, 1, 10))),
+                chat.ENCODER.encode(
+                    chat.PrefillReply(chat.KvParams("r", "127.0.0.1", 1), chat.Usage(9, 1, 10))
+                ),
             )
         exchange.begin("text/event-stream")
         if slow:
-            return exchange.send_piece(event(chat.chunk("c", "hint", "w0 ")))
-        exchange.send_piece(CHUNKS + END)
+            return exchange.send_chunk(event(chat.chunk("c", "hint", "w0 ")))
+        exchange.send_chunk(CHUNKS + END)
         exchange.end()
 
     _, port = listen(reactor, ("127.0.0.1", 0), Server(answer, 2**20, 65_536, 120_000.0, reactor))
@@ -79,11 +81,11 @@
     def __init__(self, exchange: Exchange) -> None:
         self.exchange = exchange
 
-    def head(self, status: int, headers: dict[str, str]) -> None:
+    def head_received(self, status: int, headers: dict[str, str]) -> None:
         self.exchange.begin(headers.get("content-type", ""))
 
-    def piece(self, data: bytes) -> None:
-        self.exchange.send_piece(data)
+    def body_received(self, data: bytes) -> None:
+        self.exchange.send_chunk(data)
 
     def done(self) -> None:
         self.exchange.end()
@@ -133,9 +135,9 @@
         sent, loader = clock.now(), self
 
         class One(client.BufferedResponse):
-            def piece(self, data: bytes) -> None:
+            def body_received(self, data: bytes) -> None:
                 loader.first += not self.body
-                super().piece(data)
+                super().body_received(data)
 
         def ended(status: int, headers: dict[str, str], body: bytes, trouble: Any) -> None:
             if trouble or status != 200 or b"[DONE]" not in body:
--- a/tests/test_attempt_calls.py
+++ b/tests/test_attempt_calls.py
@@ -70,9 +70,9 @@
     status: int, pieces: list[bytes], outcome: Outcome, note: int
 ) -> None:
     call, listener = attempt_call(DecodeCall)
-    call.head(status, {"content-type": "text/event-stream" if status == 200 else "application/json"})
+    call.head_received(status, {"content-type": "text/event-stream" if status == 200 else "application/json"})
     for data in pieces:
-        call.piece(data)
+        call.body_received(data)
     call.done()
     assert (
         listener.events[-1] == (outcome, note)
@@ -97,25 +97,25 @@
 
 def test_prefill_returns_handle_and_cached_tokens() -> None:
     call, listener = attempt_call(PrefillCall)
-    call.head(200, {})
-    call.piece(
+    call.head_received(200, {})
+    call.body_received(
         msgspec.json.encode(
-            chat.ReadReply(chat.KvParams("e", "h", 1), chat.Usage(9, 1, 10, {"cached_tokens": 4}))
+            chat.PrefillReply(chat.KvParams("e", "h", 1), chat.Usage(9, 1, 10, {"cached_tokens": 4}))
         )
     )
     call.done()
     assert listener.events == [(Outcome.PREFILLED, 4)]
     call_without_handle, listener = attempt_call(PrefillCall)
-    call_without_handle.head(200, {})
-    call_without_handle.piece(b'{"choices": []}')  # a prefill response needs a KV cache handle
+    call_without_handle.head_received(200, {})
+    call_without_handle.body_received(b'{"choices": []}')  # a prefill response needs a KV cache handle
     call_without_handle.done()
     assert listener.events == [(Outcome.ERROR, 0)]
 
 
 def test_stalled_stream_times_out() -> None:
     call, listener = attempt_call(DecodeCall)
-    call.head(200, {"content-type": "text/event-stream"})
-    call.piece(CHUNK)
+    call.head_received(200, {"content-type": "text/event-stream"})
+    call.body_received(CHUNK)
     call.last_piece_at = clock.now() - 60
     call._check_gap()
     assert listener.events == ["began", "word ", (Outcome.TIMED_OUT, 0)]
--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -7,22 +7,33 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from worksmux.batching.planner import SMALL, WAIT, Bounds, Call, Done, How, Load, Planner, Step, split
+from worksmux.batching.planner import (
+    MAX_WAIT_SHARE,
+    SMALL_REQUEST_SHARE,
+    BatchedRequest,
+    BatchFailure,
+    BatchLimits,
+    InputBatch,
+    Planner,
+    RequestResult,
+    Step,
+    split,
+)
 
-BOUNDS = Bounds(100.0, 8)
+BOUNDS = BatchLimits(100.0, 8)
 
 
 def call(
-    *costs: float, group: str = "g", now: float = 0.0, promised: float = 1000.0, bounds: Bounds = BOUNDS
-) -> Call:
-    return Call(list(costs), group, bounds, now, now + promised, now + 4 * promised)
+    *costs: float, group: str = "g", now: float = 0.0, promised: float = 1000.0, bounds: BatchLimits = BOUNDS
+) -> BatchedRequest:
+    return BatchedRequest(list(costs), group, bounds, now, now + promised, now + 4 * promised)
 
 
 def planner(again: bool = True) -> Planner:
     return Planner(lambda _: again)
 
 
-def answers(asked: list[tuple[Call, int]]) -> dict[int, tuple[int, int]]:
+def answers(asked: list[tuple[BatchedRequest, int]]) -> dict[int, tuple[int, int]]:
     return {position: (id(one), at) for position, (one, at) in enumerate(asked)}
 
 
@@ -45,17 +56,17 @@
 ) -> None:
     chance, plan, now = random.Random(seed), planner(), 0.0
     calls = [call(*costs) for costs in sizes]
-    waiting: list[Load] = []
+    waiting: list[InputBatch] = []
     dropped: set[int] = set()
-    finals: dict[int, list[Done]] = {id(one): [] for one in calls}
+    finals: dict[int, list[RequestResult]] = {id(one): [] for one in calls}
     sent_after_end = 0
 
     def take(step: Step) -> None:
         waiting.extend(step.send)
-        waiting.extend(load for _, load in step.later)
-        dropped.update(load.number for load in step.drop)
-        for done in step.done:
-            finals[id(done.call)].append(done)
+        waiting.extend(batch for _, batch in step.send_later)
+        dropped.update(batch.number for batch in step.cancel)
+        for result in step.results:
+            finals[id(result.request)].append(result)
 
     for one in calls:
         take(plan.add(now, one))
@@ -63,35 +74,35 @@
     for _ in range(400):
         now += 1.0
         take(plan.tick(now + 50.0))
-        if chance.random() < 0.03 and not left.over:
-            take(plan.left(left))
-            finals[id(left)].append(Done(left, How.BROKEN))
-        waiting = [load for load in waiting if load.number not in dropped]
+        if chance.random() < 0.03 and not left.ended:
+            take(plan.client_disconnected(left))
+            finals[id(left)].append(RequestResult(left, BatchFailure.ABORTED))
+        waiting = [batch for batch in waiting if batch.number not in dropped]
         if not waiting:
             break
-        load = waiting.pop(chance.randrange(len(waiting)))
-        asked = load.needs()
-        sent_after_end += any(one.over for one, _ in asked)
+        batch = waiting.pop(chance.randrange(len(waiting)))
+        asked = batch.missing_inputs()
+        sent_after_end += any(one.ended for one, _ in asked)
         match chance.randrange(5):
             case 0:
                 some = answers(asked)
-                plan.partial(load, asked, {at: some[at] for at in some if chance.random() < 0.5})
-                if not load.needs():
-                    take(plan.delivered(load, [], {}))
+                plan.add_results(batch, asked, {at: some[at] for at in some if chance.random() < 0.5})
+                if not batch.missing_inputs():
+                    take(plan.batch_served(batch, [], {}))
                 else:
-                    waiting.append(load)
+                    waiting.append(batch)
             case 1:
-                take(plan.failed(now, load, How.DEFERRED))
-            case 2 if len({id(one) for one, _ in load.wanted}) > 1:
-                take(plan.refused(load, "bad"))
+                take(plan.batch_failed(now, batch, BatchFailure.REJECTED))
+            case 2 if len({id(one) for one, _ in batch.inputs}) > 1:
+                take(plan.input_rejected(batch, "bad"))
             case _:
-                take(plan.delivered(load, asked, answers(asked)))
+                take(plan.batch_served(batch, asked, answers(asked)))
     assert not sent_after_end
     for one in calls:
-        assert len(finals[id(one)]) == 1 and one.over
-        if finals[id(one)][0].how is None:
+        assert len(finals[id(one)]) == 1 and one.ended
+        if finals[id(one)][0].failure is None:
             assert one.results == [(id(one), at) for at in range(len(one.costs))]
-    assert not plan.out and not plan.joining
+    assert not plan.in_flight and not plan.open_batches
 
 
 def test_small_calls_join_only_while_engines_are_busy_and_not_for_long() -> None:
@@ -100,20 +111,22 @@
     assert len(plan.add(0.0, first).send) == 1
     assert not plan.add(1.0, second).send and not plan.add(2.0, third).send
     at = plan.next_time()
-    assert at is not None and at <= 1.0 + WAIT * 1000.0
-    (load,) = plan.tick(at).send
-    assert load.calls() == [second, third] and load.cost == 13.0
+    assert at is not None and at <= 1.0 + MAX_WAIT_SHARE * 1000.0
+    (batch,) = plan.tick(at).send
+    assert batch.requests() == [second, third] and batch.cost == 13.0
 
 
 def test_full_load_goes_at_once_and_a_hasty_call_is_not_joined() -> None:
     plan = planner()
     plan.add(0.0, call(99.0))
-    sent = [load for _ in range(6) for load in plan.add(0.0, call(20.0)).send]
-    assert sent and max(load.cost for load in sent) <= 100.0
-    hasty = Call([5.0], "g", BOUNDS, 0.0, 50.0, 60.0)  # its time ends before the others are due
+    sent = [batch for _ in range(6) for batch in plan.add(0.0, call(20.0)).send]
+    assert sent and max(batch.cost for batch in sent) <= 100.0
+    hasty = BatchedRequest([5.0], "g", BOUNDS, 0.0, 50.0, 60.0)  # its time ends before the others are due
     plan.add(0.0, call(5.0))
     plan.add(0.0, hasty)
-    assert all(hasty not in load.calls() or load.calls() == [hasty] for load in plan.joining.values())
+    assert all(
+        hasty not in batch.requests() or batch.requests() == [hasty] for batch in plan.open_batches.values()
+    )
 
 
 def test_one_bad_input_harms_none_of_the_others() -> None:
@@ -122,14 +135,14 @@
     good, bad = call(5.0), call(6.0)
     plan.add(0.0, good)
     plan.add(0.0, bad)
-    (load,) = plan.tick(100.0).send
-    alone = plan.refused(load, "too long").send
-    assert sorted(len(one.calls()) for one in alone) == [1, 1]
-    by_call = {one.calls()[0]: one for one in alone}
-    (done,) = plan.refused(by_call[bad], "too long").done
-    assert done.call is bad and done.bad == "too long"
-    asked = by_call[good].needs()
-    assert plan.delivered(by_call[good], asked, answers(asked)).done[0].how is None
+    (batch,) = plan.tick(100.0).send
+    alone = plan.input_rejected(batch, "too long").send
+    assert sorted(len(one.requests()) for one in alone) == [1, 1]
+    by_call = {one.requests()[0]: one for one in alone}
+    (result,) = plan.input_rejected(by_call[bad], "too long").results
+    assert result.request is bad and result.input_error == "too long"
+    asked = by_call[good].missing_inputs()
+    assert plan.batch_served(by_call[good], asked, answers(asked)).results[0].failure is None
 
 
 def test_call_whose_results_came_before_its_load_was_refused_is_delivered() -> None:
@@ -138,10 +151,10 @@
     full, bad = call(5.0), call(6.0)
     plan.add(0.0, full)
     plan.add(0.0, bad)
-    (load,) = plan.tick(100.0).send
-    plan.partial(load, load.needs(), {0: "result"})
-    step = plan.refused(load, "too long")
-    assert [done.call for done in step.done] == [full] and step.send[0].calls() == [bad]
+    (batch,) = plan.tick(100.0).send
+    plan.add_results(batch, batch.missing_inputs(), {0: "result"})
+    step = plan.input_rejected(batch, "too long")
+    assert [result.request for result in step.results] == [full] and step.send[0].requests() == [bad]
 
 
 def test_call_left_over_of_a_refused_load_goes_out_alone_as_it_may_not_be_the_bad_one() -> None:
@@ -150,10 +163,10 @@
     stays, goes = call(5.0), call(6.0)
     plan.add(0.0, stays)
     plan.add(0.0, goes)
-    (load,) = plan.tick(100.0).send
-    plan.left(goes)
-    step = plan.refused(load, "too long")
-    assert not step.done and step.send[0].calls() == [stays]
+    (batch,) = plan.tick(100.0).send
+    plan.client_disconnected(goes)
+    step = plan.input_rejected(batch, "too long")
+    assert not step.results and step.send[0].requests() == [stays]
 
 
 def test_client_that_leaves_takes_only_its_own_inputs_along() -> None:
@@ -162,21 +175,23 @@
     stays, goes = call(5.0, 5.0), call(6.0)
     plan.add(0.0, stays)
     plan.add(0.0, goes)
-    (load,) = plan.tick(100.0).send
-    assert not plan.left(goes).drop and load.needs() == [(stays, 0), (stays, 1)]
-    assert plan.left(stays).drop == [load]
+    (batch,) = plan.tick(100.0).send
+    assert not plan.client_disconnected(goes).cancel and batch.missing_inputs() == [(stays, 0), (stays, 1)]
+    assert plan.client_disconnected(stays).cancel == [batch]
 
 
 def test_what_could_not_be_served_ends_once_the_budget_or_the_time_is_spent() -> None:
     for again, now in ((False, 0.0), (True, 990.0)):
         plan, one = planner(again), call(90.0, 90.0)
         first, second = plan.add(0.0, one).send
-        step = plan.failed(now, first, How.DEFERRED)
-        assert [done.how for done in step.done] == [How.DEFERRED] and step.drop == [second]
-        assert not plan.failed(now, second, How.DEFERRED).done and not plan.out
+        step = plan.batch_failed(now, first, BatchFailure.REJECTED)
+        assert [result.failure for result in step.results] == [BatchFailure.REJECTED] and step.cancel == [
+            second
+        ]
+        assert not plan.batch_failed(now, second, BatchFailure.REJECTED).results and not plan.in_flight
 
 
 def test_large_calls_are_never_joined() -> None:
-    plan, one = planner(), call(SMALL * 100.0 + 1.0)
+    plan, one = planner(), call(SMALL_REQUEST_SHARE * 100.0 + 1.0)
     plan.add(0.0, call(5.0))
-    assert len(plan.add(0.0, one).send) == 1 and not plan.joining
+    assert len(plan.add(0.0, one).send) == 1 and not plan.open_batches
--- a/tests/test_chat_requests.py
+++ b/tests/test_chat_requests.py
@@ -13,12 +13,12 @@
 from worksmux.api.errors import InvalidRequestError
 
 
-def request(headers: dict[str, str] | None = None, **fields: Any) -> chat.Asked:
+def request(headers: dict[str, str] | None = None, **fields: Any) -> chat.ChatRequest:
     body = {
         "model": "hint",
         "messages": [{"role": "system", "content": "s" * 40}, {"role": "user", "content": "q"}],
     }
-    return chat.asked(json.dumps({**body, **fields}).encode(), (headers or {}).get, {"hint": 0}, [50])
+    return chat.parse_request(json.dumps({**body, **fields}).encode(), (headers or {}).get, {"hint": 0}, [50])
 
 
 def test_defaults_come_from_request_class_and_first_message() -> None:
@@ -27,13 +27,16 @@
         request(messages=[{"role": "system", "content": "s" * 40}, {"role": "user", "content": "z"}]),
     )
     assert (
-        one.most == 50
+        one.max_tokens == 50
         and one.prefix == other.prefix != 0
         and one.prefix_tokens == 10
-        and one.time_left is None
+        and one.time_left_ms is None
     )
-    assert request(max_tokens=7).most == 7 and request(max_completion_tokens=9, max_tokens=7).most == 9
-    assert request({chat.RETRY_COUNT: "2"}).repeat and not request({chat.RETRY_COUNT: "0"}).repeat
+    assert (
+        request(max_tokens=7).max_tokens == 7
+        and request(max_completion_tokens=9, max_tokens=7).max_tokens == 9
+    )
+    assert request({chat.RETRY_COUNT: "2"}).is_retry and not request({chat.RETRY_COUNT: "0"}).is_retry
     assert request({chat.PREFIX: "lab"}).prefix != one.prefix and request(stream=None).stream is False
 
 
@@ -47,13 +50,13 @@
 
 def test_unknown_fields_are_forwarded_unchanged() -> None:
     one = request(temperature=0.5, logit_bias={"7": 1}, stream=True)
-    decode = json.loads(chat.to_writer(one, chat.KvParams("e", "h", 1, [3], "j")))
+    decode = json.loads(chat.decode_body(one, chat.KvParams("e", "h", 1, [3], "j")))
     assert decode["temperature"] == 0.5 and decode["logit_bias"] == {"7": 1} and decode["stream"] is True
     assert (
         decode["kv_transfer_params"]["remote_engine_id"] == "e"
         and decode["kv_transfer_params"]["remote_port"] == 1
     )
-    prefill = json.loads(chat.to_reader(one))
+    prefill = json.loads(chat.prefill_body(one))
     assert (
         prefill["max_tokens"] == 1
         and prefill["stream"] is False
@@ -64,4 +67,4 @@
 @given(st.binary(max_size=200))
 def test_arbitrary_bytes_are_rejected_as_bad_request(body: bytes) -> None:
     with pytest.raises(InvalidRequestError):
-        chat.asked(body, {}.get, {"hint": 0}, [50])
+        chat.parse_request(body, {}.get, {"hint": 0}, [50])
--- a/tests/test_cost_by_fleet_size.py
+++ b/tests/test_cost_by_fleet_size.py
@@ -256,7 +256,7 @@
     watch = discovery_watch.DiscoveryWatch(recorder, 0.0)  # type: ignore[arg-type]
     data = text.encode() + b"\n\n"
     for at in range(0, len(data), piece):
-        watch.piece(data[at : at + piece])
+        watch.body_received(data[at : at + piece])
     assert not recorder.faults
     (hosts, empty) = recorder.lists
     assert hosts is not None and len(hosts.endpoints) == MANY
@@ -269,6 +269,6 @@
     recorder = WatchRecorder()
     watch = discovery_watch.DiscoveryWatch(recorder, 0.0)  # type: ignore[arg-type]
     text = '{"index":41,"endpoints":[\n' + "\n,".join(map(json.dumps, entries)) + "\n]}\n\n"
-    watch.piece(text.encode())
+    watch.body_received(text.encode())
     assert not recorder.faults
     assert recorder.lists[0] is not None and len(recorder.lists[0].endpoints) == 2
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -83,10 +83,10 @@
     def __init__(self) -> None:
         self.status, self.trouble = 0, ""
 
-    def head(self, status: int, headers: dict[str, str]) -> None:
+    def head_received(self, status: int, headers: dict[str, str]) -> None:
         self.status = status
 
-    def piece(self, data: bytes) -> None: ...
+    def body_received(self, data: bytes) -> None: ...
 
     def done(self) -> None: ...
 
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -18,10 +18,10 @@
     def __init__(self) -> None:
         self.status, self.body, self.end = 0, b"", ""
 
-    def head(self, status: int, headers: dict[str, str]) -> None:
+    def head_received(self, status: int, headers: dict[str, str]) -> None:
         self.status = status
 
-    def piece(self, data: bytes) -> None:
+    def body_received(self, data: bytes) -> None:
         self.body += data
 
     def done(self) -> None:
--- a/tests/test_node_releases.py
+++ b/tests/test_node_releases.py
@@ -57,7 +57,7 @@
         core.release_targets.remove(engine)
     for engine in (first, rest[2], rest[1], rest[0]):  # the engine in the own zone answered longest ago
         core.address_changed(engine, "127.0.0.1", 1)
-        core.pools[engine].on_heard()
+        core.pools[engine].on_response()
     tried = {first}
     for expected in (rest[2], rest[1], rest[0]):
         assert core.release_targets.choose(tried) is expected
@@ -82,7 +82,7 @@
     broken.script = lambda _: b""
     rig.run_until(lambda: b"DELETE" in broken.methods())
     (context,) = rig.node.core.open_requests.values()
-    assert [call.call.up for call in context.in_flight.values()] == [False] and not peer.received
+    assert [call.call.is_connected for call in context.in_flight.values()] == [False] and not peer.received
     unreachable.close()
 
 
--- a/tests/test_node_requests.py
+++ b/tests/test_node_requests.py
@@ -72,7 +72,7 @@
     prefill = PrefillAttempt(ManualReactor(), None, attempt, listener, 100.0, 50.0, 300)  # type: ignore[arg-type]
     delayed_calls.pop()()  # the timeout expires while a reply waits in the socket
     assert not ends
-    prefill.head(202, {})
+    prefill.head_received(202, {})
     prefill.done()
     delayed_calls.pop()()
     assert ends == [Outcome.PREFILLED]
--- a/tests/test_node_startup.py
+++ b/tests/test_node_startup.py
@@ -157,7 +157,7 @@
     for index in range(50):
         entry = {**rig.engines[1].entry(), "name": f"x{index}"}
         gone = {**entry, "name": f"x{index - 1}", "status": "DELETED"}
-        discovery.current.piece(
+        discovery.current.body_received(
             json.dumps({"index": 2 + index, "snapshot": False, "endpoints": [entry, gone]}).encode() + b"\n"
         )
         id_map.policy.context.now += 60_000.0
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -217,7 +217,7 @@
     run_with(rig, send_requests)
     assert {reply[0] for reply in client.replies.values()} == {200}
     vectors = rig.fronts[0].clients.vectors
-    assert vectors and not vectors.open_requests and not vectors.batches and not vectors.planner.out
+    assert vectors and not vectors.open_requests and not vectors.batches and not vectors.planner.in_flight
 
 
 def test_flood_of_embeddings_is_rejected_early_and_chat_goes_on(tmp_path: Path) -> None:
@@ -264,7 +264,7 @@
 )
 def test_bad_request_names_its_fault(body: bytes, expected_message: str) -> None:
     with pytest.raises(InvalidRequestError, match=expected_message):
-        embeddings.asked(body)
+        embeddings.parse_request(body)
 
 
 def test_only_valid_parts_of_a_reply_are_used() -> None:
--- a/worksmux/api/chat.py
+++ b/worksmux/api/chat.py
@@ -22,13 +22,13 @@
 
 Text = str | list[dict[str, Any]] | None
 TIME_LEFT, SESSION, PREFIX = "x-worksmux-time-left-ms", "x-worksmux-session", "x-worksmux-prefix"
-PREFIX_TOKENS, REPEAT, RETRY_COUNT = (
+PREFIX_TOKENS, CLIENT_RETRIES, RETRY_COUNT = (
     "x-worksmux-prefix-tokens",
     "x-worksmux-repeat",
     "x-stainless-retry-count",
 )
-REQUEST_ID, LABEL = "x-request-id", "idempotency-key"
-BYTES_A_TOKEN = 4
+REQUEST_ID, IDEMPOTENCY_KEY = "x-request-id", "idempotency-key"
+BYTES_PER_TOKEN = 4
 
 
 class Message(msgspec.Struct):
@@ -40,7 +40,7 @@
     include_usage: bool = False
 
 
-class Known(msgspec.Struct):
+class RequestBody(msgspec.Struct):
     """The fields of a job that the front reads."""
 
     model: str
@@ -76,7 +76,7 @@
         return (self.prompt_tokens_details or {}).get("cached_tokens", 0)
 
 
-class ReadReply(msgspec.Struct):
+class PrefillReply(msgspec.Struct):
     """A reader's answer."""
 
     kv_transfer_params: KvParams
@@ -102,38 +102,38 @@
     usage: Usage | None = None
 
 
-READ_CHUNK = msgspec.json.Decoder(Chunk)
-READ_KNOWN = msgspec.json.Decoder(Known)
-READ_FIELDS = msgspec.json.Decoder(dict[str, msgspec.Raw])
-READ_REPLY = msgspec.json.Decoder(ReadReply)
-ENCODE = msgspec.json.Encoder()
+CHUNK_DECODER = msgspec.json.Decoder(Chunk)
+REQUEST_DECODER = msgspec.json.Decoder(RequestBody)
+FIELDS_DECODER = msgspec.json.Decoder(dict[str, msgspec.Raw])
+PREFILL_REPLY_DECODER = msgspec.json.Decoder(PrefillReply)
+ENCODER = msgspec.json.Encoder()
 
 
 @dataclass(slots=True)
-class Asked:
+class ChatRequest:
     """A client's job as the front takes it; times in milliseconds, lengths in tokens."""
 
     request_class: int
-    name: str
+    model: str
     fields: dict[str, msgspec.Raw]
     stream: bool
-    usage: bool
-    most: int
-    prompt: float
+    include_usage: bool
+    max_tokens: int
+    prompt_tokens: float
     session: int
     prefix: int
     prefix_tokens: float
-    time_left: float | None
-    repeat: bool
-    label: str
+    time_left_ms: float | None
+    is_retry: bool
+    idempotency_key: str
     request_id: str
     parts: list[tuple[str, str]]  # role and text of each message
-    named: bool  # the client told its shared beginning itself
-    exact: bool = False  # the prompt's length is counted, not guessed
+    has_named_prefix: bool  # the client told its shared beginning itself
+    is_prompt_exact: bool = False  # the prompt's length is counted, not guessed
     answer_id: str = field(default_factory=lambda: "chatcmpl-" + secrets.token_hex(12))
 
 
-def figure(raw: str | None, name: str) -> float | None:
+def parse_number(raw: str | None, name: str) -> float | None:
     """A header's number from 0; None where it is absent.  Raises BadJob."""
     if raw is None:
         return None
@@ -158,12 +158,12 @@
     return content or ""
 
 
-def asked(
+def parse_request(
     body: bytes, header: Callable[[str], str | None], request_classes: dict[str, int], most: list[int]
-) -> Asked:
+) -> ChatRequest:
     """Reads a client's job; `most` gives each offering's longest answer.  Raises BadJob with the remedy."""
     try:
-        known, fields = READ_KNOWN.decode(body), READ_FIELDS.decode(body)
+        known, fields = REQUEST_DECODER.decode(body), FIELDS_DECODER.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise InvalidRequestError(f"the body is no chat completion: {error}") from error
     if known.model not in request_classes:
@@ -186,22 +186,22 @@
     first = known.messages[0]
     named = header(PREFIX) or known.prompt_cache_key
     shared = named or (parts[0][1] if first.role in ("system", "developer") and lengths[0] else None)
-    prefix_tokens = figure(header(PREFIX_TOKENS), PREFIX_TOKENS)
-    repeats = figure(header(REPEAT) or header(RETRY_COUNT), REPEAT)
-    return Asked(
+    prefix_tokens = parse_number(header(PREFIX_TOKENS), PREFIX_TOKENS)
+    repeats = parse_number(header(CLIENT_RETRIES) or header(RETRY_COUNT), CLIENT_RETRIES)
+    return ChatRequest(
         at,
         known.model,
         fields,
         bool(known.stream),
         bool(known.stream_options and known.stream_options.include_usage),
         min(longest or most[at], most[at]),
-        max(1.0, sum(lengths) / BYTES_A_TOKEN),
+        max(1.0, sum(lengths) / BYTES_PER_TOKEN),
         _identity(header(SESSION)),
         _identity(shared),
-        prefix_tokens if prefix_tokens is not None else lengths[0] / BYTES_A_TOKEN * bool(shared),
-        figure(header(TIME_LEFT), TIME_LEFT),
+        prefix_tokens if prefix_tokens is not None else lengths[0] / BYTES_PER_TOKEN * bool(shared),
+        parse_number(header(TIME_LEFT), TIME_LEFT),
         bool(repeats),
-        header(LABEL) or "",
+        header(IDEMPOTENCY_KEY) or "",
         header(REQUEST_ID) or "",
         parts,
         bool(named),
@@ -209,7 +209,7 @@
 
 
 def _raw(value: Any) -> msgspec.Raw:
-    return msgspec.Raw(ENCODE.encode(value))
+    return msgspec.Raw(ENCODER.encode(value))
 
 
 TRUE, FALSE, ONE, USAGE = _raw(True), _raw(False), _raw(1), _raw({"include_usage": True})
@@ -225,32 +225,37 @@
 )
 
 
-def to_reader(request: Asked) -> bytes:
+def prefill_body(request: ChatRequest) -> bytes:
     """The body for a reader: one token, whole, and the state kept for another engine."""
     fields = {**request.fields, "stream": FALSE, "max_tokens": ONE, "kv_transfer_params": TO_READ}
     fields.pop("max_completion_tokens", None)
     fields.pop("stream_options", None)
-    return ENCODE.encode(fields)
+    return ENCODER.encode(fields)
 
 
-def to_writer(request: Asked, state: KvParams | None) -> bytes:
+def decode_body(request: ChatRequest, state: KvParams | None) -> bytes:
     """The body for what answers, always as a stream with usage; `state` is left out where it reads by
     itself."""
-    fields = {**request.fields, "stream": TRUE, "stream_options": USAGE, "max_tokens": _raw(request.most)}
+    fields = {
+        **request.fields,
+        "stream": TRUE,
+        "stream_options": USAGE,
+        "max_tokens": _raw(request.max_tokens),
+    }
     fields.pop("max_completion_tokens", None)
     if state is not None:
         fields["kv_transfer_params"] = _raw(state)
-    return ENCODE.encode(fields)
+    return ENCODER.encode(fields)
 
 
-def whole(request: Asked, text: str, finish: str, usage: Usage) -> bytes:
+def encode_response(request: ChatRequest, text: str, finish: str, usage: Usage) -> bytes:
     """The answer of a job that asked for no stream."""
-    return ENCODE.encode(
+    return ENCODER.encode(
         {
             "id": request.answer_id,
             "object": "chat.completion",
             "created": int(time.time()),
-            "model": request.name,
+            "model": request.model,
             "choices": [
                 {
                     "index": 0,
@@ -277,7 +282,7 @@
     if content is not None:
         delta["content"] = content
     choices = [] if usage is not None else [{"index": 0, "delta": delta, "finish_reason": finish}]
-    return ENCODE.encode(
+    return ENCODER.encode(
         {
             "id": answer_id,
             "object": "chat.completion.chunk",
@@ -290,7 +295,7 @@
 
 
 def models(names: list[str]) -> bytes:
-    return ENCODE.encode(
+    return ENCODER.encode(
         {
             "object": "list",
             "data": [{"id": name, "object": "model", "created": 0, "owned_by": "worksmux"} for name in names],
--- a/worksmux/api/embeddings.py
+++ b/worksmux/api/embeddings.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from .chat import BYTES_A_TOKEN
+from .chat import BYTES_PER_TOKEN
 from .errors import InvalidRequestError
 
 PATH = "/v1/embeddings"
@@ -24,7 +24,7 @@
 Input = str | list[str] | list[int] | list[list[int]]
 
 
-class Known(msgspec.Struct):
+class RequestBody(msgspec.Struct):
     """What a client sends; fields not named here are left out."""
 
     model: str
@@ -59,26 +59,26 @@
     object: str = "list"
 
 
-READ = msgspec.json.Decoder(Known)
-READ_REPLY = msgspec.json.Decoder(Reply)
+REQUEST_DECODER = msgspec.json.Decoder(RequestBody)
+REPLY_DECODER = msgspec.json.Decoder(Reply)
 
 
 @dataclass(slots=True)
-class Asked:
+class EmbeddingsRequest:
     """A client's call: its inputs, and their lengths in tokens as far as the front knows them."""
 
     model: str
     inputs: list[str] | list[list[int]]
     costs: list[float]
-    form: str
+    encoding_format: str
     dimensions: int | None
     user: str
 
 
-def asked(body: bytes) -> Asked:
+def parse_request(body: bytes) -> EmbeddingsRequest:
     """Raises BadJob with the published error form."""
     try:
-        known = READ.decode(body)
+        known = REQUEST_DECODER.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise InvalidRequestError(f"the body is not an embeddings call: {error}") from error
     if known.dimensions is not None and known.dimensions < 1:
@@ -89,7 +89,9 @@
             f"input has {len(inputs)} entries; {MOST_INPUTS} at most", "input", status=400
         )
     costs = [tokens_of(one) for one in inputs]
-    return Asked(known.model, inputs, costs, known.encoding_format, known.dimensions, known.user or "")
+    return EmbeddingsRequest(
+        known.model, inputs, costs, known.encoding_format, known.dimensions, known.user or ""
+    )
 
 
 def _inputs(given: Any) -> Any:
@@ -120,7 +122,7 @@
     >>> tokens_of([1, 2, 3]), tokens_of("eight by")
     (3.0, 2.0)
     """
-    return float(len(one)) if isinstance(one, list) else max(1.0, len(one.encode()) / BYTES_A_TOKEN)
+    return float(len(one)) if isinstance(one, list) else max(1.0, len(one.encode()) / BYTES_PER_TOKEN)
 
 
 def to_engine(model: str, inputs: list[Any], dimensions: int | None) -> bytes:
@@ -134,7 +136,7 @@
     than most) is left out: who asked sees what is missing.  Raises ValueError where the reply is none.
     """
     try:
-        reply = READ_REPLY.decode(body)
+        reply = REPLY_DECODER.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise ValueError(str(error)) from error
     found: dict[int, bytes] = {}
@@ -182,7 +184,7 @@
     return values.tolist()
 
 
-def whole(model: str, form: str, packed: list[bytes], tokens: int) -> bytes:
+def encode_response(model: str, form: str, packed: list[bytes], tokens: int) -> bytes:
     """The answer to a client, its vectors in the order of its inputs."""
     data = [
         Vector(at, base64.b64encode(one).decode() if form == "base64" else floats(one))
--- a/worksmux/api/engine.py
+++ b/worksmux/api/engine.py
@@ -12,7 +12,7 @@
 
 from .chat import KvParams
 
-CHAT, PROBE, PLACE, RELEASE = (
+CHAT, PROBE, RESERVE_SLOT, RELEASE = (
     "/v1/chat/completions",
     "/worksmux/probe",
     "/worksmux/place",
@@ -20,21 +20,21 @@
 )
 PULL, CONTROL = "/worksmux/state", "/worksmux/control"
 LOAD = "endpoint-load-metrics"
-REQUEST, FRONT, TRY = "x-worksmux-job", "x-worksmux-front", "x-worksmux-try"
+REQUEST, GATEWAY, CLIENT_ATTEMPT = "x-worksmux-job", "x-worksmux-front", "x-worksmux-try"
 PLAN = "x-worksmux-plan"  # of the fleet's plans the one acted on, and whether the front is alone
 PROMPT_TOKENS = "x-worksmux-prompt-tokens"  # as the front counted them; left out where it guessed
 FULL, STATE_LOST, DRAINING = "full", "state_lost", "draining"
 
 
-class Place(msgspec.Struct):
+class ReserveSlot(msgspec.Struct):
     """Asks to hold a slot and memory for a job's answer, and to pull its state as it is read."""
 
     request: str = msgspec.field(name="job")
     tokens: float
-    reader: KvParams | None = None
+    kv_source: KvParams | None = msgspec.field(name="reader", default=None)
 
 
-class Placed(msgspec.Struct):
+class ReserveSlotReply(msgspec.Struct):
     held: bool
 
 
@@ -42,7 +42,7 @@
     request: str = msgspec.field(name="job")
 
 
-class Probed(msgspec.Struct):
+class ProbeReply(msgspec.Struct):
     """What an engine says of itself; `started` is milliseconds since 1970, 0 for long ago."""
 
     load: dict[str, float] = {}
@@ -52,7 +52,7 @@
     draining: bool = False
 
 
-class Load(msgspec.Struct):
+class LoadReport(msgspec.Struct):
     named_metrics: dict[str, float] = {}
 
 
@@ -65,10 +65,10 @@
     if header is None or not header.startswith("JSON "):
         return None
     try:
-        return msgspec.json.decode(header[5:], type=Load).named_metrics
+        return msgspec.json.decode(header[5:], type=LoadReport).named_metrics
     except (msgspec.DecodeError, UnicodeDecodeError):
         return None
 
 
 def load_header(figures: dict[str, float]) -> tuple[str, str]:
-    return LOAD, "JSON " + msgspec.json.encode(Load(figures)).decode()
+    return LOAD, "JSON " + msgspec.json.encode(LoadReport(figures)).decode()
--- a/worksmux/api/events.py
+++ b/worksmux/api/events.py
@@ -19,10 +19,10 @@
     """An event is longer than the bound."""
 
 
-class Events:
+class EventParser:
     """Gathers the `data` of each event from pieces cut anywhere; an event is at most `bound` bytes.
 
-    >>> events = Events(100)
+    >>> events = EventParser(100)
     >>> events.feed(b"data: a\\r\\n\\r"), events.feed(b"\\n: note\\n\\ndata: b\\ndata: c\\n\\nda")
     ([b'a'], [b'b\\nc'])
     """
@@ -56,6 +56,6 @@
         return found
 
     @property
-    def cut(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether an event has begun that is not whole."""
         return bool(self._rest or self._data)
--- a/worksmux/api/listing.py
+++ b/worksmux/api/listing.py
@@ -45,5 +45,5 @@
     fetch: bool = False
 
 
-READ_LISTING = msgspec.json.Decoder(Listing)
-READ_HELLO = msgspec.json.Decoder(Hello)
+LISTING_DECODER = msgspec.json.Decoder(Listing)
+HELLO_DECODER = msgspec.json.Decoder(Hello)
--- a/worksmux/api/rerank.py
+++ b/worksmux/api/rerank.py
@@ -20,7 +20,7 @@
     text: str
 
 
-class Known(msgspec.Struct):
+class RequestBody(msgspec.Struct):
     model: str
     query: str
     documents: list[str | Document]
@@ -48,25 +48,25 @@
     usage: Usage = msgspec.field(default_factory=Usage)
 
 
-READ = msgspec.json.Decoder(Known)
-READ_REPLY = msgspec.json.Decoder(Reply)
+REQUEST_DECODER = msgspec.json.Decoder(RequestBody)
+REPLY_DECODER = msgspec.json.Decoder(Reply)
 
 
 @dataclass(slots=True)
-class Asked:
+class RerankRequest:
     model: str
     query: str
     inputs: list[str]
     costs: list[float]  # of each document with the query before it
-    top: int
+    top_n: int
     return_documents: bool
     user: str
 
 
-def asked(body: bytes) -> Asked:
+def parse_request(body: bytes) -> RerankRequest:
     """Raises BadJob with the published error form."""
     try:
-        known = READ.decode(body)
+        known = REQUEST_DECODER.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise InvalidRequestError(f"the body is not a rerank call: {error}") from error
     if not known.query:
@@ -79,7 +79,9 @@
     query = tokens_of(known.query)
     costs = [query + tokens_of(text) for text in texts]
     top = min(known.top_n or len(texts), len(texts))
-    return Asked(known.model, known.query, texts, costs, top, known.return_documents, known.user or "")
+    return RerankRequest(
+        known.model, known.query, texts, costs, top, known.return_documents, known.user or ""
+    )
 
 
 def to_engine(model: str, query: str, documents: list[str]) -> bytes:
@@ -91,7 +93,7 @@
     given twice, and a score that is no finite number, is left out.  Raises ValueError where the reply is
     none."""
     try:
-        reply = READ_REPLY.decode(body)
+        reply = REPLY_DECODER.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise ValueError(str(error)) from error
     found: dict[int, float] = {}
@@ -104,9 +106,9 @@
     return {at: score for at, score in found.items() if at not in twice}, reply.usage
 
 
-def whole(name: str, call: Asked, found: list[Any], tokens: int) -> bytes:
+def encode_response(name: str, call: RerankRequest, found: list[Any], tokens: int) -> bytes:
     """The answer to a client: the most relevant first, at a tie as they were given."""
-    order = sorted(range(len(found)), key=lambda at: (-found[at], at))[: call.top]
+    order = sorted(range(len(found)), key=lambda at: (-found[at], at))[: call.top_n]
     results = [
         Score(at, found[at], Document(call.inputs[at]) if call.return_documents else None) for at in order
     ]
--- a/worksmux/commands/lists.py
+++ b/worksmux/commands/lists.py
@@ -111,7 +111,7 @@
         line = one.line
         try:
             with opener.open(f"http://{line.host}:{line.port}{calls.PROBE}", timeout=time_out) as reply:
-                told = msgspec.json.decode(reply.read(65_536), type=calls.Probed)
+                told = msgspec.json.decode(reply.read(65_536), type=calls.ProbeReply)
             found = (
                 "another engine: " + told.id
                 if told.id != line.id
--- a/worksmux/fakes/clients.py
+++ b/worksmux/fakes/clients.py
@@ -16,7 +16,7 @@
 
 from ..api import chat, embeddings, errors, rerank
 from ..api.engine import CHAT
-from ..api.events import Events
+from ..api.events import EventParser
 from ..gateway.answers import ANSWER_HEADER
 from ..net import client, clock
 from ..net.loop import Reactor, the_reactor
@@ -129,7 +129,7 @@
         self.owner, self.request, self.name = owner, request, name
         self.sent = clock.now()
         self.status, self.headers = 0, {}  # type: int, dict[str, str]
-        self.events: Events | None = None
+        self.events: EventParser | None = None
         self.body = bytearray()
         self.first = self.last = 0.0
         self.tokens = self.expect = 0
@@ -139,13 +139,13 @@
         self.over = False
         self.call: client.Call | None = None
 
-    def head(self, status: int, headers: dict[str, str]) -> None:
+    def head_received(self, status: int, headers: dict[str, str]) -> None:
         self.status, self.headers = status, headers
         self.stay_away = float(headers.get("retry-after-ms", 0.0))
         if headers.get("content-type", "").startswith("text/event-stream"):
-            self.events = Events(2**20)
+            self.events = EventParser(2**20)
 
-    def piece(self, data: bytes) -> None:
+    def body_received(self, data: bytes) -> None:
         if self.over:
             return self.owner.journal.note("after the end", try_id=self.name)
         if self.events is None:
@@ -159,7 +159,7 @@
             if code:
                 self.code = code
                 continue
-            chunk = chat.READ_CHUNK.decode(event)
+            chunk = chat.CHUNK_DECODER.decode(event)
             if chunk.usage is not None:
                 self.prompt = chunk.usage.prompt_tokens
             for choice in chunk.choices:
@@ -269,7 +269,7 @@
 
     def _text(self, name: str, span: tuple[float, float]) -> str:
         """A text in one of the languages that users write, of about so many tokens by its bytes."""
-        length = int(self._between(span) * chat.BYTES_A_TOKEN)
+        length = int(self._between(span) * chat.BYTES_PER_TOKEN)
         sample = TEXTS[self.chance.randrange(len(TEXTS))]
         words = f"{name} " + sample * (1 + length // len(sample))
         return words.encode()[: max(8, length)].decode("utf-8", "ignore")
@@ -355,7 +355,7 @@
         self.count += 1
         text = self._text(f"{session.name} {self.count}", tokens) + f" {TRUE_ANSWER}={answer} "
         session.messages.append({"role": "user", "content": text})
-        prompt = sum(len(message["content"].encode()) for message in session.messages) / chat.BYTES_A_TOKEN
+        prompt = sum(len(message["content"].encode()) for message in session.messages) / chat.BYTES_PER_TOKEN
         limit = one.outer_limit + 2 * one.promised_per_k * prompt / 1000
         patience = limit * self._between(self.spec.patience)
         hasty, leaves = self._burst("give_up"), False
@@ -452,15 +452,15 @@
         headers = [
             ("Content-Type", "application/json"),
             (chat.REQUEST_ID, one.name),
-            (chat.LABEL, request.id),
+            (chat.IDEMPOTENCY_KEY, request.id),
             (chat.TIME_LEFT, f"{left:.3f}"),
             (chat.SESSION, request.session.name),
-            (chat.REPEAT, str(request.tries - 1)),
+            (chat.CLIENT_RETRIES, str(request.tries - 1)),
         ]
         if request.session.prefix:
             headers += [
                 (chat.PREFIX, request.session.prefix),
-                (chat.PREFIX_TOKENS, str(len(request.session.beginning) / chat.BYTES_A_TOKEN)),
+                (chat.PREFIX_TOKENS, str(len(request.session.beginning) / chat.BYTES_PER_TOKEN)),
             ]
         path = {"embeddings": embeddings.PATH, "rerank": rerank.PATH}.get(request_class.call, CHAT)
         one.call = self.pools[request.front].call("POST", path, one, headers, request.body)
--- a/worksmux/fakes/engine.py
+++ b/worksmux/fakes/engine.py
@@ -122,8 +122,8 @@
                 exchange.answer(
                     200, msgspec.json.encode(self._self()), headers=(calls.load_header(self._report()),)
                 )
-            elif path == calls.PLACE:
-                self._place(msgspec.json.decode(exchange.body(), type=calls.Place), exchange)
+            elif path == calls.RESERVE_SLOT:
+                self._place(msgspec.json.decode(exchange.body(), type=calls.ReserveSlot), exchange)
             elif path == calls.RELEASE:
                 self._release(msgspec.json.decode(exchange.body(), type=calls.Release).request)
                 exchange.answer(200, b"{}")
@@ -134,10 +134,10 @@
         except msgspec.DecodeError as error:
             exchange.answer(400, errors.error(str(error), "invalid_request_error"))
 
-    def _self(self) -> calls.Probed:
+    def _self(self) -> calls.ProbeReply:
         """Who it is, and whether it drains; fronts that have no list ask."""
         self.journal.note("probed")
-        return calls.Probed(
+        return calls.ProbeReply(
             self._report(),
             self.spec.id,
             self.spec.kind,
@@ -153,9 +153,9 @@
             exchange.on_disconnect = lambda: self.journal.note("end", how="hung", **facts)
         elif path == calls.RELEASE:
             self.journal.note("release", job=msgspec.json.decode(exchange.body(), type=calls.Release).request)
-        elif path == calls.PLACE:
-            wanted = msgspec.json.decode(exchange.body(), type=calls.Place)
-            self.journal.note("place asked", job=wanted.request, front=exchange.header(calls.FRONT) or "")
+        elif path == calls.RESERVE_SLOT:
+            wanted = msgspec.json.decode(exchange.body(), type=calls.ReserveSlot)
+            self.journal.note("place asked", job=wanted.request, front=exchange.header(calls.GATEWAY) or "")
 
     def _report(self) -> dict[str, float]:
         """The load as it was a while ago, where reports are late."""
@@ -197,9 +197,9 @@
         return {
             "job": exchange.header(calls.REQUEST) or "",
             "trip": exchange.header(chat.REQUEST_ID) or "",
-            "front": exchange.header(calls.FRONT) or "",
-            "try": exchange.header(calls.TRY) or "",
-            "label": exchange.header(chat.LABEL) or "",
+            "front": exchange.header(calls.GATEWAY) or "",
+            "try": exchange.header(calls.CLIENT_ATTEMPT) or "",
+            "label": exchange.header(chat.IDEMPOTENCY_KEY) or "",
             "offering": request.model if request else "",
             **({"plan": plan} if (plan := exchange.header(calls.PLAN)) else {}),
         }
@@ -237,11 +237,11 @@
     def _work(self, exchange: Exchange, request: Request, facts: dict[str, Any]) -> Work:
         """The lengths of prompt and answer, and the identities of what the prompt begins with."""
         texts = [message.content if isinstance(message.content, str) else "" for message in request.messages]
-        prompt = max(1.0, sum(len(text.encode()) for text in texts) / chat.BYTES_A_TOKEN)
+        prompt = max(1.0, sum(len(text.encode()) for text in texts) / chat.BYTES_PER_TOKEN)
         chain, keys, parts, length = xxhash.xxh3_64(), [], [], 0.0
         for text in texts:
             chain.update(text.encode())
-            length += len(text.encode()) / chat.BYTES_A_TOKEN
+            length += len(text.encode()) / chat.BYTES_PER_TOKEN
             keys.append(chain.intdigest())
             parts.append(length)
         if self.tokenizer is not None:  # counted whole, as the reference for the front's count
@@ -354,7 +354,7 @@
         self.model.hold_state(work, now)
         work.memory = 0.0
         self.journal.note("held", job=work.request, tokens=work.prompt, front=work.facts["front"])
-        reply = chat.ReadReply(
+        reply = chat.PrefillReply(
             chat.KvParams(self.spec.id, "127.0.0.1", self.port, [], work.request),
             chat.Usage(int(work.prompt), 1, int(work.prompt) + 1, {"cached_tokens": int(work.cached)}),
         )
@@ -374,17 +374,17 @@
             exchange.abort()
             return
         if "garbage" in self.faults:
-            exchange.send_piece(b"data: {not json\n\n")
+            exchange.send_chunk(b"data: {not json\n\n")
         target = min(int(work.made), work.answer)
         while work.sent < target:
             words.append(f"w{work.sent} ")
             work.sent += 1
-        exchange.send_piece(event(chat.chunk(work.request, work.request_class, "".join(words))))
+        exchange.send_chunk(event(chat.chunk(work.request, work.request_class, "".join(words))))
         if work.sent >= work.answer:
             usage = chat.Usage(
                 int(work.prompt), work.sent, int(work.prompt) + work.sent, {"cached_tokens": int(work.cached)}
             )
-            exchange.send_piece(
+            exchange.send_chunk(
                 event(chat.chunk(work.request, work.request_class, finish="stop"))
                 + event(chat.chunk(work.request, work.request_class, usage=usage))
                 + DONE
@@ -460,8 +460,8 @@
 
         self.reactor.callLater((self.link_free[way] - now) / 1000, moved)
 
-    def _place(self, wanted: calls.Place, exchange: Exchange) -> None:
-        self.journal.note("place asked", job=wanted.request, front=exchange.header(calls.FRONT) or "")
+    def _place(self, wanted: calls.ReserveSlot, exchange: Exchange) -> None:
+        self.journal.note("place asked", job=wanted.request, front=exchange.header(calls.GATEWAY) or "")
         known = any(
             work.request == wanted.request for work in self.works.values()
         )  # it came after its job's trip
@@ -471,11 +471,11 @@
             and self.model.place(wanted.request, wanted.tokens * 1.2, clock.now())
         )
         if held:
-            self.journal.note("placed", job=wanted.request, front=exchange.header(calls.FRONT) or "")
+            self.journal.note("placed", job=wanted.request, front=exchange.header(calls.GATEWAY) or "")
             self._tick_on()
-            if wanted.reader is not None:
-                self._pull_ahead(wanted.request, wanted.reader)
-        exchange.answer(200, msgspec.json.encode(calls.Placed(held)))
+            if wanted.kv_source is not None:
+                self._pull_ahead(wanted.request, wanted.kv_source)
+        exchange.answer(200, msgspec.json.encode(calls.ReserveSlotReply(held)))
 
     def _pull_ahead(self, request: str, reader: chat.KvParams) -> None:
         """The state comes as soon as it is read; a trip that arrives meanwhile waits for it."""
--- a/worksmux/fakes/registry.py
+++ b/worksmux/fakes/registry.py
@@ -13,7 +13,7 @@
 from twisted.protocols.basic import LineReceiver
 from twisted.python.failure import Failure
 
-from ..api.listing import READ_HELLO, Line, Listing
+from ..api.listing import HELLO_DECODER, Line, Listing
 from ..net import clock
 from ..net.loop import Reactor, Transport, listen
 from .journal import Journal
@@ -28,7 +28,7 @@
         self.registry, self.front, self.serial, self.watching = registry, "", 0, not registry.polled
 
     def lineReceived(self, line: bytes) -> None:
-        message = READ_HELLO.decode(line)
+        message = HELLO_DECODER.decode(line)
         if message.hello:
             self.front = message.hello
             self.registry.subscribers[self] = None
--- a/worksmux/fakes/vectors.py
+++ b/worksmux/fakes/vectors.py
@@ -51,7 +51,7 @@
         if "drain" in process.faults:
             return self._refuse(exchange, facts, calls.DRAINING)
         try:
-            asked = embeddings.asked(body) if path == embeddings.PATH else rerank.asked(body)
+            asked = embeddings.parse_request(body) if path == embeddings.PATH else rerank.parse_request(body)
         except errors.InvalidRequestError as bad:
             self.end("bad", **facts)
             return exchange.answer(bad.status, bad.body)
@@ -88,11 +88,11 @@
         self.end(code, **facts)
         exchange.answer(429, errors.error(f"turned away: {code}", "rate_limit_error", code=code))
 
-    def _answer(self, asked: embeddings.Asked | rerank.Asked) -> bytes:
+    def _answer(self, asked: embeddings.EmbeddingsRequest | rerank.RerankRequest) -> bytes:
         tokens = round(sum(asked.costs))
         usage, faults = embeddings.Usage(tokens, tokens), self.process.faults
         found: list[Any]
-        if isinstance(asked, embeddings.Asked):
+        if isinstance(asked, embeddings.EmbeddingsRequest):
             found = []
             for at, one in enumerate(asked.inputs):
                 values = vector(asked.model, one, asked.dimensions)
@@ -106,6 +106,6 @@
             found.append(found[0])
         if "shuffle" in faults:
             found.reverse()
-        if isinstance(asked, embeddings.Asked):
+        if isinstance(asked, embeddings.EmbeddingsRequest):
             return msgspec.json.encode(embeddings.Reply(found, asked.model, usage))
         return msgspec.json.encode(rerank.Reply(found, "r", asked.model, usage))
--- a/worksmux/forwarding/attempt.py
+++ b/worksmux/forwarding/attempt.py
@@ -110,11 +110,11 @@
 
     # Called by `net.client` with the reply.
 
-    def head(self, status: int, headers: dict[str, str]) -> None:
+    def head_received(self, status: int, headers: dict[str, str]) -> None:
         """Receives status and headers of the reply."""
         self.status, self.headers = status, headers
 
-    def piece(self, data: bytes) -> None:
+    def body_received(self, data: bytes) -> None:
         """Buffers a piece of the body; a body over `max_body_bytes` ends the attempt with an error."""
         if len(self.body) + len(data) > self.max_body_bytes:
             self._end(Outcome.ERROR)
@@ -149,20 +149,20 @@
         """Handles the end of a reply whose transfer encoding was complete."""
         raise NotImplementedError
 
-    def head(self, status: int, headers: dict[str, str]) -> None:
+    def head_received(self, status: int, headers: dict[str, str]) -> None:
         """Receives status and headers, which tell whether a stream follows."""
-        super().head(status, headers)
+        super().head_received(status, headers)
         content_type = headers.get("content-type", "").lower()
         self.streaming = status == 200 and content_type.startswith("text/event-stream")
 
-    def piece(self, data: bytes) -> None:
+    def body_received(self, data: bytes) -> None:
         """Receives a piece of the stream, or of the body of a reply that is not a stream."""
         if self.over:
             return
         if self.streaming:
             self._on_stream_data(data)
         else:
-            super().piece(data)
+            super().body_received(data)
 
     def done(self) -> None:
         """Handles the end of a complete reply or stream."""
--- a/worksmux/forwarding/control_call.py
+++ b/worksmux/forwarding/control_call.py
@@ -62,8 +62,8 @@
         self._call = pool.call(
             method, path, client.BufferedResponse(max_reply_bytes, self._ended), headers, body
         )
-        self._call.on_up = self._on_connected
-        self.connected = self._call.up
+        self._call.on_connected = self._on_connected
+        self.connected = self._call.is_connected
 
     def end(self) -> None:
         """Abandons the call; `on_end` is not called afterwards."""
--- a/worksmux/gateway/attempts.py
+++ b/worksmux/gateway/attempts.py
@@ -11,9 +11,9 @@
 import msgspec
 
 from ..api import engine as calls
-from ..api.chat import READ_CHUNK, READ_REPLY, Usage
+from ..api.chat import CHUNK_DECODER, PREFILL_REPLY_DECODER, Usage
 from ..api.errors import code_of
-from ..api.events import Events, EventTooLongError
+from ..api.events import EventParser, EventTooLongError
 from ..forwarding.attempt import AttemptCall, StreamingAttempt
 from ..net import client
 from ..policy.state import Outcome
@@ -60,7 +60,7 @@
         if self.status != OK:
             return super().done()
         try:
-            reply = READ_REPLY.decode(bytes(self.body))
+            reply = PREFILL_REPLY_DECODER.decode(bytes(self.body))
         except DECODE_ERRORS:
             return self._end(Outcome.ERROR)
         cached_tokens = reply.usage.cached if reply.usage else 0
@@ -75,7 +75,7 @@
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self._events = Events(self.max_body_bytes)
+        self._events = EventParser(self.max_body_bytes)
         self._finish_reason = ""
         self._usage = Usage()
 
@@ -91,7 +91,7 @@
     def _event(self, data: bytes) -> None:
         if data == STREAM_END:
             return self._end_of_stream()
-        chunk = READ_CHUNK.decode(data)
+        chunk = CHUNK_DECODER.decode(data)
         if chunk.usage is not None:
             self._usage = chunk.usage
         for choice in chunk.choices:
--- a/worksmux/gateway/chat_engine_client.py
+++ b/worksmux/gateway/chat_engine_client.py
@@ -41,7 +41,7 @@
         self.stages: list[Any] = []  # single-stage dispatchers, set by GatewayProcess
 
     def accept_request(
-        self, chat_request: chat.Asked, chat_client: Client, arrived_at: float
+        self, chat_request: chat.ChatRequest, chat_client: Client, arrived_at: float
     ) -> RequestContext:
         """Accepts a request that arrived at `arrived_at` (milliseconds); it gets exactly one final answer."""
         time_left_ms = self._time_left_ms(chat_request)
@@ -51,28 +51,30 @@
             chat_request.request_class,
             chat_request.session,
             chat_request.prefix,
-            chat_request.prompt,
+            chat_request.prompt_tokens,
             chat_request.prefix_tokens,
-            float(chat_request.most),
+            float(chat_request.max_tokens),
             arrived_at,
             arrived_at + time_left_ms,
-            is_retry=chat_request.repeat,
+            is_retry=chat_request.is_retry,
         )
         context = RequestContext(
-            request, chat_request, chat_client, f"{self.name}.{request.id}", chat_request.name
+            request, chat_request, chat_client, f"{self.name}.{request.id}", chat_request.model
         )
-        chat_request.label = chat_request.label or context.key
+        chat_request.idempotency_key = chat_request.idempotency_key or context.key
         return self._accept(context)
 
-    def _time_left_ms(self, chat_request: chat.Asked) -> float:
+    def _time_left_ms(self, chat_request: chat.ChatRequest) -> float:
         """The time until the deadline of the client or of the request class, whichever is earlier.
 
         The time that the answer takes back to the client is subtracted.
         """
         request_class = self.settings.request_classes[chat_request.request_class]
-        limit_ms = request_class.outer_limit + 2 * request_class.promised_per_k * chat_request.prompt / 1000
-        if chat_request.time_left is not None:
-            limit_ms = min(limit_ms, chat_request.time_left)
+        limit_ms = (
+            request_class.outer_limit + 2 * request_class.promised_per_k * chat_request.prompt_tokens / 1000
+        )
+        if chat_request.time_left_ms is not None:
+            limit_ms = min(limit_ms, chat_request.time_left_ms)
         return max(0.0, limit_ms - self.settings.transport.answer_margin)
 
     def correct_prompt(self, context: RequestContext) -> None:
@@ -81,7 +83,7 @@
         The prefix is replaced only before the first attempt, because that attempt's engine was chosen by it.
         """
         request, chat_request = context.request, context.client_request
-        request.prompt_tokens = chat_request.prompt
+        request.prompt_tokens = chat_request.prompt_tokens
         if not request.attempts:
             request.prefix, request.prefix_tokens = chat_request.prefix, chat_request.prefix_tokens
 
@@ -103,7 +105,11 @@
             self.reactor, pool, attempt, self, timeout_ms, transport.stream_silence, transport.reply
         )
         kv_handle = context.kv_handle if attempt.request.kv_holder is not None else None
-        body = chat.to_reader(chat_request) if attempt.is_prefill else chat.to_writer(chat_request, kv_handle)
+        body = (
+            chat.prefill_body(chat_request)
+            if attempt.is_prefill
+            else chat.decode_body(chat_request, kv_handle)
+        )
         call.send(self._attempt_headers(context, attempt), body)
         return call
 
@@ -113,15 +119,15 @@
             JSON_TYPE,
             (chat.REQUEST_ID, f"{context.key}.{attempt.number}"),
             (calls.REQUEST, context.key),
-            (calls.FRONT, self.settings.name),
-            (chat.LABEL, chat_request.label),
+            (calls.GATEWAY, self.settings.name),
+            (chat.IDEMPOTENCY_KEY, chat_request.idempotency_key),
         ]
         if self.plan_version is not None:
             headers.append((calls.PLAN, self.plan_version()))
-        if chat_request.exact:
-            headers.append((calls.PROMPT_TOKENS, str(int(chat_request.prompt))))
+        if chat_request.is_prompt_exact:
+            headers.append((calls.PROMPT_TOKENS, str(int(chat_request.prompt_tokens))))
         if chat_request.request_id:
-            headers.append((calls.TRY, chat_request.request_id))
+            headers.append((calls.CLIENT_ATTEMPT, chat_request.request_id))
         return headers
 
     def _control_call_limits(self) -> tuple[float, int, client.Headers]:
@@ -129,7 +135,7 @@
         return (
             transport.call_time_out,
             transport.reply,
-            [JSON_TYPE, (calls.FRONT, self.settings.name)],
+            [JSON_TYPE, (calls.GATEWAY, self.settings.name)],
         )
 
     def _health_check_path(self) -> str:
@@ -171,8 +177,8 @@
                 self.tell(SlotReserved(prefill, engine, is_reserved))
 
         kv_source = self._kv_source(context, prefill)
-        body = chat.ENCODE.encode(calls.Place(context.key, request.prompt_tokens, kv_source))
-        self.control_call(engine, "POST", calls.PLACE, body, on_end)
+        body = chat.ENCODER.encode(calls.ReserveSlot(context.key, request.prompt_tokens, kv_source))
+        self.control_call(engine, "POST", calls.RESERVE_SLOT, body, on_end)
 
     def _kv_source(self, context: RequestContext, prefill: Attempt | None) -> chat.KvParams | None:
         """The prefill engine from which the decode engine can pull the KV cache before the decode attempt."""
@@ -188,7 +194,7 @@
         slot would stay reserved although no request uses it.  After a lost answer a second release follows,
         in case the engine executes the reservation after the first release.
         """
-        release = chat.ENCODE.encode(calls.Release(context.key))
+        release = chat.ENCODER.encode(calls.Release(context.key))
         self._release_until(engine, release, 1)
         if not is_answered:
             pause_ms = self.settings.module.release_within_ms / 2
@@ -206,7 +212,7 @@
         context.holding_engines.pop(engine, None)
         if context.reserved_engine is engine:
             context.reserved_engine = None
-        self._release_until(engine, chat.ENCODE.encode(calls.Release(context.key)), 1)
+        self._release_until(engine, chat.ENCODER.encode(calls.Release(context.key)), 1)
         self.metrics.release()
 
     def _release_until(self, engine: Engine, body: bytes, call_number: int) -> None:
--- a/worksmux/gateway/clients.py
+++ b/worksmux/gateway/clients.py
@@ -11,7 +11,7 @@
 from math import ceil
 
 from ..api import chat, errors
-from ..api.chat import Asked, Usage
+from ..api.chat import ChatRequest, Usage
 from ..api.engine import CHAT
 from ..api.events import DONE, event
 from ..forwarding.request_context import RequestContext
@@ -44,7 +44,7 @@
 class ChatClient(StreamRelay):
     """The client of one chat completion; implements `request_context.Client`."""
 
-    def __init__(self, exchange: Exchange, chat_request: Asked) -> None:
+    def __init__(self, exchange: Exchange, chat_request: ChatRequest) -> None:
         super().__init__(exchange)
         self._chat_request = chat_request
         self._content_parts: list[str] = []  # of an answer that is not streamed
@@ -60,22 +60,22 @@
             self._content_parts.append(content)
             return
         is_first = self._begin(self._answer_headers)
-        self.exchange.send_piece(
-            event(chat.chunk(chat_request.answer_id, chat_request.name, content, first=is_first))
+        self.exchange.send_chunk(
+            event(chat.chunk(chat_request.answer_id, chat_request.model, content, first=is_first))
         )
 
     def complete(self, finish: str, usage: Usage) -> None:
         """Ends the answer with its finish reason and token usage."""
         chat_request = self._chat_request
         if not chat_request.stream:
-            body = chat.whole(chat_request, "".join(self._content_parts), finish, usage)
+            body = chat.encode_response(chat_request, "".join(self._content_parts), finish, usage)
             self.exchange.answer(OK, body, headers=self._answer_headers)
             return
         self._disconnect_backpressure()
-        final_events = event(chat.chunk(chat_request.answer_id, chat_request.name, finish=finish))
-        if chat_request.usage:
-            final_events += event(chat.chunk(chat_request.answer_id, chat_request.name, usage=usage))
-        self.exchange.send_piece(final_events + DONE)
+        final_events = event(chat.chunk(chat_request.answer_id, chat_request.model, finish=finish))
+        if chat_request.include_usage:
+            final_events += event(chat.chunk(chat_request.answer_id, chat_request.model, usage=usage))
+        self.exchange.send_chunk(final_events + DONE)
         self.exchange.end()
 
     def reject(self, retry_after_ms: float) -> None:
@@ -167,7 +167,7 @@
             return self._reject(exchange, "too many open", "the front holds as many jobs as it may")
         arrived_at = clock.now()
         try:
-            chat_request = chat.asked(
+            chat_request = chat.parse_request(
                 exchange.body(), exchange.header, self._request_classes, self.max_answer_tokens
             )
         except errors.InvalidRequestError as error:
@@ -182,7 +182,7 @@
         else:
             CountedRequest(self, self._tokens, exchange, chat_request, arrived_at).start()
 
-    def submit(self, exchange: Exchange, chat_request: Asked, arrived_at: float) -> RequestContext:
+    def submit(self, exchange: Exchange, chat_request: ChatRequest, arrived_at: float) -> RequestContext:
         """Hands a request to the policy and watches for its client's disconnect."""
         if self.on_request:
             self.on_request()
@@ -204,7 +204,7 @@
         router: ClientRouter,
         tokens: TokenService,
         exchange: Exchange,
-        chat_request: Asked,
+        chat_request: ChatRequest,
         arrived_at: float,
     ) -> None:
         self._router, self._core, self._tokens = router, router.core, tokens
@@ -218,8 +218,8 @@
         chat_request = self._chat_request
         request_class = self._core.settings.request_classes[chat_request.request_class]
         time_left_ms = request_class.promised_time
-        if chat_request.time_left is not None:
-            time_left_ms = min(time_left_ms, chat_request.time_left)
+        if chat_request.time_left_ms is not None:
+            time_left_ms = min(time_left_ms, chat_request.time_left_ms)
         self._router.counting[self] = None
         self._exchange.on_disconnect = self._client_disconnected
         self._prompt = self._tokens.count(
@@ -244,8 +244,8 @@
     def _on_count(self, result: Result) -> None:
         chat_request = self._chat_request
         self._core.metrics.counted(result.verdict.value, clock.now() - self._arrived_at)
-        chat_request.prompt, chat_request.exact = max(1.0, result.prompt), result.exact
-        if result.exact and not chat_request.named:
+        chat_request.prompt_tokens, chat_request.is_prompt_exact = max(1.0, result.prompt), result.exact
+        if result.exact and not chat_request.has_named_prefix:
             chat_request.prefix, chat_request.prefix_tokens = result.prefix, result.prefix_tokens
         if self._context is not None:  # it was submitted with an upper bound
             if not self._context.final_answer:
@@ -266,7 +266,7 @@
         count = f"{result.least}" if result.exact else f"at least {result.least}"
         message = (
             f"the prompt has {count} tokens; "
-            f"{self._chat_request.name} takes {max_prompt_tokens} at most; shorten it"
+            f"{self._chat_request.model} takes {max_prompt_tokens} at most; shorten it"
         )
         body = errors.error(message, "invalid_request_error", "messages", "context_length_exceeded")
         self._core.metrics.not_accepted("prompt too long")
--- a/worksmux/gateway/endpoint_cache.py
+++ b/worksmux/gateway/endpoint_cache.py
@@ -206,9 +206,9 @@
         self.core.control_call(self.engine_list.engine(line.id), "GET", calls.PROBE, b"", on_end)
 
     @staticmethod
-    def _decode_probe(reply: bytes) -> calls.Probed | None:
+    def _decode_probe(reply: bytes) -> calls.ProbeReply | None:
         try:
-            return msgspec.json.decode(reply, type=calls.Probed)
+            return msgspec.json.decode(reply, type=calls.ProbeReply)
         except (msgspec.DecodeError, UnicodeDecodeError):
             return None
 
--- a/worksmux/gateway/engine_list.py
+++ b/worksmux/gateway/engine_list.py
@@ -16,7 +16,7 @@
 from twisted.protocols.basic import LineReceiver
 from twisted.python.failure import Failure
 
-from ..api.listing import READ_LISTING, Hello, Listing
+from ..api.listing import LISTING_DECODER, Hello, Listing
 from ..endpoints.endpoint_list import EndpointList
 from ..endpoints.keys import key_of
 from ..net import clock
@@ -189,7 +189,7 @@
         if not line.strip():  # a heartbeat
             return
         try:
-            message = READ_LISTING.decode(line)
+            message = LISTING_DECODER.decode(line)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
             LOG.error("malformed line of the registry; the full list is requested", why=str(error))
             self.list_reader.fetching = True
--- a/worksmux/gateway/stage.py
+++ b/worksmux/gateway/stage.py
@@ -208,7 +208,7 @@
             ("Content-Type", "application/json"),
             (chat.REQUEST_ID, f"{context.key}.{attempt.number}"),
             (calls.REQUEST, context.key),
-            (calls.FRONT, self._core.settings.name),
+            (calls.GATEWAY, self._core.settings.name),
         ]
         call.send(headers, context.batch.body())
         self.metrics.attempt(self.settings.call)
--- a/worksmux/gateway/vector_requests.py
+++ b/worksmux/gateway/vector_requests.py
@@ -10,7 +10,7 @@
 
 from ..admission.controller import AdmissionRequest
 from ..api import chat, embeddings, errors, rerank
-from ..batching.planner import Bounds, Call
+from ..batching.planner import BatchedRequest, BatchLimits
 from ..net import clock
 from ..net.server import Exchange
 from ..settings.shared import RequestClass
@@ -44,7 +44,7 @@
 class VectorRequest:
     """One client's request.
 
-    `admission` represents it in the admission controller, and `call` in the planner.
+    `admission` represents it in the admission controller, and `batched` in the planner.
     """
 
     path = ""
@@ -53,10 +53,10 @@
         self,
         exchange: Exchange,
         vector_class: VectorClass,
-        client_request: embeddings.Asked | rerank.Asked,
+        client_request: embeddings.EmbeddingsRequest | rerank.RerankRequest,
         arrived_at: float,
         deadline: float,
-        bounds: Bounds,
+        bounds: BatchLimits,
     ) -> None:
         self.exchange = exchange
         self.vector_class = vector_class
@@ -72,7 +72,7 @@
         cost = sum(client_request.costs)
         target_at = min(self._latency_target_at(cost), deadline)
         self.admission = self._admission_request(cost, target_at, deadline)
-        self.call = Call(
+        self.batched = BatchedRequest(
             client_request.costs, self._batch_group(), bounds, arrived_at, target_at, deadline, self
         )
 
@@ -84,7 +84,7 @@
         exchange = self.exchange
         caller = self.client_request.user or exchange.header("authorization") or exchange.client_host()
         sender = f"{PATHS[self.path]}\0{caller}\0".encode("utf-8", "surrogatepass")
-        retry_count = exchange.header(chat.REPEAT) or ""
+        retry_count = exchange.header(chat.CLIENT_RETRIES) or ""
         return AdmissionRequest(
             self.vector_class.admission_number,
             caller,
@@ -127,7 +127,7 @@
     """A request for embeddings; requests of the same model and dimensions may share a batch."""
 
     path = embeddings.PATH
-    client_request: embeddings.Asked
+    client_request: embeddings.EmbeddingsRequest
 
     def _batch_group(self) -> tuple[Any, ...]:
         return EMBEDDINGS, self.client_request.model, self.client_request.dimensions, None
@@ -148,8 +148,8 @@
 
     def answer_body(self, results: list[Any]) -> bytes:
         """The embeddings answer in the encoding that the client asked for."""
-        return embeddings.whole(
-            self.client_request.model, self.client_request.form, results, round(self.engine_tokens)
+        return embeddings.encode_response(
+            self.client_request.model, self.client_request.encoding_format, results, round(self.engine_tokens)
         )
 
 
@@ -157,7 +157,7 @@
     """A request to rank documents; it shares no batch."""
 
     path = rerank.PATH
-    client_request: rerank.Asked
+    client_request: rerank.RerankRequest
 
     def _batch_group(self) -> tuple[Any, ...]:
         return RERANK, self.client_request.model, None, id(self)  # a batch has one query
@@ -179,7 +179,7 @@
     def answer_body(self, results: list[Any]) -> bytes:
         """The rerank answer, sorted by relevance."""
         answer_id = f"rerank-{self.request_id or id(self)}"
-        return rerank.whole(answer_id, self.client_request, results, round(self.engine_tokens))
+        return rerank.encode_response(answer_id, self.client_request, results, round(self.engine_tokens))
 
 
 class RequestReader:
@@ -193,7 +193,7 @@
     def __init__(
         self,
         classes: dict[tuple[str, str], VectorClass],
-        bounds: dict[str, Bounds],
+        bounds: dict[str, BatchLimits],
     ) -> None:
         self._classes, self._bounds = classes, bounds
 
@@ -204,14 +204,14 @@
         Raises InvalidRequestError.
         """
         body = exchange.body()
-        client_request: embeddings.Asked | rerank.Asked
-        client_request = embeddings.asked(body) if call == EMBEDDINGS else rerank.asked(body)
+        client_request: embeddings.EmbeddingsRequest | rerank.RerankRequest
+        client_request = embeddings.parse_request(body) if call == EMBEDDINGS else rerank.parse_request(body)
         vector_class = self._class_of(call, client_request.model)
         self._check_length(client_request, vector_class.settings)
         arrived_at = clock.now()
         deadline = arrived_at + self._time_left_ms(exchange, vector_class.settings, answer_margin_ms)
         bounds = self._bounds[call]
-        if isinstance(client_request, embeddings.Asked):
+        if isinstance(client_request, embeddings.EmbeddingsRequest):
             return EmbeddingRequest(exchange, vector_class, client_request, arrived_at, deadline, bounds)
         return RerankRequest(exchange, vector_class, client_request, arrived_at, deadline, bounds)
 
@@ -228,7 +228,9 @@
         return vector_class
 
     @staticmethod
-    def _check_length(client_request: embeddings.Asked | rerank.Asked, settings: RequestClass) -> None:
+    def _check_length(
+        client_request: embeddings.EmbeddingsRequest | rerank.RerankRequest, settings: RequestClass
+    ) -> None:
         max_input_tokens = max(client_request.costs)
         if max_input_tokens > settings.most_prompt:
             raise errors.InvalidRequestError(
@@ -240,7 +242,7 @@
 
     @staticmethod
     def _time_left_ms(exchange: Exchange, settings: RequestClass, answer_margin_ms: float) -> float:
-        client_limit_ms = chat.figure(exchange.header(chat.TIME_LEFT), chat.TIME_LEFT)
+        client_limit_ms = chat.parse_number(exchange.header(chat.TIME_LEFT), chat.TIME_LEFT)
         limit_ms = (
             settings.outer_limit if client_limit_ms is None else min(client_limit_ms, settings.outer_limit)
         )
--- a/worksmux/gateway/vectors.py
+++ b/worksmux/gateway/vectors.py
@@ -14,7 +14,7 @@
 
 from ..admission.controller import AdmissionController, AdmissionResult, Rejection, RequestState
 from ..api import errors
-from ..batching.planner import Bounds, Done, How, Load, Planner
+from ..batching.planner import BatchFailure, BatchLimits, InputBatch, Planner, RequestResult
 from ..batching.planner import Step as PlanStep
 from ..net import clock
 from ..net.server import Exchange
@@ -67,8 +67,8 @@
         """
         self.admission = admission
         self.open_requests: dict[VectorRequest, None] = {}
-        self.batches: dict[Load, VectorBatch] = {}
-        self.planner = Planner(lambda call: admission.may_retry(call.item.admission.request_class))
+        self.batches: dict[InputBatch, VectorBatch] = {}
+        self.planner = Planner(lambda batched: admission.may_retry(batched.item.admission.request_class))
         self.stopping = False
         self._core = core
         self._dispatchers = dispatchers
@@ -78,8 +78,8 @@
         self._reader = RequestReader(
             self._classes,
             {
-                EMBEDDINGS: Bounds(bounds.load_tokens, bounds.load_inputs),
-                RERANK: Bounds(bounds.load_tokens, bounds.load_inputs, join=False),
+                EMBEDDINGS: BatchLimits(bounds.load_tokens, bounds.load_inputs),
+                RERANK: BatchLimits(bounds.load_tokens, bounds.load_inputs, may_join=False),
             },
         )
         self._timer: Any = None
@@ -125,7 +125,7 @@
         self.open_requests[request] = None
         self._core.metrics.arrived(request.vector_class.settings.name)
         slack_ms = float(self._core.settings.module.answer_slack_ms)
-        time_left_ms = request.call.give_up_at - request.arrived_at
+        time_left_ms = request.batched.deadline - request.arrived_at
         request.overdue_timer = self._core.reactor.callLater(
             (time_left_ms + slack_ms) / 1000, self._time_out, request
         )
@@ -149,12 +149,12 @@
         """
         texts = request.texts_to_count()
         if self._tokens is None or not request.vector_class.settings.tokenizer or not texts:
-            return self._apply_plan(self.planner.add(clock.now(), request.call))
+            return self._apply_plan(self.planner.add(clock.now(), request.batched))
         request.prompt = self._tokens.count(
             [("user", text) for text in texts],
             request.admission.request_class,
             NO_TOKEN_LIMIT,
-            max(1.0, request.call.promised_at - clock.now()),
+            max(1.0, request.batched.latency_target_at - clock.now()),
             NO_SESSION,
             lambda result: self._tokens_counted(request, result),
         )
@@ -164,40 +164,40 @@
         if request.end is not None or request.is_planned:  # ended, or planned with the estimate
             return
         request.is_planned = True
-        call = request.call
+        batched = request.batched
         if result.exact:
-            estimate = sum(call.costs)
-            call.costs = [cost * result.prompt / estimate for cost in call.costs]
-        self._apply_plan(self.planner.add(clock.now(), call))
+            estimate = sum(batched.costs)
+            batched.costs = [cost * result.prompt / estimate for cost in batched.costs]
+        self._apply_plan(self.planner.add(clock.now(), batched))
 
     def _apply_plan(self, step: PlanStep) -> None:
-        for load in step.drop:
-            batch = self.batches.pop(load, None)
+        for input_batch in step.cancel:
+            batch = self.batches.pop(input_batch, None)
             if batch is not None and batch.context is not None:
                 self._dispatcher_of(batch).drop(batch.context)
-        for done in step.done:
-            self._answer(done)
-        for load in step.send:
-            self._send(load)
-        for due_at, load in step.later:
-            self._core.reactor.callLater(max(0.0, due_at - clock.now()) / 1000, self._send, load)
+        for result in step.results:
+            self._answer(result)
+        for input_batch in step.send:
+            self._send(input_batch)
+        for due_at, input_batch in step.send_later:
+            self._core.reactor.callLater(max(0.0, due_at - clock.now()) / 1000, self._send, input_batch)
         self._schedule_tick()
 
     def _dispatcher_of(self, batch: VectorBatch) -> StageDispatcher:
         return self._dispatchers[PATHS[batch.path()]]
 
-    def _send(self, load: Load) -> None:
-        if load.ended or not load.needs():
-            return self._apply_plan(self.planner.delivered(load, [], {}))
-        batch = self.batches[load] = VectorBatch(load, self.planner, self._batch_ended)
+    def _send(self, input_batch: InputBatch) -> None:
+        if input_batch.ended or not input_batch.missing_inputs():
+            return self._apply_plan(self.planner.batch_served(input_batch, [], {}))
+        batch = self.batches[input_batch] = VectorBatch(input_batch, self.planner, self._batch_ended)
         request_class = batch.first_request.vector_class.dispatcher_number
-        session = xxhash.xxh3_64_intdigest(str(load.number).encode())
+        session = xxhash.xxh3_64_intdigest(str(input_batch.number).encode())
         batch.context = self._dispatcher_of(batch).submit(
-            request_class, batch, load.cost, load.give_up_at, session
+            request_class, batch, input_batch.cost, input_batch.deadline, session
         )
 
     def _batch_ended(self, batch: VectorBatch, step: PlanStep) -> None:
-        self.batches.pop(batch.load, None)
+        self.batches.pop(batch.input_batch, None)
         self._apply_plan(step)
 
     def _schedule_tick(self) -> None:
@@ -218,18 +218,18 @@
         self._apply_admission(self.admission.tick(now))
         self._apply_plan(self.planner.tick(now))
 
-    def _answer(self, done: Done) -> None:
+    def _answer(self, result: RequestResult) -> None:
         """Answers a request that the planner has finished."""
-        request: VectorRequest = done.call.item
+        request: VectorRequest = result.request.item
         exchange, headers = request.exchange, request.answer_headers
-        if done.bad:
-            body = errors.error(done.bad, "invalid_request_error", "input")
+        if result.input_error:
+            body = errors.error(result.input_error, "invalid_request_error", "input")
             exchange.answer(BAD_REQUEST, body, headers=headers)
             self._finish(request, RequestEnd.BAD_INPUT)
-        elif done.how is None:
-            exchange.answer(OK, request.answer_body(done.call.results), headers=headers)
+        elif result.failure is None:
+            exchange.answer(OK, request.answer_body(result.request.results), headers=headers)
             self._finish(request, RequestEnd.SERVED)
-        elif done.how is How.DEFERRED:
+        elif result.failure is BatchFailure.REJECTED:
             answer_rejected(
                 exchange,
                 SERVICE_UNAVAILABLE,
@@ -274,15 +274,15 @@
         now = clock.now()
         elapsed_ms, name = now - request.arrived_at, request.vector_class.settings.name
         self._core.metrics.ended(name, end.value, elapsed_ms, None, 0)
-        if not request.call.over:
-            self._apply_plan(self.planner.left(request.call))
+        if not request.batched.ended:
+            self._apply_plan(self.planner.client_disconnected(request.batched))
         self._end_admission(request, now, end in ACCEPTED_ENDS)
         LOG.info(
             "vector request ended",
             request_class=name,
             answer=end.value,
             ms=round(elapsed_ms, 1),
-            inputs=len(request.call.costs),
+            inputs=len(request.batched.costs),
             tokens=round(request.admission.cost),
         )
         if self._core.on_empty:
--- a/worksmux/load/worker.py
+++ b/worksmux/load/worker.py
@@ -20,7 +20,7 @@
 
 from ..api import chat, errors
 from ..api.engine import CHAT
-from ..api.events import Events
+from ..api.events import EventParser
 from ..net import client, clock
 from ..net.loop import Reactor, the_reactor
 from .arrivals import Phase, arrivals
@@ -142,19 +142,19 @@
     def __init__(self, worker: Worker, request: Request, sent: float) -> None:
         self.worker, self.request, self.sent = worker, request, sent
         self.status = 0
-        self.events: Events | None = None
+        self.events: EventParser | None = None
         self.body = bytearray()
         self.first = 0.0
         self.code, self.finished, self.over = "", False, False
         self.call: client.Call | None = None
         self.guard: Any = None
 
-    def head(self, status: int, headers: dict[str, str]) -> None:
+    def head_received(self, status: int, headers: dict[str, str]) -> None:
         self.status = status
         if headers.get("content-type", "").startswith("text/event-stream"):
-            self.events = Events(2**20)
+            self.events = EventParser(2**20)
 
-    def piece(self, data: bytes) -> None:
+    def body_received(self, data: bytes) -> None:
         if self.over:
             return
         if self.events is None:
@@ -308,13 +308,15 @@
         one = request.request_class
         self.count += 1
         text = (
-            request.beginning + " " + TEXT * (1 + int(one.beginning_tokens * chat.BYTES_A_TOKEN / len(TEXT)))
+            request.beginning
+            + " "
+            + TEXT * (1 + int(one.beginning_tokens * chat.BYTES_PER_TOKEN / len(TEXT)))
         )
-        shared = text[: int(one.beginning_tokens * chat.BYTES_A_TOKEN)] if request.beginning else ""
+        shared = text[: int(one.beginning_tokens * chat.BYTES_PER_TOKEN)] if request.beginning else ""
         own = f"{request.session} {self.count} " + TEXT * (
-            1 + int(request.prompt * chat.BYTES_A_TOKEN / len(TEXT))
+            1 + int(request.prompt * chat.BYTES_PER_TOKEN / len(TEXT))
         )
-        length = max(8, int(request.prompt * chat.BYTES_A_TOKEN) - len(shared))
+        length = max(8, int(request.prompt * chat.BYTES_PER_TOKEN) - len(shared))
         messages = [{"role": "system", "content": shared}] if shared else []
         body = msgspec.json.encode(
             {
@@ -329,7 +331,7 @@
             ("Content-Type", "application/json"),
             (chat.SESSION, f"s{request.session}"),
             (chat.TIME_LEFT, f"{one.patience:.0f}"),
-            (chat.REPEAT, str(request.tries - 1)),
+            (chat.CLIENT_RETRIES, str(request.tries - 1)),
         ]
         if request.beginning:
             headers += [(chat.PREFIX, request.beginning), (chat.PREFIX_TOKENS, str(one.beginning_tokens))]
--- a/worksmux/net/buffered_response.py
+++ b/worksmux/net/buffered_response.py
@@ -29,10 +29,10 @@
         self._headers: dict[str, str] = {}
         self.body = bytearray()
 
-    def head(self, status: int, headers: dict[str, str]) -> None:
+    def head_received(self, status: int, headers: dict[str, str]) -> None:
         self._status, self._headers = status, headers
 
-    def piece(self, data: bytes) -> None:
+    def body_received(self, data: bytes) -> None:
         if self._too_long or len(self.body) + len(data) > self._max_body_bytes:
             self._too_long = True
         else:
--- a/worksmux/net/client.py
+++ b/worksmux/net/client.py
@@ -51,16 +51,16 @@
 class Call:
     """A request that waits for its connection or is out, as a `ResponseReceiver` in front of its own.
 
-    `on_up` is called as the connection comes up, just before the request is written: the last moment to
-    abandon it, or to set `held_back`, after which it is written only by `go`.
+    `on_connected` is called as the connection comes up, just before the request is written: the last moment
+    to abandon it, or to set `is_held_back`, after which it is written only by `send_held`.
     """
 
     def __init__(self, data: bytes, receiver: ResponseReceiver) -> None:
         self.data, self.receiver = data, receiver
         self.connection: Connection | None = None
         self.connector: Any = None
-        self.on_up: Callable[[], None] | None = None
-        self.held_back = False
+        self.on_connected: Callable[[], None] | None = None
+        self.is_held_back = False
         self.over = False
         self.started_ms = clock.now()
         self._reserved: _NewConnection | None = None  # its connection, while it is held back
@@ -76,21 +76,21 @@
         self.failed(NotSentError("no connection came up in time"))
         self.connector.disconnect()
 
-    def came_up(self, connection: _NewConnection) -> None:
+    def connected(self, connection: _NewConnection) -> None:
         """Writes the request, holds it back, or returns the connection where the call is over."""
         self._cancel_connect_timeout()
-        if not self.over and self.on_up is not None:
-            self.on_up()
+        if not self.over and self.on_connected is not None:
+            self.on_connected()
         if self.over:
             connection.return_unused()
-        elif self.held_back:
+        elif self.is_held_back:
             self._reserved = connection
         else:
             self.send_on(connection)
 
-    def go(self) -> None:
+    def send_held(self) -> None:
         """Writes a request that was held back."""
-        connection, self._reserved, self.held_back = self._reserved, None, False
+        connection, self._reserved, self.is_held_back = self._reserved, None, False
         if connection is not None and not self.over:
             self.send_on(connection)
 
@@ -104,7 +104,7 @@
             self._connect_timeout.cancel()
 
     @property
-    def up(self) -> bool:
+    def is_connected(self) -> bool:
         """Whether its connection is up: until then nothing of the request has arrived anywhere."""
         return self.connection is not None
 
@@ -127,13 +127,13 @@
         elif self.connector is not None:
             self.connector.disconnect()
 
-    def head(self, status: int, headers: dict[str, str]) -> None:
+    def head_received(self, status: int, headers: dict[str, str]) -> None:
         if not self.over:
-            self.receiver.head(status, headers)
+            self.receiver.head_received(status, headers)
 
-    def piece(self, data: bytes) -> None:
+    def body_received(self, data: bytes) -> None:
         if not self.over:
-            self.receiver.piece(data)
+            self.receiver.body_received(data)
 
     def done(self) -> None:
         if not self.over:
@@ -175,12 +175,12 @@
     def connectionMade(self) -> None:
         super().connectionMade()
         if self._first_call is not None:
-            self._first_call.came_up(self)
+            self._first_call.connected(self)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         super().connectionLost(reason)
         call, self._first_call = self._first_call, None
-        if call is not None and call.held_back:  # nothing of it was written
+        if call is not None and call.is_held_back:  # nothing of it was written
             call.failed(NotSentError("the connection ended before the call was written"))
 
     def return_unused(self) -> None:
@@ -212,7 +212,7 @@
         self.connect_timeout_ms, self.keep_alive_ms = connect_timeout_ms, keep_alive_ms
         self.max_idle = max_idle
         self.max_head_bytes, self.max_chunk_bytes = max_head_bytes, max_chunk_bytes
-        self.on_heard: Callable[[], None] | None = None  # called with the head of each response
+        self.on_response: Callable[[], None] | None = None  # called with the head of each response
         self.latest_answered_start_ms = 0.0  # start of the newest call that brought a response
         self.name = name or f"{host}:{port}"
         self.idle: deque[Connection] = deque()
@@ -246,8 +246,8 @@
 
     def response_started(self, receiver: ResponseReceiver) -> None:
         """See `ConnectionOwner`."""
-        if self.on_heard is not None:
-            self.on_heard()
+        if self.on_response is not None:
+            self.on_response()
         if isinstance(receiver, Call):
             self.latest_answered_start_ms = max(self.latest_answered_start_ms, receiver.started_ms)
 
--- a/worksmux/net/connection.py
+++ b/worksmux/net/connection.py
@@ -26,9 +26,9 @@
 class ResponseReceiver(Protocol):
     """Takes a response: `head`, then any number of `piece`, then `done`; or `failed` at any moment."""
 
-    def head(self, status: int, headers: dict[str, str]) -> None: ...
+    def head_received(self, status: int, headers: dict[str, str]) -> None: ...
 
-    def piece(self, data: bytes) -> None: ...
+    def body_received(self, data: bytes) -> None: ...
 
     def done(self) -> None: ...
 
@@ -205,7 +205,7 @@
         framing = body_framing(self._status, self._headers)
         self._state = STATE_FOR_BODY[framing.end]
         self._bytes_left = framing.length
-        self.receiver.head(self._status, self._headers)
+        self.receiver.head_received(self._status, self._headers)
         if self.receiver is None:  # it abandoned the call
             return
         if self._state is ReadState.BODY and not self._bytes_left:
@@ -227,10 +227,10 @@
         if self.receiver is None:
             return self.drop()
         if self._state is ReadState.BODY_UNTIL_CLOSE:
-            return self.receiver.piece(data)
+            return self.receiver.body_received(data)
         piece, rest = data[: self._bytes_left], data[self._bytes_left :]
         self._bytes_left -= len(piece)
-        self.receiver.piece(piece)
+        self.receiver.body_received(piece)
         if self._bytes_left or self.receiver is None:
             return
         if self._state is ReadState.CHUNK_DATA:
--- a/worksmux/net/exchange.py
+++ b/worksmux/net/exchange.py
@@ -128,7 +128,7 @@
         self.setHeader("connection", "close")
 
     def begin(self, content_type: str, headers: tuple[tuple[str, str], ...] = ()) -> None:
-        """Sets the head of a 200 answer whose body is sent in pieces by `send_piece` and ended by `end`."""
+        """Sets the head of a 200 answer whose body is sent in pieces by `send_chunk` and ended by `end`."""
         if self.over:
             return
         self.setResponseCode(http.OK)
@@ -137,7 +137,7 @@
         for name, value in headers:
             self.setHeader(name, value)
 
-    def send_piece(self, data: bytes) -> None:
+    def send_chunk(self, data: bytes) -> None:
         if not self.over:
             self.write(data)
 
--- a/worksmux/node/attempts.py
+++ b/worksmux/node/attempts.py
@@ -57,7 +57,7 @@
     def resume(self) -> None:
         """Sends the attempt after its wait for a release."""
         if self.call is not None:
-            self.call.go()
+            self.call.send_held()
 
     @property
     def engine(self) -> Engine:
--- a/worksmux/node/clients.py
+++ b/worksmux/node/clients.py
@@ -19,7 +19,7 @@
     def send_content(self, content: bytes) -> None:
         """Sends complete server-sent events."""
         self._begin()
-        self.exchange.send_piece(content)
+        self.exchange.send_chunk(content)
 
     def complete(self, *result: object) -> None:
         """Ends a complete stream."""
--- a/worksmux/node/core.py
+++ b/worksmux/node/core.py
@@ -137,7 +137,7 @@
     def _start_release(self, context: RequestContext) -> None:
         """Releases the KV cache held for a request, unless an attempt with a connection is in flight."""
         claims = self.kv_claims.get(context.request)
-        if claims is None or any(call.call.up for call in context.in_flight.values()):
+        if claims is None or any(call.call.is_connected for call in context.in_flight.values()):
             return
         if not claims.claims:
             return self.releaser.forget_if_settled(claims)
@@ -198,10 +198,10 @@
         )
         node_attempt.report_fields = list(self.module_settings.load_report_fields)
         call = node_attempt.send(context.client_request, timeout_ms)
-        if call.up:
+        if call.is_connected:
             self._on_written(context, node_attempt)
         else:
-            call.on_up = lambda: self._on_connected(context, node_attempt)
+            call.on_connected = lambda: self._on_connected(context, node_attempt)
             self._monitor(context, node_attempt)
         return node_attempt
 
@@ -231,7 +231,7 @@
         produces.
         """
         assert node_attempt.call is not None
-        node_attempt.has_waited_for_release = node_attempt.call.held_back = True
+        node_attempt.has_waited_for_release = node_attempt.call.is_held_back = True
 
         def resume() -> None:
             if timer.active():
@@ -277,7 +277,7 @@
         """Replaces the connection pool of an engine with a new or first address."""
         super().address_changed(engine, host, port)
         self.release_targets.add(engine)
-        self.pools[engine].on_heard = lambda: self.release_targets.mark_responsive(engine)
+        self.pools[engine].on_response = lambda: self.release_targets.mark_responsive(engine)
 
     def _new_pool(self, host: str, port: int) -> client.Pool:
         return client.Pool(
--- a/worksmux/node/discovery_watch.py
+++ b/worksmux/node/discovery_watch.py
@@ -49,12 +49,12 @@
 
     # Called by `net.client` with the reply.
 
-    def head(self, status: int, headers: dict[str, str]) -> None:
+    def head_received(self, status: int, headers: dict[str, str]) -> None:
         """Receives status and headers of the reply."""
         if status != 200:
             self.end(f"status {status}")
 
-    def piece(self, data: bytes) -> None:
+    def body_received(self, data: bytes) -> None:
         """Receives a piece of the reply.
 
         Failure: a long list arrives in many small pieces, and copying the earlier ones for each piece blocks
