--- a/tests/test_endpoint_list_reader.py
+++ b/tests/test_endpoint_list_reader.py
@@ -70,7 +70,7 @@
     assert (
         told.event
         and [entry.engine.id for entry in told.event.entries] == [b"a"]
-        and "no kind new" in told.notes[0]
+        and told.notes[0] == "engine b ignored: kind new is not in the settings"
     )
     told = one.take(0.0, delta(2, line("a", kind="new")))
     assert told.event and told.event.entries[0].state == "gone"
--- a/worksmux/endpoints/__init__.py
+++ b/worksmux/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""What a node believes of the endpoint lists that it receives. No I/O; time is passed in."""
+"""Endpoint lists and the endpoints of them that the policy may use. No I/O; time is passed in."""
--- a/worksmux/endpoints/learned_state.py
+++ b/worksmux/endpoints/learned_state.py
@@ -1,13 +1,13 @@
-"""What a node has learned of engines and timings, kept over a restart and weighed by its age. No I/O.
+"""State learned of engines and timings, kept across a restart and weighted by its age. No I/O.
 
-Three things are kept: the state of single engines (ejections, windows narrowed by "full" answers, when they
-last served a request class), how the attempts of each request class ended lately, and the usual times of
-prefill and of first tokens. Ejections run out by themselves. Error rates and waiting times return to the
-policy's sliding windows with a weight that falls with age and is never more than half an attempt, so that the
-first fresh attempts outweigh them. How fast prompts are prefilled is a property of the machines: its fastest
-time is relied on for as long as the entries of the endpoint list are.
+Three kinds of state are kept: the marks of single engines (ejections, in-flight windows reduced by "full"
+answers, the last success of each request class), the recent fault rate of each request class, and the typical
+times of prefill and of first tokens. Ejections expire. Fault rates and waiting times return to the policy's
+sliding windows with a weight that falls with age and is at most half an attempt, so that the first new
+attempts outweigh the restored samples. The prefill speed is a property of the machines: its fastest time is
+used for as long as the entries of the endpoint list are.
 
-Times are milliseconds, on the node's own clock or, where said so, since 1970.
+Times are milliseconds on the node's own clock or, where stated, since 1970.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
 from ..policy.state import ALL_REQUEST_CLASSES, Engine, Outcome
 from .staleness import MIN_USEFUL_CONFIDENCE, Turnover
 
-MAX_RESTORED_WEIGHT = 0.5  # attempts that a restored figure counts for, at most
+MAX_RESTORED_WEIGHT = 0.5  # in attempts, of a restored value
 SAVE_INTERVAL_FRACTION = 1 / 8  # of the policy's sliding window, between two saves
-FLEET_KEY = ""  # the key of what holds for all engines
+FLEET_KEY = ""  # key of the state of all engines together
 ALL_CLASSES = ""  # in stored records, in place of a request class
 FAULTS = frozenset({Outcome.ERROR, Outcome.UNREACHABLE, Outcome.RESET, Outcome.TIMED_OUT})
 SUCCESSES = frozenset({Outcome.PREFILLED, Outcome.SERVED})
@@ -40,10 +40,10 @@
 
 
 class FleetTimings(msgspec.Struct):
-    """What holds for all engines."""
+    """Timings and fault rates over all engines."""
 
     saved_at_ms: float = msgspec.field(name="at")  # since 1970
-    first_token_wait: SampleSum = msgspec.field(name="first")  # ms, beyond what prefill takes
+    first_token_wait: SampleSum = msgspec.field(name="first")  # ms, without the time of prefill
     prefill_per_token: SampleSum = msgspec.field(name="per_token")  # ms
     fastest_per_token_ms: float = msgspec.field(name="shortest")
     fastest_seen_at_ms: float = msgspec.field(name="shortest_at")  # since 1970
@@ -51,10 +51,10 @@
 
 
 class EngineMarks(msgspec.Struct):
-    """What was seen of one engine; times since 1970."""
+    """The state learned of one engine; times since 1970."""
 
     saved_at_ms: float = msgspec.field(name="at")
-    started: float  # as listed; another start makes the marks void
+    started: float  # as listed; the marks are void after another start
     ejected_until_ms: dict[str, float] = msgspec.field(name="unwell")  # by request class or ALL_CLASSES
     last_success_ms: dict[str, float] = msgspec.field(name="good")  # by request class
     window_reduction: float = msgspec.field(name="narrowed")  # requests
@@ -62,14 +62,14 @@
 
 @dataclass(slots=True)
 class LearnedState:
-    """What the store holds, read back."""
+    """The learned state read from the store."""
 
     timings: FleetTimings | None
     marks: dict[str, EngineMarks]  # by engine
 
 
 class LearnedStateRecorder:
-    """Watches the events of one node and tells which of it is worth keeping."""
+    """Observes the policy events of one node and returns the state to store."""
 
     def __init__(self, request_classes: list[str]) -> None:
         self.request_classes = request_classes
@@ -80,7 +80,7 @@
         self._saved: dict[str, FleetTimings | EngineMarks] = {}
 
     def observe(self, now_ms: float, event: Event) -> None:
-        """Takes note of an event that the policy is given."""
+        """Records an event that the policy is given."""
         if isinstance(event, FirstToken):
             prefill_ms = (
                 SLOW_FACTOR * self._prefill_per_token.min_bucket_mean(now_ms) * event.attempt.prefill_tokens
@@ -96,33 +96,33 @@
     def changes(
         self, engines: Iterable[tuple[Engine, float]], now_ms: float, wall_ms: float
     ) -> dict[str, FleetTimings | EngineMarks | None]:
-        """What is to be stored since the last call, by key; None deletes.
+        """Returns the records to store since the last call, by key; None deletes a record.
 
-        `engines` come with their start as listed. Old timings are never deleted: they are worth more than
+        `engines` are paired with their listed start. Timings are never deleted: old timings are better than
         none.
         """
-        found: dict[str, FleetTimings | EngineMarks] = {}
+        records: dict[str, FleetTimings | EngineMarks] = {}
         timings = self._timings(now_ms, wall_ms)
         if timings is not None:
-            found[FLEET_KEY] = timings
+            records[FLEET_KEY] = timings
         for engine, started in engines:
             marks = self._marks(engine, started, now_ms, wall_ms)
             if marks is not None:
-                found[engine.id.decode()] = marks
-        changes: dict[str, FleetTimings | EngineMarks | None] = dict(found)
-        for name in self._saved.keys() - found.keys() - {FLEET_KEY}:
+                records[engine.id.decode()] = marks
+        changes: dict[str, FleetTimings | EngineMarks | None] = dict(records)
+        for name in self._saved.keys() - records.keys() - {FLEET_KEY}:
             changes[name] = None
-        self._saved = found
+        self._saved = records
         return changes
 
     def _timings(self, now_ms: float, wall_ms: float) -> FleetTimings | None:
-        """None where nothing was seen within the sliding windows."""
+        """Returns the timings of the sliding windows; None if they have no samples."""
         first_token_wait = _sample_sum(self._first_token_wait, now_ms)
         prefill_per_token = _sample_sum(self._prefill_per_token, now_ms)
         faults = {
-            name: found
-            for name, ring in zip(self.request_classes, self._faults, strict=True)
-            if (found := _sample_sum(ring, now_ms)).count
+            name: samples
+            for name, window in zip(self.request_classes, self._faults, strict=True)
+            if (samples := _sample_sum(window, now_ms)).count
         }
         if not (first_token_wait.count or prefill_per_token.count or faults):
             return None
@@ -139,9 +139,9 @@
         )
 
     def _marks(self, engine: Engine, started: float, now_ms: float, wall_ms: float) -> EngineMarks | None:
-        """None where the engine is like any other.
+        """Returns the marks of an engine; None if it has none.
 
-        Its last success is kept only while its request class has faults: the policy asks for it then alone.
+        A last success is kept only while its request class has faults, because only then the policy uses it.
         """
         ejected_until_ms = {
             self._class_name(request_class): wall_ms + until - now_ms
@@ -167,18 +167,20 @@
     engines: Iterable[tuple[Engine, float]],
     wall_ms: float,
     turnover: Turnover,
-    believed_for_ms: float,
+    assumed_lifetime_ms: float,
 ) -> StateRestored:
-    """The event that gives the policy what was learned, weighed by its age.
+    """Returns the event that restores the learned state in the policy, weighted by age.
 
-    A clock that was set back makes all of it old: the size of the difference counts as the age, and no
-    ejection lasts longer than it can have been given for.
+    If the clock was set back, the absolute difference counts as the age. No ejection lasts longer than the
+    longest ejection that can have been set.
     """
-    believed_rate = turnover.rate_per_ms(believed_for_ms)
+    departure_rate_per_ms = turnover.rate_per_ms(assumed_lifetime_ms)
     event = StateRestored(
-        _restored_sums(learned.timings, request_classes, wall_ms, believed_rate), [], [], []
+        _restored_sums(learned.timings, request_classes, wall_ms, departure_rate_per_ms), [], [], []
     )
-    class_index = {name: at for at, name in enumerate(request_classes)} | {ALL_CLASSES: ALL_REQUEST_CLASSES}
+    class_index = {name: index for index, name in enumerate(request_classes)} | {
+        ALL_CLASSES: ALL_REQUEST_CLASSES
+    }
     for engine, started in engines:
         marks = learned.marks.get(engine.id.decode())
         if marks is not None and marks.started == started:
@@ -187,21 +189,23 @@
 
 
 def _restored_sums(
-    timings: FleetTimings | None, request_classes: list[str], wall_ms: float, believed_rate: float
+    timings: FleetTimings | None, request_classes: list[str], wall_ms: float, departure_rate_per_ms: float
 ) -> list[tuple[float, float]]:
-    """Sum and count of first tokens' waits, of prefill per token, and of the faults of each request class."""
+    """Returns sum and count of first-token waits, of prefill per token, and of faults by request class."""
     sums = [(0.0, 0.0)] * (2 + len(request_classes))
     if timings is None:
         return sums
     weight = MAX_RESTORED_WEIGHT * max(0.0, 1 - abs(wall_ms - timings.saved_at_ms) / HISTORY_MS)
     sums[0] = _weighted(timings.first_token_wait, weight)
     sums[1] = _weighted(timings.prefill_per_token, weight)
-    lasting = MAX_RESTORED_WEIGHT * exp(-believed_rate * abs(wall_ms - timings.fastest_seen_at_ms))
-    if not sums[1][1] and timings.fastest_per_token_ms > 0 and lasting > MIN_USEFUL_CONFIDENCE:
-        sums[1] = timings.fastest_per_token_ms * lasting, lasting
-    for at, name in enumerate(request_classes):
+    speed_weight = MAX_RESTORED_WEIGHT * exp(
+        -departure_rate_per_ms * abs(wall_ms - timings.fastest_seen_at_ms)
+    )
+    if not sums[1][1] and timings.fastest_per_token_ms > 0 and speed_weight > MIN_USEFUL_CONFIDENCE:
+        sums[1] = timings.fastest_per_token_ms * speed_weight, speed_weight
+    for index, name in enumerate(request_classes):
         if name in timings.faults:
-            sums[2 + at] = _weighted(timings.faults[name], weight)
+            sums[2 + index] = _weighted(timings.faults[name], weight)
     return sums
 
 
@@ -212,14 +216,14 @@
     class_index: dict[str, int],
     wall_ms: float,
 ) -> None:
-    """Adds the marks of one engine to the event, with the time that they have left."""
+    """Adds the marks of one engine to the event, with their remaining time."""
     age_ms = abs(wall_ms - marks.saved_at_ms)
     if age_ms >= HISTORY_MS:
         return
     for name, until_ms in marks.ejected_until_ms.items():
-        left_ms = min(until_ms - wall_ms, HISTORY_MS - age_ms)
-        if left_ms > 0 and name in class_index:
-            event.ejections.append((engine, class_index[name], left_ms))
+        remaining_ms = min(until_ms - wall_ms, HISTORY_MS - age_ms)
+        if remaining_ms > 0 and name in class_index:
+            event.ejections.append((engine, class_index[name], remaining_ms))
     for name, success_ms in marks.last_success_ms.items():
         if (
             0 <= wall_ms - success_ms < HISTORY_MS
@@ -230,12 +234,12 @@
         event.window_reductions.append((engine, marks.window_reduction * (1 - age_ms / HISTORY_MS)))
 
 
-def _sample_sum(ring: SlidingWindow, now_ms: float) -> SampleSum:
-    count = ring.count(now_ms)
-    return SampleSum(ring.mean(now_ms) * count, count)
+def _sample_sum(window: SlidingWindow, now_ms: float) -> SampleSum:
+    count = window.count(now_ms)
+    return SampleSum(window.mean(now_ms) * count, count)
 
 
 def _weighted(samples: SampleSum, weight: float) -> tuple[float, float]:
-    """Sum and count of samples that count for at most `weight` of one."""
+    """Returns sum and count of samples, scaled to count for at most `weight` of one sample."""
     count = min(samples.count, 1.0) * weight
     return (samples.total / samples.count * count, count) if count > 0 else (0.0, 0.0)
--- a/worksmux/endpoints/list_reader.py
+++ b/worksmux/endpoints/list_reader.py
@@ -1,14 +1,15 @@
-"""Keeps the endpoint list in step with a registry that restarts, repeats itself and skips changes.
-
-- After a gap in the serial numbers, the change that came is newer and holds; the full list is requested.
-- A change or list that is older than ours on the same connection is ignored.
-- A registry may start its serial numbers anew: on a new connection it is followed, unless its clock is
-  behind too.
-- An endpoint of an unknown kind or zone is left out; the others hold.
-- A start time may jitter from list to list though the engine never restarted: it is converted to this
-  node's clock once for each start.
-
-No I/O; times are milliseconds, on this node's clock unless said otherwise.
+"""Keeps the endpoint list in sync with a registry that restarts, repeats messages and skips changes.
+
+- After a gap in the serial numbers the received change is applied, because it is newer, and the full list is
+  requested.
+- A change or full list that is not newer than the list in force is ignored on the same connection.
+- A registry may reset its serial numbers: on a new connection a lower serial number is accepted, unless the
+  registry's clock is behind too.
+- An endpoint of an unknown kind or zone is ignored; the other endpoints of the message are applied.
+- A converted start time may jitter from list to list without a restart of the engine. It is therefore
+  converted to this node's clock only once for each start.
+
+No I/O; times are milliseconds on this node's clock unless stated otherwise.
 """
 
 from __future__ import annotations
@@ -21,13 +22,13 @@
 from ..policy.events import EndpointEntry, EndpointListUpdate
 from ..policy.state import Engine
 
-EARLIEST_START_MS = 1e-3  # 0 would say that the engine started long ago
+EARLIEST_START_MS = 1e-3  # 0 means that the engine started long ago
 UNKNOWN_START = -1.0  # a listed start that no engine has
 
 
 @dataclass(slots=True)
 class KnownEndpoint:
-    """What was last listed of one engine."""
+    """The last listed entry of one engine."""
 
     engine: Engine
     line: Line
@@ -36,33 +37,33 @@
 
 @dataclass(slots=True)
 class ListResult:
-    """What follows from one message of the registry."""
+    """The effects of one message of the registry."""
 
     event: EndpointListUpdate | None = None
-    fetch: bool = False  # the full list is to be requested
-    moved: list[KnownEndpoint] = field(default_factory=list)  # engines with a new address
-    notes: list[str] = field(default_factory=list)  # for the log: what was left out, and why
+    fetch: bool = False  # whether to request the full list
+    moved: list[KnownEndpoint] = field(default_factory=list)  # engines that are new or have a new address
+    notes: list[str] = field(default_factory=list)  # for the log: what was ignored, and why
 
 
 class EndpointListReader:
-    """Turns the registry's messages into events for the policy.
+    """Converts the registry's messages to events for the policy.
 
-    `kinds` and `zones` are names in the order of the settings; `find_engine` gives the engine for an id.
+    `kinds` and `zones` are names in the order of the settings; `find_engine` returns the engine with an id.
     """
 
     def __init__(self, kinds: list[str], zones: list[str], find_engine: Callable[[str], Engine]) -> None:
-        self.kinds = {name: at for at, name in enumerate(kinds)}
-        self.zones = {name: at for at, name in enumerate(zones)}
+        self.kinds = {name: index for index, name in enumerate(kinds)}
+        self.zones = {name: index for index, name in enumerate(zones)}
         self.known: dict[str, KnownEndpoint] = {}
         self.serial = 0
-        self.registry_time_ms = 0.0  # the latest that was seen of the registry's clock
-        self.has_full_list = False  # a full list has come
-        self.fetching = False  # a full list was requested and has not come
+        self.registry_time_ms = 0.0  # the latest time seen on the registry's clock
+        self.has_full_list = False  # a full list was received
+        self.fetching = False  # a full list was requested and not received yet
         self._find_engine = find_engine
-        self._is_new_connection = True  # nothing has come on it yet
+        self._is_new_connection = True  # no message was received on it yet
 
     def connected(self) -> None:
-        """A new connection to the registry is up."""
+        """Handles a new connection to the registry."""
         self._is_new_connection = True
         self.fetching = False
 
@@ -79,17 +80,17 @@
         return result
 
     def is_older(self, message: Listing) -> bool:
-        """Whether a full list is older than ours.
+        """Reports whether a full list is older than the list in force.
 
-        On the same connection its serial number decides. On a new one the registry's clock must be behind
-        too, as a registry that restarted may start its numbers anew.
+        On the same connection the serial number decides. On a new connection the registry's clock must be
+        behind too, because a registry that restarted may reset its serial numbers.
         """
         if message.serial >= self.serial:
             return False
         return not self._is_new_connection or message.now < self.registry_time_ms
 
     def entry(self, known: KnownEndpoint, state: str) -> EndpointEntry:
-        """The endpoint as the policy is given it, in the given state."""
+        """Returns the endpoint as an entry for the policy, in the given state."""
         line = known.line
         return EndpointEntry(
             known.engine,
@@ -104,7 +105,7 @@
     def add_cached(
         self, now_ms: float, wall_ms: float, line: Line, state: str, as_just_started: bool
     ) -> EndpointEntry | None:
-        """Adds an endpoint that comes from the cache and not from the registry.
+        """Adds an endpoint from the cache instead of the registry.
 
         With `as_just_started` the endpoint counts as just started until the first list of the registry
         corrects its start. Returns None for a kind or zone that is not in the settings. `wall_ms` is since
@@ -115,7 +116,7 @@
         known = self.known.get(line.id)
         if known is None:
             known = self.known[line.id] = KnownEndpoint(self._find_engine(line.id), line)
-        known.started = now_ms if as_just_started else _local_start(now_ms, wall_ms, line)
+        known.started = now_ms if as_just_started else _start_on_local_clock(now_ms, wall_ms, line)
         known.line = copy(line)
         known.line.state = state  # type: ignore[assignment]
         if as_just_started:
@@ -124,12 +125,14 @@
 
     @property
     def ready_count(self) -> int:
-        """How many endpoints the list calls ready."""
+        """The number of endpoints listed as ready."""
         return sum(known.line.state == "ready" for known in self.known.values())
 
     def _take_full(self, now_ms: float, message: Listing, result: ListResult) -> None:
         if self.is_older(message):
-            result.notes.append(f"a full list {message.serial} older than ours, {self.serial}, was left out")
+            result.notes.append(
+                f"full endpoint list with serial {message.serial} ignored: older than serial {self.serial}"
+            )
             return
         self._is_new_connection, self.fetching, self.has_full_list = False, False, True
         self.serial = message.serial
@@ -141,7 +144,10 @@
 
     def _take_change(self, now_ms: float, message: Listing, result: ListResult) -> None:
         if message.serial <= self.serial and not self._is_new_connection:
-            result.notes.append(f"a change {message.serial} not newer than ours, {self.serial}, was left out")
+            result.notes.append(
+                f"endpoint list change with serial {message.serial} ignored: "
+                f"not newer than serial {self.serial}"
+            )
             return
         self._is_new_connection = False
         if not self.has_full_list or message.previous != self.serial:
@@ -152,11 +158,12 @@
         result.event = EndpointListUpdate("delta", self._entries(now_ms, message, result))
 
     def _request_full(self, message: Listing, result: ListResult) -> None:
-        """Requests the full list after a gap, once."""
+        """Requests the full list after a gap, unless a request is pending."""
         result.fetch = not self.fetching
         self.fetching = True
         result.notes.append(
-            f"changes between {self.serial} and {message.serial} are missing; the list is asked for"
+            f"endpoint list changes from serial {self.serial} to {message.serial} are missing; "
+            "requesting the full list"
         )
 
     def _entries(self, now_ms: float, message: Listing, result: ListResult) -> list[EndpointEntry]:
@@ -166,14 +173,14 @@
                 known = self._update_known(now_ms, message.now, line, result)
                 entries.append(self.entry(known, line.state))
                 continue
-            what = f"kind {line.kind}" if line.kind not in self.kinds else f"zone {line.zone}"
-            result.notes.append(f"engine {line.id}: the settings know no {what}; the engine was left out")
-            if line.id in self.known:  # what it was before is no longer true
+            unknown = f"kind {line.kind}" if line.kind not in self.kinds else f"zone {line.zone}"
+            result.notes.append(f"engine {line.id} ignored: {unknown} is not in the settings")
+            if line.id in self.known:  # its earlier entry no longer holds
                 entries.append(self.entry(self.known[line.id], "gone"))
         return entries
 
     def _is_configured(self, line: Line) -> bool:
-        """Whether the settings know its kind and zone; where they name no zones, any zone will do."""
+        """Reports whether its kind and zone are in the settings; settings without zones accept any zone."""
         return line.kind in self.kinds and (not self.zones or line.zone in self.zones)
 
     def _update_known(
@@ -182,26 +189,26 @@
         known = self.known.get(line.id)
         if known is None:
             known = self.known[line.id] = KnownEndpoint(self._find_engine(line.id), line)
-            known.started = _local_start(now_ms, registry_time_ms, line)
+            known.started = _start_on_local_clock(now_ms, registry_time_ms, line)
             result.moved.append(known)
             return known
         if (
             line.state == "gone" and not line.host
-        ):  # the KV cache that it still holds is released where it was
+        ):  # KV cache held by the engine is released at its last known address
             line.host, line.port = known.line.host, known.line.port
         if (known.line.host, known.line.port) != (line.host, line.port):
             result.moved.append(known)
         if known.line.started != line.started:
-            known.started = _local_start(now_ms, registry_time_ms, line)
+            known.started = _start_on_local_clock(now_ms, registry_time_ms, line)
         known.line = line
         return known
 
 
-def _local_start(now_ms: float, other_clock_ms: float, line: Line) -> float:
-    """The listed start on this node's clock, given the same moment on this clock and on the other one.
+def _start_on_local_clock(now_ms: float, other_clock_ms: float, line: Line) -> float:
+    """Converts a listed start to this node's clock, given the current time on this clock and on the other.
 
-    Failure: converted anew for each list, the start would move by the jitter of the messages, and each list
-    would look like a restart of the engine. Callers convert it only when the listed start has changed.
+    Failure: if each list were converted again, the start would change by the jitter of the messages, and each
+    list would look like a restart of the engine. Callers convert a start only when the listed start changes.
     """
     if not line.started:
         return 0.0
--- a/worksmux/failover/__init__.py
+++ b/worksmux/failover/__init__.py
@@ -1,1 +1,1 @@
-"""Failover between zones and regions: the nodes' reports become a numbered plan. No I/O."""
+"""Failover between zones and regions: turns the reports of all nodes into a numbered plan. No I/O."""
--- a/worksmux/failover/plan.py
+++ b/worksmux/failover/plan.py
@@ -1,4 +1,4 @@
-"""The failover plan that all nodes act on, and its stored form. Pure."""
+"""The failover plan that all nodes apply, and its stored form. Pure."""
 
 from __future__ import annotations
 
@@ -10,38 +10,38 @@
 from .reports import MAX_ZONES
 
 MIN_SHARE = 0.005  # smaller shares are rounded away
-SUM_TOLERANCE = 0.01  # by which the shares of a route may miss 1
+SUM_TOLERANCE = 0.01  # largest difference of the sum of a route's shares from 1
 
 Shares = dict[str, float]  # by zone or request class, 0 to 1
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """Where the requests of each zone go, and which are rejected.
+    """Routes of requests between zones, and the shares of requests that are rejected.
 
-    `routes` gives, for each zone that does not keep all of its requests, the shares that zones take of them;
-    a failed zone is not in its own route. `shed` gives, by the zone where requests belong and by request
-    class, the share of new ones that is rejected at once, with a Retry-After of `retry_after_ms` to twice
-    that.
+    `routes` has an entry for each zone that does not keep all of its requests: the shares of them by the zone
+    that serves them. A failed zone is not in its own route. `shed` is the share of new requests to reject at
+    once, by home zone and request class. The Retry-After of a rejected request is between `retry_after_ms`
+    and twice that.
     """
 
     number: int = 0
     routes: dict[str, Shares] = msgspec.field(name="rows", default_factory=dict)
     shed: dict[str, Shares] = {}
     retry_after_ms: float = msgspec.field(name="stay_away", default=0.0)
-    reason: str = msgspec.field(name="why", default="")  # in words, for operators
-    kept_shares: Shares = msgspec.field(name="keep", default_factory=dict)  # of zones that are not healthy
-    held_shares: Shares = msgspec.field(
-        name="held", default_factory=dict
-    )  # rejected for being moved, by zone
-    event: int = 0  # the failure that this plan belongs to; the first plan after calm begins a new one
+    reason: str = msgspec.field(name="why", default="")  # for operators
+    # By zone, of the zones that are not healthy.
+    kept_shares: Shares = msgspec.field(name="keep", default_factory=dict)
+    # By zone, of its requests: the share that is held back because it would be moved.
+    held_shares: Shares = msgspec.field(name="held", default_factory=dict)
+    event: int = 0  # number of the failure; the first plan after a calm plan starts a new one
 
     @property
     def calm(self) -> bool:
-        """Whether the plan changes nothing."""
+        """Whether the plan moves and rejects no requests."""
         return not self.routes and not self.shed
 
     def is_valid(self) -> bool:
-        """Whether all shares are shares, and those of each route add up to 1."""
+        """Reports whether all shares are from 0 to 1, and the shares of each route add up to 1."""
         return (
             self.number >= 0
             and len(self.routes) <= MAX_ZONES
@@ -61,13 +61,16 @@
 
 
 def encode(plan: Plan) -> bytes:
-    """The stored form of a plan."""
+    """Returns the stored form of a plan."""
     return msgspec.msgpack.encode(plan)
 
 
 def decode(data: bytes) -> Plan:
-    """The plan in a stored form; raises msgspec.DecodeError for what is no valid plan."""
+    """Decodes the stored form of a plan; raises msgspec.DecodeError if the plan is not valid."""
     plan = msgspec.msgpack.decode(data, type=Plan)
     if not plan.is_valid():
-        raise msgspec.ValidationError("the plan's shares make no sense")
+        raise msgspec.ValidationError(
+            "invalid failover plan: expected shares from 0 to 1 that add up to 1 for each route"
+            " and a delay of at least 0"
+        )
     return plan
--- a/worksmux/failover/planner.py
+++ b/worksmux/failover/planner.py
@@ -1,14 +1,14 @@
-"""The leader's planner: from the health of zones and the demand to the failover plan. Pure.
+"""The leader's planner: computes the failover plan from the health of zones and the demand. Pure.
 
-Requests of a zone that is not healthy go to other zones of its region, and to other regions when those are
-full. What fits nowhere is rejected, the lowest credit first.
+Requests of a zone that is not healthy move to other zones of its region, and to other regions when those are
+full. Requests beyond the capacity of all zones are rejected, the lowest credit first.
 
     plan = planner.update(report)       # every `interval_ms` on the leader; None: the plan stays
 
-Moved requests find none of their shared prefixes in the KV caches where they arrive. Sent all at once they
-would fill the caches of those prefill engines, evict what was there, and the healthy zone would fail with the
-other one. So moved requests are admitted by degrees, those of the highest credit first, as fast as the zones
-that take them have capacity to spare.
+Failure: moved requests find none of their shared prefixes in the KV caches of the zones that take them. If
+all were sent at once, they would fill those caches and evict their contents, and the healthy zone would fail
+too. Moved requests are therefore admitted gradually, the highest credit first, as fast as the zones that take
+them have spare capacity.
 """
 
 from __future__ import annotations
@@ -21,49 +21,49 @@
 from .shedding import MIN_PASSED_SHARE, hold_by_rank, shed_lowest_credit
 from .zones import ZoneHealth, Zones, ZoneView
 
-INITIAL_HELD_PER_LOAD = 2.0  # share of moved requests held back at first, for each unit above LIGHT_LOAD
-PREFILL_CAPACITY = 1.25  # load up to which capacity is left for prefill of moved requests
+INITIAL_HELD_PER_LOAD = 2.0  # share of moved requests first held back, per load above LIGHT_LOAD
+PREFILL_CAPACITY = 1.25  # load at which no capacity is left for prefill of moved requests
 MIN_SPARE_CAPACITY = 0.08
-ADMIT_PER_SPARE_S = 0.5  # share of moved requests admitted per second, for each unit of spare capacity
-HOLD_PER_S = 0.08  # share held back again per second, while the zones that take them are full
-SPILL_STEP = 0.1  # share of a region's moved requests sent on to other regions, per update
+ADMIT_PER_SPARE_S = 0.5  # share of moved requests admitted per second, per unit of spare capacity
+HOLD_PER_S = 0.08  # share of moved requests held back again per second while the taking zones are full
+SPILL_STEP = 0.1  # share of a region's moved requests sent to other regions, per update
 RETURN_STEP = SPILL_STEP / 4
-FULL_PATIENCE_S = 4.0  # for which all zones are full, before more is rejected than does not fit
-SHED_PER_S = 0.2  # share of all requests rejected, for each second after that
+FULL_PATIENCE_S = 4.0  # all zones are full for this long before more than the excess demand is rejected
+SHED_PER_S = 0.2  # share of all requests rejected, per second after that
 MAX_SHED_SHARE = 0.9
 RETRY_AFTER_UPDATES = 2.0
-MIN_SHARE_CHANGE = 0.03  # shares that change by less make no new plan
+MIN_SHARE_CHANGE = 0.03  # smaller changes of shares make no new plan
 
 
 @dataclass(frozen=True)
 class PlannerSettings:
-    """What the settings say of the fleet."""
+    """Settings of the fleet that the planner uses."""
 
     regions: dict[str, str]  # by zone
     credits: dict[str, float]  # by request class
-    cold_share: float  # of its full capacity, that a cold engine carries
+    cold_share: float  # capacity of a cold engine, as a share of its full capacity
     interval_ms: float  # between two updates
-    capacities: dict[str, float]  # requests a second by zone; learned where not given
+    capacities: dict[str, float]  # requests per second by zone; learned if not configured
 
 
 class Planner:
-    """Makes the next plan whenever the one in force no longer fits."""
+    """Computes a new plan when the plan in force no longer fits the reports."""
 
     def __init__(self, settings: PlannerSettings, plan: Plan) -> None:
-        """Goes on from the plan in force."""
+        """Continues from the plan in force."""
         self.settings = settings
         self.plan = plan
         self.zones = Zones(settings.cold_share)
         self.zones.resume(plan.kept_shares)
         self.load = LoadEstimate(settings.capacities)
         self.held_shares: Shares = dict(plan.held_shares)  # of each zone's moved requests
-        self._spill_shares: Shares = {}  # by region: share of its moved requests that leaves it
-        self._full_updates = 0  # in a row with all zones full
-        self._excess_share = 0.0  # of all requests, rejected as all zones stay full
-        self._shed_share = 0.0  # of all requests, wherever they belong
+        self._spill_shares: Shares = {}  # by region: share of its moved requests sent to other regions
+        self._full_updates = 0  # consecutive updates with all zones full
+        self._excess_share = 0.0  # of all requests, rejected because all zones stay full
+        self._shed_share = 0.0  # of all requests of all zones
 
     def update(self, report: FleetReport) -> Plan | None:
-        """Takes in one report of all nodes; gives a plan if it is a new one."""
+        """Applies previous report of all nodes; returns the new plan, or None if the plan stays."""
         if not report.nodes:
             return None
         self.zones.update(report)
@@ -94,25 +94,25 @@
         return {name: view for name, view in self.zones.views.items() if view.kept_share > 0}
 
     def _update_shed_share(self) -> None:
-        """Sets the share of all requests to reject.
+        """Updates the share of all requests to reject.
 
-        None without a failure, as overload alone is for the nodes to handle.
+        Without an unhealthy zone nothing is rejected, because the nodes handle overload alone themselves.
         """
         serving = self._serving()
-        troubled = any(view.health is not ZoneHealth.HEALTHY for view in self.zones.views.values())
+        any_unhealthy = any(view.health is not ZoneHealth.HEALTHY for view in self.zones.views.values())
         full = bool(serving) and all(self.load.is_full(name) for name in serving)
-        self._full_updates = self._full_updates + 1 if full and troubled else 0
+        self._full_updates = self._full_updates + 1 if full and any_unhealthy else 0
         step = SHED_PER_S * self._interval_s
         if self._full_updates > FULL_PATIENCE_S / self._interval_s:
             self._excess_share = min(MAX_SHED_SHARE, self._excess_share + step)
         elif not full:
             self._excess_share = max(0.0, self._excess_share - step)
         load = self.load.load(serving)
-        does_not_fit = 1 - 1 / load if troubled and load > 1 else 0.0
-        self._shed_share = min(MAX_SHED_SHARE, max(self._excess_share, does_not_fit))
+        excess_demand = 1 - 1 / load if any_unhealthy and load > 1 else 0.0
+        self._shed_share = min(MAX_SHED_SHARE, max(self._excess_share, excess_demand))
 
     def _takers(self, name: str) -> tuple[dict[str, float], dict[str, float]]:
-        """Ready sizes of the zones that can take a zone's requests: in its region, and in others."""
+        """Returns the ready sizes of zones that can take a zone's requests: in its region, and in others."""
         region = self.settings.regions.get(name, "")
         sizes = {
             other: view.ready_size * view.kept_share
@@ -128,9 +128,9 @@
         return self.settings.regions.get(zone, "")
 
     def _update_held_share(self, name: str) -> None:
-        """Admits more of the requests that a zone does not keep, or fewer while their takers are full.
+        """Admits more of a zone's moved requests, or fewer while the zones that take them are full.
 
-        When only its own region is full, more of them are sent on to other regions instead.
+        When only the zone's own region is full, more of them are sent to other regions instead.
         """
         near, far = self._takers(name)
         region = self._region(name)
@@ -154,10 +154,10 @@
         return max((self.load.waits.get(zone, 0.0) for zone in zones), default=default)
 
     def _route(self, name: str, kept_share: float) -> Shares:
-        """Where the requests of a zone go: what it keeps, then its region, then other regions.
+        """Returns the route of a zone's requests: the kept share, then its region, then other regions.
 
-        Within each, by what is ready there. Empty if no zone can take them: they stay, for what that is
-        worth.
+        Within a region the shares are proportional to the ready sizes. The route is empty if no zone can take
+        the requests: they stay in their zone.
         """
         near, far = self._takers(name)
         if not near and not far:
@@ -174,13 +174,13 @@
         return {other: share / total for other, share in route.items()}
 
     def _spill_share(self, name: str, near: dict[str, float], far: dict[str, float]) -> float:
-        """The share of a zone's moved requests that leaves its region."""
+        """Returns the share of a zone's moved requests that leaves its region."""
         if not near:
             return 1.0
         return self._spill_shares.get(self._region(name), 0.0) if far else 0.0
 
     def _shed(self, held_shares: Shares) -> dict[str, Shares]:
-        """By zone, what is rejected for want of capacity or held back for being moved, whichever is more."""
+        """Returns, by zone and class, the larger of the share shed for capacity and the share held back."""
         demand, credits = self.load.demand, self.settings.credits
         shed: dict[str, Shares] = {}
         for name in self.zones.views:
@@ -214,10 +214,12 @@
         return self.plan
 
 
-def _is_similar(one: dict[str, Shares], other: dict[str, Shares]) -> bool:
-    """Whether no share differs by much; a share against none is always a difference."""
-    return one.keys() == other.keys() and all(_are_close(one[key], other[key]) for key in one)
+def _is_similar(previous: dict[str, Shares], other: dict[str, Shares]) -> bool:
+    """Reports whether all shares are close; a share that only previous side has is always a difference."""
+    return previous.keys() == other.keys() and all(_are_close(previous[key], other[key]) for key in previous)
 
 
-def _are_close(one: Shares, other: Shares) -> bool:
-    return one.keys() == other.keys() and all(abs(one[key] - other[key]) < MIN_SHARE_CHANGE for key in one)
+def _are_close(previous: Shares, other: Shares) -> bool:
+    return previous.keys() == other.keys() and all(
+        abs(previous[key] - other[key]) < MIN_SHARE_CHANGE for key in previous
+    )
--- a/worksmux/failover/policy_event.py
+++ b/worksmux/failover/policy_event.py
@@ -1,8 +1,9 @@
-"""What a node makes of the plan: under a lease as it says, alone as is safe. Pure.
+"""Converts the failover plan to an event for the policy of one node. Pure.
 
-A node is alone when a newer plan may have been agreed without its knowing. Requests then stay in the zone
-whose prefill engine they use, what the last plan moved stays moved and no more, a zone that this node itself
-finds failed counts as failed, and requests that the last plan rejects are still rejected.
+With a lease the node applies the plan unchanged. Without a lease a newer plan may have been committed that
+the node does not know. The node then keeps each request in the zone of its prefill engine, and keeps the
+routes and rejections of the last plan. Only requests of zones that the node's own report finds failed are
+moved in addition.
 """
 
 from __future__ import annotations
@@ -17,19 +18,19 @@
     zones: list[str],
     request_classes: list[str],
     alone: bool,
-    home: str = "",
-    own: FleetReport | None = None,
+    home_zone: str = "",
+    own_report: FleetReport | None = None,
 ) -> FailoverPlan | None:
-    """The event for the policy; None if there is nothing to tell it, as with a calm plan under a lease.
+    """Returns the event for the policy; None for a calm plan under a lease, which needs no event.
 
-    `home` is this node's zone and `own` its latest report.
+    `alone` says that the lease has expired. `home_zone` is this node's zone, `own_report` its latest report.
     """
     if not alone and plan.calm:
         return None
     routes = plan.routes
-    if alone and own is not None:
-        routes = {**routes, **_routes_around_failures(plan, home, own)}
-    zone_index = {name: at for at, name in enumerate(zones)}
+    if alone and own_report is not None:
+        routes = {**routes, **_routes_around_failures(plan, home_zone, own_report)}
+    zone_index = {name: index for index, name in enumerate(zones)}
     return FailoverPlan(
         _indexed_routes(routes, zone_index),
         _indexed_shed(plan.shed, zone_index, request_classes),
@@ -38,22 +39,25 @@
     )
 
 
-def _routes_around_failures(plan: Plan, home: str, own: FleetReport) -> dict[str, Shares]:
-    """Sends home the requests of zones that this node itself finds failed, unless its own has failed too."""
+def _routes_around_failures(plan: Plan, home_zone: str, own_report: FleetReport) -> dict[str, Shares]:
+    """Routes requests of zones that `own_report` finds failed to the home zone.
+
+    There are no such routes if `own_report` finds the home zone failed too.
+    """
     failed = [
         name
-        for name, zone in own.zones.items()
-        if zone.failed_votes and name != home and name not in plan.routes
+        for name, zone in own_report.zones.items()
+        if zone.failed_votes and name != home_zone and name not in plan.routes
     ]
-    if not failed or own.zones[home].failed_votes:
+    if not failed or own_report.zones[home_zone].failed_votes:
         return {}
-    return {name: {home: 1.0} for name in failed}
+    return {name: {home_zone: 1.0} for name in failed}
 
 
 def _indexed_routes(
     routes: dict[str, Shares], zone_index: dict[str, int]
 ) -> dict[int, list[tuple[int, float]]]:
-    """Routes between zones that the settings know, by their place in the settings."""
+    """Replaces zone names in routes by indexes; zones that are not in the settings are dropped."""
     indexed = {
         zone_index[name]: [
             (zone_index[other], share) for other, share in route.items() if other in zone_index
--- a/worksmux/failover/reports.py
+++ b/worksmux/failover/reports.py
@@ -1,7 +1,7 @@
-"""What nodes report of zones, added up on its way to the leader. Pure.
+"""Reports of nodes on zones and demand, summed on the way to the leader. Pure.
 
-On the health of a zone each node has one vote, whatever its load; only rates are summed. A node that reports
-nonsense therefore has one vote, and its rates are bounded by what a single node can claim.
+Each node has one vote on the health of a zone, whatever its load; only rates are summed. A faulty node
+therefore has one vote, and its rates are bounded by MAX_RATE_PER_NODE.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 
 MAX_ZONES = 256
 MAX_REQUEST_CLASSES = 256
-MAX_RATE_PER_NODE = 1e5  # requests a second that one node may claim
+MAX_RATE_PER_NODE = 1e5  # requests per second that one node may report
 
 
 class ZoneReport(msgspec.Struct):
-    """What is reported of one zone's engines: sums over nodes, sizes in engines, rates per second."""
+    """The report on one zone, summed over nodes; sizes are in engines, rates per second."""
 
-    voters: int = msgspec.field(name="spoke", default=0)  # nodes that saw enough of it to vote
-    failed_votes: int = msgspec.field(name="lost", default=0)  # nothing there answers
-    degraded_votes: int = msgspec.field(name="grey", default=0)  # much fails there, or is late
-    listed_by: int = msgspec.field(name="listed", default=0)  # nodes that know ready engines of it
+    voters: int = msgspec.field(name="spoke", default=0)  # nodes with enough attempts to vote
+    failed_votes: int = msgspec.field(name="lost", default=0)  # no engine of the zone answers
+    degraded_votes: int = msgspec.field(name="grey", default=0)  # many attempts fail or are late
+    listed_by: int = msgspec.field(name="listed", default=0)  # nodes that list ready engines of it
     ready_size: float = msgspec.field(name="ready", default=0.0)
-    full_size: float = msgspec.field(name="had", default=0.0)  # the most that was ready, slowly forgotten
-    cold_size: float = msgspec.field(name="cold", default=0.0)  # of the ready size, still to warm up
-    first_token_rate: float = msgspec.field(name="begun", default=0.0)  # requests whose answer began
-    observed_rate: float = msgspec.field(name="met", default=0.0)  # these, and requests that wait there
-    wait_rate: float = msgspec.field(name="press", default=0.0)  # their waits, in latency targets
+    full_size: float = msgspec.field(name="had", default=0.0)  # highest ready size, decaying
+    cold_size: float = msgspec.field(name="cold", default=0.0)  # part of the ready size not warmed up
+    first_token_rate: float = msgspec.field(name="begun", default=0.0)  # requests that got a first token
+    observed_rate: float = msgspec.field(name="met", default=0.0)  # these and waiting requests
+    wait_rate: float = msgspec.field(name="press", default=0.0)  # sum of their waits, in latency targets
     fault_rate: float = msgspec.field(name="vain", default=0.0)  # attempts that failed
 
     def is_valid(self, nodes: int) -> bool:
@@ -49,7 +49,7 @@
 
 
 class FleetReport(msgspec.Struct):
-    """The reports of `nodes` nodes, added up."""
+    """The sum of the reports of `nodes` nodes."""
 
     nodes: int = msgspec.field(name="fronts", default=0)
     zones: dict[str, ZoneReport] = {}
@@ -71,10 +71,10 @@
 
 
 def sum_reports(reports: Iterable[FleetReport]) -> FleetReport:
-    """The sum of several reports.
+    """Returns the sum of several reports.
 
-    >>> one = FleetReport(1, {"n": ZoneReport(1, 1, 0, 1, 4.0)}, {"hint": 3.0})
-    >>> both = sum_reports([one, one]); both.nodes, both.zones["n"].failed_votes, both.demand
+    >>> report = FleetReport(1, {"n": ZoneReport(1, 1, 0, 1, 4.0)}, {"hint": 3.0})
+    >>> total = sum_reports([report, report]); total.nodes, total.zones["n"].failed_votes, total.demand
     (2, 2, {'hint': 6.0})
     """
     total = FleetReport(zones={}, demand={})
@@ -87,7 +87,7 @@
     return total
 
 
-def _sum_zone_reports(one: ZoneReport, other: ZoneReport) -> ZoneReport:
+def _sum_zone_reports(zone: ZoneReport, other: ZoneReport) -> ZoneReport:
     return ZoneReport(
-        *(getattr(one, field) + getattr(other, field) for field in ZoneReport.__struct_fields__)
+        *(getattr(zone, field) + getattr(other, field) for field in ZoneReport.__struct_fields__)
     )
