--- a/tests/test_endpoint_list_reader.py
+++ b/tests/test_endpoint_list_reader.py
@@ -1,4 +1,4 @@
-"""The endpoint list: gaps, restarts of the registry, and unknown kinds of engines."""
+"""The endpoint list reader: gaps, restarts of the registry, and unknown kinds of engines."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from worksmux.policy.state import Engine
 
 
-def list_keeper() -> EndpointListReader:
+def new_reader() -> EndpointListReader:
     engines: dict[str, Engine] = {}
     return EndpointListReader(["k"], ["z"], lambda name: engines.setdefault(name, Engine(name.encode(), 1)))
 
@@ -30,34 +30,37 @@
 
 
 def test_full_list_is_fetched_once_after_a_gap() -> None:
-    one = list_keeper()
-    one.take(0.0, full(1, line("a"), line("b")))
-    told = one.take(0.0, delta(4, line("a", "draining")))
-    assert told.fetch and told.event and told.event.entries[0].state == "draining"
-    assert not one.take(0.0, delta(5, line("b"), previous=4)).fetch
-    assert not one.take(0.0, delta(9, line("b"))).fetch and one.fetching
-    assert one.take(0.0, full(9, line("b"))).event and not one.fetching and one.ready_count == 1
+    reader = new_reader()
+    reader.take(0.0, full(1, line("a"), line("b")))
+    result = reader.take(0.0, delta(4, line("a", "draining")))
+    assert result.fetch and result.event and result.event.entries[0].state == "draining"
+    assert not reader.take(0.0, delta(5, line("b"), previous=4)).fetch
+    assert not reader.take(0.0, delta(9, line("b"))).fetch and reader.fetching
+    assert reader.take(0.0, full(9, line("b"))).event and not reader.fetching and reader.ready_count == 1
 
 
 def test_older_delta_is_ignored_but_restarted_registry_is_accepted() -> None:
-    one = list_keeper()
-    one.take(0.0, full(5, line("a")))
-    assert one.take(0.0, delta(5, line("a", "gone"))).event is None and one.take(0.0, full(3)).event is None
-    one.connected()
-    told = one.take(0.0, full(1, line("a")))
-    assert told.event and one.serial == 1
-    one.take(0.0, full(7, line("a")))
-    one.connected()
+    reader = new_reader()
+    reader.take(0.0, full(5, line("a")))
+    assert (
+        reader.take(0.0, delta(5, line("a", "gone"))).event is None
+        and reader.take(0.0, full(3)).event is None
+    )
+    reader.connected()
+    result = reader.take(0.0, full(1, line("a")))
+    assert result.event and reader.serial == 1
+    reader.take(0.0, full(7, line("a")))
+    reader.connected()
     old = full(3, line("b"))
-    old.now = 900.0  # its clock is behind: an old copy of the registry
-    assert one.take(0.0, old).event is None and one.serial == 7
+    old.now = 900.0  # the clock is behind: a registry with old data
+    assert reader.take(0.0, old).event is None and reader.serial == 7
 
 
-def test_listing_an_engine_again_is_no_restart() -> None:
-    one = list_keeper()
-    first = one.take(5000.0, full(1, line("a", started=900.0))).event
-    again = one.take(9000.0, full(2, line("a", started=900.0))).event
-    later = one.take(9000.0, full(3, line("a", started=990.0))).event
+def test_engine_listed_again_has_not_restarted() -> None:
+    reader = new_reader()
+    first = reader.take(5000.0, full(1, line("a", started=900.0))).event
+    again = reader.take(9000.0, full(2, line("a", started=900.0))).event
+    later = reader.take(9000.0, full(3, line("a", started=990.0))).event
     assert first and again and later
     assert (
         first.entries[0].started == again.entries[0].started == 4900.0 and later.entries[0].started == 8990.0
@@ -65,15 +68,15 @@
 
 
 def test_engine_of_unknown_kind_is_ignored() -> None:
-    one = list_keeper()
-    told = one.take(0.0, full(1, line("a"), line("b", kind="new")))
+    reader = new_reader()
+    result = reader.take(0.0, full(1, line("a"), line("b", kind="new")))
     assert (
-        told.event
-        and [entry.engine.id for entry in told.event.entries] == [b"a"]
-        and told.notes[0] == "engine b ignored: kind new is not in the settings"
+        result.event
+        and [entry.engine.id for entry in result.event.entries] == [b"a"]
+        and result.notes[0] == "engine b ignored: kind new is not in the settings"
     )
-    told = one.take(0.0, delta(2, line("a", kind="new")))
-    assert told.event and told.event.entries[0].state == "gone"
+    result = reader.take(0.0, delta(2, line("a", kind="new")))
+    assert result.event and result.event.entries[0].state == "gone"
 
 
 @given(
@@ -87,14 +90,16 @@
         max_size=30,
     )
 )
-def test_events_agree_with_the_keeper_state(
+def test_events_agree_with_the_reader_state(
     steps: list[tuple[bool, int, str, str]],
 ) -> None:
-    one, believed = list_keeper(), {}  # type: ListKeeper, dict[bytes, str]
-    for whole, serial, name, state in steps:
-        told = one.take(0.0, full(serial, line(name, state)) if whole else delta(serial, line(name, state)))
-        if told.event:
-            if told.event.scope == "full":
-                believed = dict.fromkeys(believed, "gone")
-            believed |= {entry.engine.id: entry.state for entry in told.event.entries}
-        assert {name.encode(): known.line.state for name, known in one.known.items()} == believed
+    reader, expected_states = new_reader(), {}  # type: EndpointListReader, dict[bytes, str]
+    for is_full, serial, name, state in steps:
+        result = reader.take(
+            0.0, full(serial, line(name, state)) if is_full else delta(serial, line(name, state))
+        )
+        if result.event:
+            if result.event.scope == "full":
+                expected_states = dict.fromkeys(expected_states, "gone")
+            expected_states |= {entry.engine.id: entry.state for entry in result.event.entries}
+        assert {name.encode(): known.line.state for name, known in reader.known.items()} == expected_states
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -1,4 +1,4 @@
-"""From the nodes' reports to a failover plan, and its event for the policy."""
+"""The failover plan from the reports of nodes, and the event of a plan for the policy."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 
 def updates(planner: Planner, count: int, **zones: ZoneReport) -> list[Plan]:
-    """The new plans that come of as many updates with the same reports."""
+    """Returns the new plans of `count` updates with the same reports."""
     return [plan for _ in range(count) if (plan := planner.update(fleet_report(**zones))) is not None]
 
 
@@ -70,7 +70,7 @@
 # The health of zones.
 
 
-def test_calm_makes_no_plan() -> None:
+def test_healthy_zones_make_no_plan() -> None:
     assert not updates(new_planner(), 50)
 
 
@@ -91,8 +91,8 @@
 def test_requests_leave_the_region_only_once_it_is_full() -> None:
     planner = new_planner()
     updates(planner, 3)
-    easy = updates(planner, 12, a=FAILED)
-    assert all(set(plan.routes["a"]) == {"b"} for plan in easy)
+    light_load = updates(planner, 12, a=FAILED)
+    assert all(set(plan.routes["a"]) == {"b"} for plan in light_load)
     full = updates(planner, 12, a=FAILED, b=zone(wait=0.9))
     assert 0 < full[-1].routes["a"].get("c", 0.0) + full[-1].routes["a"].get("d", 0.0) <= 1.0
 
@@ -104,12 +104,12 @@
     assert all(not plan.routes for plan in plans)
 
 
-def test_recovering_zone_grows_by_steps_up_to_what_its_cold_engines_carry() -> None:
+def test_share_of_a_recovering_zone_grows_up_to_the_capacity_of_its_cold_engines() -> None:
     planner = new_planner()
     updates(planner, 3)
     updates(planner, 4, a=FAILED)
-    back = updates(planner, 40, a=zone(cold=4.0))
-    shares = [plan.routes["a"].get("a", 0.0) for plan in back if plan.routes]
+    recovering = updates(planner, 40, a=zone(cold=4.0))
+    shares = [plan.routes["a"].get("a", 0.0) for plan in recovering if plan.routes]
     assert shares == sorted(shares) and 0 < shares[-1] <= 0.31
     warm = updates(planner, 60)
     assert not warm[-1].routes and planner.zones.views["a"].health is ZoneHealth.HEALTHY
@@ -123,20 +123,20 @@
     assert len(updates(planner, 200)) == 0
 
 
-def trials_of_flapping_zone(planner: Planner, updates_each: int = 4, times: int = 40) -> int:
-    """How often a zone that fails and recovers in turn is given requests again."""
-    count, before = 0, 1.0
+def trials_of_flapping_zone(planner: Planner, updates_each: int = 4, cycles: int = 40) -> int:
+    """Returns how often a zone that alternately fails and recovers gets requests again."""
+    count, previous_share = 0, 1.0
     updates(planner, 3)
-    for at in range(2 * times):
+    for at in range(2 * cycles):
         for _ in range(updates_each):
             planner.update(fleet_report(a=FAILED if at % 2 == 0 else zone()))
-            keep = planner.zones.views["a"].kept_share
-            count, before = count + (keep > 0 and before == 0), keep
+            kept_share = planner.zones.views["a"].kept_share
+            count, previous_share = count + (kept_share > 0 and previous_share == 0), kept_share
     return count
 
 
-def test_flapping_zone_is_given_requests_ever_more_seldom(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A zone fails and recovers forty times; each relapse must double the wait before its next trial."""
+def test_flapping_zone_is_tried_less_and_less_often(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A zone fails and recovers forty times. Each relapse must double the wait before the next trial."""
     patient = trials_of_flapping_zone(new_planner())
     monkeypatch.setattr("worksmux.failover.zones.MAX_WELL_UPDATES", 2.0)
     impatient = trials_of_flapping_zone(new_planner())  # without the growing wait
@@ -164,14 +164,16 @@
     assert not updates(new_planner(), 20, a=ZoneReport())
 
 
-def test_new_leader_goes_on_from_the_plan_in_force() -> None:
-    """The leader is replaced after a zone has failed; the new one has never seen that zone healthy."""
+def test_new_leader_continues_from_the_plan_in_force() -> None:
+    """The leader is replaced after a zone has failed. The new leader has never seen that zone healthy."""
     first = new_planner()
     updates(first, 3)
     plan = updates(first, 5, a=FAILED)[-1]
     second = new_planner(plan=plan)
-    assert all(one.routes == plan.routes and one.event == plan.event for one in updates(second, 5, a=FAILED))
-    fresh = new_planner()  # or where no plan was made yet
+    assert all(
+        later.routes == plan.routes and later.event == plan.event for later in updates(second, 5, a=FAILED)
+    )
+    fresh = new_planner()  # the same without a plan in force
     assert updates(fresh, 2, a=FAILED)[0].routes == {"a": {"b": 1.0}}
 
 
@@ -179,7 +181,7 @@
 
 
 def test_moved_requests_are_admitted_at_once_under_light_load_and_by_credit_under_heavy() -> None:
-    light, heavy = (new_planner(dict.fromkeys(REGIONS, carry)) for carry in (400.0, 30.0))
+    light, heavy = (new_planner(dict.fromkeys(REGIONS, capacity)) for capacity in (400.0, 30.0))
     for planner in (light, heavy):
         updates(planner, 3)
     assert not light.update(fleet_report(a=FAILED)).shed  # type: ignore[union-attr]
@@ -189,12 +191,12 @@
     assert later.get("a", {}).get("hint", 0.0) < shed["hint"]
 
 
-def test_requests_that_fit_nowhere_are_rejected_lowest_credit_first_in_all_zones() -> None:
-    planner = new_planner(dict.fromkeys(REGIONS, 20.0))  # 60 carried of 80 asked
+def test_excess_requests_are_rejected_lowest_credit_first_in_all_zones() -> None:
+    planner = new_planner(dict.fromkeys(REGIONS, 20.0))  # capacity for 60 of 80 requests per second
     updates(planner, 3)
     shed = updates(planner, 200, a=FAILED)[-1].shed
-    assert {name: one.get("hint") for name, one in shed.items()} == dict.fromkeys(REGIONS, 0.5)
-    assert not any("mark" in one for one in shed.values())
+    assert {name: shares.get("hint") for name, shares in shed.items()} == dict.fromkeys(REGIONS, 0.5)
+    assert not any("mark" in shares for shares in shed.values())
 
 
 def test_overload_without_a_failure_makes_no_plan() -> None:
@@ -213,23 +215,23 @@
 
 
 def violation(planner: Planner, zones: dict[str, ZoneReport]) -> str:
-    """Which rule the plan breaks after these reports; empty if none."""
+    """Returns the rule that the plan breaks after these reports; empty if none."""
     planner.update(fleet_report(**zones))
     plan = planner.plan
     if not plan.is_valid():
         return "shares make no sense"
-    for name, row in plan.routes.items():
-        if any(planner.zones.views[other].health is ZoneHealth.FAILED for other in row):
+    for name, route in plan.routes.items():
+        if any(planner.zones.views[other].health is ZoneHealth.FAILED for other in route):
             return "requests go to a failed zone"
-        near = [other for other in row if REGIONS[other] == REGIONS[name]]
+        near = [other for other in route if REGIONS[other] == REGIONS[name]]
         if not near and any(
             view.health is ZoneHealth.HEALTHY and REGIONS[other] == REGIONS[name]
             for other, view in planner.zones.views.items()
             if other != name
         ):
             return "all requests leave a region that has a healthy zone"
-    for one in plan.shed.values():
-        if one.get("hint", 0.0) + 1e-9 < one.get("mark", 0.0):
+    for shares in plan.shed.values():
+        if shares.get("hint", 0.0) + 1e-9 < shares.get("mark", 0.0):
             return "a higher credit is rejected before a lower one"
     return ""
 
@@ -239,7 +241,7 @@
     st.lists(st.fixed_dictionaries(dict.fromkeys(REGIONS, ZONE)), min_size=1, max_size=25),
     st.sampled_from([{}, dict.fromkeys(REGIONS, 25.0)]),
 )
-def test_plan_breaks_no_rule_whatever_is_reported(
+def test_plan_breaks_no_rule_for_any_reports(
     reports: list[dict[str, ZoneReport]], capacities: dict[str, float]
 ) -> None:
     planner = new_planner(capacities)
@@ -260,7 +262,7 @@
 
 
 def test_admission_per_second_does_not_depend_on_the_update_interval() -> None:
-    """Rates are per second, so that a planner that updates twice as often admits as fast."""
+    """Rates are per second: a planner that updates twice as often admits requests as fast."""
     held = {}
     for interval_ms in (125.0, 250.0):
         planner = new_planner(dict.fromkeys(REGIONS, 30.0), interval_ms=interval_ms)
@@ -270,7 +272,7 @@
     assert held[125.0] == pytest.approx(held[250.0], abs=0.03)
 
 
-# Tallies and plans.
+# Reports and plans.
 
 
 def test_report_with_impossible_figures_is_not_valid() -> None:
@@ -298,6 +300,6 @@
 
 def test_node_without_a_lease_keeps_the_last_plan_and_avoids_zones_it_finds_failed() -> None:
     plan = Plan(4, {"a": {"b": 1.0}}, {"a": {"hint": 0.5}}, 500.0)
-    own = FleetReport(1, {"a": ZoneReport(), "b": ZoneReport(), "c": ZoneReport(1, 1)})
-    event = plan_event(plan, ["a", "b", "c"], ["hint"], True, "b", own)
+    own_report = FleetReport(1, {"a": ZoneReport(), "b": ZoneReport(), "c": ZoneReport(1, 1)})
+    event = plan_event(plan, ["a", "b", "c"], ["hint"], True, "b", own_report)
     assert event == FailoverPlan({0: [(1, 1.0)], 2: [(1, 1.0)]}, {0: [0.5]}, 500.0, True)
--- a/tests/test_learned_state.py
+++ b/tests/test_learned_state.py
@@ -1,4 +1,4 @@
-"""What a node learned of engines and timings, changes over a restart."""
+"""The learned state of engines and timings after a restart of the node."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
     )
 
 
-def recorder_with_outcomes(faults: int, good: int) -> LearnedStateRecorder:
+def recorder_with_outcomes(faults: int, successes: int) -> LearnedStateRecorder:
     recorder, engine = LearnedStateRecorder(["a", "b"]), Engine(b"e", 1)
-    for at in range(faults + good):
-        outcome = Outcome.ERROR if at < faults else Outcome.SERVED
-        recorder.observe(1000.0 + at, AttemptEnded(attempt_at(engine), outcome, 50.0, False))
+    for index in range(faults + successes):
+        outcome = Outcome.ERROR if index < faults else Outcome.SERVED
+        recorder.observe(1000.0 + index, AttemptEnded(attempt_at(engine), outcome, 50.0, False))
     recorder.observe(1100.0, AttemptEnded(attempt_at(engine), Outcome.PREFILLED, 200.0, False))
     recorder.observe(1200.0, FirstToken(attempt_at(engine), 900.0))
     return recorder
@@ -45,19 +45,24 @@
 
 
 def restored_after(age_ms: float, started: float = 0.0) -> tuple[Router, Engine]:
-    """A policy and an engine after a restart that took `age_ms`, with the state learned before it."""
+    """Returns a policy and an engine after a restart that took `age_ms`, with the state learned before it."""
     recorder, engine = recorder_with_outcomes(8, 1), marked_engine(2000.0)
     changes = recorder.changes([(engine, 0.0)], 2000.0, 1e9)
     timings, marks = changes[FLEET_KEY], changes["e"]
     assert isinstance(timings, FleetTimings) and isinstance(marks, EngineMarks)
-    again = Engine(b"e", 1)
+    restored_engine = Engine(b"e", 1)
     event = restored_state(
-        LearnedState(timings, {"e": marks}), ["a", "b"], [(again, started)], 1e9 + age_ms, Turnover(), 3.6e6
+        LearnedState(timings, {"e": marks}),
+        ["a", "b"],
+        [(restored_engine, started)],
+        1e9 + age_ms,
+        Turnover(),
+        3.6e6,
     )
-    one = RequestClassSettings(latency_target_ms=1000.0)
+    class_settings = RequestClassSettings(latency_target_ms=1000.0)
     router = Router(
         PolicySettings(
-            request_classes=(one, one),
+            request_classes=(class_settings, class_settings),
             tick_ms=1.0,
             release_within_ms=100.0,
             slow_start_ms=1000.0,
@@ -68,7 +73,7 @@
         1,
     )
     router.decide(50.0, [event])
-    return router, again
+    return router, restored_engine
 
 
 def test_marks_are_restored_with_the_time_left_unless_the_engine_restarted() -> None:
@@ -105,7 +110,7 @@
     assert ancient.estimates.prefill_ms_per_token.min_bucket_mean(50.0) == 0.0
 
 
-def test_clock_set_back_makes_no_mark_last() -> None:
+def test_marks_do_not_last_longer_after_the_clock_was_set_back() -> None:
     router, engine = restored_after(-1e7)
     assert not engine.ejected_until and not router.estimates.is_failing(0)
 
--- a/tests/test_staleness.py
+++ b/tests/test_staleness.py
@@ -1,4 +1,4 @@
-"""The cached endpoint list: confidence by age and turnover, bounded probing, drains that are kept."""
+"""The cached endpoint list: confidence by age and turnover, bounded probing, draining endpoints."""
 
 from __future__ import annotations
 
@@ -33,9 +33,9 @@
     seed: int = 1,
     state: str = "ready",
 ) -> CachedEndpointList:
-    saved = [StoredEndpoint(line(f"e{at}", state=state), 10 * HOUR_MS - age_ms) for at in range(count)]
+    stored = [StoredEndpoint(line(f"e{index}", state=state), 10 * HOUR_MS - age_ms) for index in range(count)]
     return CachedEndpointList(
-        saved, 0.0, 10 * HOUR_MS, turnover or Turnover(), HOUR_MS, nodes, probe_rate, complete, seed
+        stored, 0.0, 10 * HOUR_MS, turnover or Turnover(), HOUR_MS, nodes, probe_rate, complete, seed
     )
 
 
@@ -46,9 +46,9 @@
 def test_confidence_falls_with_age_and_faster_with_turnover() -> None:
     ages = [1000.0, 60_000.0, HOUR_MS, 24 * HOUR_MS]
     calm, busy = Turnover(100 * HOUR_MS, 1), Turnover(100 * HOUR_MS, 400)
-    for seen in (Turnover(), calm, busy):
-        found = [confidence(StoredEndpoint(line("a"), -age), 0.0, seen, HOUR_MS) for age in ages]
-        assert found == sorted(found, reverse=True)
+    for turnover in (Turnover(), calm, busy):
+        confidences = [confidence(StoredEndpoint(line("a"), -age), 0.0, turnover, HOUR_MS) for age in ages]
+        assert confidences == sorted(confidences, reverse=True)
     assert (
         confidence(StoredEndpoint(line("a"), -HOUR_MS), 0.0, calm, HOUR_MS)
         > 0.9
@@ -93,13 +93,15 @@
 def test_silent_engine_is_probed_after_growing_pauses_until_it_answers() -> None:
     cached, now, times = cached_list(1000.0, count=1), 0.0, []
     for _ in range(12):
-        at = cached.next_time()
-        assert at is not None
-        now = at
-        assert [one.id for one in cached.tick(now).to_probe] == ["e0"] and cached.next_time() is None
+        due_ms = cached.next_time()
+        assert due_ms is not None
+        now = due_ms
+        assert [engine_line.id for engine_line in cached.tick(now).to_probe] == [
+            "e0"
+        ] and cached.next_time() is None
         times.append(now)
         cached.probe_failed("e0", now)
-    pauses = [b - a for a, b in zip(times, times[1:], strict=False)]
+    pauses = [later - earlier for earlier, later in zip(times, times[1:], strict=False)]
     assert (
         all(pause >= 500 for pause in pauses)
         and min(pauses[-4:]) > 10_000
@@ -116,36 +118,40 @@
     assert cached.endpoints["e0"].failed_probes == 1 and len(cached.due_probes) == 1
 
 
-def test_hundreds_of_nodes_share_the_probe_rate_of_an_engine() -> None:
-    """A whole fleet of nodes restarts on the same cached list.
+def test_300_nodes_share_the_probe_rate_of_an_engine() -> None:
+    """All nodes of a fleet restart with the same cached list at once.
 
-    Each engine must get one probe of each node, and never many more a second than the configured rate.
+    Each engine must get one probe from each node, and at most little more per second than
+    the configured rate.
     """
     for age in (1000.0, 60_000.0, HOUR_MS, 24 * HOUR_MS, 21 * 24 * HOUR_MS):
         probed: dict[str, list[float]] = {}
         for seed in range(300):
             cached = cached_list(age, count=50, nodes=300, probe_rate=50.0, seed=seed)
-            while (at := cached.next_time()) is not None:
-                for one in cached.tick(at).to_probe:
-                    probed.setdefault(one.id, []).append(at)
+            while (due_ms := cached.next_time()) is not None:
+                for engine_line in cached.tick(due_ms).to_probe:
+                    probed.setdefault(engine_line.id, []).append(due_ms)
         for times in probed.values():
             times.sort()
-            most = max(sum(start <= time < start + 1000 for time in times) for start in times)
-            assert len(times) == 300 and most <= 50 + 5 * 50**0.5
+            max_per_second = max(sum(start <= time < start + 1000 for time in times) for start in times)
+            assert len(times) == 300 and max_per_second <= 50 + 5 * 50**0.5
 
 
-def test_waiting_request_brings_one_probe_of_each_kind_forward() -> None:
-    saved = [StoredEndpoint(line(f"{kind}{at}", kind), 0.0) for kind in "rw" for at in range(5)]
-    cached = CachedEndpointList(saved, 0.0, 1000 * HOUR_MS, Turnover(), HOUR_MS, 100, 1.0, True, 2)
+def test_waiting_request_probes_one_engine_of_each_kind_early() -> None:
+    stored = [StoredEndpoint(line(f"{kind}{index}", kind), 0.0) for kind in "rw" for index in range(5)]
+    cached = CachedEndpointList(stored, 0.0, 1000 * HOUR_MS, Turnover(), HOUR_MS, 100, 1.0, True, 2)
     update = cached.probe_early(0.0, ["r", "w"])
-    assert sorted(one.kind for one in update.to_probe) == ["r", "w"] and len(cached.due_probes) == 8
+    assert (
+        sorted(engine_line.kind for engine_line in update.to_probe) == ["r", "w"]
+        and len(cached.due_probes) == 8
+    )
     probed = update.to_probe[0].id
     cached.probe_answered(probed, ProbeReply(probed, update.to_probe[0].kind, 0.0))
     assert cached.has_usable(update.to_probe[0].kind)
 
 
 def test_empty_list_does_not_replace_the_cached_one() -> None:
-    """A registry that has lost its data sends an empty list while a node serves from its cache."""
+    """A registry that has lost its data sends an empty list while a node uses its cached list."""
     cached = cached_list(1000.0)
     assert not cached.accept_list(empty=True) and not cached.superseded
     assert cached.accept_list(empty=False) and cached.superseded and cached.next_time() is None
@@ -155,8 +161,8 @@
 class CachedListMachine(RuleBasedStateMachine):
     """Random events at a cached list.
 
-    A contradicted endpoint is never used again, a draining one never becomes ready, and no engine is probed
-    without end.
+    A contradicted endpoint is never used again, a draining endpoint never becomes ready, and the number of
+    probes of an engine is bounded by its events.
     """
 
     def __init__(self) -> None:
@@ -170,17 +176,17 @@
     @rule(step=st.floats(0, 5000))
     def wait(self, step: float) -> None:
         self.now += step
-        for one in self.cached.tick(self.now).to_probe:
-            self.probes[one.id] = self.probes.get(one.id, 0) + 1
+        for engine_line in self.cached.tick(self.now).to_probe:
+            self.probes[engine_line.id] = self.probes.get(engine_line.id, 0) + 1
 
     @rule(
         name=st.sampled_from(["e0", "e1", "e2", "e3"]),
-        how=st.sampled_from(["same", "cold", "other", "drains", "refused", "silent", "served"]),
+        event_name=st.sampled_from(["same", "cold", "other", "drains", "refused", "silent", "served"]),
     )
-    def event(self, name: str, how: str) -> None:
+    def event(self, name: str, event_name: str) -> None:
         self.events[name] = self.events.get(name, 0) + 1
-        started = {"cold": self.now + 1}.get(how, 0.0)
-        match how:
+        started = {"cold": self.now + 1}.get(event_name, 0.0)
+        match event_name:
             case "refused":
                 update = self.cached.unreachable(name, self.now)
             case "silent":
@@ -189,7 +195,8 @@
                 update = self.cached.served(name)
             case _:
                 update = self.cached.probe_answered(
-                    name, ProbeReply("x" if how == "other" else name, "k", started, how == "drains")
+                    name,
+                    ProbeReply("x" if event_name == "other" else name, "k", started, event_name == "drains"),
                 )
         for endpoint in update.changed:
             if endpoint.status is EndpointStatus.CONTRADICTED:
@@ -202,7 +209,7 @@
         assert self.cached.endpoints["e3"].status is EndpointStatus.DRAINING
         names = [name for _, _, name in self.cached.due_probes]
         assert len(names) == len(set(names))
-        assert all(times <= 2 + self.events.get(name, 0) for name, times in self.probes.items())
+        assert all(probe_count <= 2 + self.events.get(name, 0) for name, probe_count in self.probes.items())
 
 
 TestCachedList = CachedListMachine.TestCase
--- a/tests/test_zone_watcher.py
+++ b/tests/test_zone_watcher.py
@@ -1,4 +1,4 @@
-"""What a node reports of zones, from the events that its policy is given."""
+"""The report of a node on the zones, from the events of its policy."""
 
 from __future__ import annotations
 
@@ -16,12 +16,16 @@
 
 
 def new_watcher() -> tuple[Watcher, list[Engine]]:
-    front, engines = make_fleet((0, 0, 0), (1, 0, 0), (0, 1, 1), (1, 1, 1))
-    watcher = Watcher(["north", "south"], ["hint", "mark", "note"], front.settings)
+    policy, engines = make_fleet((0, 0, 0), (1, 0, 0), (0, 1, 1), (1, 1, 1))
+    watcher = Watcher(["north", "south"], ["hint", "mark", "note"], policy.settings)
     watcher.observe(
         NOW,
         EndpointListUpdate(
-            "full", [EndpointEntry(one, "ready", 0.0, one.zone, one.cell, one.kind, 1.0) for one in engines]
+            "full",
+            [
+                EndpointEntry(engine, "ready", 0.0, engine.zone, engine.cell, engine.kind, 1.0)
+                for engine in engines
+            ],
         ),
     )
     return watcher, engines
@@ -35,7 +39,7 @@
 
 
 def test_zone_without_answers_gets_a_failed_vote_after_few_attempts() -> None:
-    """The policy ejects an engine after one fault, so that a few attempts are all there is to see."""
+    """The policy ejects an engine after one fault, so that a failed zone gets only a few attempts."""
     watcher, (prefill, decode, other, _) = new_watcher()
     end_attempt(watcher, prefill, NOW + 500)
     end_attempt(watcher, decode, NOW + 600)
@@ -47,9 +51,9 @@
 
 
 def test_zone_whose_only_prefill_engine_fails_gets_a_failed_vote() -> None:
-    """A zone is cut off. Its prefill engine fails, and its decode engine gets no more attempts.
+    """After a network partition the prefill engine of a zone fails; its decode engine gets no more attempts.
 
-    A node that waited for it to fail too would not vote, and no plan would be made.
+    A node that waited for a fault of the decode engine too would not vote, and no plan would be made.
     """
     watcher, (prefill, decode, *_) = new_watcher()
     end_attempt(watcher, decode, NOW + 300, Outcome.SERVED)
@@ -67,13 +71,13 @@
     assert watcher.report(NOW + 900).zones["north"].failed_votes == 0
 
 
-def test_waiting_requests_count_before_their_answer_begins() -> None:
+def test_waiting_requests_count_before_their_first_token() -> None:
     watcher, _ = new_watcher()
-    one = make_request(now=NOW)
-    watcher.observe(NOW, RequestArrived(one))
+    waiting = make_request(now=NOW)
+    watcher.observe(NOW, RequestArrived(waiting))
     zones = watcher.report(NOW + 800).zones
     assert zones["north"].wait_rate == pytest.approx(0.4) and zones["north"].first_token_rate == 0
-    one.ended = True
+    waiting.ended = True
     assert watcher.report(NOW + 900).zones["north"].wait_rate == 0
 
 
@@ -82,7 +86,9 @@
     watcher.report(NOW)
     watcher.observe(
         NOW + 1,
-        EndpointListUpdate("delta", [EndpointEntry(one, "gone", 0.0, 0, 0, 0, 1.0) for one in engines[:2]]),
+        EndpointListUpdate(
+            "delta", [EndpointEntry(engine, "gone", 0.0, 0, 0, 0, 1.0) for engine in engines[:2]]
+        ),
     )
     report = watcher.report(NOW + 1000).zones["north"]
     assert report.ready_size == 0 and report.full_size == pytest.approx(2.0, rel=0.01)
--- a/worksmux/failover/plan.py
+++ b/worksmux/failover/plan.py
@@ -70,7 +70,6 @@
     plan = msgspec.msgpack.decode(data, type=Plan)
     if not plan.is_valid():
         raise msgspec.ValidationError(
-            "invalid failover plan: expected shares from 0 to 1 that add up to 1 for each route"
-            " and a delay of at least 0"
+            "invalid failover plan: a share, the sum of a route, the number or the delay is out of range"
         )
     return plan
--- a/worksmux/failover/watcher.py
+++ b/worksmux/failover/watcher.py
@@ -15,10 +15,10 @@
 from ..policy.state import Engine, Outcome, Request
 from .reports import FleetReport, ZoneReport
 
-WINDOW_MS = 1000.0  # period of a report
+WINDOW_MS = 1000.0  # period that a report covers
 WINDOW_BUCKETS = 5
 MIN_ATTEMPTS = 3  # ended attempts, before a node votes on a zone
-SIZE_HALF_LIFE_MS = 600 * WINDOW_MS  # in which the remembered full size of a zone halves
+SIZE_HALF_LIFE_MS = 600 * WINDOW_MS  # after which the remembered full size of a zone has fallen by half
 OUTCOME_LIFETIME_MS = 6 * WINDOW_MS  # for which the last outcome at an engine counts
 FAILED_AFTER_SUCCESS_MS = WINDOW_MS / 4  # least time after a success before a vote for failed
 FAILED_ENGINE_SHARE = 0.6  # of a zone's engines with a fault as last outcome; the zone has failed
--- a/worksmux/failover/zones.py
+++ b/worksmux/failover/zones.py
@@ -47,7 +47,7 @@
     full_size: float = 0.0  # highest ready size, as the nodes remember it
     ready_size: float = 0.0
     warm_share: float = 1.0  # of the ready size
-    well_since: int = -1  # number of the first update without a majority of bad votes; -1: none
+    well_since: int = -1  # update number since which the zone has no majority of bad votes; -1: none
     impaired_updates: int = 0  # consecutive updates with a majority of bad votes
     relapses: int = 0
     last_relapse: int = 0  # update number
--- a/worksmux/gateway/fleet/__init__.py
+++ b/worksmux/gateway/fleet/__init__.py
@@ -1,5 +1,5 @@
-"""A gateway's part in a fleet: the I/O around gossip, consensus, failover and the audit logs.
+"""Membership of a gateway in a fleet: the I/O around gossip, consensus, failover and the audit logs.
 
-`peering` connects the parts, `message_transport` carries their messages, `core_timers` sets their timers.
-Each other module has one part's I/O; decisions are in the I/O-free packages.
+`peering` connects the parts, `message_transport` sends their messages, `core_timers` sets their timers. Each
+other module does the I/O of one part; decisions are made in the I/O-free packages.
 """
--- a/worksmux/gateway/fleet/active_plan.py
+++ b/worksmux/gateway/fleet/active_plan.py
@@ -1,4 +1,4 @@
-"""The failover plan that this node acts on: taken from the replicated state, published to the policy."""
+"""The failover plan that this node applies: read from the replicated state, published to the policy."""
 
 from __future__ import annotations
 
@@ -24,7 +24,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanRecord:
-    """A plan as it was taken here, named as the JSON keys of the status; `at` is wall clock milliseconds."""
+    """A plan applied by this node. The fields are named as the JSON keys of the status.
+
+    `at` is when the plan was applied, in milliseconds of the wall clock.
+    """
 
     at: float
     number: int
@@ -35,7 +38,7 @@
 
 
 class ActivePlan:
-    """The newest plan, and whether the lease still lets this node act on it in full."""
+    """The newest plan, and whether this node holds the lease that is required to apply all of it."""
 
     def __init__(
         self, settings: FrontSettings, core: ChatEngineClient, replica: Replica, reports: ZoneReports
@@ -49,11 +52,11 @@
         self.history: deque[PlanRecord] = deque(maxlen=MAX_HISTORY)
 
     def take(self, value: VersionedValue) -> None:
-        """Takes a replicated plan if it is newer; one that cannot be read is logged and changes nothing."""
+        """Applies a replicated plan if it is newer; a plan that cannot be decoded is logged and ignored."""
         try:
             plan = decode(value.value)
         except msgspec.DecodeError as error:
-            LOG.error("a plan cannot be read; the last one stays", why=str(error))
+            LOG.error("failover plan cannot be decoded; the plan in force stays", error=str(error))
             return
         if plan.number <= self.plan.number:
             return
@@ -61,12 +64,12 @@
         self.history.append(
             PlanRecord(clock.wall(), plan.number, plan.event, plan.reason, plan.routes, plan.shed)
         )
-        LOG.info("plan", number=plan.number, of_event=plan.event, why=plan.reason)
-        self._core.wake()  # the policy acts on it now, not with the next request
+        LOG.info("failover plan applied", number=plan.number, failover_event=plan.event, reason=plan.reason)
+        self._core.wake()  # the policy applies the plan now instead of with the next request
 
-    def publish(self, now: float) -> None:
-        """Looks at the lease, and passes the plan to the policy if what it may act on has changed."""
-        self._check_lease(now)
+    def publish(self, now_ms: float) -> None:
+        """Checks the lease, and sends the policy an event if the plan or the lease has changed it."""
+        self._check_lease(now_ms)
         event = policy_event.plan_event(
             self.plan,
             self._settings.zones,
@@ -79,21 +82,23 @@
             self._published = event
             self._core.tell(event or FailoverPlan({}, {}, 0.0))
 
-    def _check_lease(self, now: float) -> None:
-        has_lease = self._replica.holds_lease(now)
+    def _check_lease(self, now_ms: float) -> None:
+        has_lease = self._replica.holds_lease(now_ms)
         if has_lease == self.has_lease:
             return
         self.has_lease = has_lease
         message = (
-            "with the others again" if has_lease else "alone: what was decided in common is too old to act on"
+            "lease on the replicated state regained"
+            if has_lease
+            else "lease on the replicated state expired; only the safe part of the failover plan is applied"
         )
         LOG.warning(message, plan=self.plan.number)
 
     def header_value(self) -> str:
-        """The plan's number and whether the lease is over, as calls to engines carry it."""
+        """Returns the plan's number and whether the lease has expired, for the header of calls to engines."""
         return str(self.plan.number) if self.has_lease else f"{self.plan.number} alone"
 
     def readiness_text(self) -> str:
-        """In a few words, for `/ready`."""
+        """Returns the plan's number and whether the lease has expired, for `/ready`."""
         number = self.plan.number
         return f"plan {number}" if self.has_lease else f"alone, with plan {number} as a bound"
--- a/worksmux/gateway/fleet/audit_log_keeper.py
+++ b/worksmux/gateway/fleet/audit_log_keeper.py
@@ -1,7 +1,7 @@
-"""I/O of the audit logs: this node's own log grows, copies of others' are fetched, any node's are collected.
+"""I/O of the audit logs: appends to this node's log, fetches copies of other nodes' logs, answers queries.
 
-Each round writes the decisions since the last one, and asks the nodes whose copies are held here for newer
-records. A query asks all nodes, and the holders of their copies, for what is missing here.
+Each round writes the decisions since the last round, and requests newer records from the nodes whose logs are
+copied here. A query requests missing records from all nodes and from the holders of copies of their logs.
 """
 
 from __future__ import annotations
@@ -30,15 +30,15 @@
 
 LOG = structlog.get_logger()
 ROUND_INTERVAL_MS = 250.0
-HEARTBEAT_INTERVAL_MS = 2000.0  # without any record, until one says that the node is alive
-QUERY_TIMEOUT_MS = 1500.0  # then a query is answered with what has come
+HEARTBEAT_INTERVAL_MS = 2000.0  # between two records; after it a heartbeat record is written
+QUERY_TIMEOUT_MS = 1500.0  # after which a query is answered with the records received so far
 
 _RECORD_DECODER = msgspec.msgpack.Decoder(AuditRecord)
 
 
 @dataclass(frozen=True, slots=True)
 class _QueryPart:
-    """Records of `node`, asked of `holder`."""
+    """Records of `node`, requested from `holder`."""
 
     holder: str
     node: str
@@ -46,14 +46,17 @@
 
 @dataclass(frozen=True, slots=True)
 class _Query:
-    """`on_done` is called once no part is awaited any more."""
+    """A query in progress; `on_done` is called once no part is awaited."""
 
     awaited: set[_QueryPart]
     on_done: Callable[[], None]
 
 
 class AuditLogKeeper:
-    """`send(node, message)` sends to another node; `nodes()` are the names of all, this one included."""
+    """Appends, copies and collects audit logs.
+
+    `send(node, message)` sends to another node; `nodes()` returns the names of all nodes, with this one.
+    """
 
     def __init__(
         self,
@@ -71,19 +74,19 @@
         self._closed = False
 
     def _continue_log(self) -> AuditLog:
-        """This node's log, from the last record on disk."""
+        """Returns this node's log, continued from the last record on disk."""
         records = [_RECORD_DECODER.decode(data) for data in self._store.records(self._name).values()]
         for fault in chain_faults(records):
-            LOG.error("the account is broken", after=fault.index, why=fault.text)
+            LOG.error("fault in this node's audit log on disk", after_index=fault.index, fault=fault.text)
         return AuditLog(records[-1] if records else None)
 
     def start(self, generation: int) -> None:
-        """Records the start of the process and begins the rounds."""
+        """Records the start of the process and starts the rounds."""
         self._add(self._log.record_start(clock.wall(), clock.now(), generation))
         self._reactor.callLater(ROUND_INTERVAL_MS / 1000, self._run_round)
 
     def close(self) -> None:
-        """Writes what is left."""
+        """Writes the remaining records and closes the store."""
         if not self._closed:
             self._closed = True
             self._add_due_records()
@@ -98,7 +101,7 @@
             self._add(record)
 
     def record_decision(self, request: str, attempt: int) -> None:
-        """Records a decision under the versions active now; it is written with the next round."""
+        """Records a decision under the active versions; it is written in the next round."""
         self._log.record_decision(request, attempt, clock.wall())
 
     def _add(self, record: AuditRecord) -> None:
@@ -125,11 +128,11 @@
                 self._request(node, node, COPY_QUERY)
 
     def _request(self, holder: str, node: str, query_number: int) -> None:
-        """Asks `holder` for the records of `node` that are newer than those here."""
+        """Requests the records of `node` that are newer than those stored here from `holder`."""
         self._send(holder, CopyRequest(node, self._store.last_index(node), query_number))
 
     def on_message(self, sender: str, message: Message) -> None:
-        """Takes a message of another node."""
+        """Handles a message of another node."""
         match message:
             case CopyRequest():
                 self._on_request(sender, message)
@@ -145,12 +148,14 @@
 
     def _on_reply(self, sender: str, reply: CopyReply) -> None:
         if reply.node == self._name:
-            return  # this node's own log is what its own disk says
+            return  # the own disk is the only source of this node's log
         for data in reply.records:
             try:
                 index = _RECORD_DECODER.decode(data).index
             except msgspec.DecodeError:
-                LOG.warning("a copied record cannot be read", of=reply.node, by=sender)
+                LOG.warning(
+                    "copy of an audit record cannot be decoded; ignored", node=reply.node, sender=sender
+                )
                 return
             if index not in self._store.records(reply.node):
                 self._store.put(reply.node, index, data)
@@ -164,7 +169,7 @@
     # Queries
 
     def collect(self, on_done: Callable[[], None]) -> None:
-        """Asks every node and the holders of its copies for what is missing here.
+        """Requests missing records from every node and from the holders of copies of its log.
 
         `on_done` is called once all have answered, or after QUERY_TIMEOUT_MS.
         """
@@ -203,9 +208,9 @@
             query.on_done()
 
     def report(self, at_ms: float | None, request: str) -> RequestReport | VersionsReport:
-        """What all logs known here say of a request if one is given, else of the versions.
+        """Returns the report of all logs stored here on `request`, or on the versions if it is empty.
 
-        `at_ms` is of the wall clock and limits the versions to those active then.
+        `at_ms` is a time of the wall clock and limits the versions to those active at that time.
         """
         audit = self._fleet_audit()
         if request:
--- a/worksmux/gateway/fleet/audit_record_store.py
+++ b/worksmux/gateway/fleet/audit_record_store.py
@@ -1,7 +1,7 @@
-"""Audit records on disk: this node's own and the copies of other nodes', each within a bound.
+"""Audit records on disk: this node's log and copies of other nodes' logs, each of bounded size.
 
-Writing goes through the store's own thread, several records at once, so that no request waits for it. Records
-that were not written when the process is killed are missing, and are reported as a gap.
+Records are written in batches on the store's own thread, so that no request waits for the disk. Records that
+are not written when the process is killed are lost, and are reported as a gap.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 LOG = structlog.get_logger()
 FILE_NAME = "account.db"
 OWN_TABLE, COPY_TABLE_PREFIX = "account", "copy:"
-MAX_BYTES_PER_NODE = 16 * 2**20  # the oldest records above it are deleted
+MAX_BYTES_PER_NODE = 16 * 2**20  # above it the oldest records are deleted
 
 
 def _key(index: int) -> str:
@@ -25,18 +25,20 @@
 
 
 class AuditRecordStore:
-    """Encoded records by node and index, in memory as on disk."""
+    """Encoded records by node and index, in memory and on disk."""
 
     def __init__(self, folder: Path, own_node: str, write_interval_ms: float) -> None:
         self._own_node = own_node
         self._store = open_store(folder / FILE_NAME)
         for note in self._store.notes:
-            LOG.warning("the account's disk", note=note)
+            LOG.warning("fault found while opening the audit log store", note=note)
         self._records: dict[str, dict[int, bytes]] = {}
         self._bytes: Counter[str] = Counter()  # by node
         self._load()
         self._writer = Writer(
-            self._store, write_interval_ms / 1000, lambda text: LOG.error("account", why=text)
+            self._store,
+            write_interval_ms / 1000,
+            lambda text: LOG.error("audit log store cannot be written", error=text),
         )
 
     def _load(self) -> None:
@@ -53,28 +55,29 @@
         return OWN_TABLE if node == self._own_node else f"{COPY_TABLE_PREFIX}{node}"
 
     def nodes(self) -> list[str]:
-        """All nodes of which there are records, this one included."""
+        """Returns the nodes that have records here, with this node."""
         return list(self._records)
 
     def records(self, node: str) -> dict[int, bytes]:
-        """A node's records by index."""
+        """Returns a node's records by index."""
         return self._records.get(node, {})
 
     def last_index(self, node: str) -> int:
-        """The newest index of a node's records; 0 if there are none."""
+        """Returns the newest index of a node's records; 0 if there are none."""
         return max(self.records(node), default=0)
 
     def synced_records(self, node: str) -> dict[int, bytes]:
-        """A node's records that are on disk.
+        """Returns the records of a node that are on disk.
 
-        Failure: this node is killed before it wrote records that a copy has; it goes on under their indexes
-        with another content, and the two logs conflict. Copies get nothing but what is on disk here.
+        Failure: this node is killed before it has written records that another node has copied. After the
+        restart it reuses their indexes for other records, and the two logs conflict. Copies therefore get
+        only records that are on disk here.
         """
         unsynced_keys = self._writer.unwritten_keys(self._table(node))
         return {index: data for index, data in self.records(node).items() if _key(index) not in unsynced_keys}
 
     def put(self, node: str, index: int, data: bytes) -> None:
-        """Adds a record; deletes the node's oldest ones above MAX_BYTES_PER_NODE."""
+        """Adds a record, and deletes the node's oldest records above MAX_BYTES_PER_NODE."""
         records, table = self._records.setdefault(node, {}), self._table(node)
         records[index] = data
         self._bytes[node] += len(data)
@@ -85,5 +88,5 @@
             self._writer.put(table, _key(oldest), None)
 
     def close(self) -> None:
-        """Writes what is left, and closes the file."""
+        """Writes the remaining records and closes the file."""
         self._writer.close()
--- a/worksmux/gateway/fleet/audit_report.py
+++ b/worksmux/gateway/fleet/audit_report.py
@@ -1,4 +1,4 @@
-"""Answers to `/fleet/audit`: decisions on a request, or who acted on which versions.
+"""Answers to `/fleet/audit`: the decisions on a request, or the versions that nodes acted on.
 
 The fields are named as the JSON keys of the answer.
 """
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DecisionReport:
-    """A decision of the node `front` on the attempt `trip`, with the versions active then.
+    """A decision of the node `front` on the attempt `trip`, with the versions active at that time.
 
     `line` is the number of these versions; `versions` is None if the record with them is missing.
     """
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionsReport:
-    """Which versions the nodes acted on, and the faults of their logs."""
+    """The versions that nodes acted on, and the faults of their logs."""
 
     fronts: list[str]
     spans: list[Span]
@@ -43,7 +43,7 @@
 
 
 def request_report(audit: FleetAudit, request: str) -> RequestReport:
-    """Explains each decision on a request."""
+    """Returns each known decision on a request with its versions."""
     return RequestReport(request, [_decision_report(explained) for explained in audit.explain(request)])
 
 
@@ -55,7 +55,7 @@
 
 
 def versions_report(audit: FleetAudit, at_ms: float | None, until_ms: float) -> VersionsReport:
-    """The spans of all nodes that contain a time, or all spans up to `until_ms`; wall clock times."""
+    """Returns the spans of all nodes at `at_ms`, or all spans up to `until_ms`; wall clock times."""
     nodes = sorted(audit.records)
     if at_ms is not None:
         spans = list(audit.spans_at(at_ms).values())
--- a/worksmux/gateway/fleet/consensus_disk.py
+++ b/worksmux/gateway/fleet/consensus_disk.py
@@ -1,8 +1,8 @@
 """Persistent state of this node's consensus voter: term, vote, log and snapshot, and the node's identity.
 
-Writes run on a thread of their own, those that wait together in one transaction, and are reported once they
-are synced. While the disk cannot be written the voter gets no confirmation and takes no part; the node itself
-goes on. Records that contradict each other are discarded: the node then joins under a new identity, which
+Writes run on a separate thread, with all waiting writes in one transaction, and are confirmed once they are
+synced. While the disk cannot be written, the voter gets no confirmation and takes no part in consensus; the
+node continues to serve. Inconsistent records are discarded: the node then joins under a new disk id, which
 votes only after it has caught up.
 """
 
@@ -30,7 +30,7 @@
 HARD_STATE_KEY, SNAPSHOT_KEY, IDENTITY_KEY = "hard", "base", "own"
 ENTRY_KEY_PREFIX = "e"
 RETRY_DELAY_S = 0.3  # after a failed write
-CLOSE_TIMEOUT_S = 2.0  # for the write that is under way
+CLOSE_TIMEOUT_S = 2.0  # wait for a write in progress
 DISK_ID_BYTES = 4
 
 
@@ -42,14 +42,14 @@
 
 
 class StoredIdentity(msgspec.Struct):
-    """`disk_id` distinguishes this disk from an earlier, lost one; `generation` counts the node's starts."""
+    """The identity of a node: `disk_id` tells its disk from a lost one, `generation` counts its starts."""
 
     disk_id: str = msgspec.field(name="mark")
     generation: int = msgspec.field(name="life")
 
 
 class InconsistentStateError(WorksmuxError, ValueError):
-    """The stored records fail their checks or contradict each other."""
+    """The stored records fail their checksums or are inconsistent."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _LogRange:
-    """Indexes of the first and the last stored entry; both 0 if there was none yet."""
+    """Indexes of the first and the last stored entry; both are 0 if there was none yet."""
 
     first: int = 0
     last: int = 0
@@ -71,7 +71,10 @@
 
 
 def _decode_state(values: dict[str, bytes]) -> PersistentState:
-    """Raises msgspec.DecodeError, and InconsistentStateError if entries are missing in between."""
+    """Decodes the stored state.
+
+    Raises msgspec.DecodeError, and InconsistentStateError if entries after the snapshot are missing.
+    """
     hard_state = StoredHardState(0, "")
     if HARD_STATE_KEY in values:
         hard_state = msgspec.msgpack.decode(values[HARD_STATE_KEY], type=StoredHardState)
@@ -83,12 +86,15 @@
     entries = [entry for entry in stored if entry.index > snapshot.index]
     first = snapshot.index + 1
     if [entry.index for entry in entries] != list(range(first, first + len(entries))):
-        raise InconsistentStateError("entries of the council are missing")
+        raise InconsistentStateError("entries of the consensus log are missing")
     return PersistentState(hard_state.term, hard_state.voted_for, snapshot, entries)
 
 
 class ConsensusDisk:
-    """`call_in_loop(function, *arguments)` hands a call from the writing thread to the event loop."""
+    """The database with the consensus state of this node.
+
+    `call_in_loop(function, *arguments)` passes a call from the writing thread to the event loop.
+    """
 
     def __init__(self, folder: Path, call_in_loop: Callable[..., object]) -> None:
         folder.mkdir(parents=True, exist_ok=True)
@@ -96,17 +102,17 @@
         self._call_in_loop = call_in_loop
         self._store: Store = open_store(self.path)
         self._store.database.execute("PRAGMA synchronous = FULL")
-        self.notes = list(self._store.notes)  # faults found while opening, for the log
+        self.notes = list(self._store.notes)  # for the log: faults found while opening
         self.saved = PersistentState()
         self._range = _LogRange()
         self.identity = self._load()
         self._failing = self._closed = False
-        self._queue: queue.SimpleQueue[_PendingWrite | None] = queue.SimpleQueue()  # None: end
+        self._queue: queue.SimpleQueue[_PendingWrite | None] = queue.SimpleQueue()  # None ends the thread
         self._thread = threading.Thread(target=self._run, name="council", daemon=True)
         self._thread.start()
 
     def _load(self) -> StoredIdentity:
-        """Reads what is stored into `saved` and counts this start."""
+        """Reads the stored state into `saved`, and returns the identity with this start counted."""
         consensus, node = self._store.read(CONSENSUS_TABLE), self._store.read(IDENTITY_TABLE)
         identity = None
         try:
@@ -116,14 +122,14 @@
                 self.saved = _decode_state(consensus.values)
             elif consensus.values or consensus.corrupt_records or node.values:
                 raise InconsistentStateError(
-                    f"{consensus.corrupt_records} records of the council fail their checks"
+                    f"consensus state is incomplete: {consensus.corrupt_records} records fail their checksums"
                 )
         except (msgspec.DecodeError, UnicodeDecodeError, InconsistentStateError) as error:
             identity = self._discard(identity, error)
         if identity is None:
             identity = StoredIdentity(secrets.token_hex(DISK_ID_BYTES), 0)
-        # A lost disk takes the count of starts with it. Others would ignore a generation below one that they
-        # know; the clock's seconds are above nearly every count.
+        # The count of starts is lost with the disk. Other nodes would ignore a generation below the newest
+        # one that they know; the seconds of the clock are above nearly every count.
         identity.generation = max(identity.generation + 1, int(time.time()))
         self._write({IDENTITY_TABLE: {IDENTITY_KEY: msgspec.msgpack.encode(identity)}})
         if self.saved.entries:
@@ -131,12 +137,14 @@
         return identity
 
     def _discard(self, identity: StoredIdentity | None, error: Exception) -> StoredIdentity:
-        """Empties the log and takes a new disk id.
+        """Deletes the stored log, and returns an identity with a new disk id.
 
         Failure: a voter that has lost its vote or entries votes twice in a term, or elects a leader without
-        committed entries. Under the new id it is another server to the group, and not a voter.
+        committed entries. Under the new disk id it is a different server for the group, and not a voter.
         """
-        self.notes.append(f"{self.path}: {error}; this front takes a seat anew, under another mark")
+        self.notes.append(
+            f"{self.path}: {error}; discarded, this node joins the consensus group under a new disk id"
+        )
         self.saved = PersistentState()
         self._store.replace(CONSENSUS_TABLE, [], time.time() * 1000)
         generation = identity.generation if identity else 0
@@ -146,12 +154,15 @@
         self._store.write(changes, time.time() * 1000)
 
     def put(self, write: StorageWrite, on_synced: Callable[[int], object]) -> None:
-        """Queues a write; `on_synced(number)` is called in the event loop once this write and all before it
-        are on disk, and only with the highest number of those synced together."""
+        """Queues a write.
+
+        `on_synced(number)` is called in the event loop once this write and all earlier ones are on disk. Of
+        writes that are synced together, only the one with the highest number is confirmed.
+        """
         self._queue.put(_PendingWrite(write, on_synced))
 
     def bootstrap(self, snapshot: Snapshot) -> None:
-        """Writes the first snapshot of a new group before it returns."""
+        """Writes the first snapshot of a new group and waits until it is on disk."""
         self.saved = PersistentState(snapshot=snapshot)
         records: dict[str, bytes | None] = {
             SNAPSHOT_KEY: msgspec.msgpack.encode(snapshot),
@@ -161,20 +172,20 @@
 
     def _run(self) -> None:
         while not self._closed:
-            taken = [self._queue.get()]
+            queued = [self._queue.get()]
             while not self._queue.empty():
-                taken.append(self._queue.get())
-            pending = [item for item in taken if item is not None]
+                queued.append(self._queue.get())
+            pending = [item for item in queued if item is not None]
             if pending and not self._write_with_retry([item.write for item in pending]):
                 return
             if pending:
                 newest = pending[-1]
                 self._call_in_loop(newest.on_synced, newest.write.number)
-            if None in taken:
+            if None in queued:
                 return
 
     def _write_with_retry(self, writes: list[StorageWrite]) -> bool:
-        """Retries until the writes are on disk; false if the node ends first."""
+        """Retries until the writes are on disk; returns false if the disk is closed first."""
         while not self._closed:
             changes, log_range = self._changes(writes)
             try:
@@ -184,24 +195,24 @@
                 time.sleep(RETRY_DELAY_S)
                 continue
             if self._failing:
-                LOG.info("the council's disk is written again", file=str(self.path))
+                LOG.info("consensus state can be written to disk again", file=str(self.path))
             self._failing = False
             self._range = log_range
             return True
         return False
 
     def _log_failure(self, error: sqlite3.Error) -> None:
-        """Once for each series of failures."""
+        """Logs the first failure of a series."""
         if not self._failing:
             LOG.error(
-                "the council's disk cannot be written; this front's seat stands still",
+                "consensus state cannot be written to disk; this node's voter takes no part until it is",
                 file=str(self.path),
-                why=str(error),
+                error=str(error),
             )
         self._failing = True
 
     def _changes(self, writes: list[StorageWrite]) -> tuple[dict[str, bytes | None], _LogRange]:
-        """The records to change, and the stored range of the log after that."""
+        """Returns the records to change, and the stored range of the log after the change."""
         changes: dict[str, bytes | None] = {}
         first, last = self._range.first, self._range.last
         for write in writes:
@@ -225,7 +236,7 @@
         return changes, _LogRange(first, last)
 
     def close(self) -> None:
-        """Ends the thread; the file stays open if a write is still under way after CLOSE_TIMEOUT_S."""
+        """Ends the thread; the file stays open if a write is still in progress after CLOSE_TIMEOUT_S."""
         self._closed = True
         self._queue.put(None)
         self._thread.join(CLOSE_TIMEOUT_S)
--- a/worksmux/gateway/fleet/consensus_voter.py
+++ b/worksmux/gateway/fleet/consensus_voter.py
@@ -1,7 +1,7 @@
-"""I/O of this node's consensus voter: log on disk, messages to other voters. Decides nothing.
+"""I/O of this node's consensus voter: its log on disk and messages to other voters. Makes no decisions.
 
-The Raft core is stepped with each input and the time. The messages of a step are sent only once all writes up
-to that step are on disk: a vote or an acknowledgement must not be known to others before it is durable here.
+The Raft core is stepped with each input and the time. The messages of a step are sent only after all writes
+up to that step are on disk, because a vote or an acknowledgement must be durable before others receive it.
 """
 
 from __future__ import annotations
@@ -28,13 +28,16 @@
 from .message_transport import ConsensusMessage
 
 LOG = structlog.get_logger()
-MAX_LOG_ENTRIES = 1000  # applied since the last snapshot; above that the log is compacted
-RESTART_SEED, BOOTSTRAP_SEED = 1, 4  # random streams of the core: as it starts, and of a group begun here
+MAX_LOG_ENTRIES = 1000  # applied since the last snapshot; a longer log is compacted
+RESTART_SEED, BOOTSTRAP_SEED = (
+    1,
+    4,
+)  # random streams of the core: after a start, and in a group bootstrapped here
 
 
 @dataclass(frozen=True, slots=True)
 class _UnsentMessages:
-    """Messages, by receiver, that wait for a write to be synced."""
+    """Messages, with their receivers, that wait for a write to be synced."""
 
     write_number: int
     messages: list[tuple[str, Message]]
@@ -42,16 +45,17 @@
 
 @dataclass(frozen=True, slots=True)
 class _StateHash:
-    """Hash of the applied state, computed once for each index."""
+    """The hash of the applied state at an index, computed once for each index."""
 
     index: int
     value: int
 
 
 class ConsensusVoter:
-    """`send(node, message)` sends to the node of another voter.
+    """The Raft core of this node with its disk, timer and messages.
 
-    `on_step` is called after each step, `on_leader_change` once a leader is known, this voter or another.
+    `send(node, message)` sends to the node of another voter. `on_step` is called after each step,
+    `on_leader_change` when a new leader is known, which may be this voter.
     """
 
     def __init__(
@@ -70,7 +74,7 @@
         self.raft = self._new_core(RESTART_SEED)
         self.state = KeyValueState()
         self.state.restore(disk.saved.snapshot)
-        self.leader_since_ms = -inf  # since when the present leader is known
+        self.leader_since_ms = -inf  # when the current leader became known
         self.invariant_violations = 0
         self.on_step: Callable[[], None] = lambda: None
         self.on_leader_change: Callable[[], None] = lambda: None
@@ -85,16 +89,16 @@
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """Names of all voters in the newest configuration."""
+        """The names of all voters in the newest configuration."""
         return self.raft.configuration.voters
 
     @property
     def is_leader(self) -> bool:
-        """Whether this voter leads with a lease and has applied all that was committed before its term."""
+        """Whether this voter leads with a lease and has applied all entries committed before its term."""
         return self.raft.holds_lease(clock.now()) and self.raft.commit_index >= self.raft.term_start_index
 
     def applied_state(self) -> replica.LocalVoterApplied:
-        """The state that this voter has applied, as input of this node's replica."""
+        """Returns the applied state of this voter as an input of this node's replica."""
         if self.state.index != self._state_hash.index:
             self._state_hash = _StateHash(self.state.index, self.state.state_hash())
         age_ms = self.raft.quorum_contact_age(clock.now()) if self.is_leader else replica.UNKNOWN_AGE
@@ -104,8 +108,8 @@
         )
 
     def bootstrap(self) -> None:
-        """Begins a group with this voter as its only member."""
-        LOG.info("the council is founded", by=self.name)
+        """Bootstraps a group with this voter as its only member."""
+        LOG.info("consensus group bootstrapped", voter=self.name)
         self._disk.bootstrap(Snapshot(configuration=Configuration((self.name,))))
         self.raft = self._new_core(BOOTSTRAP_SEED)
         self._synced_write = 0
@@ -117,7 +121,7 @@
         self.step(inputs.Propose(COMMAND, msgspec.msgpack.encode(put)))
 
     def step(self, raft_input: inputs.Input) -> None:
-        """Steps the core, and carries out what it returns."""
+        """Steps the core, and performs the writes, messages and events of its output."""
         if self._closed:
             return
         output = self.raft.step(clock.now(), raft_input)
@@ -153,11 +157,13 @@
             case outputs.SnapshotInstalled(snapshot):
                 self.state.restore(snapshot)
             case outputs.LeaderChanged(term, leader):
-                LOG.info("council", term=term, leader=node_of(leader), seats=list(self.voters))
+                LOG.info(
+                    "consensus leader changed", term=term, leader=node_of(leader), voters=list(self.voters)
+                )
                 self.leader_since_ms = clock.now()
                 self.on_leader_change()
             case outputs.InvariantViolation(text):
-                LOG.error("the council contradicts itself", what=text)
+                LOG.error("consensus invariant violated", violation=text)
                 self.invariant_violations += 1
             case _:
                 pass
@@ -165,9 +171,9 @@
     def _compact_long_log(self) -> None:
         if self.state.index - self.raft.log.snapshot.index > MAX_LOG_ENTRIES:
             compact = inputs.Compact(self.state.index, self.state.snapshot_data())
-            self._reactor.callLater(0, self.step, compact)  # not from within a step of the core
+            self._reactor.callLater(0, self.step, compact)  # not within a step of the core
 
     def close(self) -> None:
-        """Ends the voter; its disk is closed too."""
+        """Stops the voter and closes its disk."""
         self._closed = True
         self._disk.close()
--- a/worksmux/gateway/fleet/core_timers.py
+++ b/worksmux/gateway/fleet/core_timers.py
@@ -1,4 +1,4 @@
-"""One timer for each I/O-free core, set to when the core wants its next tick."""
+"""One timer for each I/O-free core, set to the time of the core's next tick."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class CoreTimers:
-    """Timers by the name of their core; after `close` none is set."""
+    """Timers by the name of their core; none is set after `close`."""
 
     def __init__(self, reactor: Reactor) -> None:
         self._reactor = reactor
@@ -19,9 +19,9 @@
         self._closed = False
 
     def schedule(self, core: str, due_ms: float, callback: Callable[[], None]) -> None:
-        """Calls `callback` at `due_ms` by the steady clock, in place of the core's earlier timer.
+        """Calls `callback` at `due_ms` of the monotonic clock; replaces the core's earlier timer.
 
-        An infinite time cancels the timer. A timer already set to that time keeps its callback.
+        An infinite time cancels the timer. A timer that is already set to that time keeps its callback.
         """
         timer = self._timers.get(core)
         if timer is not None and timer.active():
--- a/worksmux/gateway/fleet/fleet_membership.py
+++ b/worksmux/gateway/fleet/fleet_membership.py
@@ -1,4 +1,4 @@
-"""I/O of the membership protocol, and what the other parts ask about the fleet's nodes. Decides nothing."""
+"""I/O of the membership protocol, and queries for the nodes of the fleet. Makes no decisions."""
 
 from __future__ import annotations
 
@@ -22,13 +22,16 @@
 SWIM_SEED = 3  # random stream of the core
 # Keys of a node's metadata.
 SERVER_KEY = "seat"  # name of its consensus server
-GROUP_KEY = "council"  # the Raft group that it knows of, or empty
+GROUP_KEY = "council"  # id of the Raft group that it knows, or empty
 VOTER_KEY = "votes"  # present if its server is a voter
 
 
 class FleetMembership:
-    """`on_topology_change` is called when nodes or voters have changed, `on_superseded` when another process
-    with this node's name has started later."""
+    """The SWIM core of this node with its timer and messages.
+
+    `on_topology_change` is called when nodes or voters have changed, `on_superseded` when another process
+    with this node's name has started later.
+    """
 
     def __init__(
         self,
@@ -45,7 +48,7 @@
         self.on_superseded: Callable[[], None] = lambda: None
 
     def start(self, metadata: dict[str, str]) -> None:
-        """Sets up the core; the transport listens already, its address is announced."""
+        """Creates the core; the transport must listen already, because its address is announced."""
         zone = self._settings.zones[self._settings.module.zone]
         this_node = MembershipUpdate(
             self._settings.name,
@@ -62,16 +65,17 @@
 
     @property
     def is_started(self) -> bool:
+        """Whether `start` was called."""
         return self._swim is not None
 
     @property
     def swim(self) -> Swim:
-        """The core; only after `start`."""
+        """The SWIM core; available after `start`."""
         assert self._swim is not None
         return self._swim
 
     def step(self, swim_input: inputs.Input) -> None:
-        """Steps the core, and carries out what it returns."""
+        """Steps the core, and performs the messages and events of its output."""
         output = self.swim.step(clock.now(), swim_input)
         for outgoing in output.messages:
             self._transport.send(outgoing.receiver, outgoing.address, GossipMessage(outgoing.message))
@@ -86,12 +90,14 @@
             case outputs.MemberChanged(before, after):
                 self._on_member_changed(before, after)
             case outputs.GenerationRaised(generation):
-                LOG.info("this front takes a higher life: an earlier start of it is known", life=generation)
+                LOG.info(
+                    "generation raised above that of an earlier start of this node", generation=generation
+                )
                 self._transport.generation = generation
             case outputs.Superseded(generation, address):
                 LOG.error(
                     "another process with this name has started later; this one ends",
-                    life=generation,
+                    generation=generation,
                     address=address,
                 )
                 self.on_superseded()
@@ -100,18 +106,18 @@
         state = MemberState(after.state)
         if before is None or before.state != after.state or before.generation != after.generation:
             LOG.info(
-                "front",
+                "member state changed",
                 name=after.name,
                 state=state.name.lower(),
-                life=after.generation,
-                by=after.accuser,
-                before=MemberState(before.state).name.lower() if before else None,
+                generation=after.generation,
+                accuser=after.accuser,
+                previous_state=MemberState(before.state).name.lower() if before else None,
             )
         if state >= MemberState.DEAD:
             self._transport.forget(after.address)
 
     def leave(self) -> None:
-        """Announces an orderly exit, so that no other node reports this one dead."""
+        """Announces an orderly exit, so that no other node reports this node as dead."""
         self.step(inputs.Leave())
 
     def set_metadata(self, metadata: dict[str, str]) -> None:
@@ -121,11 +127,11 @@
             self.on_topology_change()
 
     def _present(self) -> list[MembershipUpdate]:
-        """Of the nodes that are present, this one first."""
+        """Returns the updates of the nodes that are present, this node first."""
         return [self.swim.me, *(member.update for member in self.swim.members.present.values())]
 
     def candidates(self) -> dict[str, Candidate]:
-        """Present nodes, by name, that can be members of the consensus group; this one included."""
+        """Returns the present nodes, by name, that can be members of the consensus group, with this node."""
         return {
             update.name: Candidate(
                 update.name, update.metadata[SERVER_KEY], update.zone, update.metadata.get(GROUP_KEY, "")
@@ -135,24 +141,24 @@
         }
 
     def topology(self) -> TopologyChanged:
-        """Present nodes and the nodes of the voters, as input of the replica."""
+        """Returns the present nodes and the nodes of voters as an input of the replica."""
         voters = frozenset(update.name for update in self._present() if update.metadata.get(VOTER_KEY))
         return TopologyChanged(frozenset(self.swim.members.present), voters)
 
     def generation_of(self, node: str) -> int | None:
-        """The newest known generation of a node; None if the node is unknown."""
+        """Returns the newest known generation of a node; None if the node is unknown."""
         member = self.swim.members.known.get(node)
         return member.update.generation if member else None
 
     def address_of(self, node: str) -> str:
-        """The address that a node announces; empty if the node is unknown."""
+        """Returns the address that a node announces; empty if the node is unknown."""
         member = self.swim.members.known.get(node)
         return member.update.address if member else ""
 
     def nodes(self) -> list[str]:
-        """Names of all known nodes, present or not, this one first."""
+        """Returns the names of all known nodes, present or not, this node first."""
         return [self._settings.name, *(self._swim.members.known if self._swim is not None else ())]
 
     def updates(self) -> list[MembershipUpdate]:
-        """The newest update of each known node, this one included."""
+        """Returns the newest update of each known node, with this node."""
         return [self.swim.me, *(member.update for member in self.swim.members.known.values())]
--- a/worksmux/gateway/fleet/fleet_status.py
+++ b/worksmux/gateway/fleet/fleet_status.py
@@ -1,4 +1,4 @@
-"""The status of the fleet as this node sees it, for operators and metrics.
+"""The status of the fleet as known to this node, for operators and metrics.
 
 The fields are named as the JSON keys that `/fleet` answers with.
 """
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConsensusStatus:
-    """`agreed` is the last index that this node's voter applied, `known` that of its replica."""
+    """Consensus state; `agreed` is the last index applied by this node's voter, `known` by its replica."""
 
     term: int
     role: str
@@ -49,9 +49,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneStatus:
-    """A zone as the leader's planner sees it.
+    """The state of a zone in the leader's planner.
 
-    `keeps` is the share of its requests that it keeps, `of` its size, `waits` the pressure by waiting ones.
+    `keeps` is the kept share of its requests, `of` its full size, `waits` the mean wait in latency targets.
     """
 
     phase: str
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageCounts:
-    """Messages to other nodes, and those refused by reason."""
+    """Counts of messages to other nodes, and of refused messages by reason."""
 
     sent: int
     bytes: int
@@ -75,10 +75,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetStatus:
-    """`front` is this node, `life` its generation, `seat` its consensus server.
+    """The status of the fleet: `front` is this node, `life` its generation, `seat` its consensus server.
 
-    `alone` means that the lease is over, `lease_ms` is what remains of it; `doubts_itself` is the level of
-    local health; `fronts` are all known nodes; `seen_by_leader` is filled on the leader's node.
+    `alone` means that the lease has expired, `lease_ms` is its remaining time; `doubts_itself` is the level
+    of local health; `fronts` are all known nodes; `seen_by_leader` is empty except on the leader's node.
     """
 
     front: str
@@ -99,7 +99,7 @@
 
 
 def fleet_status(peering: Peering) -> FleetStatus:
-    """Collects the status."""
+    """Collects the status of the fleet."""
     remaining_ms = peering.replica.lease_expires_at() - clock.now()
     nodes = sorted(peering.membership.updates(), key=lambda update: update.name)
     return FleetStatus(
@@ -147,7 +147,7 @@
 
 
 def _planner_zones(leader_tasks: LeaderTasks) -> dict[str, ZoneStatus]:
-    """Empty unless this node leads and has planned."""
+    """Returns the planner's zones; empty unless this node leads and has planned."""
     planner = leader_tasks.planner
     if planner is None:
         return {}
--- a/worksmux/gateway/fleet/leader_tasks.py
+++ b/worksmux/gateway/fleet/leader_tasks.py
@@ -1,7 +1,7 @@
-"""What the node of the consensus leader does beside Raft: reconfigures the group and proposes failover plans.
+"""Tasks of the consensus leader's node: reconfigures the group and proposes failover plans.
 
-The decisions are those of `consensus.reconfiguration` and `failover.planner`; here they get their inputs, and
-their results are proposed.
+`consensus.reconfiguration` and `failover.planner` make the decisions; this module collects their inputs and
+proposes their results.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class LeaderTasks:
-    """`fleet_report()` is the sum of all nodes' reports, as far as they have reached this node."""
+    """Tasks of the leader; `fleet_report()` returns the sum of the reports that have reached this node."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
             membership,
             fleet_report,
         )
-        self._map = PlannerSettings(
+        self._planner_settings = PlannerSettings(
             {zone: settings.regions.get(zone, "") for zone in settings.zones},
             {request_class.name: request_class.credit for request_class in settings.request_classes},
             settings.module.slow_start_share,
@@ -62,11 +62,11 @@
         return self._planner if self._voter.is_leader else None
 
     def on_leader_change(self) -> None:
-        """Forgets the planner: another leader may have changed the plan that it goes on from."""
+        """Discards the planner, because another leader may have changed the plan that it continues from."""
         self._planner = None
 
-    def reconfigure(self, now: float) -> None:
-        """Names a new group; after that, brings it to its size by one change at a time."""
+    def reconfigure(self, now_ms: float) -> None:
+        """Sets the id of a new group; afterwards changes one member at a time up to the configured size."""
         if GROUP_ID_KEY not in self._voter.state.values:
             group_id = secrets.token_hex(GROUP_ID_BYTES).encode()
             self._voter.propose(Put(GROUP_ID_KEY, group_id, 0))
@@ -78,42 +78,46 @@
             raft.configuration,
             self._membership.candidates(),
             self._fleet.seats,
-            lambda node: self._is_gone(node, now),
+            lambda node: self._is_gone(node, now_ms),
             raft.caught_up,
         )
         if configuration is not None:
-            LOG.info("seats", voters=list(configuration.voters), learners=list(configuration.learners))
+            LOG.info(
+                "consensus configuration change proposed",
+                voters=list(configuration.voters),
+                learners=list(configuration.learners),
+            )
             self._voter.step(inputs.ChangeConfiguration(configuration))
 
-    def _is_gone(self, node: str, now: float) -> bool:
-        """Whether a node was away long enough to be replaced.
+    def _is_gone(self, node: str, now_ms: float) -> bool:
+        """Reports whether a node was absent for long enough to be replaced.
 
-        A new leader counts from its own start: it does not know how long the others have been away.
+        A new leader counts from the start of its term, because it does not know how long a node was absent.
         """
         member = self._membership.swim.members.known.get(node)
         if member is not None and member.is_present:
             return False
         leader_since_ms = self._voter.leader_since_ms
-        away_since_ms = member.state_since if member is not None else leader_since_ms
-        return now - max(away_since_ms, leader_since_ms) > self._fleet.gone
+        absent_since_ms = member.state_since if member is not None else leader_since_ms
+        return now_ms - max(absent_since_ms, leader_since_ms) > self._fleet.gone
 
     def plan_failover(self) -> None:
-        """Runs the planner once and proposes its plan; not while an earlier proposal may still commit."""
-        now = clock.now()
+        """Runs the planner once and proposes its plan, unless an earlier proposal may still be committed."""
+        now_ms = clock.now()
         committed = self._voter.state.values.get(PLAN_KEY)
         plan_in_force = decode(committed.value) if committed else Plan()
-        if self._awaits_commit(plan_in_force, now):
+        if self._awaits_commit(plan_in_force, now_ms):
             return
         if self._planner is None or self._planner.plan.number != plan_in_force.number:
-            self._planner = Planner(self._map, plan_in_force)
+            self._planner = Planner(self._planner_settings, plan_in_force)
         plan = self._planner.update(self._fleet_report())
         if plan is not None:
-            self._proposed_at_ms = now
+            self._proposed_at_ms = now_ms
             self._voter.propose(Put(PLAN_KEY, encode(plan), committed.index if committed else 0))
 
-    def _awaits_commit(self, plan_in_force: Plan, now: float) -> bool:
+    def _awaits_commit(self, plan_in_force: Plan, now_ms: float) -> bool:
         return (
             self._planner is not None
             and self._planner.plan.number > plan_in_force.number
-            and now < self._proposed_at_ms + self._fleet.patience
+            and now_ms < self._proposed_at_ms + self._fleet.patience
         )
--- a/worksmux/gateway/fleet/message_transport.py
+++ b/worksmux/gateway/fleet/message_transport.py
@@ -1,8 +1,8 @@
-"""Messages between front nodes: one HTTP POST each, on a listener of its own.
+"""Messages between nodes of a fleet: one HTTP POST each, on a separate listener.
 
-Delivery is best effort: a message is not acknowledged and not retried, an answer is a message of its own.
-Every message is bounded in size, typed, and carries the fleet's name, the format version and its sender. A
-message that does not fit is counted, logged with its sender and the reason, and has no other effect.
+Delivery is best effort: a message is neither acknowledged nor retried, and an answer is a separate message.
+Every message is bounded in size, typed, and has the fleet's name, the format version and its sender. An
+invalid message is counted, logged with its sender and the reason, and has no other effect.
 """
 
 from __future__ import annotations
@@ -29,17 +29,17 @@
 MESSAGE_PATH = "/fleet/message"
 CONTENT_TYPE = "application/msgpack"
 MAX_HEAD_BYTES = 8192
-MAX_PENDING_CALLS = 16  # to one address; further messages are dropped, as a network does
+MAX_PENDING_CALLS = 16  # to one address; further messages are dropped, as by a lossy network
 MAX_IDLE_CONNECTIONS = 2  # to one address
-KEEP_ALIVE_PERIODS = 10  # probe periods until an idle connection is closed
+KEEP_ALIVE_PERIODS = 10  # probe periods after which an idle connection is closed
 MAX_PORT = 65_535
-LOG_INTERVAL_MS = 10_000.0  # between two log lines about the same fault of the same sender
+LOG_INTERVAL_MS = 10_000.0  # between two log lines on the same fault of the same sender
 MAX_LOGGED_FAULTS = 1000  # remembered for LOG_INTERVAL_MS
 MAX_LOGGED_NAME, MAX_LOGGED_REASON, MAX_LOGGED_ADDRESS = 200, 300, 100  # characters
 
 
 class ConsensusMessage(msgspec.Struct, tag="seat"):
-    """From one voter or learner to another, both by their consensus node names."""
+    """A message between voters or learners; `sender` and `receiver` are consensus server names."""
 
     sender: str = msgspec.field(name="seat")
     receiver: str = msgspec.field(name="to")
@@ -47,19 +47,19 @@
 
 
 class GossipMessage(msgspec.Struct, tag="peer"):
-    """Of the membership protocol."""
+    """A message of the membership protocol."""
 
     message: gossip_messages.Message
 
 
 class ReplicationMessage(msgspec.Struct, tag="follow"):
-    """Between replicas of the agreed state."""
+    """A message between replicas of the replicated state."""
 
     message: replication_messages.Message
 
 
 class AuditMessage(msgspec.Struct, tag="account"):
-    """Between the holders of audit logs and of their copies."""
+    """A message between nodes with audit logs and holders of their copies."""
 
     message: copies.Message
 
@@ -94,11 +94,13 @@
     """An address is not `host:port` with a port from 1 to 65535."""
 
     def __init__(self, address: str) -> None:
-        super().__init__(f"{address[:MAX_LOGGED_ADDRESS]!r} is no address")
+        super().__init__(
+            f"address {address[:MAX_LOGGED_ADDRESS]!r} is not host:port with a port from 1 to 65535"
+        )
 
 
 def _parse_address(address: str) -> tuple[str, int]:
-    """Host and port; raises AddressError."""
+    """Returns host and port; raises AddressError."""
     host, _, port = address.rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
         raise AddressError(address)
@@ -106,7 +108,7 @@
 
 
 class MessageTransport:
-    """Listener and connection pools; `on_message` is called with each envelope of this fleet."""
+    """The listener and connection pools; `on_message` is called with each valid envelope of this fleet."""
 
     def __init__(
         self, settings: FleetSettings, reactor: Reactor, name: str, on_message: Callable[[Envelope], None]
@@ -120,17 +122,17 @@
         self._server = Server(self._on_exchange, settings.body, MAX_HEAD_BYTES, keep_alive_ms, reactor)
         self._pools: dict[str, client.Pool] = {}  # by address
         self._pending_calls: Counter[str] = Counter()  # by address
-        self._fault_logged_at: dict[str, float] = {}  # by reason and sender
+        self._fault_logged_at_ms: dict[str, float] = {}  # by reason and sender
         self._port: Any = None
         self._closed = False
 
     def start(self) -> None:
-        """Listens; the address is then known, also where the settings leave the port to the system."""
+        """Listens, and sets the address if it is not configured, with the port chosen by the system."""
         self._port, number = listen(self.reactor, self.settings.listen, self._server)
         self.address = self.address or f"{self.settings.listen[0]}:{number}"
 
     def close(self) -> None:
-        """Stops listening and drops all connections; nothing is sent any more."""
+        """Stops listening and closes all connections; no message is sent afterwards."""
         self._closed = True
         if self._port is not None:
             self._port.stopListening()
@@ -140,7 +142,7 @@
             channel.transport.abortConnection()
 
     def send(self, receiver: str, address: str, payload: Payload) -> None:
-        """Sends to a front node by name; an address in the settings goes before the advertised `address`."""
+        """Sends a message to a node; a configured address overrides the advertised `address`."""
         address = self.settings.reach.get(receiver, address)
         if not address or self._closed:
             return
@@ -162,7 +164,7 @@
         self._post(pool, address, body)
 
     def _pool(self, address: str) -> client.Pool:
-        """Raises AddressError."""
+        """Returns the connection pool of an address; raises AddressError."""
         if address not in self._pools:
             host, port = _parse_address(address)
             connect_timeout_ms = self.settings.period
@@ -179,7 +181,7 @@
         return self._pools[address]
 
     def _post(self, pool: client.Pool, address: str, body: bytes) -> None:
-        """One call; abandoned after a probe period, so that a silent receiver does not hold it for ever."""
+        """Sends one call, and abandons it if the receiver does not answer within a probe period."""
         timer: Timer
 
         def on_end(*_: Any) -> None:
@@ -196,7 +198,7 @@
         call = pool.call("POST", MESSAGE_PATH, reader, (("Content-Type", CONTENT_TYPE),), body)
 
     def forget(self, address: str) -> None:
-        """Closes the connections to a front node that is gone."""
+        """Closes the connections to the address of a node that is gone."""
         pool = self._pools.pop(address, None)
         if pool is not None and not self._pending_calls[address]:
             pool.close()
@@ -213,12 +215,12 @@
             return self._refuse_body(body, str(error))
         if envelope.format_version != FORMAT_VERSION or envelope.fleet != self.settings.name:
             return self._refuse_body(
-                body, f"its form is {envelope.format_version}, its fleet {envelope.fleet!r}"
+                body, f"format version is {envelope.format_version}, fleet is {envelope.fleet!r}"
             )
         self.on_message(envelope)
 
     def _refuse_body(self, body: bytes, detail: str) -> None:
-        """Refuses a body that is no envelope of this fleet and version, by as much of it as can be read."""
+        """Refuses a body that is not an envelope of this fleet and version; the header gives the reason."""
         try:
             header = _HEADER_DECODER.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError):
@@ -232,18 +234,18 @@
         self.refuse(reason, header.sender[:MAX_LOGGED_NAME], detail)
 
     def refuse(self, reason: str, sender: str, detail: str) -> None:
-        """Counts a refused message; logs the same fault of a sender at most once in LOG_INTERVAL_MS."""
+        """Counts a refused message, and logs each fault of a sender at most once in LOG_INTERVAL_MS."""
         self.refused_count[reason] += 1
-        now, fault = clock.now(), f"{reason} {sender}"
-        if now <= self._fault_logged_at.get(fault, -LOG_INTERVAL_MS) + LOG_INTERVAL_MS:
+        now_ms, fault = clock.now(), f"{reason} {sender}"
+        if now_ms <= self._fault_logged_at_ms.get(fault, -LOG_INTERVAL_MS) + LOG_INTERVAL_MS:
             return
-        # Senders choose their names: without a bound a faulty one would grow this map without end.
-        if len(self._fault_logged_at) > MAX_LOGGED_FAULTS:
-            self._fault_logged_at.clear()
-        self._fault_logged_at[fault] = now
+        # Senders choose their names: without a bound a faulty sender would make this map grow forever.
+        if len(self._fault_logged_at_ms) > MAX_LOGGED_FAULTS:
+            self._fault_logged_at_ms.clear()
+        self._fault_logged_at_ms[fault] = now_ms
         LOG.warning(
-            "a message of another front is refused",
+            "message of another node refused",
             sender=sender,
             reason=reason,
-            why=detail[:MAX_LOGGED_REASON],
+            detail=detail[:MAX_LOGGED_REASON],
         )
--- a/worksmux/gateway/fleet/peering.py
+++ b/worksmux/gateway/fleet/peering.py
@@ -1,12 +1,13 @@
-"""A node's part in the fleet: connects the I/O-free cores of gossip, consensus and failover with each other,
-the transport and the policy. Decides nothing.
+"""Connects the I/O-free cores of gossip, consensus and failover with the transport and the policy.
+
+Makes no decisions.
 
     message_transport  ->  fleet_membership, consensus_voter, replica, audit_log_keeper
     replica            ->  active_plan  ->  policy
     leader_tasks       ->  consensus_voter, on the leader's node
 
-The lease is checked before each decision round. Failure: a process that was suspended acts on a plan that the
-others have replaced meanwhile. It finds its lease expired before it decides anything.
+The lease is checked before each decision round. Failure: a process that was suspended applies a plan that the
+other nodes have replaced meanwhile. The check finds the lease expired before the process makes a decision.
 """
 
 from __future__ import annotations
@@ -50,18 +51,21 @@
 
 LOG = structlog.get_logger()
 REPLICA_SEED = 2  # random stream of the core
-UNKNOWN_GROUP = "?"  # announced by a member that has not applied the group's id yet
+UNKNOWN_GROUP = "?"  # announced by a group member that has not applied the group's id yet
 
 
 class Peering:
-    """`on_superseded` is called when another process with this node's name has started later."""
+    """All parts of a node's fleet membership.
+
+    `on_superseded` is called when another process with this node's name has started later.
+    """
 
     def __init__(self, settings: FrontSettings, core: ChatEngineClient, reactor: Reactor, seed: int) -> None:
         fleet = settings.fleet
         assert fleet is not None
         self.settings, self.fleet = settings, fleet
         self._core, self._reactor = core, reactor
-        self.state_mismatches = 0  # found by the replica; the voter counts its own
+        self.state_mismatches = 0  # status_by_key by the replica; the voter counts its own
         self.on_superseded: Callable[[], None] = lambda: None
         self._closed = False
         self._timers = CoreTimers(reactor)
@@ -69,7 +73,7 @@
 
         disk = ConsensusDisk(Path(fleet.disk), reactor.callFromThread)
         for note in disk.notes:
-            LOG.warning("the council's disk", note=note)
+            LOG.warning("fault status_by_key while opening the consensus state", note=note)
         self.transport.generation = disk.identity.generation
         self.voter = ConsensusVoter(settings.name, fleet, reactor, seed, disk, self._timers, self._send)
         self.voter.on_step = self._on_voter_step
@@ -102,16 +106,16 @@
         self._versions = ActiveVersions(settings)
 
     def start(self) -> None:
-        """Listens, joins the fleet and begins the periodic work."""
+        """Listens, joins the fleet and starts the periodic work."""
         self.transport.start()
         self.membership.start({SERVER_KEY: self.voter.name, GROUP_KEY: self._known_group()})
         self._subscribe_to_core()
         LOG.info(
             "fleet",
             peers=self.transport.address,
-            seat=self.voter.name,
-            life=self.transport.generation,
-            seats=list(self.voter.voters),
+            server=self.voter.name,
+            generation=self.transport.generation,
+            voters=list(self.voter.voters),
         )
         self.audit_logs.start(self.transport.generation)
         self.membership.step(gossip_inputs.Tick())
@@ -120,12 +124,12 @@
         self._run_periodic_work()
 
     def _subscribe_to_core(self) -> None:
-        earlier_subscriber, watcher = self._core.on_event, self.reports.watcher
+        previous_subscriber, watcher = self._core.on_event, self.reports.watcher
 
-        def on_event(now: float, event: Event) -> None:
-            if earlier_subscriber is not None:
-                earlier_subscriber(now, event)
-            watcher.observe(now, event)
+        def on_event(now_ms: float, event: Event) -> None:
+            if previous_subscriber is not None:
+                previous_subscriber(now_ms, event)
+            watcher.observe(now_ms, event)
 
         self._core.on_event = on_event
         self._core.before_round = self._before_decisions
@@ -133,7 +137,7 @@
         self._core.on_decision = self.audit_logs.record_decision
 
     def leave(self) -> None:
-        """Begins an orderly exit: hands leadership over, and announces that this node leaves."""
+        """Starts an orderly exit: transfers leadership, and announces that this node leaves."""
         if not self._closed:
             self.voter.step(inputs.TransferLeadership())
             self.membership.leave()
@@ -164,19 +168,20 @@
                 self.audit_logs.on_message(envelope.sender, message)
             case ConsensusMessage(sender, receiver, message):
                 if receiver != self.voter.name:
-                    detail = f"it is for {receiver}; this is {self.voter.name}"
+                    detail = f"the message is for {receiver}; this server is {self.voter.name}"
                     return self.transport.refuse("seat", envelope.sender, detail)
                 self.voter.step(inputs.MessageReceived(sender, message))
 
     def _is_outdated(self, envelope: Envelope) -> bool:
-        """Refuses messages of a process that a later one with its name has replaced.
+        """Refuses messages of a process that was superseded by a later one with its name.
 
-        Gossip passes: it compares generations itself, and its reply tells the sender that it is superseded.
+        Gossip messages pass: gossip compares generations itself, and its reply tells the sender that it was
+        superseded.
         """
         known = self.membership.generation_of(envelope.sender)
         if known is None or envelope.generation >= known or isinstance(envelope.payload, GossipMessage):
             return False
-        detail = f"life {envelope.generation} is over; {known} is known"
+        detail = f"generation {envelope.generation} is superseded; the newest known is {known}"
         self.transport.refuse("life", envelope.sender, detail)
         return True
 
@@ -205,11 +210,13 @@
                 if PLAN_KEY in keys:
                     self.active_plan.take(self.replica.values[PLAN_KEY])
             case replica.StateMismatch(node, index):
-                LOG.error("another front holds something else under the same number", name=node, index=index)
+                LOG.error(
+                    "replicated state of another node differs at the same index", name=node, index=index
+                )
                 self.state_mismatches += 1
 
     def _known_group(self) -> str:
-        """The id of the Raft group, UNKNOWN_GROUP, or empty if there is no group as far as is known."""
+        """Returns the id of the Raft group, UNKNOWN_GROUP, or empty if no group is known."""
         group_id = self.voter.state.values.get(GROUP_ID_KEY) or self.replica.values.get(GROUP_ID_KEY)
         if group_id:
             return group_id.value.decode()
@@ -221,15 +228,15 @@
         if self._closed or not self.membership.is_started:
             return
         self._reactor.callLater(self.fleet.look / 1000, self._run_periodic_work)
-        now = clock.now()
-        self.reports.refresh(now)
+        now_ms = clock.now()
+        self.reports.refresh(now_ms)
         self._announce_metadata()
         self._bootstrap_if_first()
         if self.voter.is_leader:
-            self.leader_tasks.reconfigure(now)
+            self.leader_tasks.reconfigure(now_ms)
             self.leader_tasks.plan_failover()
         if not self.active_plan.has_lease:
-            self._before_decisions(now)
+            self._before_decisions(now_ms)
 
     def _announce_metadata(self) -> None:
         metadata = {SERVER_KEY: self.voter.name, GROUP_KEY: self._known_group()}
@@ -248,18 +255,18 @@
 
     # Policy and operators
 
-    def _before_decisions(self, now: float) -> None:
-        self.active_plan.publish(now)
+    def _before_decisions(self, now_ms: float) -> None:
+        self.active_plan.publish(now_ms)
         versions = self._versions.versions(
             self.active_plan.plan, not self.active_plan.has_lease, self._core.engine_list.list_reader
         )
         self.audit_logs.record_versions(versions)
 
     def readiness_text(self) -> str:
-        """In a few words, for `/ready`."""
+        """Returns the plan's number and whether the lease has expired, for `/ready`."""
         return self.active_plan.readiness_text()
 
     def status(self) -> dict[str, Any]:
-        """The status by its JSON keys, for `/fleet` and the metrics."""
-        found: dict[str, Any] = msgspec.to_builtins(fleet_status(self))
-        return found
+        """Returns the status by its JSON keys, for `/fleet` and the metrics."""
+        status_by_key: dict[str, Any] = msgspec.to_builtins(fleet_status(self))
+        return status_by_key
--- a/worksmux/gateway/fleet/zone_reports.py
+++ b/worksmux/gateway/fleet/zone_reports.py
@@ -1,4 +1,4 @@
-"""Reports on the zones: this node's own, and their sum with those of the nodes below it in the tree."""
+"""Zone reports of this node, and their sum with the reports of its children in the replication tree."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ZoneReports:
-    """`on_refused(detail)` is called for each report that cannot be used."""
+    """Collects zone reports; `on_refused(detail)` is called for each report that cannot be used."""
 
     def __init__(self, settings: FrontSettings, on_refused: Callable[[str], None]) -> None:
         request_classes = [request_class.name for request_class in settings.request_classes]
@@ -22,12 +22,12 @@
         self.latest = FleetReport(zones={}, demand={})  # this node's own
         self._on_refused = on_refused
 
-    def refresh(self, now: float) -> None:
-        """Takes this node's own report anew."""
-        self.latest = self.watcher.report(now)
+    def refresh(self, now_ms: float) -> None:
+        """Replaces this node's latest report by a new one."""
+        self.latest = self.watcher.report(now_ms)
 
     def total(self, child_reports: list[bytes]) -> FleetReport:
-        """The sum of this node's latest report and those of its children; unusable ones are left out."""
+        """Returns the sum of this node's latest report and those of its children, without unusable ones."""
         reports = [self.latest]
         for data in child_reports:
             try:
@@ -37,13 +37,13 @@
         return sum_reports(reports)
 
     def encoded_total(self, child_reports: list[bytes]) -> bytes:
-        """`total`, as it is sent to the parent."""
+        """Returns `total` as it is sent to the parent."""
         return msgspec.msgpack.encode(self.total(child_reports))
 
 
 def _decode(data: bytes) -> FleetReport:
-    """Raises msgspec.DecodeError, also for figures that cannot be true."""
+    """Decodes a report; raises msgspec.DecodeError, also for figures that are out of range."""
     report = _REPORT_DECODER.decode(data)
     if not report.is_valid():
-        raise msgspec.ValidationError("its figures make no sense")
+        raise msgspec.ValidationError("invalid zone report: a figure is out of range for its number of nodes")
     return report
