--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,5 +1,8 @@
-"""The same verdict every time: hypothesis draws the same examples, but for long runs of a person's own.
-Tests that KNOWN-RED.txt lists are run and passed over, and are printed at the end."""
+"""Test configuration.
+
+Hypothesis draws the same examples in each run, unless WORKSMUX_LONG is set.  Tests that KNOWN-RED.txt lists
+run as expected failures and are listed at the end of the report.
+"""
 
 from __future__ import annotations
 
@@ -45,7 +48,7 @@
 
 @pytest.fixture
 def logged() -> Iterator[list[Any]]:
-    """Every line of the log, whatever an earlier test has configured."""
+    """Captures all log lines, independent of how an earlier test configured structlog."""
     before = structlog.get_config()
     structlog.reset_defaults()
     with structlog.testing.capture_logs() as lines:
--- a/tests/test_gateway_rules.py
+++ b/tests/test_gateway_rules.py
@@ -53,7 +53,7 @@
     rig = Rig(tmp_path, FLEET)
     for engine in rig.engines[1:]:
         rig.at(400, rig.inject_fault, engine, "drop_streams", True)
-    records = rig.run_clients("mark", length=1500.0, answer=(20, 40), effect="irreversible")
+    records = rig.run_clients("mark", length=1500.0, answer_tokens=(20, 40), effect="irreversible")
     assert broken_rules(records) == [] and "broken off" in final_answers(records)
 
 
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -1,4 +1,4 @@
-"""A scripted day as a person starts it: processes, sockets, an exit code."""
+"""Scenarios run by the command line: processes, sockets and exit codes."""
 
 from __future__ import annotations
 
@@ -17,13 +17,15 @@
     )
 
 
-def test_short_day_with_a_killed_front_keeps_all_rules(tmp_path: Path) -> None:
-    done = command("trial", "examples/short-day.kdl", "--json", "--keep", str(tmp_path / "day"))
-    assert done.returncode == 0, done.stderr[-2000:]
-    told = json.loads(done.stdout)
-    assert told["kept"] and told["unanswered"] == 0 and told["fronts_killed"] == 1 and told["jobs"] > 30
-    again = command("audit", str(tmp_path / "day"), "examples/short-day.kdl", "--json")
-    assert again.returncode == 0 and json.loads(again.stdout)["jobs"] == told["jobs"]
+def test_short_day_with_a_killed_gateway_keeps_all_rules(tmp_path: Path) -> None:
+    result = command("trial", "examples/short-day.kdl", "--json", "--keep", str(tmp_path / "day"))
+    assert result.returncode == 0, result.stderr[-2000:]
+    report = json.loads(result.stdout)
+    assert (
+        report["kept"] and report["unanswered"] == 0 and report["fronts_killed"] == 1 and report["jobs"] > 30
+    )
+    audited = command("audit", str(tmp_path / "day"), "examples/short-day.kdl", "--json")
+    assert audited.returncode == 0 and json.loads(audited.stdout)["jobs"] == report["jobs"]
 
 
 def test_day_of_embeddings_and_rerank_keeps_all_rules_and_every_result_is_right(tmp_path: Path) -> None:
@@ -39,14 +41,14 @@
 trouble "fast-errors" at="1s" for="2s" names="n1-reranker-1" share=0.5
 """
     )
-    done = command("trial", str(file), "--json")
-    assert done.returncode == 0, done.stderr[-2000:]
-    told = json.loads(done.stdout)
-    assert told["kept"] and told["unanswered"] == 0 and told["one_stage"]["done"] > 30
-    assert told["credit_by_offering"]["explain"] > 0.9
+    result = command("trial", str(file), "--json")
+    assert result.returncode == 0, result.stderr[-2000:]
+    report = json.loads(result.stdout)
+    assert report["kept"] and report["unanswered"] == 0 and report["one_stage"]["done"] > 30
+    assert report["credit_by_offering"]["explain"] > 0.9
 
 
-def test_exit_codes_tell_a_wrong_file_from_a_broken_day(tmp_path: Path) -> None:
+def test_exit_code_2_reports_an_invalid_file(tmp_path: Path) -> None:
     wrong = tmp_path / "wrong.kdl"
     wrong.write_text('front "a" {\n    listn "127.0.0.1:0"\n}\n')
     for args in (
@@ -55,18 +57,18 @@
         ("trial", str(wrong)),
         ("audit", str(tmp_path), "examples/short-day.kdl"),
     ):
-        done = command(*args)
-        assert done.returncode == 2 and "Traceback" not in done.stderr
+        result = command(*args)
+        assert result.returncode == 2 and "Traceback" not in result.stderr
     assert "did you mean listen?" in command("check", str(wrong)).stderr
     assert command("check", "benchmarks/front.kdl").returncode == 0
 
 
-def test_trouble_strikes_whom_it_names_and_its_part() -> None:
+def test_fault_affects_the_engines_it_names_or_a_share_of_them() -> None:
     import random
 
-    day = load_scenario("examples/bad-day.kdl")
-    named = next(trouble for trouble in day.faults if trouble.kind == "drain")
-    part = next(trouble for trouble in day.faults if trouble.kind == "hang")
-    assert [place.id for place in select_engines(day, named, random.Random(1))] == ["n1-decode-1"]
-    assert {place.kind for place in select_engines(day, part, random.Random(1))} == {"decode"}
-    assert all(capacity(day, place) > 0 for place in day.engines)
+    scenario = load_scenario("examples/bad-day.kdl")
+    drain = next(fault for fault in scenario.faults if fault.kind == "drain")
+    hang = next(fault for fault in scenario.faults if fault.kind == "hang")
+    assert [engine.id for engine in select_engines(scenario, drain, random.Random(1))] == ["n1-decode-1"]
+    assert {engine.kind for engine in select_engines(scenario, hang, random.Random(1))} == {"decode"}
+    assert all(capacity(scenario, engine) > 0 for engine in scenario.engines)
--- a/worksmux/fakes/__init__.py
+++ b/worksmux/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what lies outside: engines, a registry, clients.  Each journals what it was sent and did."""
+"""Fakes of the systems around a gateway: engines, a registry and clients.  Each writes a journal."""
--- a/worksmux/fakes/journal.py
+++ b/worksmux/fakes/journal.py
@@ -1,4 +1,4 @@
-"""Journals of the stand-ins: JSON lines, each written whole at once, so that a killed process loses none."""
+"""Journals of the fakes: JSON lines, each written by one system call, so that a killed process loses none."""
 
 from __future__ import annotations
 
@@ -15,19 +15,23 @@
 
 
 class Journal:
-    """One process's record; `who` stands in each line, `t` is the machine's clock in milliseconds."""
+    """The journal of one process.
+
+    Each line has `who`, the writer, and `t`, the time by `net.clock` in milliseconds.
+    """
 
     def __init__(self, path: str | Path, who: str) -> None:
         self.who = who
         self.file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
 
-    def note(self, what: str, **facts: Any) -> None:
-        line = {"t": round(clock.now(), 3), "who": self.who, "what": what, **facts}
-        os.write(self.file, ENCODE.encode(line) + b"\n")
+    def note(self, event: str, **fields: Any) -> None:
+        """Appends one event with its fields."""
+        record = {"t": round(clock.now(), 3), "who": self.who, "what": event, **fields}
+        os.write(self.file, ENCODE.encode(record) + b"\n")
 
 
 def read(path: Path) -> Iterator[dict[str, Any]]:
-    """The lines of a journal; the last may be cut where its process was killed."""
+    """The lines of a journal; skips a last line that is incomplete because its process was killed."""
     with path.open("rb") as lines:
         for line in lines:
             try:
--- a/worksmux/fakes/registry.py
+++ b/worksmux/fakes/registry.py
@@ -1,5 +1,4 @@
-"""A registry stand-in: pushes lists and changes as JSON lines, late by what it is told, and journals what it
-said."""
+"""A fake registry: sends endpoint lists and changes as JSON lines after a set delay, and records each."""
 
 from __future__ import annotations
 
@@ -20,17 +19,17 @@
 
 
 class Subscriber(LineReceiver):
-    """One front's connection."""
+    """The connection of one gateway."""
 
     delimiter = b"\n"
 
     def __init__(self, registry: Registry) -> None:
-        self.registry, self.front, self.serial, self.watching = registry, "", 0, not registry.polled
+        self.registry, self.gateway_name, self.serial, self.watching = registry, "", 0, not registry.polled
 
     def lineReceived(self, line: bytes) -> None:
         message = HELLO_DECODER.decode(line)
         if message.hello:
-            self.front = message.hello
+            self.gateway_name = message.hello
             self.registry.subscribers[self] = None
             if self.watching:
                 self.registry.send_full(self)
@@ -45,17 +44,18 @@
         self.registry.subscribers.pop(self, None)
 
     def send(self, message: Listing) -> None:
+        """Sends a message and records it, unless the registry truncates lists."""
         if not self.registry.truncates_lists:
             self.registry.journal.note(
                 "told",
-                front=self.front,
+                front=self.gateway_name,
                 serial=message.serial,
                 list=message.scope,
                 engines=[[line.id, line.state, line.started] for line in message.engines],
             )
-        way = self.registry.rewrite_endpoint
-        if way is not None:
-            engines = [way(self.front, one) for one in message.engines]
+        rewrite = self.registry.rewrite_endpoint
+        if rewrite is not None:
+            engines = [rewrite(self.gateway_name, endpoint) for endpoint in message.engines]
             message = msgspec.structs.replace(message, engines=engines)
         line = msgspec.json.encode(message) + b"\n"
         if self.registry.truncates_lists:
@@ -66,58 +66,66 @@
 
 
 class Registry(ServerFactory):
-    """`late` gives the lower and upper delay of a change in milliseconds; `extra` is added to it."""
+    """The endpoint list and its subscribers.
+
+    A change is published after a random delay within `delay_range_ms`, plus `extra_delay_ms`.
+    """
 
     noisy = False
 
     def __init__(
-        self, reactor: Reactor, journal: Journal, late: tuple[float, float], polled: bool, seed: int
+        self, reactor: Reactor, journal: Journal, delay_range_ms: tuple[float, float], polled: bool, seed: int
     ) -> None:
-        self.reactor, self.journal, self.late, self.polled = reactor, journal, late, polled
-        self.chance = random.Random(seed)
+        self.reactor, self.journal, self.delay_range_ms, self.polled = (
+            reactor,
+            journal,
+            delay_range_ms,
+            polled,
+        )
+        self.random_source = random.Random(seed)
         self.extra_delay_ms = 0.0
-        self.changes_to_drop = 0  # changes that get lost, each front alike
-        self.engines: dict[str, Line] = {}  # as they are
-        self.listed: dict[str, Line] = {}  # as the registry knows them by now
+        self.changes_to_drop = 0  # next changes that no subscriber receives
+        self.engines: dict[str, Line] = {}  # the actual state
+        self.listed: dict[str, Line] = {}  # the published state
         self.serial = 0
         self.subscribers: dict[Subscriber, None] = {}
         self.port_object: Any = None
         self.port = 0
         self.fails_lists = False
-        self.silent = False  # takes connections and says nothing
-        self.truncates_lists = False  # breaks off in the middle of each list
-        self.rewrite_endpoint: Callable[[str, Line], Line] | None = (
-            None  # how a front is told to reach an engine
-        )
+        self.silent = False  # accepts connections and sends nothing
+        self.truncates_lists = False  # closes the connection in the middle of each list
+        self.rewrite_endpoint: Callable[[str, Line], Line] | None = None  # by gateway name
 
     def start(self) -> int:
+        """Starts to listen and returns the port."""
         self.port_object, self.port = listen(self.reactor, ("127.0.0.1", self.port), self)
-        self.reactor.callLater(1.0, self._beat)
+        self.reactor.callLater(1.0, self._send_keep_alive)
         return self.port
 
-    def _beat(self) -> None:
-        for front in self.subscribers:
+    def _send_keep_alive(self) -> None:
+        for subscriber in self.subscribers:
             if not self.silent:
-                cast(Transport, front.transport).write(b"\n")
-        self.reactor.callLater(1.0, self._beat)
+                cast(Transport, subscriber.transport).write(b"\n")
+        self.reactor.callLater(1.0, self._send_keep_alive)
 
     def buildProtocol(self, addr: IAddress | None) -> Subscriber:
         return Subscriber(self)
 
     def go_offline(self) -> None:
-        """The registry goes away: its connections break and new ones are refused."""
+        """Resets all connections and refuses new ones."""
         self.port_object.stopListening()
-        for front in list(self.subscribers):
-            cast(Transport, front.transport).abortConnection()
+        for subscriber in list(self.subscribers):
+            cast(Transport, subscriber.transport).abortConnection()
 
     def go_online(self) -> None:
+        """Listens on the same port again."""
         self.port_object, _ = listen(self.reactor, ("127.0.0.1", self.port), self)
 
     def change(self, line: Line, at_once: bool = False) -> None:
-        """An engine's line has changed; fronts hear of it later."""
+        """Stores an engine's new endpoint and publishes it after the delay."""
         self.engines[line.id] = line
-        delay = 0.0 if at_once else self.chance.uniform(*self.late) + self.extra_delay_ms
-        self.reactor.callLater(delay / 1000, self._publish, msgspec.structs.replace(line))
+        delay_ms = 0.0 if at_once else self.random_source.uniform(*self.delay_range_ms) + self.extra_delay_ms
+        self.reactor.callLater(delay_ms / 1000, self._publish, msgspec.structs.replace(line))
 
     def _publish(self, line: Line) -> None:
         self.serial += 1
@@ -125,14 +133,15 @@
         if self.changes_to_drop > 0:
             self.changes_to_drop -= 1
             return
-        for front in list(self.subscribers):
-            if front.watching:
-                front.send(Listing("delta", self.serial, self.serial - 1, clock.wall(), [line]))
+        for subscriber in list(self.subscribers):
+            if subscriber.watching:
+                subscriber.send(Listing("delta", self.serial, self.serial - 1, clock.wall(), [line]))
 
-    def send_full(self, front: Subscriber) -> None:
+    def send_full(self, subscriber: Subscriber) -> None:
+        """Sends the whole endpoint list, or the faulty reply that is switched on."""
         if self.silent:
             return
         if self.fails_lists:
-            return front.send(Listing("failed", self.serial, reason="an injected fault"))
+            return subscriber.send(Listing("failed", self.serial, reason="an injected fault"))
         lines = [line for line in self.listed.values() if line.state != "gone"]
-        front.send(Listing("full", self.serial, None, clock.wall(), lines))
+        subscriber.send(Listing("full", self.serial, None, clock.wall(), lines))
--- a/worksmux/fault_trial/__init__.py
+++ b/worksmux/fault_trial/__init__.py
@@ -1,2 +1,1 @@
-"""A scripted day on loopback sockets: fronts, engines, registry and clients as processes, and troubles by
-timeline."""
+"""Plays a scenario on loopback sockets: gateways, engines and clients as processes, with scheduled faults."""
--- a/worksmux/fault_trial/clocked.py
+++ b/worksmux/fault_trial/clocked.py
@@ -1,8 +1,8 @@
-"""Starts the program with clocks that run otherwise than the machine's.
+"""Runs the program with skewed clocks.
 
-`python -m worksmux.fault_trial.clocked CONTROL serve FILE` reads CONTROL from time to time: two numbers, by
-how many milliseconds the wall clock is off and how fast both clocks run (1 as the machine's).  The monotonic
-clock never steps and never goes back.  The program itself knows nothing of it.
+`python -m worksmux.fault_trial.clocked CONTROL serve FILE` polls the file CONTROL for two numbers: the offset
+of the wall clock in milliseconds, and the rate of both clocks (1: the machine's rate).  The monotonic clock
+never steps and never goes back.  The program itself is not changed.
 """
 
 from __future__ import annotations
@@ -12,50 +12,57 @@
 import time
 from collections.abc import Callable
 
-EVERY = 0.05  # seconds between two looks at the control file
+POLL_INTERVAL_S = 0.05  # between two reads of the control file
 
 
-class Skewed:
-    """A clock made of another one; a change of rate goes on from where it is.
+class SkewedClock:
+    """A clock derived from another one; a change of the rate does not make it jump.
 
-    >>> at = [10.0]; clock = Skewed(lambda: at[0]); clock.rate(2.0); at[0] = 11.0; clock()
+    >>> at = [10.0]; clock = Skewed(lambda: at[0]); clock.set_rate(2.0); at[0] = 11.0; clock()
     12.0
     """
 
-    def __init__(self, true: Callable[[], float]) -> None:
-        self.true = true
-        self.base = self.shown = true()
-        self.speed = 1.0
+    def __init__(self, real_clock: Callable[[], float]) -> None:
+        self.real_clock = real_clock
+        self.real_at_change = self.shown_at_change = real_clock()
+        self.rate = 1.0
         self.offset = 0.0
 
-    def rate(self, speed: float) -> None:
-        now = self.true()
-        self.shown, self.base, self.speed = self.shown + (now - self.base) * self.speed, now, speed
+    def set_rate(self, rate: float) -> None:
+        """Sets the rate from now on, without a jump."""
+        now = self.real_clock()
+        self.shown_at_change, self.real_at_change, self.rate = (
+            self.shown_at_change + (now - self.real_at_change) * self.rate,
+            now,
+            rate,
+        )
 
     def __call__(self) -> float:
-        return self.shown + (self.true() - self.base) * self.speed + self.offset
+        return self.shown_at_change + (self.real_clock() - self.real_at_change) * self.rate + self.offset
 
 
-def watch(path: str, wall: Skewed, monotonic: Skewed) -> None:
-    sleep, told = time.sleep, ""
+def watch(path: str, wall: SkewedClock, monotonic: SkewedClock) -> None:
+    """Applies each change of the control file to both clocks, forever."""
+    sleep, applied_text = time.sleep, ""
     while True:
         try:
             with open(path, encoding="ascii") as file:
                 text = file.read()
-            if text != told:
-                told = text
-                step, speed = map(float, text.split())
-                wall.offset = step / 1000
-                wall.rate(speed)
-                monotonic.rate(speed)
+            if text != applied_text:
+                applied_text = text
+                step_ms, rate = map(float, text.split())
+                wall.offset = step_ms / 1000
+                wall.set_rate(rate)
+                monotonic.set_rate(rate)
         except (OSError, ValueError):
-            pass  # not written yet, or half
-        sleep(EVERY)
+            pass  # not written yet, or only partly
+        sleep(POLL_INTERVAL_S)
 
 
 def main() -> None:
-    wall, monotonic = Skewed(time.time), Skewed(time.monotonic)
-    time.time, time.monotonic = wall, monotonic  # before anything that keeps them is imported
+    """Replaces the clocks of `time`, then runs the command line without its first argument."""
+    wall, monotonic = SkewedClock(time.time), SkewedClock(time.monotonic)
+    time.time, time.monotonic = wall, monotonic  # before any import that stores a reference to them
     threading.Thread(target=watch, args=(sys.argv[1], wall, monotonic), daemon=True).start()
     sys.argv[1:] = sys.argv[2:]
     from ..commands import main as run
--- a/worksmux/fault_trial/fronts.py
+++ b/worksmux/fault_trial/fronts.py
@@ -1,4 +1,4 @@
-"""Writes a front's settings file for a day, so that its fronts are started just as an operator starts one."""
+"""Settings files for the gateways of a scenario, so that each starts as an operator would start it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from ..scenarios.scenario import Scenario
 from ..settings.shared import Kind, RequestClass
 
-LEASE = 2500.0  # milliseconds, of what a day's fronts decide in common
+PLAN_LEASE_MS = 2500.0  # of the failover plan that the gateways share
 
 
 def _ms(value: float) -> str:
@@ -20,75 +20,75 @@
     return "true" if value else "false"
 
 
-def _request_class(one: RequestClass) -> str:
-    return f"""offering {json.dumps(one.name)} {{
-    promised-time {_ms(one.promised_time)}
-    promised-per-1000-tokens {_ms(one.promised_per_k)}
-    outer-limit {_ms(one.outer_limit)}
-    token-time {_ms(one.token_time)}
-    most-answer {one.most_answer}
-    credit {one.credit:g}
-    late-credit {one.late_credit:g}
-    effect "{one.effect}"
-    group "{one.group}"
-    remembered {_ms(one.remembered)}
-    tokenizer {json.dumps(one.tokenizer)}
-    most-prompt {one.most_prompt}
-    call "{one.call}"
-    share {one.share:g}
+def _request_class(request_class: RequestClass) -> str:
+    return f"""offering {json.dumps(request_class.name)} {{
+    promised-time {_ms(request_class.promised_time)}
+    promised-per-1000-tokens {_ms(request_class.promised_per_k)}
+    outer-limit {_ms(request_class.outer_limit)}
+    token-time {_ms(request_class.token_time)}
+    most-answer {request_class.most_answer}
+    credit {request_class.credit:g}
+    late-credit {request_class.late_credit:g}
+    effect "{request_class.effect}"
+    group "{request_class.group}"
+    remembered {_ms(request_class.remembered)}
+    tokenizer {json.dumps(request_class.tokenizer)}
+    most-prompt {request_class.most_prompt}
+    call "{request_class.call}"
+    share {request_class.share:g}
 }}
 """
 
 
-def _kind(one: Kind) -> str:
-    return f'kind {json.dumps(one.name)} role="{one.role}" memory={one.memory:g} call="{one.call}"\n'
+def _kind(kind: Kind) -> str:
+    return f'kind {json.dumps(kind.name)} role="{kind.role}" memory={kind.memory:g} call="{kind.call}"\n'
 
 
-def _counting(day: Scenario) -> str:
-    one = day.counting
-    if one is None:
+def _counting(scenario: Scenario) -> str:
+    counting = scenario.counting
+    if counting is None:
         return ""
     files = "".join(
         f"tokenizer {json.dumps(name)} file={json.dumps(str(Path(file).resolve()))}\n"
-        for name, file in day.tokenizers.items()
+        for name, file in scenario.tokenizers.items()
     )
     return f"""{files}counting {{
-    cache "{one.cache}B"
-    workers {one.workers}
-    long-workers {one.long_workers}
-    long-from "{one.long}B"
-    line "{one.line}B"
-    piece {one.piece}
-    block {one.block}
-    shared-blocks {one.shared_blocks}
-    shared-sessions {one.shared_sessions}
-    time-limit {_ms(one.time_limit)}
+    cache "{counting.cache}B"
+    workers {counting.workers}
+    long-workers {counting.long_workers}
+    long-from "{counting.long}B"
+    line "{counting.line}B"
+    piece {counting.piece}
+    block {counting.block}
+    shared-blocks {counting.shared_blocks}
+    shared-sessions {counting.shared_sessions}
+    time-limit {_ms(counting.time_limit)}
 }}
 """
 
 
-def _admission(day: Scenario) -> str:
-    one = day.admission
-    if one is None:
+def _admission(scenario: Scenario) -> str:
+    admission = scenario.admission
+    if admission is None:
         return ""
     return f"""admission {{
-    load-tokens {one.load_tokens}
-    load-inputs {one.load_inputs}
-    line-tokens {one.line_tokens}
-    line-calls {one.line_calls}
-    open-calls {one.open_calls}
-    repeat-ratio {one.repeat_ratio:g}
-    repeat-burst {one.repeat_burst:g}
-    stay-away {_ms(one.stay_away[0])} {_ms(one.stay_away[1])}
-    loop-lag {_ms(one.loop_lag)}
-    sockets {one.sockets}
-    memory "{one.memory}B"
+    load-tokens {admission.load_tokens}
+    load-inputs {admission.load_inputs}
+    line-tokens {admission.line_tokens}
+    line-calls {admission.line_calls}
+    open-calls {admission.open_calls}
+    repeat-ratio {admission.repeat_ratio:g}
+    repeat-burst {admission.repeat_burst:g}
+    stay-away {_ms(admission.stay_away[0])} {_ms(admission.stay_away[1])}
+    loop-lag {_ms(admission.loop_lag)}
+    sockets {admission.sockets}
+    memory "{admission.memory}B"
 }}
 """
 
 
-def _memory(day: Scenario, path: Path) -> str:
-    if not day.memory:
+def _endpoint_cache(scenario: Scenario, path: Path) -> str:
+    if not scenario.memory:
         return ""
     return f"""memory {{
     file {json.dumps(str(path.resolve()))}
@@ -99,81 +99,88 @@
 """
 
 
-def _fleet(day: Scenario, name: str, folder: Path, ways: dict[str, int]) -> str:
-    """The section of a front that decides with others; `ways` are the ports by which it reaches them."""
-    if not day.fleet:
+def _fleet(scenario: Scenario, name: str, folder: Path, relay_ports: dict[str, int]) -> str:
+    """The fleet section; `relay_ports` are the ports by which this gateway reaches the others."""
+    if not scenario.fleet:
         return ""
-    reach = "".join(f'    reach {json.dumps(other)} "127.0.0.1:{port}"\n' for other, port in ways.items())
-    carries = "".join(f"    carries {json.dumps(zone)} {day.carries:g}\n" for zone in day.zones) * bool(
-        day.carries
+    reach = "".join(
+        f'    reach {json.dumps(other)} "127.0.0.1:{port}"\n' for other, port in relay_ports.items()
     )
-    founders = " ".join(json.dumps(f"front-{at + 1}") for at in range(min(day.seats, day.fronts)))
-    seeds = " ".join(f'"127.0.0.1:{port}"' for port in ways.values())
+    carries = "".join(
+        f"    carries {json.dumps(zone)} {scenario.carries:g}\n" for zone in scenario.zones
+    ) * bool(scenario.carries)
+    founders = " ".join(
+        json.dumps(f"front-{index + 1}") for index in range(min(scenario.seats, scenario.fronts))
+    )
+    seeds = " ".join(f'"127.0.0.1:{port}"' for port in relay_ports.values())
     regions: dict[str, list[str]] = {}
-    for zone, region in day.regions.items():
+    for zone, region in scenario.regions.items():
         regions.setdefault(region, []).append(json.dumps(zone))
-    told = "".join(
+    region_sections = "".join(
         f"region {json.dumps(region)} {{\n    zones {' '.join(zones)}\n}}\n"
         for region, zones in regions.items()
     )
-    return f"""{told}fleet {json.dumps(day.name)} {{
+    return f"""{region_sections}fleet {json.dumps(scenario.name)} {{
     listen "127.0.0.1:0"
     {f"seeds {seeds}" if seeds else ""}
     founders {founders}
-    seats {day.seats}
+    seats {scenario.seats}
     disk {json.dumps(str((folder / f"{name}.disk").resolve()))}
     period "300ms"
     beat "100ms"
     patience "600ms"
-    lease "{LEASE:g}ms"
+    lease "{PLAN_LEASE_MS:g}ms"
     gone "10s"
 {reach}{carries}}}
 """
 
 
-def front_file(
-    day: Scenario,
+def gateway_settings(
+    scenario: Scenario,
     name: str,
     number: int,
     zone: str,
     port: int,
     watch: int,
-    registry: int,
+    registry_port: int,
     policy: str,
     folder: Path,
     counting: bool = True,
-    ways: dict[str, int] | None = None,
+    relay_ports: dict[str, int] | None = None,
 ) -> str:
-    """The text of the settings; it holds what the day's file says, and the ports.
+    """The text of a gateway's settings file: the scenario's settings and the ports.
 
-    Without `counting` the front guesses lengths from bytes.
+    Without `counting`, the gateway estimates prompt lengths from bytes.
     """
     if not counting:
-        request_classes = [replace(one, tokenizer="", most_prompt=10**9) for one in day.request_classes]
-        day = replace(day, tokenizers={}, counting=None, request_classes=request_classes)
-    rules, limits, bounds = day.rules, day.limits, day.transport
-    zones = " ".join(json.dumps(one) for one in day.zones)
+        request_classes = [
+            replace(request_class, tokenizer="", most_prompt=10**9)
+            for request_class in scenario.request_classes
+        ]
+        scenario = replace(scenario, tokenizers={}, counting=None, request_classes=request_classes)
+    rules, limits, transport = scenario.rules, scenario.limits, scenario.transport
+    zones = " ".join(json.dumps(request_class) for request_class in scenario.zones)
     return f"""front {json.dumps(name)} {{
     listen "127.0.0.1:{port}"
     watch "127.0.0.1:{watch}"
     zone {json.dumps(zone)}
     number {number}
-    fronts {day.fronts}
+    fronts {scenario.fronts}
     turn "2ms"
-    seed {day.seed * 1000 + number}
+    seed {scenario.seed * 1000 + number}
     policy "{policy}"
 }}
 registry {{
-    address "127.0.0.1:{registry}"
-    changes "{"asked-for" if day.ask else "pushed"}"
+    address "127.0.0.1:{registry_port}"
+    changes "{"asked-for" if scenario.polls_endpoint_list else "pushed"}"
     least-pause "100ms"
     most-pause "1s"
     longest-line "4MiB"
     silence "5s"
 }}
 zones {zones}
-{"".join(map(_kind, day.kinds))}
-{"".join(map(_request_class, day.request_classes))}
+{"".join(map(_kind, scenario.kinds))}
+{"".join(map(_request_class, scenario.request_classes))}
 rules {{
     answer-slack {_ms(rules["answer_slack"])}
     drain-grace {_ms(rules["drain_grace"])}
@@ -193,23 +200,23 @@
     stay-away {_ms(limits["stay_away"])}
 }}
 prices {{
-    far {day.prices["far_price"]:g}
+    far {scenario.prices["far_price"]:g}
 }}
 transport {{
-    connect-time-out {_ms(bounds.connect_time_out)}
-    keep-alive {_ms(bounds.keep_alive)}
-    idle-connections {bounds.idle_connections}
-    stream-silence {_ms(bounds.stream_silence)}
-    call-time-out {_ms(bounds.call_time_out)}
-    release-tries {bounds.release_tries}
-    answer-margin {_ms(bounds.answer_margin)}
-    body "{bounds.body}B"
-    head "{bounds.head}B"
-    reply "{bounds.reply}B"
-    open-jobs {bounds.open_requests}
-    drain-time {_ms(bounds.drain_time)}
+    connect-time-out {_ms(transport.connect_time_out)}
+    keep-alive {_ms(transport.keep_alive)}
+    idle-connections {transport.idle_connections}
+    stream-silence {_ms(transport.stream_silence)}
+    call-time-out {_ms(transport.call_time_out)}
+    release-tries {transport.release_tries}
+    answer-margin {_ms(transport.answer_margin)}
+    body "{transport.body}B"
+    head "{transport.head}B"
+    reply "{transport.reply}B"
+    open-jobs {transport.open_requests}
+    drain-time {_ms(transport.drain_time)}
 }}
 log format="json" level="info"
-{_counting(day)}{_admission(day)}{_memory(day, folder / f"{name}.memory")}{
-        _fleet(day, name, folder, ways or {})
+{_counting(scenario)}{_admission(scenario)}{_endpoint_cache(scenario, folder / f"{name}.memory")}{
+        _fleet(scenario, name, folder, relay_ports or {})
     }"""
--- a/worksmux/fault_trial/processes.py
+++ b/worksmux/fault_trial/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a day: each is started, tells its port, and is ended or killed by its own handle."""
+"""Child processes of a scenario, each started, stopped and killed through its own handle."""
 
 from __future__ import annotations
 
@@ -14,7 +14,11 @@
 
 
 class Child(ProcessProtocol):
-    """One process; `on_line` gets each line of its standard output and error, `on_end` its exit."""
+    """One Python process.
+
+    `on_line` receives each line of its standard output and error, `on_end` its exit code (None after a
+    signal).
+    """
 
     def __init__(
         self,
@@ -26,7 +30,7 @@
     ) -> None:
         self.log = log.open("ab")
         self.on_line, self.on_end = on_line, on_end
-        self.rest: dict[int, bytes] = {}
+        self.unfinished_lines: dict[int, bytes] = {}
         self.alive = True
         self.process = reactor.spawnProcess(
             self, sys.executable, [sys.executable, *args], env={**os.environ, "PYTHONHASHSEED": "0"}
@@ -34,7 +38,7 @@
 
     def childDataReceived(self, childFD: int, data: bytes) -> None:
         self.log.write(data)
-        *lines, self.rest[childFD] = (self.rest.get(childFD, b"") + data).split(b"\n")
+        *lines, self.unfinished_lines[childFD] = (self.unfinished_lines.get(childFD, b"") + data).split(b"\n")
         for line in lines:
             self.on_line(line)
 
@@ -44,17 +48,19 @@
         self.on_end(getattr(reason.value, "exitCode", None))
 
     def signal(self, name: str) -> None:
+        """Sends a signal by name, such as TERM, to a live process."""
         if self.alive:
             self.process.signalProcess(name)
 
 
 def engine_port(line: bytes) -> int | None:
+    """The port that an engine prints at its start; None for any other line."""
     return int(line) if line.isdigit() else None
 
 
 def gateway_ports(line: bytes) -> tuple[int, int] | None:
-    """The ports in a front's log line that says it serves."""
+    """The client port and the watch port in a gateway's log line `serving`; None for any other line."""
     if b'"serving"' not in line:
         return None
-    told = msgspec.json.decode(line)
-    return int(told["port"]), int(told["watch"])
+    record = msgspec.json.decode(line)
+    return int(record["port"]), int(record["watch"])
--- a/worksmux/fault_trial/relays.py
+++ b/worksmux/fault_trial/relays.py
@@ -1,7 +1,7 @@
-"""Relays between processes on loopback: the network of a day, which its runner cuts, delays and breaks.
+"""TCP relays between processes on loopback: a network that the runner can partition, delay and reset.
 
-Each carries connections from one process to one other.  Nothing here needs rights of the machine, so a cut is
-not a missing answer to a connection's first packet: it comes up and then says nothing.
+Each relay carries the connections from one process to one other.  Relays need no privileges, so a partition
+does not drop SYN packets: a connection still opens, but then carries no data.
 """
 
 from __future__ import annotations
@@ -19,143 +19,160 @@
 FORWARD, BACK = "forward", "back"
 
 
-class _End(Protocol):
-    """One of a connection's two ends."""
+class _RelayEnd(Protocol):
+    """One of the two TCP connections that a relayed connection consists of."""
 
     transport: Any
 
-    def __init__(self, pair: _Pair, way: str) -> None:
-        self.pair, self.way = pair, way
-        self.up = False
+    def __init__(self, connection: _RelayedConnection, direction: str) -> None:
+        self.connection, self.direction = connection, direction
+        self.is_connected = False
 
     def connectionMade(self) -> None:
-        self.up = True
+        self.is_connected = True
         self.transport.setTcpNoDelay(True)
-        self.pair.made(self)
+        self.connection.end_connected(self)
 
     def dataReceived(self, data: bytes) -> None:
-        self.pair.came(self, data)
+        self.connection.end_received(self, data)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self.up = False
-        self.pair.lost(self)
+        self.is_connected = False
+        self.connection.end_closed(self)
 
 
-class _Pair:
-    """A connection through a relay: bytes that are swallowed are gone, as is what would follow them."""
+class _RelayedConnection:
+    """A connection through a relay; after dropped data, the same direction carries nothing more."""
 
     def __init__(self, relay: Relay) -> None:
         self.relay = relay
-        self.near, self.far = _End(self, FORWARD), _End(self, BACK)
-        self.waiting: list[bytes] = []  # for the far end to come up
-        self.torn: set[str] = set()  # ways on which something was swallowed
-        self.at = {FORWARD: 0.0, BACK: 0.0}  # until when bytes are under way
-        self.over = False
-
-    def made(self, end: _End) -> None:
-        if end is self.near:
-            if self.relay.reset or self.relay.target is None:
+        self.source_end, self.target_end = _RelayEnd(self, FORWARD), _RelayEnd(self, BACK)
+        self.unsent: list[bytes] = []  # data for the target end, until it is connected
+        self.broken_directions: set[str] = set()  # directions in which data was dropped
+        self.in_transit_until_ms = {FORWARD: 0.0, BACK: 0.0}  # when the data sent last arrives, by direction
+        self.is_closed = False
+
+    def end_connected(self, end: _RelayEnd) -> None:
+        """Connects to the target, or sends the data that waited for it."""
+        if end is self.source_end:
+            if self.relay.resets_connections or self.relay.target is None:
                 return self.abort()
-            factory = _Out(self)
+            factory = _TargetFactory(self)
             self.relay.reactor.connectTCP(*self.relay.target, factory, timeout=5)
         else:
-            waiting, self.waiting = self.waiting, []
-            for data in waiting:
-                self.far.transport.write(data)
-
-    def came(self, end: _End, data: bytes) -> None:
-        relay, way = self.relay, end.way
-        if way in relay.swallows or way in self.torn:
-            self.torn.add(way)  # a stream with a hole would be another stream
+            unsent, self.unsent = self.unsent, []
+            for data in unsent:
+                self.target_end.transport.write(data)
+
+    def end_received(self, end: _RelayEnd, data: bytes) -> None:
+        """Forwards, delays or drops data, or breaks the connection."""
+        relay, direction = self.relay, end.direction
+        if direction in relay.dropped_directions or direction in self.broken_directions:
+            self.broken_directions.add(direction)  # later data would leave a gap in the stream
             return
-        if relay.loss and relay.chance.random() < relay.loss:
+        if relay.break_share and relay.random_source.random() < relay.break_share:
             relay.journal.note("broken", relay=relay.name)
             return self.abort()
-        delay = relay.delay + (len(data) / relay.rate * 1000 if relay.rate else 0.0)
-        if not delay and self.at[way] <= relay.reactor.seconds() * 1000:
-            return self.write(way, data)
-        now = relay.reactor.seconds() * 1000
-        self.at[way] = max(self.at[way], now + relay.delay) + (delay - relay.delay)
-        relay.reactor.callLater((self.at[way] - now) / 1000, self.write, way, data)
-
-    def write(self, way: str, data: bytes) -> None:
-        if self.over or way in self.torn:
+        delay_ms = relay.delay_ms + (len(data) / relay.bytes_per_s * 1000 if relay.bytes_per_s else 0.0)
+        if not delay_ms and self.in_transit_until_ms[direction] <= relay.reactor.seconds() * 1000:
+            return self.write(direction, data)
+        now_ms = relay.reactor.seconds() * 1000
+        self.in_transit_until_ms[direction] = max(
+            self.in_transit_until_ms[direction], now_ms + relay.delay_ms
+        ) + (delay_ms - relay.delay_ms)
+        relay.reactor.callLater(
+            (self.in_transit_until_ms[direction] - now_ms) / 1000, self.write, direction, data
+        )
+
+    def write(self, direction: str, data: bytes) -> None:
+        """Writes data to the other end, unless the direction is broken by now."""
+        if self.is_closed or direction in self.broken_directions:
             return
-        if way in self.relay.swallows:
-            self.torn.add(way)
+        if direction in self.relay.dropped_directions:
+            self.broken_directions.add(direction)
             return
-        end = self.far if way == FORWARD else self.near
-        self.relay.carried[way] += len(data)
-        if end.up:
+        end = self.target_end if direction == FORWARD else self.source_end
+        self.relay.bytes_carried[direction] += len(data)
+        if end.is_connected:
             end.transport.write(data)
-        elif way == FORWARD:
-            self.waiting.append(data)
-
-    def lost(self, end: _End) -> None:
-        """Its end is told to the other side, but for what is cut that way."""
-        other = self.far if end is self.near else self.near
-        if end.way not in self.relay.swallows and end.way not in self.torn and other.up:
-            other.transport.loseConnection()
-        if not self.near.up and not self.far.up:
-            self.over = True
-            self.relay.pairs.pop(self, None)
+        elif direction == FORWARD:
+            self.unsent.append(data)
+
+    def end_closed(self, end: _RelayEnd) -> None:
+        """Closes the other end too, unless the partition covers that direction."""
+        other_end = self.target_end if end is self.source_end else self.source_end
+        if (
+            end.direction not in self.relay.dropped_directions
+            and end.direction not in self.broken_directions
+            and other_end.is_connected
+        ):
+            other_end.transport.loseConnection()
+        if not self.source_end.is_connected and not self.target_end.is_connected:
+            self.is_closed = True
+            self.relay.connections.pop(self, None)
 
     def abort(self) -> None:
-        for end in (self.near, self.far):
-            if end.up:
+        """Resets both ends."""
+        for end in (self.source_end, self.target_end):
+            if end.is_connected:
                 end.transport.abortConnection()
 
 
-class _Out(ClientFactory):
+class _TargetFactory(ClientFactory):
+    """Connects a relayed connection to its target."""
+
     noisy = False
 
-    def __init__(self, pair: _Pair) -> None:
-        self.pair = pair
+    def __init__(self, connection: _RelayedConnection) -> None:
+        self.connection = connection
 
-    def buildProtocol(self, addr: Any) -> _End:
-        return self.pair.far
+    def buildProtocol(self, addr: Any) -> _RelayEnd:
+        return self.connection.target_end
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        self.pair.abort()
+        self.connection.abort()
 
 
 class Relay(ServerFactory):
-    """`target` may change while it runs, as the process behind it is started anew."""
+    """A relay to one process; `target` changes when that process is restarted on another port."""
 
     noisy = False
 
     def __init__(self, reactor: Any, journal: Journal, name: str, seed: int = 1) -> None:
         self.reactor, self.journal, self.name = reactor, journal, name
-        self.chance = random.Random(seed)
+        self.random_source = random.Random(seed)
         self.target: tuple[str, int] | None = None
-        self.swallows: frozenset[str] = frozenset()
-        self.reset = False
-        self.delay = self.loss = self.rate = 0.0  # milliseconds, share of pieces, bytes a second (0: any)
-        self.pairs: dict[_Pair, None] = {}
-        self.carried = {FORWARD: 0, BACK: 0}
+        self.dropped_directions: frozenset[str] = frozenset()
+        self.resets_connections = False
+        # 0 switches each off; break_share is the chance that a piece of data breaks its connection.
+        self.delay_ms = self.break_share = self.bytes_per_s = 0.0
+        self.connections: dict[_RelayedConnection, None] = {}
+        self.bytes_carried = {FORWARD: 0, BACK: 0}
         self.port_object, self.port = listen(reactor, ("127.0.0.1", 0), self)
 
-    def buildProtocol(self, addr: Any) -> _End:
-        pair = _Pair(self)
-        self.pairs[pair] = None
-        return pair.near
+    def buildProtocol(self, addr: Any) -> _RelayEnd:
+        connection = _RelayedConnection(self)
+        self.connections[connection] = None
+        return connection.source_end
 
-    def swallow(self, ways: Iterable[str]) -> None:
-        self.swallows = frozenset(ways)
-        # What was torn stays so: its ends find out by their own time-outs, as after a real cut.
-        self.journal.note("swallows", relay=self.name, ways=sorted(self.swallows))
+    def drop_data(self, directions: Iterable[str]) -> None:
+        """Drops all data in these directions from now on."""
+        self.dropped_directions = frozenset(directions)
+        # Broken directions stay broken: both ends notice by their own time-outs, as after a real partition.
+        self.journal.note("swallows", relay=self.name, ways=sorted(self.dropped_directions))
 
-    def break_all(self, on: bool = True) -> None:
-        """Resets what there is, and all that comes while it is on."""
-        self.reset = on
+    def set_reset(self, on: bool = True) -> None:
+        """Resets all connections, and while `on` is set also each new one."""
+        self.resets_connections = on
         self.journal.note("resets", relay=self.name, on=on)
-        for pair in list(self.pairs):
-            pair.abort()
+        for connection in list(self.connections):
+            connection.abort()
 
     def close(self) -> None:
+        """Stops listening and resets all connections."""
         self.port_object.stopListening()
-        for pair in list(self.pairs):
-            pair.abort()
+        for connection in list(self.connections):
+            connection.abort()
 
 
 class Network:
@@ -165,45 +182,56 @@
         self.reactor, self.journal = reactor, journal
         self.relays: dict[tuple[str, str], Relay] = {}
 
-    def relay(self, source: str, to: str) -> Relay:
-        if (source, to) not in self.relays:
-            self.relays[source, to] = Relay(self.reactor, self.journal, f"{source}>{to}", len(self.relays))
-        return self.relays[source, to]
+    def relay(self, source: str, target: str) -> Relay:
+        """The relay between two processes, created at the first use."""
+        if (source, target) not in self.relays:
+            self.relays[source, target] = Relay(
+                self.reactor, self.journal, f"{source}>{target}", len(self.relays)
+            )
+        return self.relays[source, target]
 
-    def aim(self, to: str, address: tuple[str, int]) -> None:
-        """Where a process is that was started."""
+    def set_target(self, target: str, address: tuple[str, int]) -> None:
+        """Points all relays to a process at its address."""
         for (_, name), relay in self.relays.items():
-            if name == to:
+            if name == target:
                 relay.target = address
 
-    def cut(self, some: Iterable[str], others: Iterable[str], how: str = "both") -> None:
-        """`how`: both, out (nothing of `some` arrives at `others`), in, or reset; "none" heals."""
-        others = list(others)
-        for one in some:
-            for other in others:
-                if one == other:
+    def cut(self, group: Iterable[str], other_group: Iterable[str], mode: str = "both") -> None:
+        """Partitions two groups of processes.
+
+        `mode` is "both", "out" (data from `group` to `other_group` is dropped), "in" (the reverse), "reset",
+        or "none", which ends the partition.
+        """
+        other_group = list(other_group)
+        for name in group:
+            for other_name in other_group:
+                if name == other_name:
                     continue
-                for source, to, out in ((one, other, True), (other, one, False)):
-                    relay = self.relays.get((source, to))
+                for source, target, outward in ((name, other_name, True), (other_name, name, False)):
+                    relay = self.relays.get((source, target))
                     if relay is None:
                         continue
-                    # From one to other is forward in the relay one>other and back in other>one.
-                    there, back = (FORWARD, BACK) if out else (BACK, FORWARD)
-                    if how == "reset":
-                        relay.break_all()
+                    # From name to other_name is FORWARD in relay name>other_name, BACK in the reverse one.
+                    forward, backward = (FORWARD, BACK) if outward else (BACK, FORWARD)
+                    if mode == "reset":
+                        relay.set_reset()
                         continue
-                    if relay.reset:
-                        relay.break_all(False)
-                    relay.swallow({"both": (there, back), "out": (there,), "in": (back,), "none": ()}[how])
+                    if relay.resets_connections:
+                        relay.set_reset(False)
+                    relay.drop_data(
+                        {"both": (forward, backward), "out": (forward,), "in": (backward,), "none": ()}[mode]
+                    )
 
     def restore(self) -> None:
+        """Ends all partitions, resets, delays and losses."""
         for relay in self.relays.values():
-            if relay.reset:
-                relay.break_all(False)
-            if relay.swallows:
-                relay.swallow(())
-            relay.delay = relay.loss = relay.rate = 0.0
+            if relay.resets_connections:
+                relay.set_reset(False)
+            if relay.dropped_directions:
+                relay.drop_data(())
+            relay.delay_ms = relay.break_share = relay.bytes_per_s = 0.0
 
     def close(self) -> None:
+        """Closes all relays."""
         for relay in self.relays.values():
             relay.close()
--- a/worksmux/fault_trial/runner.py
+++ b/worksmux/fault_trial/runner.py
@@ -1,5 +1,4 @@
-"""Runs a scripted day: starts its processes, brings its troubles about in time, ends it, and has it
-audited."""
+"""Runs a scenario on sockets: starts its processes, injects its faults on schedule and audits the records."""
 
 from __future__ import annotations
 
@@ -36,12 +35,12 @@
     ScenarioEngine,
     ScenarioFault,
 )
-from .faults import SLICE, FleetNetwork, go_on, limit_files, lose_disk, slow_disk
-from .fronts import LEASE, front_file
+from .faults import LOCK_HOLD_S, FleetNetwork, limit_files, lose_disk, resume_process, slow_disk
+from .fronts import PLAN_LEASE_MS, gateway_settings
 from .processes import Child, engine_port, gateway_ports
 
-START_WITHIN = 20_000.0  # milliseconds for all processes to tell their ports
-FAULTS = {
+START_LIMIT_MS = 20_000.0  # for all processes to report their ports
+ENGINE_FAULTS = {
     "hang": "hang",
     "fast-errors": "fail_fast",
     "slow": "slow",
@@ -55,51 +54,67 @@
 
 
 class FaultTrialError(WorksmuxError):
-    """The day could not be run: a process did not start, or died when it should not."""
+    """A scenario could not be run: a process did not start or ended unexpectedly, or requests stayed open."""
 
 
 @dataclass(eq=False)
 class EngineHandle:
-    place: ScenarioEngine
+    """An engine of the scenario and its process."""
+
+    engine: ScenarioEngine
     port: int = 0
     child: Child | None = None
     starts: int = 0
-    started: float = 0.0  # on the registry's clock; 0: long ago
+    started: float = 0.0  # wall clock, milliseconds; 0: warm from the start
     pool: client.Pool | None = None
 
 
 @dataclass(eq=False)
-class FrontHandle:
+class GatewayHandle:
+    """A gateway of the scenario and its process."""
+
     name: str
     number: int
     zone: str
     port: int = 0
     watch: int = 0
     child: Child | None = None
-    wanted: bool = True  # false while it is down on purpose
+    should_run: bool = True  # False while a fault keeps it down
 
 
 class Trial:
+    """One run of a scenario: its processes, its registry and its faults."""
+
     def __init__(
-        self, day: Scenario, folder: Path, policy: str, say: Callable[[str], None], counting: bool = True
+        self,
+        scenario: Scenario,
+        folder: Path,
+        policy: str,
+        on_progress: Callable[[str], None],
+        counting: bool = True,
     ) -> None:
-        self.counting = counting  # fronts count prompts as the day says
-        self.day, self.folder, self.policy, self.say = day, folder, policy, say
+        self.counting = counting  # gateways count prompt tokens as the scenario says
+        self.scenario, self.folder, self.policy, self.on_progress = scenario, folder, policy, on_progress
         self.reactor: Any = the_reactor()
-        self.chance = random.Random(day.seed)
+        self.random_source = random.Random(scenario.seed)
         self.journal = Journal(folder / "runner.jsonl", "runner")
         self.registry = Registry(
-            self.reactor, Journal(folder / "registry.jsonl", "registry"), day.list_late, day.ask, day.seed
+            self.reactor,
+            Journal(folder / "registry.jsonl", "registry"),
+            scenario.list_late,
+            scenario.polls_endpoint_list,
+            scenario.seed,
         )
-        self.engines = {place.id: EngineHandle(place) for place in day.engines}
-        self.fronts = [
-            FrontHandle(f"front-{at + 1}", at, day.zones[at % len(day.zones)]) for at in range(day.fronts)
+        self.engines = {engine.id: EngineHandle(engine) for engine in scenario.engines}
+        self.gateways = [
+            GatewayHandle(f"front-{index + 1}", index, scenario.zones[index % len(scenario.zones)])
+            for index in range(scenario.fronts)
         ]
         self.network: FleetNetwork | None = None
-        if day.fleet:
-            zones = {one.name: one.zone for one in self.fronts}
-            self.network = FleetNetwork(self.reactor, day, folder, zones)
-            self.registry.rewrite_endpoint = self.network.way
+        if scenario.fleet:
+            zones = {handle.name: handle.zone for handle in self.gateways}
+            self.network = FleetNetwork(self.reactor, scenario, folder, zones)
+            self.registry.rewrite_endpoint = self.network.relayed_endpoint
         self.clients: Child | None = None
         self.start = 0.0
         self.error: Exception | None = None
@@ -107,43 +122,45 @@
         self.counts: dict[str, int] = {}
 
     def run(self) -> dict[str, Any]:
-        """Plays the day and returns its report; raises FaultTrialError."""
+        """Plays the scenario and returns the report of its audit; raises FaultTrialError."""
         self.reactor.callWhenRunning(self._begin)
         self.reactor.run()
         if self.error:
             raise self.error
         records = load(self.folder)
-        told = summary(records, rule_parameters(self.day))
+        report = summary(records, rule_parameters(self.scenario))
         if self.network:
             self.network.net.close()
-            told["fleet"] = fleet_summary(records, LEASE, self.day.slack)
-            told["kept"] = told["kept"] and told["fleet"]["kept"]
-        return told
+            report["fleet"] = fleet_summary(records, PLAN_LEASE_MS, self.scenario.slack)
+            report["kept"] = report["kept"] and report["fleet"]["kept"]
+        return report
 
     def _fail(self, text: str) -> None:
         if not self.ending:
-            self.error = self.error or FaultTrialError(f"{text}; its output is in {self.folder}")
+            self.error = self.error or FaultTrialError(
+                f"{text}; the logs of all processes are in {self.folder}"
+            )
             self._stop()
 
     def _begin(self) -> None:
         self.registry.start()
         for handle in self.engines.values():
             self._start_engine(handle, cold=False)
-        self.reactor.callLater(START_WITHIN / 1000, self._late_start)
+        self.reactor.callLater(START_LIMIT_MS / 1000, self._check_started)
 
-    def _late_start(self) -> None:
+    def _check_started(self) -> None:
         if not self.start:
-            missing = [one.place.id for one in self.engines.values() if not one.port] + [
-                one.name for one in self.fronts if not one.port
+            missing = [handle.engine.id for handle in self.engines.values() if not handle.port] + [
+                handle.name for handle in self.gateways if not handle.port
             ]
-            self._fail(f"these did not start within {START_WITHIN / 1000:g} s: {', '.join(missing)}")
+            self._fail(f"processes did not start within {START_LIMIT_MS / 1000:g} s: {', '.join(missing)}")
 
     # Engines.
 
     def _start_engine(self, handle: EngineHandle, cold: bool) -> None:
         handle.starts += 1
-        path = self.folder / f"engine-{handle.place.id}.jsonl"
-        spec = engine_spec(self.day, handle.place, str(path), handle.port, cold, handle.starts)
+        path = self.folder / f"engine-{handle.engine.id}.jsonl"
+        spec = engine_spec(self.scenario, handle.engine, str(path), handle.port, cold, handle.starts)
 
         def line(text: bytes) -> None:
             port = engine_port(text)
@@ -154,14 +171,14 @@
                 )
                 handle.started = clock.wall() if cold else 0.0
                 if self.network:
-                    self.network.engine_up(handle.place.id, port)
-                self._list(handle, "ready", at_once=not cold)
-                self._maybe_fronts()
+                    self.network.engine_started(handle.engine.id, port)
+                self._announce(handle, "ready", at_once=not cold)
+                self._start_gateways_if_ready()
 
         child = Child(
             self.reactor,
             ["-m", "worksmux.fakes.engine", msgspec.json.encode(spec).decode()],
-            self.folder / f"engine-{handle.place.id}.log",
+            self.folder / f"engine-{handle.engine.id}.log",
             line,
             lambda code: ended(code),
         )
@@ -169,19 +186,19 @@
 
         def ended(code: int | None) -> None:
             if code is not None and code != 0 and handle.child is child:
-                self._fail(f"engine {handle.place.id} ended with {code}")
+                self._fail(f"engine {handle.engine.id} ended unexpectedly with exit code {code}")
 
-    def _list(self, handle: EngineHandle, state: Any, at_once: bool = False) -> None:
-        place = handle.place
+    def _announce(self, handle: EngineHandle, state: Any, at_once: bool = False) -> None:
+        engine = handle.engine
         self.registry.change(
             Line(
-                place.id,
+                engine.id,
                 "127.0.0.1",
                 handle.port,
-                place.kind,
+                engine.kind,
                 state,
-                place.zone,
-                place.cell,
+                engine.zone,
+                engine.cell,
                 1.0,
                 handle.started,
             ),
@@ -191,10 +208,10 @@
     def _kill_engine(self, handle: EngineHandle) -> None:
         if handle.child and handle.child.alive:
             handle.child.signal("KILL")
-            self.journal.note("engine killed", engine=handle.place.id)
-            self._list(handle, "gone")
+            self.journal.note("engine killed", engine=handle.engine.id)
+            self._announce(handle, "gone")
 
-    def _control(self, handle: EngineHandle, fault: Fault) -> None:
+    def _send_control(self, handle: EngineHandle, fault: Fault) -> None:
         if handle.pool and handle.child and handle.child.alive:
             handle.pool.call(
                 "POST",
@@ -204,102 +221,104 @@
                 msgspec.json.encode(fault),
             )
 
-    # Fronts.
+    # Gateways.
 
-    def _maybe_fronts(self) -> None:
+    def _start_gateways_if_ready(self) -> None:
         if all(handle.port for handle in self.engines.values()) and not any(
-            front.child for front in self.fronts
+            gateway.child for gateway in self.gateways
         ):
-            for front in self.fronts:
-                self._start_front(front)
+            for gateway in self.gateways:
+                self._start_gateway(gateway)
 
-    def _start_front(self, front: FrontHandle) -> None:
-        path = self.folder / f"{front.name}.kdl"
+    def _start_gateway(self, gateway: GatewayHandle) -> None:
+        path = self.folder / f"{gateway.name}.kdl"
         path.write_text(
-            front_file(
-                self.day,
-                front.name,
-                front.number,
-                front.zone,
-                front.port,
-                front.watch,
+            gateway_settings(
+                self.scenario,
+                gateway.name,
+                gateway.number,
+                gateway.zone,
+                gateway.port,
+                gateway.watch,
                 self.registry.port,
                 self.policy,
                 self.folder,
                 self.counting,
-                self.network.ways(front.name) if self.network else None,
+                self.network.relay_ports(gateway.name) if self.network else None,
             )
         )
 
         def line(text: bytes) -> None:
             if self.network and b'"peers"' in text and b'"fleet"' in text:
-                self.network.front_up(front.name, msgspec.json.decode(text))
+                self.network.gateway_started(gateway.name, msgspec.json.decode(text))
             ports = gateway_ports(text)
             if ports:
-                front.port, front.watch = ports
-                if not self.start and all(one.port for one in self.fronts):
-                    self._open()
+                gateway.port, gateway.watch = ports
+                if not self.start and all(gateway.port for gateway in self.gateways):
+                    self._begin_scenario()
 
-        clocked = any(trouble.kind in CLOCK_FAULTS for trouble in self.day.faults)
-        start = ["worksmux.fault_trial.clocked", str(self._clock(front))] if clocked else ["worksmux"]
+        skews_clocks = any(fault.kind in CLOCK_FAULTS for fault in self.scenario.faults)
+        module_args = (
+            ["worksmux.fault_trial.clocked", str(self._clock_file(gateway))] if skews_clocks else ["worksmux"]
+        )
         child = Child(
             self.reactor,
-            ["-m", *start, "serve", str(path)],
-            self.folder / f"{front.name}.log",
+            ["-m", *module_args, "serve", str(path)],
+            self.folder / f"{gateway.name}.log",
             line,
             lambda code: ended(code),
         )
-        front.child, front.wanted = child, True
+        gateway.child, gateway.should_run = child, True
 
         def ended(code: int | None) -> None:
-            if front.child is child and front.wanted and not self.ending:
-                self._fail(f"{front.name} ended with {code}")
+            if gateway.child is child and gateway.should_run and not self.ending:
+                self._fail(f"gateway {gateway.name} ended unexpectedly with exit code {code}")
 
-    def _kill_front(self, front: FrontHandle, name: str = "KILL") -> None:
-        if front.child and front.child.alive:
-            front.wanted = False
-            front.child.signal(name)
-            self.journal.note("front killed", front=front.name, by=name)
+    def _kill_gateway(self, gateway: GatewayHandle, name: str = "KILL") -> None:
+        if gateway.child and gateway.child.alive:
+            gateway.should_run = False
+            gateway.child.signal(name)
+            self.journal.note("front killed", front=gateway.name, by=name)
 
-    # The day.
+    # The scenario.
 
-    def _open(self) -> None:
-        # A second for the lists to arrive, and a council to form.
+    def _begin_scenario(self) -> None:
+        # 1 s for the endpoint lists to arrive, and 3 s more for consensus to elect a leader.
         self.start = clock.now() + 1000.0 + (3000.0 if self.network else 0.0)
-        day = self.day
-        self.journal.note("day", name=day.name, start=self.start, policy=self.policy)
-        request_classes = {one.name: one for one in day.request_classes}
+        scenario = self.scenario
+        self.journal.note("day", name=scenario.name, start=self.start, policy=self.policy)
+        request_classes = {each.name: each for each in scenario.request_classes}
         spec = ClientsSpec(
             str(self.folder / "clients.jsonl"),
-            day.seed,
+            scenario.seed,
             self.start,
-            day.length,
-            day.rate,
+            scenario.length,
+            scenario.rate,
             [
                 msgspec.convert(
-                    {**asdict(request_classes[one.request_class]), **asdict(one)}, RequestClassSpec
+                    {**asdict(request_classes[traffic.request_class]), **asdict(traffic)}, RequestClassSpec
                 )
-                for one in day.traffic
+                for traffic in scenario.traffic
             ],
-            [FrontSpec(front.name, front.port, front.zone) for front in self.fronts],
+            [FrontSpec(gateway.name, gateway.port, gateway.zone) for gateway in self.gateways],
             [
                 Burst(
-                    one.kind.replace("-", "_"),
-                    one.at,
-                    one.length,
-                    one.factor,
-                    one.share,
-                    one.request_class,
-                    one.how,
+                    fault.kind.replace("-", "_"),
+                    fault.at,
+                    fault.length,
+                    fault.factor,
+                    fault.share,
+                    fault.request_class,
+                    fault.how,
                 )
-                for one in day.faults
-                if one.kind in CLIENT_FAULTS
+                for fault in scenario.faults
+                if fault.kind in CLIENT_FAULTS
             ],
-            day.retries,
-            day.wait,
-            day.patience,
-            day.streams,
-            day.notice,
+            scenario.retries,
+            scenario.wait,
+            scenario.patience,
+            scenario.streams,
+            scenario.notice,
         )
         path = self.folder / "clients.json"
         path.write_bytes(msgspec.json.encode(spec))
@@ -310,209 +329,230 @@
             lambda _: None,
             self._clients_ended,
         )
-        for trouble in day.faults:
-            self.reactor.callLater((self.start + trouble.at - clock.now()) / 1000, self._strike, trouble)
-        self.reactor.callLater((day.length + day.settle + 1000) / 1000, self._fail_late)
-        self.reactor.callLater(5, self._progress)
+        for fault in scenario.faults:
+            self.reactor.callLater((self.start + fault.at - clock.now()) / 1000, self._inject_fault, fault)
+        self.reactor.callLater((scenario.length + scenario.settle + 1000) / 1000, self._fail_unsettled)
+        self.reactor.callLater(5, self._report_progress)
 
-    def _progress(self) -> None:
+    def _report_progress(self) -> None:
         if self.ending:
             return
-        size = (
+        journal_bytes = (
             (self.folder / "clients.jsonl").stat().st_size if (self.folder / "clients.jsonl").exists() else 0
         )
-        past = (clock.now() - self.start) / 1000
-        self.say(
-            f"{past:5.0f} s of {self.day.length / 1000:.0f}; clients' records {size // 1024} KiB; "
-            f"list {self.registry.serial}"
+        elapsed_s = (clock.now() - self.start) / 1000
+        self.on_progress(
+            f"{elapsed_s:5.0f} s of {self.scenario.length / 1000:.0f}; "
+            f"clients' records {journal_bytes // 1024} KiB; list {self.registry.serial}"
         )
-        self.reactor.callLater(5, self._progress)
+        self.reactor.callLater(5, self._report_progress)
 
     def _clients_ended(self, code: int | None) -> None:
         if code != 0:
-            self._fail(f"the clients ended with {code}")
+            self._fail(f"the clients ended with exit code {code}, expected 0")
         elif not self.ending:
-            self.reactor.callLater(1.0, self._stop)  # a second for state still held to be let go
+            self.reactor.callLater(1.0, self._stop)  # 1 s to release KV cache that is still held
 
-    def _fail_late(self) -> None:
-        self._fail(f"the day did not settle within {self.day.settle / 1000:g} s of its end")
+    def _fail_unsettled(self) -> None:
+        self._fail(
+            f"requests were still open {self.scenario.settle / 1000:g} s after the end of the scenario"
+        )
 
     def _stop(self) -> None:
         if self.ending:
             return
         self.ending = True
         for child in (
-            [one.child for one in self.fronts] + [one.child for one in self.engines.values()] + [self.clients]
+            [handle.child for handle in self.gateways]
+            + [handle.child for handle in self.engines.values()]
+            + [self.clients]
         ):
             if child:
                 child.signal("KILL" if self.error else "TERM")
-        self.reactor.callLater(1.0, self._quit)
+        self.reactor.callLater(1.0, self._kill_all)
 
-    def _quit(self) -> None:
-        for child in [one.child for one in self.fronts] + [one.child for one in self.engines.values()]:
+    def _kill_all(self) -> None:
+        for child in [handle.child for handle in self.gateways] + [
+            handle.child for handle in self.engines.values()
+        ]:
             if child:
                 child.signal("KILL")
         self.reactor.callLater(0.2, self.reactor.stop)
 
-    # Troubles.
+    # Faults.
 
-    def _strike(self, trouble: ScenarioFault) -> None:
+    def _inject_fault(self, fault: ScenarioFault) -> None:
         if self.ending:
             return
-        if trouble.kind in CLIENT_FAULTS:
-            self.say(f"      {trouble.kind} for {trouble.length / 1000:g} s")
+        if fault.kind in CLIENT_FAULTS:
+            self.on_progress(f"      {fault.kind} for {fault.length / 1000:g} s")
             return
-        if trouble.kind in GATEWAY_FAULTS:
-            names = select_gateways(trouble, [front.name for front in self.fronts], self.chance)
-            self.say(f"      {trouble.kind}: {', '.join(names)}")
-            for at, front in enumerate(front for front in self.fronts if front.name in names):
-                after = at * trouble.every / 1000 if trouble.kind == "front-roll" else 0.0
-                self.reactor.callLater(after, self._front_down, front, trouble)
+        if fault.kind in GATEWAY_FAULTS:
+            names = select_gateways(fault, [gateway.name for gateway in self.gateways], self.random_source)
+            self.on_progress(f"      {fault.kind}: {', '.join(names)}")
+            for index, gateway in enumerate(gateway for gateway in self.gateways if gateway.name in names):
+                after = index * fault.every / 1000 if fault.kind == "front-roll" else 0.0
+                self.reactor.callLater(after, self._inject_gateway_fault, gateway, fault)
             return
-        if trouble.kind == "cut-off":
-            self.say(f"      cut-off: {trouble.zone} from {trouble.source}, {trouble.how}")
-            self.journal.note("trouble", kind=trouble.kind, zone=trouble.zone, source=trouble.source)
+        if fault.kind == "cut-off":
+            self.on_progress(f"      cut-off: {fault.zone} from {fault.source}, {fault.how}")
+            self.journal.note("trouble", kind=fault.kind, zone=fault.zone, source=fault.source)
             if self.network:
-                self.network.cut(trouble)
+                self.network.partition(fault)
             return
-        if trouble.kind in ENDPOINT_LIST_FAULTS:
-            self.say(f"      {trouble.kind}")
-            return self._list_trouble(trouble)
-        places = select_engines(self.day, trouble, self.chance)
-        self.say(f"      {trouble.kind}: {', '.join(place.id for place in places)}")
-        self.journal.note("trouble", kind=trouble.kind, engines=[place.id for place in places])
-        for place in places:
-            self._strike_engine(trouble, self.engines[place.id])
-        if trouble.kind == "zone-loss" and trouble.how == "with-fronts":
-            for front in self.fronts:
-                if front.zone == trouble.zone:
-                    self._front_down(front, trouble)
-
-    def _front_down(self, front: FrontHandle, trouble: ScenarioFault) -> None:
+        if fault.kind in ENDPOINT_LIST_FAULTS:
+            self.on_progress(f"      {fault.kind}")
+            return self._inject_list_fault(fault)
+        engines = select_engines(self.scenario, fault, self.random_source)
+        self.on_progress(f"      {fault.kind}: {', '.join(engine.id for engine in engines)}")
+        self.journal.note("trouble", kind=fault.kind, engines=[engine.id for engine in engines])
+        for engine in engines:
+            self._inject_engine_fault(fault, self.engines[engine.id])
+        if fault.kind == "zone-loss" and fault.how == "with-fronts":
+            for gateway in self.gateways:
+                if gateway.zone == fault.zone:
+                    self._inject_gateway_fault(gateway, fault)
+
+    def _inject_gateway_fault(self, gateway: GatewayHandle, fault: ScenarioFault) -> None:
         if self.ending:
             return
-        if trouble.kind in CLOCK_FAULTS:
-            step, rate = (trouble.every, 1.0) if trouble.kind == "clock-step" else (0.0, trouble.factor)
-            self._clock(front).write_text(f"{step} {rate}", encoding="ascii")
-            self.reactor.callLater(trouble.length / 1000, self._clock(front).write_text, "0 1")
+        if fault.kind in CLOCK_FAULTS:
+            step, rate = (fault.every, 1.0) if fault.kind == "clock-step" else (0.0, fault.factor)
+            self._clock_file(gateway).write_text(f"{step} {rate}", encoding="ascii")
+            self.reactor.callLater(fault.length / 1000, self._clock_file(gateway).write_text, "0 1")
             return
-        if trouble.kind in ("freeze", "disk-full", "disk-slow"):
-            return self._hamper(front, trouble)
-        rolled = trouble.kind == "front-roll"
-        self._kill_front(front, "TERM" if rolled else "KILL")
-        if trouble.kind == "machine-loss":
-            self.reactor.callLater(0.3, lose_disk, self.folder / f"{front.name}.disk")
-        self.reactor.callLater(trouble.length / 1000, self._front_back, front)
-
-    def _clock(self, front: FrontHandle) -> Path:
-        """What says how wrong the clocks of a front are."""
-        return self.folder / f"{front.name}.clock"
-
-    def _hamper(self, front: FrontHandle, trouble: ScenarioFault) -> None:
-        """A front whose process goes on, or will."""
-        child = front.child
+        if fault.kind in ("freeze", "disk-full", "disk-slow"):
+            return self._disturb_gateway(gateway, fault)
+        is_rolling = fault.kind == "front-roll"
+        self._kill_gateway(gateway, "TERM" if is_rolling else "KILL")
+        if fault.kind == "machine-loss":
+            self.reactor.callLater(0.3, lose_disk, self.folder / f"{gateway.name}.disk")
+        self.reactor.callLater(fault.length / 1000, self._restart_gateway, gateway)
+
+    def _clock_file(self, gateway: GatewayHandle) -> Path:
+        """The file that controls the clocks of a gateway."""
+        return self.folder / f"{gateway.name}.clock"
+
+    def _disturb_gateway(self, gateway: GatewayHandle, fault: ScenarioFault) -> None:
+        """Freezes a gateway or disturbs its disk; its process stays alive."""
+        child = gateway.child
         if child is None or not child.alive:
             return
-        self.journal.note("trouble", kind=trouble.kind, front=front.name)
-        if trouble.kind == "freeze":
+        self.journal.note("trouble", kind=fault.kind, front=gateway.name)
+        if fault.kind == "freeze":
             child.signal("STOP")
-            self.journal.note("front frozen", front=front.name)
-            self.reactor.callLater(trouble.length / 1000, self._thaw, front.name, child)
-        elif trouble.kind == "disk-full":
+            self.journal.note("front frozen", front=gateway.name)
+            self.reactor.callLater(fault.length / 1000, self._resume_gateway, gateway.name, child)
+        elif fault.kind == "disk-full":
             limit_files(child, True)
-            self.reactor.callLater(trouble.length / 1000, limit_files, child, False)
+            self.reactor.callLater(fault.length / 1000, limit_files, child, False)
         else:
             slow_disk(
-                self.reactor, self.folder / f"{front.name}.disk", max(1, round(trouble.length / 2000 / SLICE))
+                self.reactor,
+                self.folder / f"{gateway.name}.disk",
+                max(1, round(fault.length / 2000 / LOCK_HOLD_S)),
             )
 
-    def _thaw(self, name: str, child: Child) -> None:
+    def _resume_gateway(self, name: str, child: Child) -> None:
         self.journal.note("front goes on", front=name)
-        go_on(child)
+        resume_process(child)
 
-    def _front_back(self, front: FrontHandle) -> None:
+    def _restart_gateway(self, gateway: GatewayHandle) -> None:
         if self.ending:
             return
-        if front.child and front.child.alive:  # still finishing what is out
-            self.reactor.callLater(0.1, self._front_back, front)
+        if gateway.child and gateway.child.alive:  # still finishing open requests
+            self.reactor.callLater(0.1, self._restart_gateway, gateway)
         else:
-            self._start_front(front)
+            self._start_gateway(gateway)
 
-    def _list_trouble(self, trouble: ScenarioFault) -> None:
-        match trouble.kind:
+    def _inject_list_fault(self, fault: ScenarioFault) -> None:
+        match fault.kind:
             case "list-stale":
-                self.registry.extra_delay_ms = trouble.factor * 1000
-                self.reactor.callLater(trouble.length / 1000, setattr, self.registry, "extra_delay_ms", 0.0)
+                self.registry.extra_delay_ms = fault.factor * 1000
+                self.reactor.callLater(fault.length / 1000, setattr, self.registry, "extra_delay_ms", 0.0)
             case "list-lost":
                 self.registry.go_offline()
-                self.reactor.callLater(trouble.length / 1000, self.registry.go_online)
+                self.reactor.callLater(fault.length / 1000, self.registry.go_online)
             case "list-gap":
-                self.registry.changes_to_drop += max(1, int(trouble.factor))
-
-    def _strike_engine(self, trouble: ScenarioFault, handle: EngineHandle) -> None:
-        later = self.reactor.callLater
-        match trouble.kind:
-            case "zone-loss" if trouble.how == "silent":
-                self._fault(handle, trouble, "hang")
-                later(trouble.length / 1000, self._kill_engine, handle)
-                later((trouble.length + trouble.every) / 1000, self._engine_back, handle)
+                self.registry.changes_to_drop += max(1, int(fault.factor))
+
+    def _inject_engine_fault(self, fault: ScenarioFault, handle: EngineHandle) -> None:
+        call_later = self.reactor.callLater
+        match fault.kind:
+            case "zone-loss" if fault.how == "silent":
+                self._switch_fault(handle, fault, "hang")
+                call_later(fault.length / 1000, self._kill_engine, handle)
+                call_later((fault.length + fault.every) / 1000, self._restart_engine, handle)
             case "crash" | "zone-loss":
                 self._kill_engine(handle)
-                later(trouble.length / 1000, self._engine_back, handle)
+                call_later(fault.length / 1000, self._restart_engine, handle)
             case "mass-restart":
-                later(self.chance.uniform(0, trouble.every) / 1000, self._kill_engine, handle)
-                later(
-                    (trouble.length + self.chance.uniform(0, trouble.every)) / 1000, self._engine_back, handle
+                call_later(self.random_source.uniform(0, fault.every) / 1000, self._kill_engine, handle)
+                call_later(
+                    (fault.length + self.random_source.uniform(0, fault.every)) / 1000,
+                    self._restart_engine,
+                    handle,
                 )
             case "vanish":
                 self._kill_engine(handle)
             case "drain":
-                self._list(handle, "draining")
-                self._control(handle, Fault("drain"))
-                later(trouble.length / 1000, self._kill_engine, handle)
-                later((trouble.length + trouble.every) / 1000, self._engine_back, handle)
+                self._announce(handle, "draining")
+                self._send_control(handle, Fault("drain"))
+                call_later(fault.length / 1000, self._kill_engine, handle)
+                call_later((fault.length + fault.every) / 1000, self._restart_engine, handle)
             case "neighbour":
-                self._neighbour(handle, trouble, clock.now() + trouble.length, True)
+                self._toggle_neighbour(handle, fault, clock.now() + fault.length, True)
             case "offering-fails":
-                name = "silence" if trouble.how == "silence" else "fail_fast"
-                self._fault(handle, trouble, name)
+                name = "silence" if fault.how == "silence" else "fail_fast"
+                self._switch_fault(handle, fault, name)
             case kind:
-                self._fault(handle, trouble, FAULTS[kind])
+                self._switch_fault(handle, fault, ENGINE_FAULTS[kind])
 
-    def _fault(self, handle: EngineHandle, trouble: ScenarioFault, name: str) -> None:
-        fault = Fault(name, True, trouble.share, trouble.factor, trouble.request_class)
-        self._control(handle, fault)
-        self.reactor.callLater(trouble.length / 1000, self._control, handle, Fault(name, on=False))
+    def _switch_fault(self, handle: EngineHandle, fault: ScenarioFault, name: str) -> None:
+        engine_fault = Fault(name, True, fault.share, fault.factor, fault.request_class)
+        self._send_control(handle, engine_fault)
+        self.reactor.callLater(fault.length / 1000, self._send_control, handle, Fault(name, on=False))
 
-    def _neighbour(self, handle: EngineHandle, trouble: ScenarioFault, until: float, on: bool) -> None:
-        over = clock.now() >= until
-        self._control(handle, Fault("neighbour", on and not over, trouble.share))
-        if not over and not self.ending:
+    def _toggle_neighbour(self, handle: EngineHandle, fault: ScenarioFault, until: float, on: bool) -> None:
+        is_over = clock.now() >= until
+        self._send_control(handle, Fault("neighbour", on and not is_over, fault.share))
+        if not is_over and not self.ending:
             self.reactor.callLater(
-                trouble.every * self.chance.uniform(0.7, 1.3) / 1000,
-                self._neighbour,
+                fault.every * self.random_source.uniform(0.7, 1.3) / 1000,
+                self._toggle_neighbour,
                 handle,
-                trouble,
+                fault,
                 until,
                 not on,
             )
 
-    def _engine_back(self, handle: EngineHandle) -> None:
+    def _restart_engine(self, handle: EngineHandle) -> None:
         if not self.ending and handle.child and not handle.child.alive:
             self._start_engine(handle, cold=True)
 
 
 def play(
-    day: Scenario, policy: str, say: Callable[[str], None], keep: Path | None = None, counting: bool = True
+    scenario: Scenario,
+    policy: str,
+    on_progress: Callable[[str], None],
+    keep: Path | None = None,
+    counting: bool = True,
 ) -> dict[str, Any]:
-    """One day with one policy; its records stay in `keep`, or are removed if all went well."""
+    """Plays one scenario with one policy and returns the report.
+
+    The records stay in `keep`.  Without `keep`, they are removed if every rule was kept.
+    """
     folder = keep or Path(tempfile.mkdtemp(prefix="worksmux-day-"))
     folder.mkdir(parents=True, exist_ok=True)
     if any(folder.glob("*.jsonl")):
         raise FaultTrialError(f"{folder} holds the records of another run; name an empty folder")
-    told = {"day": day.name, "policy": policy, **Trial(day, folder, policy, say, counting).run()}
-    if keep is None and told["kept"]:
+    report = {
+        "day": scenario.name,
+        "policy": policy,
+        **Trial(scenario, folder, policy, on_progress, counting).run(),
+    }
+    if keep is None and report["kept"]:
         shutil.rmtree(folder)
     else:
-        told["records"] = str(folder)
-    return told
+        report["records"] = str(folder)
+    return report
--- a/worksmux/fault_trial/small.py
+++ b/worksmux/fault_trial/small.py
@@ -1,5 +1,4 @@
-"""A small day within one process: registry, engines, fronts and clients on loopback, on a reactor of its
-own."""
+"""A test rig in one process: registry, engines, gateways and clients on loopback, with its own reactor."""
 
 from __future__ import annotations
 
@@ -93,14 +92,14 @@
     drain-time "3s"
 }
 """
-# The slack is what a starved machine adds: all of a small day runs in one process.
+# The slack covers delays on a busy machine: the whole rig runs in one process.
 FIGURES = Figures(8.0, 250.0, 300.0, 1000.0, {"note": "cell"}, {"note": 2000.0}, slack=400.0)
 
 
 def plain_request_class(
     name: str, effect: str, answer_tokens: tuple[float, float], beginnings: int
 ) -> RequestClassSpec:
-    """Small prompts and short answers, as the rigs' clients ask them."""
+    """The traffic of the rigs' clients: small prompts and short answers."""
     return RequestClassSpec(
         name=name,
         share=1.0,
@@ -123,17 +122,20 @@
 
 
 class Rig:
-    """`engines` are (kind, cell) pairs in zone north; engine k is called e<k>."""
+    """A registry, fake engines, gateways and clients.
+
+    `engines` are (kind, cell) pairs in zone north; engine k has the id e<k>.
+    """
 
     def __init__(
         self,
         folder: Path,
         engines: list[tuple[str, int]],
-        make: PolicyFactory | None = None,
+        policy_factory: PolicyFactory | None = None,
         text: str = SETTINGS,
         **spec: Any,
     ) -> None:
-        self.folder, self.make, self.text, self.spec = folder, make, text, spec
+        self.folder, self.policy_factory, self.text, self.spec = folder, policy_factory, text, spec
         self.reactor: Any = EPollReactor()  # type: ignore[no-untyped-call]
         self.registry = Registry(
             self.reactor, Journal(folder / "registry.jsonl", "registry"), (0.0, 0.0), False, 1
@@ -147,6 +149,7 @@
         self.failed: BaseException | None = None
 
     def add_engine(self, kind: str, cell: int = 0, cold: bool = False, listed: bool = True) -> EngineProcess:
+        """Starts an engine and announces it, unless `listed` is False."""
         spec = small_spec(self.folder, f"e{len(self.engines)}", kind, "north", cell, cold)
         engine = EngineProcess(msgspec.structs.replace(spec, **self.spec), self.reactor)
         engine.start()
@@ -156,25 +159,29 @@
         return engine
 
     def announce(self, engine: EngineProcess, state: Any, started: float = 0.0) -> None:
+        """Publishes an engine's state in the registry at once."""
         self.registry.change(list_entry(engine, state, started), at_once=True)
 
     def settings(self) -> FrontSettings:
+        """The gateway settings with the registry's port."""
         return read_front(parse(self.text.replace('127.0.0.1:1"', f'127.0.0.1:{self.registry.port}"')))
 
     def front(self) -> GatewayProcess:
-        front = GatewayProcess(self.settings(), self.reactor, self.make)
-        front.start()
-        self.fronts.append(front)
-        return front
-
-    def inject_fault(self, engine: EngineProcess, name: str, on: bool = True, **more: Any) -> None:
+        """Starts a gateway."""
+        gateway = GatewayProcess(self.settings(), self.reactor, self.policy_factory)
+        gateway.start()
+        self.fronts.append(gateway)
+        return gateway
+
+    def inject_fault(self, engine: EngineProcess, name: str, on: bool = True, **fields: Any) -> None:
+        """Switches a fault of an engine on or off by a control call."""
         pool = client.Pool(self.reactor, "127.0.0.1", engine.port, 500.0, 100.0, 0, 65_536)
-        body = msgspec.json.encode(Fault(name, on, **more))
+        body = msgspec.json.encode(Fault(name, on, **fields))
         pool.call("POST", calls.CONTROL, client.BufferedResponse(65_536, lambda *_: None), (), body)
 
-    def at(self, ms: float, call: Callable[..., Any], *args: Any) -> None:
-        """Runs `call` that long after the clients' start."""
-        self.reactor.callLater((ms + 200) / 1000, call, *args)
+    def at(self, delay_ms: float, call: Callable[..., Any], *args: Any) -> None:
+        """Schedules `call` for this time after the clients' start."""
+        self.reactor.callLater((delay_ms + 200) / 1000, call, *args)
 
     def run_clients(
         self,
@@ -183,21 +190,24 @@
         rate: float = 20.0,
         retries: float = 0.0,
         patience: float = 1.0,
-        answer: tuple[float, float] = (5, 15),
+        answer_tokens: tuple[float, float] = (5, 15),
         effect: str = "redoable",
     ) -> Records:
-        """Clients ask one offering until all is answered; then a second for what is held, and the records."""
+        """Runs clients of one request class until every request has ended; returns the records.
+
+        The reactor runs for another 0.6 s, so that KV cache that is still held is released.
+        """
         if not self.fronts:
             self.front()
-        one = plain_request_class(request_class, effect, answer, beginnings=3)
+        traffic = plain_request_class(request_class, effect, answer_tokens, beginnings=3)
         spec = ClientsSpec(
             str(self.folder / "clients.jsonl"),
             3,
             clock.now() + 200,
             length,
             rate,
-            [one],
-            [FrontSpec(front.settings.name, front.port, "north") for front in self.fronts],
+            [traffic],
+            [FrontSpec(gateway.settings.name, gateway.port, "north") for gateway in self.fronts],
             [],
             (retries, retries),
             (50.0, 150.0),
@@ -212,14 +222,14 @@
         self.run()
         return load(self.folder)
 
-    def run(self, within: float = 30.0) -> None:
-        """Runs until something stops the reactor; fails after `within` seconds."""
+    def run(self, within_s: float = 30.0) -> None:
+        """Runs until something stops the reactor; raises TimeoutError after `within_s` seconds."""
 
-        def late() -> None:
-            self.failed = TimeoutError(f"not over within {within} s")
+        def time_out() -> None:
+            self.failed = TimeoutError(f"the reactor was not stopped within {within_s} s")
             self.reactor.crash()
 
-        timer = self.reactor.callLater(within, late)
+        timer = self.reactor.callLater(within_s, time_out)
         self.reactor.run(installSignalHandlers=False)
         if timer.active():
             timer.cancel()
@@ -234,8 +244,8 @@
         path: str = "/v1/chat/completions",
         **headers: str,
     ) -> client.Call:
-        """One call to the first front."""
-        front = self.fronts[0]
-        pool = client.Pool(self.reactor, "127.0.0.1", front.port, 500.0, 100.0, 0, 65_536)
-        named = [(name.replace("_", "-"), value) for name, value in headers.items()]
-        return pool.call(method, path, client.BufferedResponse(2**20, on_end), named, body)
+        """Sends one request to the first gateway."""
+        gateway = self.fronts[0]
+        pool = client.Pool(self.reactor, "127.0.0.1", gateway.port, 500.0, 100.0, 0, 65_536)
+        header_list = [(name.replace("_", "-"), value) for name, value in headers.items()]
+        return pool.call(method, path, client.BufferedResponse(2**20, on_end), header_list, body)
--- a/worksmux/scenarios/__init__.py
+++ b/worksmux/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""Scripted days: what is played, on sockets by the trial and in simulated time by the model."""
+"""Scenarios: scripted runs, played on sockets by the fault trial and in simulated time by the simulation."""
--- a/worksmux/scenarios/engines.py
+++ b/worksmux/scenarios/engines.py
@@ -1,4 +1,4 @@
-"""What a day's engines are and whom a trouble strikes, without I/O."""
+"""The engines of a scenario and the selection of a fault's targets, without I/O."""
 
 from __future__ import annotations
 
@@ -9,93 +9,110 @@
 
 
 def engine_spec(
-    day: Scenario, place: ScenarioEngine, journal: str, port: int, cold: bool, starts: int
+    scenario: Scenario, engine: ScenarioEngine, journal: str, port: int, cold: bool, starts: int
 ) -> Spec:
-    """The stand-in at `place`; its capacity is reckoned from the day's mean job, for falling over when
-    cold."""
-    machine = day.machines[place.kind]
-    kind = next(kind for kind in day.kinds if kind.name == place.kind)
-    readers = sum(other.cell == place.cell and other.kind == place.kind for other in day.engines)
+    """The fake engine's parameters.
+
+    The capacity follows from the scenario's mean request; a cold engine fails under a multiple of it.
+    """
+    machine = scenario.machines[engine.kind]
+    kind = next(kind for kind in scenario.kinds if kind.name == engine.kind)
+    sharing_link = sum(other.cell == engine.cell and other.kind == engine.kind for other in scenario.engines)
     return Spec(
-        place.id,
-        place.kind,
+        engine.id,
+        engine.kind,
         kind.role,
-        place.zone,
-        place.cell,
+        engine.zone,
+        engine.cell,
         machine.slots,
         machine.line,
         kind.memory,
         machine.read_speed,
         machine.step,
         machine.per_stream,
-        day.near,
-        day.far / max(1, readers),
-        day.zone_slower,
-        cold_from=day.cold_from,
-        warm_up=day.warm_up,
-        fall_multiple=day.rules["fall_multiple"],
-        fall_time=day.rules["fall_time"],
-        capacity=capacity(day, place),
-        lease=day.lease,
+        scenario.near,
+        scenario.far / max(1, sharing_link),
+        scenario.zone_slower,
+        cold_from=scenario.cold_from,
+        warm_up=scenario.warm_up,
+        fall_multiple=scenario.rules["fall_multiple"],
+        fall_time=scenario.rules["fall_time"],
+        capacity=capacity(scenario, engine),
+        lease=scenario.lease,
         cold=cold,
         journal=journal,
         port=port,
-        seed=day.seed * 7919 + name_hash(place.id) + starts,
-        tokenizer=next(iter(day.tokenizers.values()), ""),
+        seed=scenario.seed * 7919 + name_hash(engine.id) + starts,
+        tokenizer=next(iter(scenario.tokenizers.values()), ""),
     )
 
 
 def name_hash(name: str) -> int:
-    return sum((at + 1) * byte for at, byte in enumerate(name.encode()))
+    """A hash of a name that is the same in every process."""
+    return sum((index + 1) * byte for index, byte in enumerate(name.encode()))
 
 
-def capacity(day: Scenario, place: ScenarioEngine) -> float:
-    """Jobs a second that an engine of this kind can carry when warm."""
-    machine = day.machines[place.kind]
-    role = next(kind.role for kind in day.kinds if kind.name == place.kind)
-    call = next(kind.call for kind in day.kinds if kind.name == place.kind)
-    calls = {one.name: one.call for one in day.request_classes}
-    traffic = [one for one in day.traffic if calls[one.request_class] == call]
-    shares = sum(one.share for one in traffic) or 1.0
+def capacity(scenario: Scenario, engine: ScenarioEngine) -> float:
+    """Requests per second that a warm engine of this kind can serve."""
+    machine = scenario.machines[engine.kind]
+    role = next(kind.role for kind in scenario.kinds if kind.name == engine.kind)
+    call = next(kind.call for kind in scenario.kinds if kind.name == engine.kind)
+    calls = {entry.name: entry.call for entry in scenario.request_classes}
+    traffic = [entry for entry in scenario.traffic if calls[entry.request_class] == call]
+    total_share = sum(entry.share for entry in traffic) or 1.0
     if call != "chat":
-        tokens = sum(one.share * sum(one.inputs) / 2 * sum(one.new_tokens) / 2 for one in traffic) / shares
-        return machine.read_speed / max(1.0, tokens)
-    prompt = (
+        mean_tokens = (
+            sum(entry.share * sum(entry.inputs) / 2 * sum(entry.new_tokens) / 2 for entry in traffic)
+            / total_share
+        )
+        return machine.read_speed / max(1.0, mean_tokens)
+    mean_prompt_tokens = (
         sum(
-            one.share
+            entry.share
             * (
-                sum(one.new_tokens) / 2 * (1 + sum(one.turns) / 4)
-                + one.beginning_share * sum(one.beginning_tokens) / 2
+                sum(entry.new_tokens) / 2 * (1 + sum(entry.turns) / 4)
+                + entry.beginning_share * sum(entry.beginning_tokens) / 2
             )
-            for one in traffic
+            for entry in traffic
         )
-        / shares
+        / total_share
+    )
+    mean_answer_tokens = sum(entry.share * sum(entry.answer_tokens) / 2 for entry in traffic) / total_share
+    prefill_rate = machine.read_speed / max(1.0, mean_prompt_tokens)
+    token_interval_ms = machine.step + machine.per_stream * machine.slots
+    decode_rate = machine.slots * 1000 / (token_interval_ms * max(1.0, mean_answer_tokens))
+    return {"read": prefill_rate, "write": decode_rate}.get(
+        role, 1 / (1 / max(prefill_rate, 1e-9) + 1 / decode_rate)
     )
-    answer = sum(one.share * sum(one.answer_tokens) / 2 for one in traffic) / shares
-    reads = machine.read_speed / max(1.0, prompt)
-    pace = machine.step + machine.per_stream * machine.slots
-    writes = machine.slots * 1000 / (pace * max(1.0, answer))
-    return {"read": reads, "write": writes}.get(role, 1 / (1 / max(reads, 1e-9) + 1 / writes))
 
 
-def select_engines(day: Scenario, trouble: ScenarioFault, chance: random.Random) -> list[ScenarioEngine]:
-    """The engines that a trouble strikes: those it names or describes, and of these its part, at least
-    one."""
-    roles = {kind.name: kind.role for kind in day.kinds}
-    able = [
-        place
-        for place in day.engines
-        if (not trouble.names or place.id in trouble.names)
-        and (not trouble.role or roles[place.kind] == trouble.role)
-        and (not trouble.zone or place.zone == trouble.zone)
-        and (not trouble.region or day.regions.get(place.zone) == trouble.region)
-        and (trouble.cell < 0 or place.cell == trouble.cell)
+def select_engines(
+    scenario: Scenario, fault: ScenarioFault, random_source: random.Random
+) -> list[ScenarioEngine]:
+    """The engines that a fault affects: a random share of those that match, at least one, or all of them."""
+    roles = {kind.name: kind.role for kind in scenario.kinds}
+    candidates = [
+        engine
+        for engine in scenario.engines
+        if (not fault.names or engine.id in fault.names)
+        and (not fault.role or roles[engine.kind] == fault.role)
+        and (not fault.zone or engine.zone == fault.zone)
+        and (not fault.region or scenario.regions.get(engine.zone) == fault.region)
+        and (fault.cell < 0 or engine.cell == fault.cell)
     ]
-    if not trouble.part:
-        return able
-    return sorted(chance.sample(able, max(1, round(trouble.part * len(able)))), key=lambda place: place.id)
+    if not fault.part:
+        return candidates
+    return sorted(
+        random_source.sample(candidates, max(1, round(fault.part * len(candidates)))),
+        key=lambda engine: engine.id,
+    )
 
 
-def select_gateways(trouble: ScenarioFault, fronts: list[str], chance: random.Random) -> list[str]:
-    able = [name for name in fronts if not trouble.names or name in trouble.names]
-    return chance.sample(able, max(1, round((trouble.part or 1.0) * len(able)))) if able else []
+def select_gateways(fault: ScenarioFault, gateways: list[str], random_source: random.Random) -> list[str]:
+    """The gateways that a fault affects: a random share of those it names, at least one."""
+    candidates = [name for name in gateways if not fault.names or name in fault.names]
+    return (
+        random_source.sample(candidates, max(1, round((fault.part or 1.0) * len(candidates))))
+        if candidates
+        else []
+    )
--- a/worksmux/scenarios/figures.py
+++ b/worksmux/scenarios/figures.py
@@ -1,4 +1,4 @@
-"""What the audit's rules need to know of a day."""
+"""The parameters that the audit's rules take from a scenario."""
 
 from __future__ import annotations
 
@@ -6,13 +6,14 @@
 from .scenario import Scenario
 
 
-def rule_parameters(day: Scenario) -> Figures:
+def rule_parameters(scenario: Scenario) -> Figures:
+    """The time limits and the deduplication settings of a scenario, for the audit's rules."""
     return Figures(
-        day.rules["answer_slack"],
-        day.rules["drain_grace"],
-        day.rules["release_within"],
-        day.rules["fall_time"],
-        {one.name: one.group for one in day.request_classes},
-        {one.name: one.remembered for one in day.request_classes},
-        day.slack,
+        scenario.rules["answer_slack"],
+        scenario.rules["drain_grace"],
+        scenario.rules["release_within"],
+        scenario.rules["fall_time"],
+        {request_class.name: request_class.group for request_class in scenario.request_classes},
+        {request_class.name: request_class.remembered for request_class in scenario.request_classes},
+        scenario.slack,
     )
--- a/worksmux/scenarios/scenario.py
+++ b/worksmux/scenarios/scenario.py
@@ -1,5 +1,7 @@
-"""The file of a scripted day, in KDL.  Offerings, rules, limits and transport stand as in a front's
-settings."""
+"""The KDL file of a scenario.
+
+Request classes, rules, limits and transport have the same sections as in a gateway's settings.
+"""
 
 from __future__ import annotations
 
@@ -70,13 +72,13 @@
     }
 )
 CLOCK_FAULTS = frozenset({"clock-step", "clock-drift"})
-CUTS = ["", "both", "in", "out", "silent", "reset"]
+PARTITION_MODES = ["", "both", "in", "out", "silent", "reset"]
 ENDPOINT_LIST_FAULTS = frozenset({"list-stale", "list-lost", "list-gap"})
 
 
 @dataclass(frozen=True)
 class Traffic:
-    """How clients ask one offering; spans are (lowest, highest)."""
+    """The traffic of one request class; ranges are (lowest, highest), times are in milliseconds."""
 
     request_class: str
     share: float
@@ -87,13 +89,13 @@
     beginnings: int
     beginning_tokens: tuple[float, float]
     beginning_share: float
-    inputs: tuple[float, float] = (1.0, 1.0)  # of one call of embeddings, or documents of one of rerank
+    inputs: tuple[float, float] = (1.0, 1.0)  # inputs per embeddings request, or documents per rerank request
     callers: int = 1
 
 
 @dataclass(frozen=True)
 class Machine:
-    """What an engine of a kind can do."""
+    """The slots, queue length and speeds of the engines of one kind."""
 
     kind: str
     slots: int
@@ -105,7 +107,7 @@
 
 @dataclass(frozen=True)
 class ScenarioEngine:
-    """One engine of the day."""
+    """One engine of the scenario."""
 
     id: str
     kind: str
@@ -115,12 +117,12 @@
 
 @dataclass(frozen=True)
 class ScenarioFault:
-    """One trouble: when, whom it strikes and how hard; times in milliseconds."""
+    """One scheduled fault: its time, targets and severity; times are in milliseconds."""
 
     kind: str
     at: float
     length: float
-    part: float  # of the engines or fronts that it may strike
+    part: float  # share of the matching engines or gateways; 0: all
     role: str
     zone: str
     cell: int
@@ -129,14 +131,16 @@
     factor: float
     request_class: str
     how: str
-    every: float  # on and off, or between two of a row
+    every: float  # the period of an on-off fault, or the interval between targets
     line: int
     region: str = ""
-    source: str = ""  # of a cut: a zone, or "fronts"
+    source: str = ""  # the other side of a network partition: a zone, or "fronts"
 
 
 @dataclass(frozen=True)
 class Scenario:
+    """A scripted run: its systems, traffic, faults and settings; times are in milliseconds."""
+
     name: str
     length: float
     settle: float
@@ -162,7 +166,7 @@
     streams: float
     notice: float
     list_late: tuple[float, float]
-    ask: bool
+    polls_endpoint_list: bool
     faults: list[ScenarioFault]
     rules: dict[str, float]
     limits: dict[str, Any]
@@ -170,15 +174,16 @@
     transport: Transport
     tokenizers: dict[str, str]
     counting: Counting | None
-    memory: bool  # fronts remember the list on disk
+    memory: bool  # gateways keep an endpoint cache on disk
     slack: float
     admission: Admission | None
-    regions: dict[str, str]  # by zone; empty where none are told
-    fleet: bool = False  # fronts decide in common
+    regions: dict[str, str]  # by zone; empty if the file names none
+    fleet: bool = False  # gateways share a failover plan by consensus
     seats: int = 3
-    carries: float = 0.0  # jobs a second that a zone carries warm, told to the fronts; 0: not told
+    carries: float = 0.0  # requests per second that a warm zone can serve; 0: unknown to the gateways
 
     def module_settings(self, number: int, zone: str) -> PolicySettings:
+        """The policy settings of the gateway with this number."""
         return shared.module_settings(
             self.request_classes,
             self.kinds,
@@ -190,14 +195,14 @@
             zone=self.zones.index(zone),
             tick_ms=2.0,
             connect_timeout_ms=self.transport.connect_time_out,
-            polls_endpoint_list=self.ask,
+            polls_endpoint_list=self.polls_endpoint_list,
         )
 
 
 def _traffic(root: Section, request_classes: list[shared.RequestClass]) -> list[Traffic]:
-    found = []
+    entries = []
     for node in root.all("traffic"):
-        one = Traffic(
+        traffic = Traffic(
             node.title(),
             node.number("share"),
             node.span("new-tokens"),
@@ -210,22 +215,22 @@
             node.span("inputs", (1.0, 1.0)),
             node.whole("callers", 1, least=1),
         )
-        if one.request_class not in {request_class.name for request_class in request_classes}:
+        if traffic.request_class not in {request_class.name for request_class in request_classes}:
             node.complain(
-                f'traffic "{one.request_class}": no such offering; name one of '
+                f'traffic "{traffic.request_class}": no such offering; name one of '
                 + ", ".join(request_class.name for request_class in request_classes)
             )
         node.end()
-        found.append(one)
-    if not found:
+        entries.append(traffic)
+    if not entries:
         root.complain("no traffic; add a section traffic for each offering that clients ask")
-    return found
+    return entries
 
 
 def _machines(root: Section, kinds: list[shared.Kind]) -> dict[str, Machine]:
-    found = {}
+    entries = {}
     for node in root.all("machine"):
-        one = Machine(
+        machine = Machine(
             node.title(),
             node.whole("slots", least=1),
             node.whole("line"),
@@ -234,16 +239,16 @@
             node.time("per-stream", 0.3),
         )
         node.end()
-        found[one.kind] = one
+        entries[machine.kind] = machine
     for kind in kinds:
-        if kind.name not in found:
+        if kind.name not in entries:
             root.complain(f'no machine "{kind.name}": add a section machine for that kind')
-            found[kind.name] = Machine(kind.name, 1, 1, 1.0, 20.0, 0.3)
-    return found
+            entries[kind.name] = Machine(kind.name, 1, 1, 1.0, 20.0, 0.3)
+    return entries
 
 
-def _places(root: Section, zones: list[str], machines: dict[str, Machine]) -> list[ScenarioEngine]:
-    found = []
+def _engines(root: Section, zones: list[str], machines: dict[str, Machine]) -> list[ScenarioEngine]:
+    entries = []
     for number, node in enumerate(root.all("cell")):
         name, zone = node.title(), node.choice("zone", zones)
         for group in node.all("engines"):
@@ -255,23 +260,25 @@
                 group.complain('engines: expected a kind and how many, such as engines "decode" 2')
                 continue
             kind, count = str(group.args[0]), int(group.args[1])
-            found += [ScenarioEngine(f"{name}-{kind}-{at + 1}", kind, zone, number) for at in range(count)]
+            entries += [
+                ScenarioEngine(f"{name}-{kind}-{index + 1}", kind, zone, number) for index in range(count)
+            ]
         node.end()
-    if not found:
+    if not entries:
         root.complain("no engine; add sections cell with engines")
-    return found
+    return entries
 
 
-def _troubles(
+def _faults(
     root: Section, scenario_zones: list[str], cells: int, regions: dict[str, str]
 ) -> list[ScenarioFault]:
-    found = []
+    entries = []
     for node in root.all("trouble"):
         kind = node.title()
         region = node.choice("region", ["", *sorted(set(regions.values()))], "")
         source = node.choice("from", ["", "fronts", *scenario_zones], "")
         if kind == "cut-off":
-            how = node.choice("how", CUTS, "both")
+            how = node.choice("how", PARTITION_MODES, "both")
             if not source or not node.maybe("zone") and "zone" not in node.props:
                 node.complain(
                     'cut-off: name a zone and what it is cut off from, such as zone="north" from="fronts"'
@@ -281,7 +288,7 @@
         if kind not in FAULT_KINDS:
             node.complain(f'unknown trouble "{kind}"; known: {", ".join(sorted(FAULT_KINDS))}')
         names = tuple(node.texts("names")) if "names" in node.props or node.maybe("names") else ()
-        found.append(
+        entries.append(
             ScenarioFault(
                 kind,
                 node.time("at"),
@@ -302,66 +309,81 @@
             )
         )
         node.end()
-    return sorted(found, key=lambda trouble: trouble.at)
+    return sorted(entries, key=lambda fault: fault.at)
 
 
 def read_scenario(root: Section) -> Scenario:
-    """A whole day; raises SettingsError with every complaint at once."""
-    day = root.only("day")
-    name, length, settle = day.title(), day.time("length", least=1000), day.time("settle", 15_000.0)
-    seed, slack = day.whole("seed", 1), day.time("slack", 60.0)
-    day.end()
+    """Reads a scenario; raises SettingsError with all complaints."""
+    section = root.only("day")
+    name, length, settle = (
+        section.title(),
+        section.time("length", least=1000),
+        section.time("settle", 15_000.0),
+    )
+    seed, slack = section.whole("seed", 1), section.time("slack", 60.0)
+    section.end()
     zones = root.texts("zones")
-    fronts = root.only("fronts")
+    gateways_section = root.only("fronts")
     regions = shared.regions(root, zones)
-    count, policy = fronts.whole("count", least=1, most=10_000), fronts.choice("policy", POLICIES, "worksmux")
+    gateway_count, policy = (
+        gateways_section.whole("count", least=1, most=10_000),
+        gateways_section.choice("policy", POLICIES, "worksmux"),
+    )
     request_classes, kinds = shared.request_classes(root), shared.kinds(root)
     machines = _machines(root, kinds)
-    places = _places(root, zones, machines)
-    links, cold, load_ = root.only("links"), root.only("cold"), root.only("load")
-    clients, registry = root.only("clients"), root.only("registry")
+    places = _engines(root, zones, machines)
+    links_section, cold_section, load_section = root.only("links"), root.only("cold"), root.only("load")
+    clients_section, registry_section = root.only("clients"), root.only("registry")
     scenario = Scenario(
         name,
         length,
         settle,
         seed,
         zones,
-        count,
+        gateway_count,
         policy,
         request_classes,
         _traffic(root, request_classes),
         kinds,
         machines,
         places,
-        links.number("near", least=1),
-        links.number("far", least=1),
-        links.number("zone-slower", 2.0),
-        links.time("lease", 8_000.0),
-        cold.number("from", least=0.01, most=1.0),
-        cold.time("warm-up"),
-        load_.number("jobs-per-second", least=0.01),
-        clients.span("retries", (0.0, 0.0)),
-        clients.times("wait", (100.0, 500.0)),
-        clients.span("patience", (1.0, 1.0)),
-        clients.number("streams", 1.0, most=1.0),
-        clients.time("notice", 1500.0),
-        registry.times("late"),
-        registry.choice("changes", ["pushed", "asked-for"], "pushed") == "asked-for",
-        _troubles(root, zones, len(places), regions),
+        links_section.number("near", least=1),
+        links_section.number("far", least=1),
+        links_section.number("zone-slower", 2.0),
+        links_section.time("lease", 8_000.0),
+        cold_section.number("from", least=0.01, most=1.0),
+        cold_section.time("warm-up"),
+        load_section.number("jobs-per-second", least=0.01),
+        clients_section.span("retries", (0.0, 0.0)),
+        clients_section.times("wait", (100.0, 500.0)),
+        clients_section.span("patience", (1.0, 1.0)),
+        clients_section.number("streams", 1.0, most=1.0),
+        clients_section.time("notice", 1500.0),
+        registry_section.times("late"),
+        registry_section.choice("changes", ["pushed", "asked-for"], "pushed") == "asked-for",
+        _faults(root, zones, len(places), regions),
         shared.rules(root),
         shared.limits(root),
         shared.prices(root),
         read_transport(root),
         *read_counting(root, request_classes),
-        fronts.flag("memory", False),
+        gateways_section.flag("memory", False),
         slack,
-        read_admission(root, any(one.call != "chat" for one in request_classes)),
+        read_admission(root, any(request_class.call != "chat" for request_class in request_classes)),
         regions,
-        fronts.flag("fleet", False),
-        fronts.whole("seats", 3, least=1, most=5),
-        fronts.number("carries", 0.0),
+        gateways_section.flag("fleet", False),
+        gateways_section.whole("seats", 3, least=1, most=5),
+        gateways_section.number("carries", 0.0),
     )
-    for node in (fronts, links, cold, load_, clients, registry, root):
+    for node in (
+        gateways_section,
+        links_section,
+        cold_section,
+        load_section,
+        clients_section,
+        registry_section,
+        root,
+    ):
         node.end()
     if root.complaints:
         raise SettingsError(root.complaints)
@@ -369,4 +391,5 @@
 
 
 def load_scenario(path: str | Path) -> Scenario:
+    """Reads a scenario from a KDL file."""
     return read_scenario(load(path))
