--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""Membership by gossip: all nodes agree in the end, whatever is lost, cut, frozen or started twice."""
+"""Tests that all nodes agree on the membership after loss, partitions, frozen nodes and restarts."""
 
 from __future__ import annotations
 
@@ -17,17 +17,23 @@
 PERIOD = 500.0
 
 
-def world(count: int = 7, seed: int = 1, **weather: float) -> World:
-    found = World(seed, PERIOD, Weather(**weather))  # type: ignore[arg-type]
-    for at in range(count):
-        found.start(f"f{at}")
-    found.agree(30 * PERIOD)
-    found.told.clear()
-    return found
+def make_fleet(count: int = 7, seed: int = 1, **weather: float) -> World:
+    """Returns a fleet whose nodes have joined and agree, with its list of changes emptied."""
+    fleet = World(seed, PERIOD, Weather(**weather))  # type: ignore[arg-type]
+    for number in range(count):
+        fleet.start(f"f{number}")
+    fleet.agree(30 * PERIOD)
+    fleet.told.clear()
+    return fleet
 
 
-def deaths(found: World) -> list[tuple[str, str]]:
-    return [(by, fact.after.name) for _, by, fact in found.told if fact.after.state == MemberState.DEAD]
+def deaths(fleet: World) -> list[tuple[str, str]]:
+    """Returns the pairs (observer, node) of all declarations that a node is dead."""
+    return [
+        (observer, change.after.name)
+        for _, observer, change in fleet.told
+        if change.after.state == MemberState.DEAD
+    ]
 
 
 # Precedence of updates.
@@ -48,27 +54,27 @@
 
 
 def order_matters(
-    make: type[MemberList], updates: list[MembershipUpdate], other: list[MembershipUpdate]
+    list_type: type[MemberList], updates: list[MembershipUpdate], reordered: list[MembershipUpdate]
 ) -> bool:
-    """Whether two lists differ that took the same updates in different orders."""
-    found = []
-    for told in (updates, other):
-        members = make()
-        for update in told:
+    """Whether two lists differ after they took the same updates in different orders."""
+    precedences = []
+    for ordered_updates in (updates, reordered):
+        members = list_type()
+        for update in ordered_updates:
             members.apply(update, 0.0)
-        found.append({name: member.update.precedence for name, member in members.known.items()})
-    return found[0] != found[1]
+        precedences.append({name: member.update.precedence for name, member in members.known.items()})
+    return precedences[0] != precedences[1]
 
 
 @given(UPDATES, st.randoms(use_true_random=False))
-def test_order_of_updates_does_not_matter(updates: list[MembershipUpdate], chance: Any) -> None:
-    other = list(updates)
-    chance.shuffle(other)
-    assert not order_matters(MemberList, updates, other)
+def test_order_of_updates_does_not_matter(updates: list[MembershipUpdate], randoms: Any) -> None:
+    reordered = list(updates)
+    randoms.shuffle(reordered)
+    assert not order_matters(MemberList, updates, reordered)
 
 
 def test_order_matters_if_the_last_update_wins() -> None:
-    """A list that believes whatever it heard last is shown to differ, so that the test above can fail."""
+    """A list that stores the last update it received differs, so the test above can fail."""
 
     class LastUpdateWins(MemberList):
         def apply(self, update: MembershipUpdate, now: float) -> AppliedUpdate | None:
@@ -87,31 +93,35 @@
     for update in updates:
         members.apply(update, 0.0)
         known = members.known.values()
-        assert set(members.present) == {one.name for one in known if one.state <= MemberState.SUSPECT}
-        assert set(members.suspects) == {one.name for one in known if one.state == MemberState.SUSPECT}
+        assert set(members.present) == {
+            member.name for member in known if member.state <= MemberState.SUSPECT
+        }
+        assert set(members.suspects) == {
+            member.name for member in known if member.state == MemberState.SUSPECT
+        }
 
 
 def test_absent_nodes_are_forgotten_so_that_memory_stays_bounded() -> None:
-    """A fleet whose nodes are replaced all day, each under a new name."""
+    """All nodes of a fleet are replaced all day, each under a new name."""
     members = MemberList()
-    for at in range(1000):
-        members.apply(MembershipUpdate(f"f{at}", 1, 0, MemberState.DEAD, "h:1", "z", "r"), float(at))
+    for number in range(1000):
+        members.apply(MembershipUpdate(f"f{number}", 1, 0, MemberState.DEAD, "h:1", "z", "r"), float(number))
     assert len(members.known) <= 64 and "f999" in members.known
 
 
 @pytest.mark.parametrize(
-    "odd",
+    "invalid_update",
     [
         MembershipUpdate("", 1, 0, 0, "h:1", "z", "r"),
         MembershipUpdate("a", 0, 0, 0, "h:1", "z", "r"),
         MembershipUpdate("a", 1, -1, 0, "h:1", "z", "r"),
         MembershipUpdate("a", 1, 0, 9, "h:1", "z", "r"),
         MembershipUpdate("a" * 999, 1, 0, 0, "h:1", "z", "r"),
-        MembershipUpdate("a", 1, 0, 0, "h:1", "z", "r", {str(at): "" for at in range(99)}),
+        MembershipUpdate("a", 1, 0, 0, "h:1", "z", "r", {str(number): "" for number in range(99)}),
     ],
 )
-def test_updates_out_of_range_are_invalid(odd: MembershipUpdate) -> None:
-    assert not odd.is_valid()
+def test_updates_out_of_range_are_invalid(invalid_update: MembershipUpdate) -> None:
+    assert not invalid_update.is_valid()
 
 
 # Deaths.
@@ -120,179 +130,188 @@
 @pytest.mark.parametrize("loss", [0.0, 0.05, 0.2])
 def test_crashed_node_is_declared_dead_by_all_and_no_other_is(loss: float) -> None:
     """One node of nine crashes while the network loses messages."""
-    found = world(9, loss=loss)
-    found.peers["f4"].stop()
-    found.agree(40 * PERIOD)
-    found.run(20 * PERIOD)
-    assert {name for _, name in deaths(found)} == {"f4"}
-    assert {by for by, _ in deaths(found)} == set(found.peers)
+    fleet = make_fleet(9, loss=loss)
+    fleet.peers["f4"].stop()
+    fleet.agree(40 * PERIOD)
+    fleet.run(20 * PERIOD)
+    assert {name for _, name in deaths(fleet)} == {"f4"}
+    assert {observer for observer, _ in deaths(fleet)} == set(fleet.peers)
 
 
 def test_node_unreachable_from_one_other_is_not_declared_dead() -> None:
-    """The link between two nodes is cut; all others reach both. Helpers must vouch for them."""
-    found = world(6)
-    found.wire.cut(["f1"], ["f2"])
-    found.run(60 * PERIOD)
-    assert not deaths(found)
+    """The link between two nodes is cut, and all others reach both.
+
+    The two must not declare each other dead, as helpers report each of them alive.
+    """
+    fleet = make_fleet(6)
+    fleet.wire.cut(["f1"], ["f2"])
+    fleet.run(60 * PERIOD)
+    assert not deaths(fleet)
 
 
 def test_frozen_node_refutes_its_death_and_accuses_nobody() -> None:
     """A process is frozen until all others declare it dead.
 
-    When it goes on, all its own timeouts have passed. It must not declare the others dead, and must come
+    When it continues, all its own timeouts have passed. It must not declare the others dead, and must come
     back within its generation.
     """
-    found = world(6)
-    sleeper = found.peers["f3"]
-    sleeper.freeze()
-    found.run(60 * PERIOD)
-    assert {name for _, name in deaths(found)} == {"f3"}
-    sleeper.go_on()
-    assert sleeper.swim.health.level > 0  # its own health is lower first
-    found.agree(30 * PERIOD)
-    assert not [pair for pair in deaths(found) if pair[0] == "f3"]
+    fleet = make_fleet(6)
+    frozen = fleet.peers["f3"]
+    frozen.freeze()
+    fleet.run(60 * PERIOD)
+    assert {name for _, name in deaths(fleet)} == {"f3"}
+    frozen.go_on()
+    assert frozen.swim.health.level > 0  # it lowers its own health first
+    fleet.agree(30 * PERIOD)
+    assert not [death for death in deaths(fleet) if death[0] == "f3"]
     assert all(
         peer.swim.members.known["f3"].update.generation == 1
-        for name, peer in found.peers.items()
+        for name, peer in fleet.peers.items()
         if name != "f3"
     )
 
 
 def test_starved_node_lowers_its_own_health_before_it_accuses_others() -> None:
-    """All that one node sends is late by more than a period."""
-    found = world(8)
-    starved = found.peers["f2"]
-    found.wire.slow["f2"] = 1.3 * PERIOD
-    found.run(40 * PERIOD)
-    assert not [pair for pair in deaths(found) if pair[0] == "f2"]
-    others = [peer.swim.health.level for name, peer in found.peers.items() if name != "f2"]
-    assert starved.swim.health.level > max(others)
+    """All messages of one node are late by more than a period."""
+    fleet = make_fleet(8)
+    starved = fleet.peers["f2"]
+    fleet.wire.slow["f2"] = 1.3 * PERIOD
+    fleet.run(40 * PERIOD)
+    assert not [death for death in deaths(fleet) if death[0] == "f2"]
+    other_levels = [peer.swim.health.level for name, peer in fleet.peers.items() if name != "f2"]
+    assert starved.swim.health.level > max(other_levels)
 
 
 def test_node_that_leaves_is_never_declared_dead() -> None:
-    found = world(7)
-    found.peers["f5"].leave()
-    found.agree(10 * PERIOD)
-    found.run(40 * PERIOD)
-    assert not deaths(found)
-    assert all(peer.swim.members.known["f5"].state == MemberState.LEFT for peer in found.peers.values())
+    fleet = make_fleet(7)
+    fleet.peers["f5"].leave()
+    fleet.agree(10 * PERIOD)
+    fleet.run(40 * PERIOD)
+    assert not deaths(fleet)
+    assert all(peer.swim.members.known["f5"].state == MemberState.LEFT for peer in fleet.peers.values())
 
 
 # Generations.
 
 
 def test_restarted_node_is_accepted_by_its_new_generation() -> None:
-    found = world(6)
-    found.peers["f1"].stop()
-    found.run(40 * PERIOD)
-    found.start("f1", life=2)
-    found.agree(20 * PERIOD)
-    assert found.peers["f0"].swim.members.known["f1"].update.generation == 2
+    fleet = make_fleet(6)
+    fleet.peers["f1"].stop()
+    fleet.run(40 * PERIOD)
+    fleet.start("f1", life=2)
+    fleet.agree(20 * PERIOD)
+    assert fleet.peers["f0"].swim.members.known["f1"].update.generation == 2
 
 
 def test_node_with_lost_disk_and_slow_clock_raises_its_generation() -> None:
-    """A node starts under a lower generation than before, so that all others ignore what it says."""
-    found = world(6)
-    found.peers["f4"].stop()
-    found.run(40 * PERIOD)
-    found.start("f4", life=50).stop()
-    found.run(5 * PERIOD)
-    back = found.start("f4", life=3)
-    found.run(20 * PERIOD)
-    assert back.swim.me.generation > 50
-    assert found.peers["f0"].swim.members.known["f4"].update.generation == back.swim.me.generation
+    """A node lost its disk and starts under a lower generation than before.
+
+    All others ignore its updates until it takes a higher generation.
+    """
+    fleet = make_fleet(6)
+    fleet.peers["f4"].stop()
+    fleet.run(40 * PERIOD)
+    fleet.start("f4", life=50).stop()
+    fleet.run(5 * PERIOD)
+    restarted = fleet.start("f4", life=3)
+    fleet.run(20 * PERIOD)
+    assert restarted.swim.me.generation > 50
+    assert fleet.peers["f0"].swim.members.known["f4"].update.generation == restarted.swim.me.generation
 
 
 def test_older_of_two_processes_with_one_name_is_superseded() -> None:
     """Two processes run under one name at different addresses."""
-    found = world(6)
-    older = found.peers["f3"]
-    younger = Peer(found, "f3", 9, ["f0", "f1"], address="f3-again")
-    found.peers["f3"] = younger
-    found.run(30 * PERIOD)
-    assert [fact for _, fact in older.facts if isinstance(fact, Superseded)]
-    assert not [fact for _, fact in younger.facts if isinstance(fact, Superseded)]
-    assert found.peers["f0"].swim.members.known["f3"].update.address == "f3-again"
+    fleet = make_fleet(6)
+    older = fleet.peers["f3"]
+    newer = Peer(fleet, "f3", 9, ["f0", "f1"], address="f3-again")
+    fleet.peers["f3"] = newer
+    fleet.run(30 * PERIOD)
+    assert [event for _, event in older.facts if isinstance(event, Superseded)]
+    assert not [event for _, event in newer.facts if isinstance(event, Superseded)]
+    assert fleet.peers["f0"].swim.members.known["f3"].update.address == "f3-again"
 
 
 # Partitions.
 
 
-@pytest.mark.parametrize("how", ["both", "out", "in"])
-def test_partitioned_fleet_merges_again(how: str) -> None:
-    """Both halves of a fleet declare each other dead and stop pinging. Then the network heals."""
-    found = world(8)
-    some = ["f0", "f2", "f4", "f6"]
-    found.wire.cut(some, [name for name in found.peers if name not in some], how)
-    found.run(80 * PERIOD)
-    assert deaths(found)
-    found.wire.heal()
-    found.agree(60 * PERIOD)
+@pytest.mark.parametrize("direction", ["both", "out", "in"])
+def test_partitioned_fleet_merges_again(direction: str) -> None:
+    """Two halves of a fleet are cut off from each other until nodes are declared dead.
+
+    They no longer ping the dead ones. After the partition all nodes must agree again.
+    """
+    fleet = make_fleet(8)
+    half = ["f0", "f2", "f4", "f6"]
+    fleet.wire.cut(half, [name for name in fleet.peers if name not in half], direction)
+    fleet.run(80 * PERIOD)
+    assert deaths(fleet)
+    fleet.wire.heal()
+    fleet.agree(60 * PERIOD)
 
 
 def test_node_joins_once_a_seed_is_up() -> None:
     """A node starts while all its seeds are down."""
-    found = World(1, PERIOD)
-    late = found.start("f9", seeds=["f0", "f1"])
-    found.run(20 * PERIOD)
+    fleet = World(1, PERIOD)
+    late = fleet.start("f9", seeds=["f0", "f1"])
+    fleet.run(20 * PERIOD)
     assert not late.believes()
-    for at in range(3):
-        found.start(f"f{at}")
-    found.agree(30 * PERIOD)
+    for number in range(3):
+        fleet.start(f"f{number}")
+    fleet.agree(30 * PERIOD)
 
 
 def test_messages_per_node_do_not_grow_with_the_fleet() -> None:
     sent = {}
     for count in (10, 80):
-        found = world(count)
-        found.run(120 * PERIOD)
-        found.wire.sent.clear()
-        found.run(40 * PERIOD)
-        sent[count] = max(found.wire.sent.values())
+        fleet = make_fleet(count)
+        fleet.run(120 * PERIOD)
+        fleet.wire.sent.clear()
+        fleet.run(40 * PERIOD)
+        sent[count] = max(fleet.wire.sent.values())
     assert sent[80] < 1.5 * sent[10]
 
 
-def storm(seed: int) -> World:
-    """Crashes, restarts, frozen processes, partitions and loss at random; then runs until all agree."""
-    chance = RandomSource(seed)
-    found = World(seed, PERIOD, Weather((0.3, 80.0 * chance.share()), 0.2 * chance.share(), 0.1))
-    names = [f"f{at}" for at in range(7)]
-    lives = dict.fromkeys(names, 1)
+def run_random_faults(seed: int) -> World:
+    """Runs random crashes, restarts, frozen processes, partitions and loss, then waits until all agree."""
+    random = RandomSource(seed)
+    fleet = World(seed, PERIOD, Weather((0.3, 80.0 * random.share()), 0.2 * random.share(), 0.1))
+    names = [f"f{number}" for number in range(7)]
+    generations = dict.fromkeys(names, 1)
     for name in names:
-        found.start(name)
+        fleet.start(name)
     for _ in range(12):
-        found.run(6 * PERIOD * chance.share())
-        name, draw = names[int(chance.share() * 7)], chance.share()
-        peer = found.peers.get(name)
+        fleet.run(6 * PERIOD * random.share())
+        name, draw = names[int(random.share() * 7)], random.share()
+        peer = fleet.peers.get(name)
         if peer is None:
-            lives[name] = lives[name] + 1 if chance.share() < 0.7 else 1
-            found.start(name, lives[name])
+            generations[name] = generations[name] + 1 if random.share() < 0.7 else 1
+            fleet.start(name, generations[name])
         elif draw < 0.3:
             peer.stop()
         elif draw < 0.5:
             peer.freeze()
-            found.sim.after(20 * PERIOD * chance.share(), peer.go_on)
+            fleet.sim.after(20 * PERIOD * random.share(), peer.go_on)
         elif draw < 0.8:
-            some = chance.sample(names, 1 + int(3 * chance.share()))
-            found.wire.cut(
-                some,
-                [one for one in names if one not in some],
-                ("both", "out", "in")[int(3 * chance.share())],
+            group = random.sample(names, 1 + int(3 * random.share()))
+            fleet.wire.cut(
+                group,
+                [other for other in names if other not in group],
+                ("both", "out", "in")[int(3 * random.share())],
             )
-            found.sim.after(20 * PERIOD * chance.share(), found.wire.heal)
-    found.run(25 * PERIOD)
-    found.wire.heal()
-    found.wire.weather = Weather()
-    for peer in list(found.peers.values()):
+            fleet.sim.after(20 * PERIOD * random.share(), fleet.wire.heal)
+    fleet.run(25 * PERIOD)
+    fleet.wire.heal()
+    fleet.wire.weather = Weather()
+    for peer in list(fleet.peers.values()):
         if peer.frozen:
             peer.go_on()
-    found.agree(120 * PERIOD)
-    return found
+    fleet.agree(120 * PERIOD)
+    return fleet
 
 
 @pytest.mark.parametrize("block", range(4))
 def test_all_nodes_agree_after_random_faults(block: int) -> None:
-    """Crashes, restarts, lost disks, frozen processes, partitions and loss at random; then calm."""
+    """Random crashes, restarts, lost disks, frozen processes, partitions and loss are followed by calm."""
     for seed in range(block * 10, block * 10 + 10):
-        found = storm(seed)
-        assert len(found.peers) >= 1
+        fleet = run_random_faults(seed)
+        assert len(fleet.peers) >= 1
--- a/worksmux/gossip/health.py
+++ b/worksmux/gossip/health.py
@@ -1,5 +1,7 @@
 """The local health multiplier: a node that is slow itself gives others more time (Lifeguard, LHA-Probe).
-Pure."""
+
+The module does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +9,7 @@
 
 
 class LocalHealth:
-    """`level` 0 is healthy; each level above lengthens the timeouts that this node applies to others.
+    """This node's health level. 0 is healthy; each level above lengthens the timeouts applied to other nodes.
 
     >>> health = LocalHealth(); health.degrade(); health.degrade(); health.improve()
     >>> health.level, health.timeout_multiplier
@@ -18,13 +20,17 @@
         self.level = 0
 
     def degrade(self, by: int = 1) -> None:
-        """A probe failed, a helper was silent, this node was suspected itself, or its timer fired late."""
+        """Raises the level by `by`, up to MAX_LEVEL.
+
+        The causes are a failed probe, a silent helper, a suspicion of this node and a late tick.
+        """
         self.level = min(MAX_LEVEL, self.level + by)
 
     def improve(self) -> None:
-        """A probe was answered in time."""
+        """Lowers the level by one after a probe that was answered in time."""
         self.level = max(0, self.level - 1)
 
     @property
     def timeout_multiplier(self) -> int:
+        """Returns the factor by which timeouts are lengthened."""
         return 1 + self.level
--- a/worksmux/gossip/inputs.py
+++ b/worksmux/gossip/inputs.py
@@ -1,4 +1,4 @@
-"""What the caller gives to the membership core."""
+"""Inputs of the membership core."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed; wanted when `due` is reached."""
+    """Reports that time has passed. It is due when `Swim.due` is reached."""
 
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A message, with the sender's name and the address that it came from."""
+    """Carries a message, with the sender's name and the address that it came from."""
 
     sender: str
     address: str
@@ -23,12 +23,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """This node shuts down in order."""
+    """Announces the orderly shutdown of this node."""
 
 
 @dataclass(frozen=True, slots=True)
 class MetadataChanged:
-    """What this node announces of itself."""
+    """Carries the new metadata that this node announces of itself."""
 
     metadata: dict[str, str]
 
--- a/worksmux/gossip/messages.py
+++ b/worksmux/gossip/messages.py
@@ -1,6 +1,6 @@
-"""Messages between nodes. Tags and names of fields on the wire differ from those in the code.
+"""Messages between nodes. Tags and field names on the wire differ from those in the code.
 
-`updates` are membership updates that ride on a message; the sender's own comes first.
+`updates` are the membership updates that a message carries. The sender's own update comes first.
 """
 
 from __future__ import annotations
@@ -9,11 +9,14 @@
 
 from .members import MembershipUpdate
 
-NO_REPLY = -1  # as the generation in a Ping
+NO_REPLY = -1  # generation in a Ping that must not be answered
 
 
 class Ping(msgspec.Struct, tag="ping"):
-    """Is this generation of you alive? `generation` is that of the receiver, or NO_REPLY."""
+    """Asks whether the given generation of the receiver is alive.
+
+    `generation` is NO_REPLY if the message only carries updates.
+    """
 
     number: int
     generation: int = msgspec.field(name="life")
@@ -21,12 +24,14 @@
 
 
 class Ack(msgspec.Struct, tag="ack"):
+    """Answers a Ping or a PingRequest."""
+
     number: int
     updates: list[MembershipUpdate] = msgspec.field(default_factory=list, name="rumours")
 
 
 class PingRequest(msgspec.Struct, tag="ask"):
-    """Ping `target` for me (SWIM §3.1, ping-req)."""
+    """Asks the receiver to ping `target` for the sender (SWIM §3.1, ping-req)."""
 
     number: int
     target: str
@@ -34,32 +39,38 @@
 
 
 class Nack(msgspec.Struct, tag="nack"):
-    """I am alive, but the target of your PingRequest has not answered me (Lifeguard, LHA-Probe)."""
+    """Answers a PingRequest whose target has not answered the helper (Lifeguard, LHA-Probe).
+
+    It shows that the helper itself is alive.
+    """
 
     number: int
 
 
 class StateDigest(msgspec.Struct, tag="same"):
-    """A digest of all that the sender knows. If it differs, the receiver answers with BucketDigests."""
+    """Carries a digest of the sender's full state.
+
+    A receiver whose digest differs answers with BucketDigests.
+    """
 
     digest: int
 
 
 class BucketDigests(msgspec.Struct, tag="parts"):
-    """A digest of each bucket. The receiver answers with the buckets that differ."""
+    """Carries a digest of each bucket. The receiver answers with the buckets that differ."""
 
     digests: list[int] = msgspec.field(name="marks")
 
 
 class BucketState(msgspec.Struct, tag="some"):
-    """All that is known of some buckets; `wanted_buckets` are asked for in return."""
+    """Carries the updates of some buckets. `wanted_buckets` requests the receiver's in return."""
 
     updates: list[MembershipUpdate] = msgspec.field(name="rumours")
     wanted_buckets: list[int] = msgspec.field(default_factory=list, name="wanted")
 
 
 class FullState(msgspec.Struct, tag="everyone"):
-    """All that is known; `reply_wanted` asks for the same in return."""
+    """Carries the updates of all known nodes. `reply_wanted` requests the same in return."""
 
     updates: list[MembershipUpdate] = msgspec.field(name="rumours")
     reply_wanted: bool = msgspec.field(default=False, name="wanted")
--- a/worksmux/gossip/outputs.py
+++ b/worksmux/gossip/outputs.py
@@ -1,4 +1,4 @@
-"""What the membership core gives back: messages and events."""
+"""Outputs of the membership core: messages and events."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutgoingMessage:
-    """`receiver` is a node's name; empty if only its address is known."""
+    """A message to be sent. `receiver` is a node's name, or empty if only the address is known."""
 
     receiver: str
     address: str
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberChanged:
-    """`before` is None for a node that was not known."""
+    """Reports a new or changed member. `before` is None for a node that was not known."""
 
     before: MembershipUpdate | None
     after: MembershipUpdate
@@ -27,9 +27,9 @@
 
 @dataclass(frozen=True, slots=True)
 class GenerationRaised:
-    """This node has taken a higher generation.
+    """Reports that this node has taken a higher generation.
 
-    Others knew of a start of it that its own clock and disk do not show.
+    Other nodes knew of a later start of it than its own clock and disk show.
     """
 
     generation: int
@@ -37,7 +37,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Superseded:
-    """Another process with this node's name started later, at `address`: this process has to exit."""
+    """Reports that another process with this node's name started later, at `address`.
+
+    This process has to exit.
+    """
 
     generation: int
     address: str
@@ -48,11 +51,15 @@
 
 @dataclass(slots=True)
 class Output:
+    """Collects the messages and events of one step."""
+
     messages: list[OutgoingMessage] = field(default_factory=list)
     events: list[Event] = field(default_factory=list)
 
     def send(self, receiver: str, address: str, message: Message) -> None:
+        """Adds a message to an address."""
         self.messages.append(OutgoingMessage(receiver, address, message))
 
     def send_to(self, member: Member, message: Message) -> None:
+        """Adds a message to a member."""
         self.send(member.name, member.address, message)
--- a/worksmux/gossip/probing.py
+++ b/worksmux/gossip/probing.py
@@ -14,14 +14,16 @@
 from .messages import Ack, Nack, Ping, PingRequest
 from .outputs import Output
 
-ACK_TIMEOUT_PERIODS = 0.5  # for the answer to a ping, before helpers are asked
-HELPERS = 3
-NACK_TIMEOUT_PERIODS = 0.3  # after which a helper answers that the target is silent
-STALE_NUMBER = 0  # of an Ack that answers no probe
+ACK_TIMEOUT_PERIODS = 0.5  # wait for an Ack, after which helpers are asked
+MAX_HELPERS = 3  # nodes asked to ping a node that did not answer
+NACK_TIMEOUT_PERIODS = 0.3  # after which a helper reports by a Nack that the target is silent
+STALE_NUMBER = 0  # number of an Ack that answers no probe
 
 
 @dataclass(slots=True)
 class Probe:
+    """The probe of one member in the current period."""
+
     number: int
     member: Member
     sent_at: float
@@ -33,7 +35,7 @@
 
 @dataclass(slots=True)
 class RelayedPing:
-    """A ping sent for another node, `requester`."""
+    """A ping that this node sent as a helper for another node, `requester`."""
 
     requester_number: int
     requester: str
@@ -42,6 +44,8 @@
 
 
 class FailureDetector:
+    """Probes one member per period, and pings other members on request."""
+
     def __init__(self, membership: Membership, period_ms: float, random: RandomSource, now: float) -> None:
         self.membership, self.period_ms, self.random = membership, period_ms, random
         self.last_number = 0
@@ -51,7 +55,7 @@
         self.next_probe_at = now + period_ms * random.share()
 
     def deadlines(self) -> list[float]:
-        """When it has something to do."""
+        """Returns the times at which the detector has work to do."""
         deadlines = [self.next_probe_at]
         if self.probe is not None and not self.probe.answered and not self.probe.helpers_asked:
             deadlines.append(self.probe.sent_at + self._ack_timeout_ms())
@@ -61,6 +65,7 @@
         return ACK_TIMEOUT_PERIODS * self.period_ms * self.membership.health.timeout_multiplier
 
     def extend_deadlines(self, by_ms: float) -> None:
+        """Moves all deadlines by the time that this process missed."""
         self.next_probe_at += by_ms
         if self.probe is not None:
             self.probe.sent_at += by_ms
@@ -68,7 +73,7 @@
             ping.nack_at += by_ms
 
     def expire(self, now: float, output: Output) -> None:
-        """Answers for targets that stayed silent, and asks helpers for a node that did not answer in time."""
+        """Sends a Nack for each silent target, and asks helpers about a node that missed its deadline."""
         for number, ping in list(self.relayed.items()):
             if ping.nack_at <= now:
                 del self.relayed[number]
@@ -86,18 +91,17 @@
             for member in self.membership.members.present.values()
             if member.state == MemberState.ALIVE and member is not probe.member
         ]
-        for helper in self.random.sample(available, HELPERS):
+        for helper in self.random.sample(available, MAX_HELPERS):
             probe.helper_count += 1
             probe.silent_helpers.add(helper.name)
             updates = self.membership.updates_for(helper)
             output.send_to(helper, PingRequest(probe.number, probe.member.name, updates))
 
     def end_period(self, now: float, output: Output) -> None:
-        """Suspects the node whose probe was not answered, and sets the end of the next period.
+        """Suspects the node whose probe was not answered, and schedules the next period.
 
-        Failure: a node whose own network is broken blames all others. Helpers that do not even send a Nack
-        are a sign of that, so that each of them counts against this node's own health (Lifeguard,
-        LHA-Probe).
+        A node whose own network is broken would blame all others. Helpers that do not even send a Nack are a
+        sign of that, so each of them lowers this node's own health (Lifeguard, LHA-Probe).
         """
         probe, self.probe = self.probe, None
         if probe is not None and not probe.answered:
@@ -108,7 +112,11 @@
         self.next_probe_at = now + self.period_ms * self.membership.health.timeout_multiplier
 
     def next_target(self) -> Member | None:
-        """Round-robin in a new random order each round, which bounds the time to detection (SWIM §4.3)."""
+        """Returns the next member to probe; None if no other node is present.
+
+        Members are probed round-robin, in a new random order each round, which bounds the time to detection
+        (SWIM §4.3).
+        """
         members = self.membership.members
         for refilled in (False, True):
             while self.probe_order:
@@ -121,6 +129,7 @@
         return None
 
     def start_probe(self, now: float, target: Member, output: Output) -> None:
+        """Pings a member and begins its probe."""
         self.probe = Probe(self._ping(target, output), target, now)
 
     def _ping(self, target: Member, output: Output) -> int:
@@ -130,14 +139,18 @@
         return self.last_number
 
     def on_ping(self, received: MessageReceived, ping: Ping, output: Output) -> None:
-        """Acknowledges a ping; one that means an earlier generation of this node is not answered for."""
+        """Acknowledges a ping.
+
+        The Ack answers no probe if the ping was meant for another generation of this node.
+        """
         sender = self.membership.members.known.get(received.sender)
-        is_meant = ping.generation == self.membership.me.generation
-        number = ping.number if is_meant else STALE_NUMBER
+        is_current_generation = ping.generation == self.membership.me.generation
+        number = ping.number if is_current_generation else STALE_NUMBER
         updates = self.membership.updates_for(sender)
         output.send(received.sender, received.address, Ack(number, updates))
 
     def on_ack(self, sender: str, number: int, output: Output) -> None:
+        """Completes the probe, or relays the Ack to the node that requested the ping."""
         relayed = self.relayed.pop(number, None)
         if relayed is not None:
             output.send(relayed.requester, relayed.address, Ack(relayed.requester_number))
@@ -150,6 +163,7 @@
     def on_ping_request(
         self, now: float, received: MessageReceived, request: PingRequest, output: Output
     ) -> None:
+        """Pings the target for another node; sends a Nack at once if the target is not known."""
         target = self.membership.members.known.get(request.target)
         if target is None:
             output.send(received.sender, received.address, Nack(request.number))
@@ -159,5 +173,6 @@
         self.relayed[number] = RelayedPing(request.number, received.sender, received.address, nack_at)
 
     def on_nack(self, sender: str, number: int) -> None:
+        """Records that a helper is alive, although the target did not answer it."""
         if self.probe is not None and self.probe.number == number:
             self.probe.silent_helpers.discard(sender)
--- a/worksmux/gossip/state_sync.py
+++ b/worksmux/gossip/state_sync.py
@@ -1,6 +1,6 @@
-"""Full-state sync: joining by seeds, comparing all that is known, and meeting again after a partition.
+"""Full-state sync: joins by seeds, compares the full state, and reconnects nodes after a partition.
 
-Dissemination alone reaches every node with high probability only. So from time to time two nodes compare
+Dissemination alone reaches every node only with high probability. So from time to time two nodes compare
 digests and exchange the buckets that differ. Times are milliseconds.
 """
 
@@ -18,13 +18,15 @@
 from .messages import BucketDigests, BucketState, FullState, StateDigest
 from .outputs import Output
 
-COMPARE_PERIODS = 10.0  # between two comparisons with one other node
-RECONNECT_PERIODS = 6.0  # between two attempts to reach nodes that seem dead
-MAX_QUEUED_UPDATES = 40  # beyond it states are compared at once, as after a restart of the whole fleet
-BACKLOG_COMPARE_PERIODS = 2.0  # between two such comparisons
+COMPARE_PERIODS = 10.0  # between two comparisons, each with one other node
+RECONNECT_PERIODS = 6.0  # between two attempts to reach nodes that are believed dead
+MAX_QUEUED_UPDATES = 40  # a longer queue, as after a restart of the fleet, starts a comparison at once
+BACKLOG_COMPARE_PERIODS = 2.0  # between two comparisons because of a long queue
 
 
 class StateSync:
+    """Synchronizes this node's full state with that of other nodes."""
+
     def __init__(
         self,
         membership: Membership,
@@ -33,16 +35,18 @@
         random: RandomSource,
         now: float,
     ) -> None:
-        """`seeds` are addresses of nodes to join by."""
+        """Starts the sync. `seeds` are addresses of nodes to join by."""
         self.membership, self.seeds, self.period_ms, self.random = membership, list(seeds), period_ms, random
         self.next_compare_at = now + period_ms * COMPARE_PERIODS * random.share()
         self.next_reconnect_at = now
         self.backlog_compared_at = -inf
 
     def deadlines(self) -> list[float]:
+        """Returns the times of the next comparison and the next attempt to reconnect."""
         return [self.next_compare_at, self.next_reconnect_at]
 
     def tick(self, now: float, output: Output) -> None:
+        """Starts a comparison and an attempt to reconnect when they are due."""
         if self.next_compare_at <= now:
             self._compare(output)
             self.next_compare_at = now + COMPARE_PERIODS * self.period_ms
@@ -51,9 +55,9 @@
             self._reconnect(output)
 
     def compare_on_backlog(self, now: float, output: Output) -> None:
-        """Compares states if more updates are queued than messages carry in reasonable time."""
-        compared_lately = now <= self.backlog_compared_at + BACKLOG_COMPARE_PERIODS * self.period_ms
-        if len(self.membership.queue) > MAX_QUEUED_UPDATES and not compared_lately:
+        """Starts a comparison if messages cannot carry the queued updates in reasonable time."""
+        was_compared_recently = now <= self.backlog_compared_at + BACKLOG_COMPARE_PERIODS * self.period_ms
+        if len(self.membership.queue) > MAX_QUEUED_UPDATES and not was_compared_recently:
             self.backlog_compared_at = now
             self._compare(output)
 
@@ -62,10 +66,10 @@
             output.send_to(member, StateDigest(self.digest()))
 
     def _reconnect(self, output: Output) -> None:
-        """Sends the full state to a node that seems dead and to seeds.
+        """Sends the full state to a node that is believed dead and to seeds.
 
-        Failure: after a partition both halves hold each other for dead and never ping each other again. A
-        seed may also know nodes that are not known here. Before this node has joined, all seeds are asked.
+        After a partition both halves believe each other dead and would never ping each other again. A seed
+        may also know nodes that are not known here. Before this node has joined, it sends to all seeds.
         """
         known = self.membership.members.known.values()
         dead = [member for member in known if member.state == MemberState.DEAD]
@@ -80,7 +84,7 @@
             output.send("", address, request)
 
     def digest(self) -> int:
-        """A digest of all that is known, this node's own state included."""
+        """Returns a digest of the full state, this node's own update included."""
         return reduce(xor, self._bucket_digests())
 
     def _bucket_digests(self) -> list[int]:
@@ -94,14 +98,15 @@
         return [update for update in self.membership.all_updates() if bucket_of(update.name) in wanted]
 
     def on_state_digest(self, received: MessageReceived, digest: int, output: Output) -> None:
+        """Sends the bucket digests if the sender's full state differs."""
         if digest != self.digest():
             output.send(received.sender, received.address, BucketDigests(self._bucket_digests()))
 
     def on_bucket_digests(self, received: MessageReceived, digests: list[int], output: Output) -> None:
-        """Sends and asks for the buckets that differ.
+        """Sends the buckets that differ and requests the sender's.
 
-        Failure: while messages get lost some update is always under way, and two nodes hardly ever know the
-        same. A full exchange each time would cost the more the larger the fleet.
+        While messages get lost, some update is always in transit, and two nodes rarely know the same. A full
+        exchange each time would cost more the larger the fleet is.
         """
         if len(digests) != DIGEST_BUCKETS:
             return
@@ -112,11 +117,13 @@
             output.send(received.sender, received.address, reply)
 
     def on_bucket_state(self, received: MessageReceived, state: BucketState, output: Output) -> None:
+        """Sends the buckets that the sender requested."""
         if state.wanted_buckets:
             reply = BucketState(self._updates_in(state.wanted_buckets))
             output.send(received.sender, received.address, reply)
 
     def on_full_state(self, received: MessageReceived, state: FullState, output: Output) -> None:
+        """Records that this node has joined, and sends its full state if requested."""
         self.membership.joined = True
         if state.reply_wanted:
             reply = FullState(self.membership.all_updates())
--- a/worksmux/gossip/swim.py
+++ b/worksmux/gossip/swim.py
@@ -1,11 +1,11 @@
-"""Membership by SWIM, with suspicion and Lifeguard's local health.
+"""Membership by SWIM, with its suspicion mechanism and Lifeguard's local health.
 
     output = swim.step(now, swim_input)
 
-Free of I/O and clock; times are milliseconds. `swim.due` is when the next `Tick` is wanted. Each period one
-other node is pinged. If it does not answer, helpers ping it; then it is suspected, and declared dead unless
-it refutes that. Updates ride on these messages. What a node sends grows with the logarithm of the number of
-nodes.
+The core is free of I/O and clock. Times are milliseconds. `swim.due` is when the next `Tick` is due. Each
+period one other node is pinged. If it does not answer, helpers ping it. If they get no answer either, it is
+suspected, and declared dead unless it refutes the suspicion. These messages carry membership updates. What a
+node sends grows with the logarithm of the number of nodes.
 """
 
 from __future__ import annotations
@@ -33,17 +33,19 @@
     StateDigest,
 )
 from .outputs import Output
-from .probing import HELPERS, FailureDetector
+from .probing import MAX_HELPERS, FailureDetector
 from .state_sync import StateSync
 
-LATE_TICK_PERIODS = 0.5  # a tick that late says that this process itself was stopped or starved
+LATE_TICK_PERIODS = 0.5  # a tick that late shows that this process itself was stopped or starved
 
 
 class Swim:
+    """One node's membership core."""
+
     def __init__(
         self, me: MembershipUpdate, seeds: Iterable[str], period_ms: float, seed: int, now: float
     ) -> None:
-        """`me` is this node at its start; `seeds` are addresses of nodes to join by."""
+        """Starts the core. `me` is this node's initial state; `seeds` are addresses of nodes to join by."""
         self.period_ms, self.random = period_ms, RandomSource(seed)
         self.health = LocalHealth()
         self.membership = Membership(me, self.health)
@@ -53,14 +55,16 @@
 
     @property
     def me(self) -> MembershipUpdate:
+        """Returns this node's own state."""
         return self.membership.me
 
     @property
     def members(self) -> MemberList:
+        """Returns the other nodes."""
         return self.membership.members
 
     def step(self, now: float, swim_input: Input) -> Output:
-        """Takes one input and returns what to send and to report."""
+        """Processes one input and returns the messages to send and the events to report."""
         output = Output()
         match swim_input:
             case Tick():
@@ -96,11 +100,10 @@
         self.sync.tick(now, output)
 
     def _on_late_tick(self, late_ms: float) -> None:
-        """Gives everything that is waited for the time that this process missed.
+        """Extends all deadlines by the time that this process missed.
 
-        Failure: a process that was stopped or starved finds all its deadlines passed and blames the others,
-        although their messages wait unread in its sockets. It shows as nodes declared dead by the one that
-        was frozen.
+        A process that was stopped or starved finds all its deadlines passed and blames the others, although
+        their messages wait unread in its sockets. It shows as nodes declared dead by the one that was frozen.
         """
         self.health.degrade()
         self.detector.extend_deadlines(late_ms)
@@ -116,7 +119,7 @@
 
     def _receive(self, now: float, received: MessageReceived, output: Output) -> None:
         if received.sender == self.me.name:
-            return  # an address that leads back to this node
+            return  # the message was sent to an address of this node itself
         message = received.message
         if isinstance(message, Ping | Ack | PingRequest | BucketState | FullState):
             self.membership.merge(message.updates, now, output)
@@ -143,5 +146,5 @@
         """Announces that this node leaves, so that it is not declared dead."""
         self.membership.announce(msgspec.structs.replace(self.me, state=MemberState.LEFT))
         self.membership.stopped = True
-        for member in self.random.sample(self.members.present.values(), HELPERS):
+        for member in self.random.sample(self.members.present.values(), MAX_HELPERS):
             output.send_to(member, Ping(0, NO_REPLY, [self.me]))
