--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""Whatever happens to the store's file, every record that is read back is one that was written."""
+"""Tests that every record read back from the store was written to it, whatever happens to the file."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
     verify_table,
 )
 
-LONG = bool(os.environ.get("WORKSMUX_LONG"))  # every prefix, every byte, 200 kills: some minutes
-LINES = {f"engine-{at}": f"line {at} ".encode() * 3 for at in range(20)}
+LONG = bool(os.environ.get("WORKSMUX_LONG"))  # tests every prefix, every byte and 200 kills: takes minutes
+LINES = {f"engine-{number}": f"line {number} ".encode() * 3 for number in range(20)}
 
 
 def written_store(path: Path) -> Path:
-    """A closed store with twenty lines and one fact."""
+    """Writes and closes a store with the records LINES and one record in another table."""
     store = open_store(path)
     store.write({"lines": dict(LINES), "facts": {"serial": b"7"}}, 1000.0)
     store.database.execute("PRAGMA wal_checkpoint(TRUNCATE)")
@@ -42,7 +42,7 @@
 
 
 def read_lines(path: Path) -> tuple[dict[str, bytes], bool]:
-    """The intact lines and whether the table is whole; nothing where the file is refused."""
+    """Returns the intact records of LINES and whether the table is complete. A refused file gives none."""
     try:
         store = open_store(path)
     except StoreUnusableError:
@@ -63,7 +63,7 @@
 
 
 def test_truncated_file_gives_intact_records_only(tmp_path: Path) -> None:
-    """The file is cut off at any length, as after a full disk or a failed copy."""
+    """The file is truncated to any length, as by a full disk or an interrupted copy."""
     step = 1 if LONG else 97
     data = written_store(tmp_path / "s").read_bytes()
     for size in range(0, len(data), step):
@@ -72,26 +72,32 @@
         for old in tmp_path.glob("cut*"):
             old.unlink()
         path.write_bytes(data[:size])
-        values, whole = read_lines(path)
-        assert values.items() <= LINES.items() and (not whole or values == LINES)
+        values, is_complete = read_lines(path)
+        assert values.items() <= LINES.items() and (not is_complete or values == LINES)
 
 
 def test_flipped_bit_never_gives_a_wrong_record(tmp_path: Path) -> None:
-    """One bit of the file flips, as on a failing disk; SQLite takes a flip inside a page for data."""
+    """One bit of the file flips, as on a failing disk.
+
+    SQLite accepts a flipped bit inside a page as data.
+    """
     data = written_store(tmp_path / "s").read_bytes()
     randomness = random.Random(4)
-    used = [at for at, byte in enumerate(data) if byte]
-    for at in used if LONG else randomness.sample(used, min(len(used), 700)):
+    offsets = [offset for offset, byte in enumerate(data) if byte]
+    for offset in offsets if LONG else randomness.sample(offsets, min(len(offsets), 700)):
         for old in tmp_path.glob("flip*"):
             old.unlink()
         path = tmp_path / "flip"
-        path.write_bytes(data[:at] + bytes([data[at] ^ 1 << randomness.randrange(8)]) + data[at + 1 :])
-        values, whole = read_lines(path)
-        assert values.items() <= LINES.items(), f"byte {at}"
-        assert not whole or values == LINES, f"byte {at}"
+        path.write_bytes(
+            data[:offset] + bytes([data[offset] ^ 1 << randomness.randrange(8)]) + data[offset + 1 :]
+        )
+        values, is_complete = read_lines(path)
+        assert values.items() <= LINES.items(), f"byte {offset}"
+        assert not is_complete or values == LINES, f"byte {offset}"
 
 
 def test_foreign_newer_empty_and_garbage_files(tmp_path: Path) -> None:
+    """Files of other programs and newer versions are refused unchanged; garbage is moved aside."""
     foreign = sqlite3.connect(tmp_path / "foreign")
     foreign.execute("CREATE TABLE theirs (x)")
     foreign.commit()
@@ -117,21 +123,21 @@
 
 
 def test_full_disk_leaves_the_last_written_state(tmp_path: Path) -> None:
-    """A write does not fit on the disk; its transaction fails and the state before it stays readable."""
+    """A write does not fit on the disk. Its transaction fails, and the state before it stays readable."""
     path = written_store(tmp_path / "s")
     store = open_store(path)
     pages = store.database.execute("PRAGMA page_count").fetchone()[0]
     store.database.execute(f"PRAGMA max_page_count = {pages}")
     with pytest.raises(sqlite3.Error):
-        store.write({"lines": {f"more-{at}": bytes(500) for at in range(100)}}, 3000.0)
+        store.write({"lines": {f"more-{number}": bytes(500) for number in range(100)}}, 3000.0)
     assert store.read("lines").values == LINES and store.read("lines").is_complete
 
 
 def test_process_killed_while_writing_leaves_whole_transactions(tmp_path: Path) -> None:
-    """A process writes generation after generation and is killed at a random moment, again and again.
+    """A process writes one generation of records after another and is killed at random moments.
 
-    Every line holds the number of its generation. After each kill all lines must hold the same one, and never
-    an older one than after the kill before.
+    Every record holds the number of its generation. After each kill all records must have the same
+    generation, which must not be older than the one after the kill before.
     """
     path = tmp_path / "s"
     code = (
@@ -145,7 +151,7 @@
     for _ in range(200 if LONG else 12):
         child = subprocess.Popen([sys.executable, "-c", code, str(path)], stdout=subprocess.PIPE)
         assert child.stdout and child.stdout.readline()
-        time.sleep(randomness.uniform(0.0, 0.02))  # the point of writing at which it is killed
+        time.sleep(randomness.uniform(0.0, 0.02))  # the kill comes at a random point of a write
         os.kill(child.pid, signal.SIGKILL)
         child.wait()
         store = open_store(path)
@@ -167,16 +173,16 @@
     entries: dict[str, bytes], data: st.DataObject
 ) -> None:
     records = [(key, value, stored_checksum("t", key, value)) for key, value in entries.items()]
-    total = sum(checksum("t", key, value) for key, value in entries.items()) & UINT64_MASK
-    sealed = seal_manifest(Manifest(len(records), total, 5.0))
+    checksum_sum = sum(checksum("t", key, value) for key, value in entries.items()) & UINT64_MASK
+    sealed = seal_manifest(Manifest(len(records), checksum_sum, 5.0))
     manifest = unseal_manifest(sealed)
     table = verify_table("t", records, manifest)
     assert manifest is not None and table.is_complete and table.values == entries and table.saved_at_ms == 5.0
     if records:
-        at = data.draw(st.integers(0, len(records) - 1))
-        key, value, stored = records[at]
-        assert not verify_table("t", records[:at] + records[at + 1 :], manifest).is_complete
-        changed = [*records[:at], (key, value + b"x", stored), *records[at + 1 :]]
+        position = data.draw(st.integers(0, len(records) - 1))
+        key, value, stored = records[position]
+        assert not verify_table("t", records[:position] + records[position + 1 :], manifest).is_complete
+        changed = [*records[:position], (key, value + b"x", stored), *records[position + 1 :]]
         assert verify_table("t", changed, manifest).corrupt_records == 1
     assert not verify_table("t", records, unseal_manifest(sealed[:-1])).is_complete
     assert not verify_table("t", records, None).is_complete
@@ -185,7 +191,7 @@
 def test_file_that_cannot_be_written_is_opened_read_only(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The file's disk is mounted read-only: the stored state is served from, and a write raises."""
+    """The file is on a disk that is mounted read-only. Its state is used, and a write raises."""
     path = written_store(tmp_path / "s")
 
     def refuse_writing(_: Path) -> sqlite3.Connection:
@@ -193,10 +199,10 @@
 
     monkeypatch.setattr("worksmux.storage.database._connect", refuse_writing)
     store = open_store(path)
-    assert store.read_only and store.read("lines").values == LINES and "only read" in store.notes[0]
+    assert store.read_only and store.read("lines").values == LINES and "is used read-only" in store.notes[0]
     with pytest.raises(sqlite3.Error):
         store.write({"lines": {"engine-1": None}}, 3000.0)
     store.close()
     (tmp_path / "other").write_bytes(b"x" * 5000)
-    with pytest.raises(StoreUnusableError, match="without memory"):
+    with pytest.raises(StoreUnusableError, match="continues without stored state"):
         open_store(tmp_path / "other")
--- a/worksmux/config_audit/__init__.py
+++ b/worksmux/config_audit/__init__.py
@@ -1,6 +1,4 @@
-"""Which node acted on which version: a chained audit log per node, and what several logs add up to.
+"""Audit of which node acted on which versions: an audit log per node, and their combination.
 
-
-
-Free of I/O.
+The package does no I/O.
 """
--- a/worksmux/config_audit/copies.py
+++ b/worksmux/config_audit/copies.py
@@ -1,9 +1,8 @@
-"""Copies of audit logs on other nodes, so that any node can answer for all, also for those that are gone.
-Free of I/O.
+"""Copies of audit logs on other nodes, so that any node can answer for all, including those that have gone.
 
-The holders of a node's copies are the first of all other nodes by a hash of both names (rendezvous
-hashing), whether they are present or not. So all nodes agree on them without a message; a holder that comes
-back asks for what it lacks.
+The copies of a node's log are held by the nodes that come first in a hash of both names (rendezvous hashing).
+All other nodes are candidates, whether they are present or not. So all nodes agree on the holders without a
+message. A holder that returns requests the records that it lacks. The module does no I/O.
 """
 
 from __future__ import annotations
@@ -16,11 +15,11 @@
 COPIES_PER_NODE = 2
 MAX_RECORDS_PER_REPLY = 200
 MAX_REPLY_BYTES = 300_000
-COPY_QUERY = 0  # the query number of a request that fetches records for a copy
+COPY_QUERY = 0  # query number of a request that fetches records for a stored copy
 
 
 class CopyRequest(msgspec.Struct, tag="want"):
-    """Asks for the records of a node's log after an index, as far as the receiver has them."""
+    """Requests the records of a node's log after an index, as far as the receiver has them."""
 
     node: str = msgspec.field(name="front")
     after_index: int = msgspec.field(name="after")
@@ -28,7 +27,7 @@
 
 
 class CopyReply(msgspec.Struct, tag="have"):
-    """`records` are encoded; `last_index` is the newest that the sender has."""
+    """Carries encoded records of a node's log. `last_index` is the newest index that the sender has."""
 
     node: str = msgspec.field(name="front")
     after_index: int = msgspec.field(name="after")
@@ -41,10 +40,10 @@
 
 
 def copy_holders(node: str, nodes: Iterable[str]) -> list[str]:
-    """The nodes that hold copies of a node's log.
+    """Returns the nodes that hold copies of a node's log.
 
     >>> holders = {node: copy_holders(node, "abcd") for node in "abcd"}
-    >>> all(len(found) == COPIES_PER_NODE and node not in found for node, found in holders.items())
+    >>> all(len(names) == COPIES_PER_NODE and node not in names for node, names in holders.items())
     True
     """
 
@@ -55,7 +54,7 @@
 
 
 def first_page(records: list[bytes]) -> list[bytes]:
-    """As many records as fit into one reply, but at least one if there is any."""
+    """Returns as many records as fit into one reply, and at least one if there is any."""
     page: list[bytes] = []
     size = 0
     for record in records[:MAX_RECORDS_PER_REPLY]:
--- a/worksmux/config_audit/fleet_audit.py
+++ b/worksmux/config_audit/fleet_audit.py
@@ -1,7 +1,7 @@
-"""What the audit logs of several nodes add up to: who acted on which version, and when. Pure.
+"""The combined audit logs of several nodes: which node acted on which version, and when.
 
 Records come from the nodes themselves or from copies, late, in any order and more than once. Nothing is
-guessed: a time for which a node has no record is reported as unknown.
+inferred: a time for which a node has no record is reported as unknown. The module does no I/O.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
 
 @dataclass(frozen=True)
 class Span:
-    """A node acted on these versions from `since` to `until`, in milliseconds of its wall clock.
+    """The time from `since` to `until`, by a node's wall clock in milliseconds, in which it used `versions`.
 
-    `versions` is None if unknown; `line` is the number of the versions in the node's log. The fields' names
-    are those of the JSON that `/fleet/audit` answers with.
+    `versions` is None if they are unknown. `line` is the number of the set of versions in the node's log. The
+    fields have the names of the JSON that `/fleet/audit` returns.
     """
 
     front: str
@@ -38,7 +38,10 @@
 
 @dataclass(frozen=True)
 class Finding:
-    """A fault in a node's log, at or after the record `index`; fields are named as in the JSON."""
+    """A fault in a node's log, at or after the record `index`.
+
+    The fields have the names of the JSON that `/fleet/audit` returns.
+    """
 
     front: str
     index: int
@@ -47,7 +50,7 @@
 
 @dataclass(frozen=True)
 class ExplainedDecision:
-    """A decision and the versions that were active then; None if the record with them is missing."""
+    """A decision and the versions that were active; None if the record with them is missing."""
 
     node: str
     decision: Decision
@@ -56,7 +59,7 @@
 
 @dataclass
 class FleetAudit:
-    """All records that were collected of each node, by index."""
+    """Collects the records of all nodes, by node and index."""
 
     records: dict[str, dict[int, AuditRecord]] = field(default_factory=lambda: defaultdict(dict))
     conflicts: list[Finding] = field(default_factory=list)
@@ -64,20 +67,21 @@
     def add(self, node: str, records: Iterable[AuditRecord]) -> None:
         """Adds records of a node's log.
 
-        Failure: a disk that is restored from a backup goes on under numbers that were used before. It shows
-        as two records under one index, which are reported and not merged.
+        A disk that is restored from a backup reuses indices that were assigned before. It shows as two
+        different records at one index. These are reported as a conflict, and the first one is kept.
         """
         known = self.records[node]
         for record in records:
-            held = known.setdefault(record.index, record)
-            if held.digest != record.digest:
-                self.conflicts.append(Finding(node, record.index, "two records under one number"))
+            existing = known.setdefault(record.index, record)
+            if existing.digest != record.digest:
+                self.conflicts.append(Finding(node, record.index, "two different records have this index"))
 
     def records_of(self, node: str) -> list[AuditRecord]:
+        """Returns the records of a node, in order of their indices."""
         return [record for _, record in sorted(self.records.get(node, {}).items())]
 
     def findings(self) -> list[Finding]:
-        """Conflicting records, faults of the chains, and versions with more than one content."""
+        """Returns conflicting records, faults of the chains, and versions with more than one content."""
         findings = list(self.conflicts)
         for node in sorted(self.records):
             faults = chain_faults(self.records_of(node))
@@ -85,9 +89,9 @@
         return findings + self._version_conflicts()
 
     def _version_conflicts(self) -> list[Finding]:
-        """Numbered versions that have different contents at different nodes or times."""
+        """Finds numbered versions that have different contents on different nodes or at different times."""
         findings = []
-        first_seen: dict[tuple[str, int], tuple[str, str]] = {}  # (name, number) to (fingerprint, node)
+        first_seen: dict[tuple[str, int], tuple[str, str]] = {}  # (name, number) -> (fingerprint, node)
         for node in sorted(self.records):
             for record in self.records_of(node):
                 if not isinstance(record.body, ActiveVersions):
@@ -105,23 +109,23 @@
         return findings
 
     def spans(self, node: str, until: float) -> list[Span]:
-        """What a node acted on, in order of time; from its last record to `until` that is unknown."""
+        """Returns a node's spans in order of time. The time from its last record to `until` is unknown."""
         builder = _SpanBuilder(node)
         for record in self.records_of(node):
             builder.add(record)
         return builder.finish(until)
 
     def spans_at(self, time: float) -> dict[str, Span]:
-        """By node, the span that includes a moment."""
-        found = {}
+        """Returns, by node, the span that includes a moment."""
+        spans_by_node = {}
         for node in self.records:
             for span in self.spans(node, time + 1.0):
                 if span.since <= time <= span.until:
-                    found[node] = span
-        return found
+                    spans_by_node[node] = span
+        return spans_by_node
 
     def spans_of_version(self, name: str, number: int) -> list[Span]:
-        """Who acted on one version, and when."""
+        """Returns the spans in which a node acted on one version."""
         return [
             span
             for node in sorted(self.records)
@@ -130,7 +134,7 @@
         ]
 
     def explain(self, request: str) -> list[ExplainedDecision]:
-        """All decisions on a request, in order of time."""
+        """Returns all decisions on a request, in order of time."""
         explained: list[ExplainedDecision] = []
         for node in self.records:
             bodies = [record.body for record in self.records_of(node)]
@@ -142,11 +146,11 @@
                 for decision in body.decisions
                 if decision.request == request
             ]
-        return sorted(explained, key=lambda found: found.decision.at_ms)
+        return sorted(explained, key=lambda entry: entry.decision.at_ms)
 
 
 class _SpanBuilder:
-    """Turns the records of one node, in order, into spans."""
+    """Converts the records of one node, in order, into spans."""
 
     def __init__(self, node: str) -> None:
         self.node = node
@@ -156,11 +160,12 @@
         self.last: AuditRecord | None = None
 
     def add(self, record: AuditRecord) -> None:
+        """Adds the next record, and ends the span that it closes."""
         last = self.last
         is_gap = last is not None and record.index != last.index + 1
         is_start = isinstance(record.body, ProcessStart)
         if last is not None and (is_gap or is_start):
-            # Records are missing, or the process before ended at an unknown time after its last record.
+            # Records are missing, or the previous process ended at an unknown time after its last record.
             self._end_active(last.wall_ms)
             self._add_unknown(last.wall_ms, record.wall_ms)
         if isinstance(record.body, ActiveVersions):
@@ -169,6 +174,7 @@
         self.last = record
 
     def finish(self, until: float) -> list[Span]:
+        """Ends the last span and returns all that are not empty."""
         if self.last is not None:
             self._end_active(self.last.wall_ms)
             if until > self.last.wall_ms:
--- a/worksmux/storage/__init__.py
+++ b/worksmux/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable state of a node on SQLite. Every record and table carries checksums, so that damage is noticed."""
+"""Durable state of a node in SQLite, with checksums on every record and table that reveal damage."""
--- a/worksmux/storage/database.py
+++ b/worksmux/storage/database.py
@@ -1,8 +1,9 @@
-"""The store's file: one SQLite database, changed in whole transactions.
+"""The store's SQLite database, which is changed only in complete transactions.
 
-A missing or empty file starts empty. A damaged one gives the records that pass their checksums, and is moved
-aside if SQLite cannot use it. A database of another program, one of a newer version, and one that cannot be
-written are left as they are; the node then serves without stored state, or only reads it.
+A missing or empty file gives an empty store. From a damaged file the records that pass their checksums are
+read. The file is moved aside if SQLite cannot use it. A database of another program, one with a newer schema
+version, and one that cannot be written are left unchanged. The node then serves without stored state, or uses
+the file read-only.
 """
 
 from __future__ import annotations
@@ -22,14 +23,14 @@
     sum INTEGER NOT NULL, PRIMARY KEY (tab, key)) WITHOUT ROWID;
 CREATE TABLE IF NOT EXISTS manifest (tab TEXT PRIMARY KEY, value BLOB NOT NULL) WITHOUT ROWID;
 """
-Changes = dict[str, dict[str, bytes | None]]  # table, key, value; None deletes
+Changes = dict[str, dict[str, bytes | None]]  # table -> key -> value; None deletes the key
 
 
 class Store:
-    """An open store, made by `open_store`. Not for use by several threads at once.
+    """An open store, created by `open_store`. It must not be used by several threads at once.
 
-    `notes` tells operators what was found wrong with the file when it was opened. Times are milliseconds
-    since 1970.
+    `notes` tells operators which faults were found when the file was opened. Times are milliseconds since
+    1970.
     """
 
     def __init__(
@@ -41,7 +42,7 @@
         self.read_only = read_only
 
     def read(self, table: str) -> Table:
-        """The records of a table that pass their checksums; never raises for what the file holds."""
+        """Returns the records of a table that pass their checksums. No content of the file makes it raise."""
         try:
             rows = self.database.execute(
                 "SELECT key, value, sum FROM record WHERE tab = ?", (table,)
@@ -57,14 +58,20 @@
         return verify_table(table, records, manifest)
 
     def write(self, changes: Changes, now_ms: float) -> None:
-        """Makes all changes in one transaction; raises sqlite3.Error and leaves the file as it was."""
+        """Applies all changes in one transaction.
+
+        On sqlite3.Error, which it raises, the file is unchanged.
+        """
         with self.database:
             self.database.execute("BEGIN IMMEDIATE")
             for table, entries in changes.items():
                 self._write_table(table, entries, now_ms)
 
     def replace(self, table: str, entries: Iterable[tuple[str, bytes]], now_ms: float) -> None:
-        """Replaces the whole table in one transaction; raises sqlite3.Error and leaves the file as it was."""
+        """Replaces all records of a table in one transaction.
+
+        On sqlite3.Error, which it raises, the file is unchanged.
+        """
         with self.database:
             self.database.execute("BEGIN IMMEDIATE")
             self.database.execute("DELETE FROM record WHERE tab = ?", (table,))
@@ -72,11 +79,11 @@
             self._write_table(table, dict(entries), now_ms)
 
     def delete_manifest(self, table: str) -> None:
-        """Leaves the table without a manifest: it is read as not whole until it is replaced."""
+        """Deletes the table's manifest: the table is read as incomplete until it is replaced."""
         self.database.execute("DELETE FROM manifest WHERE tab = ?", (table,))
 
     def close(self) -> None:
-        """Closes the file; nothing else may be called after it."""
+        """Closes the database. The store must not be used afterwards."""
         self.database.close()
 
     def _manifest(self, table: str) -> Manifest | None:
@@ -84,10 +91,10 @@
         return unseal_manifest(row[0]) if row and isinstance(row[0], bytes) else None
 
     def _write_table(self, table: str, entries: dict[str, bytes | None], now_ms: float) -> None:
-        """Makes the changes of one table within a transaction.
+        """Writes the changes of one table within a transaction.
 
-        A missing or broken manifest is begun anew from zero. It does not agree with the records that were
-        there before, so a damaged table is not taken for a whole one after the next write.
+        A missing or broken manifest is started again from zero. It then disagrees with the records that were
+        stored before, so a damaged table is not reported as complete after the next write.
         """
         manifest = self._manifest(table)
         if manifest is None or not manifest.saved_at_ms:
@@ -100,11 +107,11 @@
         )
 
     def _write_record(self, manifest: Manifest, table: str, key: str, value: bytes | None) -> None:
-        """Stores or deletes one record and keeps the manifest in step."""
+        """Stores or deletes one record and updates the manifest accordingly."""
         execute = self.database.execute
-        old = execute("SELECT value FROM record WHERE tab = ? AND key = ?", (table, key)).fetchone()
-        if old:
-            manifest.remove(checksum(table, key, old[0]))
+        old_row = execute("SELECT value FROM record WHERE tab = ? AND key = ?", (table, key)).fetchone()
+        if old_row:
+            manifest.remove(checksum(table, key, old_row[0]))
         if value is None:
             execute("DELETE FROM record WHERE tab = ? AND key = ?", (table, key))
             return
@@ -116,10 +123,10 @@
 
 
 def open_store(path: str | Path) -> Store:
-    """Opens the store, or creates it; raises StoreUnusableError where the file must be left alone.
+    """Opens or creates the store; raises StoreUnusableError if the file must be left unchanged.
 
-    A broken file is moved aside and its intact records are copied into a new one. Their tables have no
-    manifest, so they are read as not whole. The store's `notes` say so.
+    A broken file is moved aside and its intact records are copied into a new one. The copied tables have no
+    manifest, so they are read as incomplete. The store's `notes` report the repair.
     """
     path = Path(path)
     try:
@@ -131,7 +138,7 @@
 
 
 def _connect(path: Path) -> sqlite3.Connection:
-    """A checked connection; raises StoreUnusableError, or sqlite3.DatabaseError for a broken file."""
+    """Returns a checked connection; raises StoreUnusableError, or sqlite3.DatabaseError for a broken file."""
     database = sqlite3.connect(path, isolation_level=None, check_same_thread=False, timeout=OPEN_TIMEOUT_S)
     try:
         _check_owner(path, database)
@@ -141,7 +148,7 @@
         database.execute(f"PRAGMA user_version = {SCHEMA_VERSION}")
         database.executescript(SCHEMA)
         if database.execute("PRAGMA quick_check(1)").fetchone()[0] != "ok":
-            raise sqlite3.DatabaseError("its pages do not agree")
+            raise sqlite3.DatabaseError("PRAGMA quick_check found damaged pages")
     except BaseException:
         database.close()
         raise
@@ -149,28 +156,30 @@
 
 
 def _check_owner(path: Path, database: sqlite3.Connection) -> None:
-    """Raises StoreUnusableError for a database of another program or of a newer version."""
+    """Raises StoreUnusableError for a database of another program or of a newer schema version."""
     database.execute("PRAGMA trusted_schema = OFF")
     application_id, version = _header(database)
     tables = database.execute("SELECT count(*) FROM sqlite_master").fetchone()[0]
     if application_id != APPLICATION_ID and tables:
-        raise StoreUnusableError(f"{path} is a database of another program; name another file")
+        raise StoreUnusableError(
+            f"{path} is a database of another program; it is left unchanged: configure another file"
+        )
     if application_id == APPLICATION_ID and version > SCHEMA_VERSION:
         raise StoreUnusableError(
-            f"{path} was written by a newer worksmux (version {version}, here {SCHEMA_VERSION}); "
-            "it is left as it is: upgrade, or name another file"
+            f"{path} was written by a newer worksmux (schema version {version}, supported {SCHEMA_VERSION}); "
+            "it is left unchanged: upgrade, or configure another file"
         )
 
 
 def _header(database: sqlite3.Connection) -> tuple[int, int]:
-    """The application id and schema version in the database's header."""
+    """Returns the application id and the schema version in the database's header."""
     application_id: int = database.execute("PRAGMA application_id").fetchone()[0]
     version: int = database.execute("PRAGMA user_version").fetchone()[0]
     return application_id, version
 
 
 def _open_read_only(path: Path, error: sqlite3.OperationalError) -> Store:
-    """Opens a file that cannot be written: its state is served from, and changes are not kept."""
+    """Opens a file that cannot be written. Its state is used, and changes to it are not stored."""
     try:
         database = sqlite3.connect(
             f"file:{path}?mode=ro&immutable=1",
@@ -184,34 +193,39 @@
         application_id = version = 0
     if application_id != APPLICATION_ID or version > SCHEMA_VERSION:
         raise StoreUnusableError(
-            f"{path} cannot be opened or written ({error}); the front goes on without memory"
+            f"{path} cannot be opened or written ({error}); the node continues without stored state"
         )
-    return Store(path, database, [f"{path} cannot be written ({error}); it is only read"], read_only=True)
+    return Store(
+        path, database, [f"{path} cannot be written ({error}); it is used read-only"], read_only=True
+    )
 
 
 def _rebuild(path: Path, error: Exception) -> Store:
-    """Moves a broken file aside and copies its intact records into a new one; raises StoreUnusableError."""
+    """Moves a broken file aside and copies its intact records into a new one.
+
+    Raises StoreUnusableError if the file cannot be moved or the new one cannot be created.
+    """
     intact = read_intact_records(path)
     try:
-        kept_as = move_aside(path)
+        moved_to = move_aside(path)
         store = Store(path, _connect(path), [])
-    except (OSError, sqlite3.Error) as second:
+    except (OSError, sqlite3.Error) as move_error:
         raise StoreUnusableError(
-            f"{path} is broken ({error}) and cannot be moved aside ({second})"
-        ) from second
+            f"{path} is damaged ({error}) and cannot be replaced by a new database ({move_error})"
+        ) from move_error
     count = sum(map(len, intact.values()))
     store.notes.append(
-        f"{path} was broken ({error}); it is kept as {kept_as.name}; {count} records were salvaged"
+        f"{path} was damaged ({error}); it is kept as {moved_to.name}; {count} records were recovered"
     )
     _restore(store, intact)
     return store
 
 
 def _restore(store: Store, intact: IntactRecords) -> None:
-    """Copies records into a new store; a failure is noted, and the store is used with what it has."""
+    """Copies records into a new store. A failure is added to the notes, and the store is used as it is."""
     try:
         for table, records in intact.items():
             store.replace(table, records, 0.0)
             store.delete_manifest(table)
     except sqlite3.Error as error:
-        store.notes.append(f"what was salvaged could not be written: {error}")
+        store.notes.append(f"the recovered records could not be written to {store.path}: {error}")
--- a/worksmux/storage/errors.py
+++ b/worksmux/storage/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the store."""
+"""Errors of the durable store."""
 
 from __future__ import annotations
 
@@ -6,8 +6,11 @@
 
 
 class StorageError(WorksmuxError):
-    """Base of all errors of this package."""
+    """Base class of the errors of this package."""
 
 
 class StoreUnusableError(StorageError):
-    """The file must be left alone; the message names the file, the reason and what to do."""
+    """Reports that the file cannot be used and is left unchanged.
+
+    The message names the file, the reason and, where there is one, the remedy.
+    """
--- a/worksmux/storage/writer.py
+++ b/worksmux/storage/writer.py
@@ -1,4 +1,7 @@
-"""Writes to the store on a thread of its own: changes are merged while they wait, and no request waits."""
+"""A background thread that writes to the store, so that no request waits for the disk.
+
+Waiting changes are merged.
+"""
 
 from __future__ import annotations
 
@@ -9,20 +12,20 @@
 
 from .database import Changes, Store
 
-CLOSE_TIMEOUT_S = 2.0  # for a write that is under way when the writer is closed
+CLOSE_TIMEOUT_S = 2.0  # wait for a write in progress when the writer is closed
 
 
 class Writer:
-    """Writes at most once in `pause_s` seconds.
+    """Writes pending changes to a store, at most once in `pause_s` seconds.
 
-    `on_error` is called on the writer's thread, once for each run of failed writes.
+    The writer's thread calls `on_error` once for each series of consecutive failed writes.
     """
 
     def __init__(self, store: Store, pause_s: float, on_error: Callable[[str], None]) -> None:
         self.store = store
         self.pause_s = pause_s
         self.on_error = on_error
-        self._pending: Changes = {}  # at most one value for each key
+        self._pending: Changes = {}  # only the last value of each key
         self._in_progress: Changes = {}
         self._failing = False
         self._lock = threading.Lock()
@@ -32,18 +35,18 @@
         self._thread.start()
 
     def put(self, table: str, key: str, value: bytes | None) -> None:
-        """Stores a value soon; None deletes. A later value for the same key replaces one that still waits."""
+        """Schedules a value to be written; None deletes. It replaces a pending value of the same key."""
         with self._lock:
             self._pending.setdefault(table, {})[key] = value
         self._has_work.set()
 
     def unwritten_keys(self, table: str) -> set[str]:
-        """The keys of a table whose last value is not on disk yet."""
+        """Returns the keys of a table whose last value is not on disk yet."""
         with self._lock:
             return {*self._pending.get(table, ()), *self._in_progress.get(table, ())}
 
     def close(self) -> None:
-        """Ends the thread, writes what is left and closes the store."""
+        """Stops the thread, writes the pending changes and closes the store."""
         self._closed.set()
         self._has_work.set()
         self._thread.join(CLOSE_TIMEOUT_S)
@@ -58,7 +61,7 @@
             self._closed.wait(self.pause_s)
 
     def _flush(self) -> None:
-        """Writes all pending changes; those that cannot be written stay pending."""
+        """Writes all pending changes. Those that cannot be written stay pending."""
         with self._lock:
             changes, self._pending = self._pending, {}
             self._in_progress = changes
@@ -76,7 +79,7 @@
             self._failing = False
 
     def _return_to_pending(self, changes: Changes) -> None:
-        """Merges changes that were not written with those that came meanwhile, which are newer."""
+        """Merges changes that were not written with those put meanwhile, which are newer."""
         with self._lock:
             for table, entries in changes.items():
                 self._pending[table] = entries | self._pending.get(table, {})
@@ -84,5 +87,5 @@
 
     def _report(self, error: sqlite3.Error) -> None:
         if not self._failing:
-            self.on_error(f"the store cannot be written: {error}; the front goes on, and tries again")
+            self.on_error(f"the store cannot be written: {error}; the node continues and retries the write")
         self._failing = True
