--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -1,4 +1,4 @@
-"""Safety of Raft under faults, in simulated time; broken cores show that each check can fail."""
+"""Tests the safety of Raft under faults in simulated time. Broken cores show that each check can fail."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 from worksmux.policy.random_source import RandomSource
 from worksmux.simulation.consensus import CouncilWorld, InvariantViolationError, Make, SeatInTime, storm
 
-STORMS = 60
+FAULT_RUNS = 60
 
 
-def first_break(
-    make: Make,
+def first_violation(
+    core_type: Make,
     seeds: int = 1500,
     patient: bool = True,
     fragile: float = 0.04,
-    say: Callable[[str], bool] = bool,
+    accepts: Callable[[str], bool] = bool,
 ) -> str:
-    """What breaks first with a core, among the reports that `say` accepts; empty if nothing does."""
+    """Returns the first violation with a core among those that `accepts` selects; empty if there is none."""
     for seed in range(seeds):
         try:
-            storm(seed, make, patient=patient, fragile=fragile)
-        except InvariantViolationError as broken:
-            if say(str(broken)):
-                return str(broken)
+            storm(seed, core_type, patient=patient, fragile=fragile)
+        except InvariantViolationError as violation:
+            if accepts(str(violation)):
+                return str(violation)
         except AssertionError:
             pass  # a broken core may also find no leader
     return ""
@@ -39,23 +39,23 @@
 
 @pytest.mark.parametrize("block", range(4))
 def test_safety_holds_under_random_faults(block: int) -> None:
-    """Loss, duplicates, reordering, partitions, crashes, frozen processes and snapshots, all at random.
+    """Loss, duplicates, reordering, partitions, crashes, frozen processes and snapshots occur at random.
 
     In every run there is one leader a term, logs agree, no acknowledged entry is lost and no read is stale.
     """
     acknowledged = reads = 0
-    for seed in range(block * STORMS // 4, (block + 1) * STORMS // 4):
+    for seed in range(block * FAULT_RUNS // 4, (block + 1) * FAULT_RUNS // 4):
         world = storm(seed)
         acknowledged += len(world.acknowledged)
         reads += world.read_count
-    assert acknowledged and reads  # else there was nothing to lose
+    assert acknowledged and reads  # otherwise the runs checked nothing
 
 
 # Cores that break one rule.
 
 
 class VotesTwice(Raft):
-    """More than one vote a term (Raft §5.2)."""
+    """Votes more than once in a term (Raft §5.2)."""
 
     def _may_vote_for(self, candidate: str) -> bool:
         return True
@@ -69,21 +69,21 @@
 
 
 class ReadsWithoutLease(Raft):
-    """Reads without confirming that it still leads (thesis §6.4)."""
+    """Answers reads without confirming that it still leads (thesis §6.4)."""
 
     def holds_lease(self, now: float) -> bool:
         return self.role is Role.LEADER
 
 
 class CommitsAlone(Raft):
-    """Commits what it alone has on disk (Raft §5.3)."""
+    """Commits the entries that only its own disk holds (Raft §5.3)."""
 
     def _quorum_match_index(self) -> int:
         return self.synced_index
 
 
 class VotesDespiteLeader(Raft):
-    """Votes while it hears from a leader (thesis §4.2.3)."""
+    """Votes although it has contact with a leader (thesis §4.2.3)."""
 
     def _on_request_vote(self, now: float, sender: str, request: RequestVote, output: Output) -> None:
         expired = now - 2 * self.timing.election_timeout_ms
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize(
-    "make, told",
+    "make, expected",
     [
         (VotesTwice, "two leaders in term"),
         (VotesForAnyLog, ""),
@@ -100,59 +100,62 @@
         (CommitsAlone, ""),
     ],
 )
-def test_random_faults_reveal_a_broken_core(make: Make, told: str) -> None:
-    """Each core breaks one rule of Raft on purpose; the random faults must show that."""
-    assert told in (found := first_break(make, say=lambda text: told in text)) and found
+def test_random_faults_reveal_a_broken_core(make: Make, expected: str) -> None:
+    """Each core breaks one rule of Raft on purpose. The random faults must reveal that."""
+    assert (
+        expected in (violation := first_violation(make, accepts=lambda text: expected in text)) and violation
+    )
 
 
 def test_random_faults_reveal_messages_sent_before_the_write() -> None:
-    """A caller sends messages before the writes they rest on are on disk, and the power fails in between.
+    """Messages are sent before the writes that they depend on are on disk, and the power fails in between.
 
     A server then forgets a vote or an entry that it has acknowledged.
     """
-    assert first_break(Raft, patient=False, fragile=0.5)
+    assert first_violation(Raft, patient=False, fragile=0.5)
 
 
 @pytest.mark.parametrize("make", [Raft, VotesDespiteLeader])
 def test_no_vote_is_granted_while_a_leader_lease_may_run(make: Make) -> None:
-    """The link between the leader and one voter is cut; the third voter still hears both.
+    """The link between the leader and one voter is cut. The third voter still has contact with both.
 
-    The leader goes on reading by its lease. If the third voter granted its vote to the one that is cut off,
-    that one would commit entries which the reads of the old leader miss.
+    The leader continues to answer reads by its lease. If the third voter granted its vote to the one that is
+    cut off, that one would commit entries which the reads of the old leader miss.
     """
     world = CouncilWorld(3, make=make)
     leader = world.led()
-    far = next(name for name in world.seats if name != leader.name)
+    cut_off = next(name for name in world.seats if name != leader.name)
     world.run(500.0)
-    world.wire.cut([leader.name], [far])
-    stale = False
+    world.wire.cut([leader.name], [cut_off])
+    is_stale = False
     for _ in range(400):
         world.run(4.0)
-        other = world.seats[far]
-        if other.raft is not None and other.raft.role is Role.LEADER:
-            world.propose(far)
+        cut_off_server = world.seats[cut_off]
+        if cut_off_server.raft is not None and cut_off_server.raft.role is Role.LEADER:
+            world.propose(cut_off)
             world.run(12.0)
         try:
             world.read(leader.name)
         except InvariantViolationError:
-            stale = True
-    assert stale == (make is VotesDespiteLeader)
+            is_stale = True
+    assert is_stale == (make is VotesDespiteLeader)
 
 
 # Single rules.
 
 
 def test_voter_back_from_a_partition_does_not_depose_the_leader() -> None:
-    """A voter is cut off for 10 s and its elections time out over and over.
+    """A voter is cut off for 10 s, and its elections time out over and over.
 
-    With pre-votes its term stays, so the leader and its term survive when the voter is back.
+    With pre-votes its term stays the same, so the leader and its term survive when the voter is connected
+    again.
     """
     world = CouncilWorld(3)
     leader = world.led()
     assert leader.raft is not None
     term = leader.raft.term
-    other = next(name for name in world.seats if name != leader.name)
-    world.wire.cut([other], [name for name in world.seats if name != other])
+    cut_off = next(name for name in world.seats if name != leader.name)
+    world.wire.cut([cut_off], [name for name in world.seats if name != cut_off])
     world.run(10_000.0)
     world.wire.heal()
     world.run(2_000.0)
@@ -160,42 +163,45 @@
 
 
 def test_leader_without_majority_steps_down_and_rejects_reads() -> None:
-    """The leader is cut off with one voter of five. It must reject reads: the others elect another one."""
+    """The leader is cut off with one voter of five.
+
+    It must reject reads, as the others elect another leader.
+    """
     world = CouncilWorld(5)
     leader = world.led()
-    some = [leader.name, next(name for name in world.seats if name != leader.name)]
-    world.wire.cut(some, [name for name in world.seats if name not in some])
+    minority = [leader.name, next(name for name in world.seats if name != leader.name)]
+    world.wire.cut(minority, [name for name in world.seats if name not in minority])
     world.run(3 * world.figures.election_timeout_ms)
     assert leader.raft is not None and leader.raft.role is not Role.LEADER
     refused = world.refused
     world.read(leader.name)
     assert world.refused == refused + 1
-    assert world.led().name not in some
+    assert world.led().name not in minority
 
 
-def leaderless_time(seed: int, pause: float) -> float:
-    """Milliseconds from when the leader is cut off until the others follow a new one.
+def leaderless_time(seed: int, max_pause_ms: float) -> float:
+    """Returns the milliseconds from when the leader is cut off until the others follow a new one.
 
-    Each of their processes freezes for up to `pause` milliseconds, runs for a while, and so on.
+    Each of the others' processes freezes for up to `max_pause_ms`, runs for a while, and so on.
     """
     world = CouncilWorld(3, seed)
-    old, chance = world.led(), RandomSource(seed + 5)
-    others = [seat for seat in world.seats.values() if seat is not old]
+    old_leader, random = world.led(), RandomSource(seed + 5)
+    others = [seat for seat in world.seats.values() if seat is not old_leader]
     world.run(500.0)
-    world.wire.cut([old.name], [seat.name for seat in others])
+    world.wire.cut([old_leader.name], [seat.name for seat in others])
     start = world.sim.now
 
-    def stand_still(seat: SeatInTime) -> None:
+    def freeze(seat: SeatInTime) -> None:
         seat.freeze()
-        world.sim.after(pause * chance.share(), go_on, seat)
+        world.sim.after(max_pause_ms * random.share(), resume, seat)
 
-    def go_on(seat: SeatInTime) -> None:
+    def resume(seat: SeatInTime) -> None:
         seat.go_on()
-        world.sim.after(20.0 + 40.0 * chance.share(), stand_still, seat)
+        world.sim.after(20.0 + 40.0 * random.share(), freeze, seat)
 
-    if pause:
+    if max_pause_ms:
         for seat in others:
-            world.sim.after(100.0 * chance.share(), stand_still, seat)
+            world.sim.after(100.0 * random.share(), freeze, seat)
     while not any(
         seat.raft is not None
         and not seat.frozen
@@ -210,9 +216,9 @@
 def test_new_leader_comes_within_the_lease_unless_processes_starve() -> None:
     """The leader is cut off. The others elect a new one within half a lease of the replicas.
 
-    If their processes stand still again and again, as on a machine without processor time, it may take
-    longer than a lease, and their nodes act alone meanwhile. There are never two leaders in a term, which
-    the simulation checks.
+    If their processes are frozen again and again, as on a machine without processor time, it may take longer
+    than a lease, and their nodes decide without a leader meanwhile. There are never two leaders in a term,
+    which the simulation checks.
     """
     lease = 4.0 * RaftTiming(60.0, 400.0).election_timeout_ms  # as in the fleet's tests
     assert max(leaderless_time(seed, 0.0) for seed in range(40)) < lease / 2
@@ -222,16 +228,16 @@
 def test_leader_frozen_beyond_its_lease_answers_no_stale_read() -> None:
     """A leader is frozen while another one is elected and commits an entry.
 
-    Then the old leader goes on, and is asked to read before its first tick.
+    The old leader then continues, and receives a read before its first tick.
     """
     world = CouncilWorld(3)
-    old = world.led()
-    old.freeze()
-    new = world.led()
-    world.propose(new.name)
+    old_leader = world.led()
+    old_leader.freeze()
+    new_leader = world.led()
+    world.propose(new_leader.name)
     world.run(500.0)
     assert world.acknowledged
-    old.go_on(asked=True)  # raises InvariantViolationError if it answers a stale read
+    old_leader.go_on(asked=True)  # raises InvariantViolationError if it answers a stale read
     world.run(3_000.0)
     assert world.led().raft is not None
 
@@ -242,24 +248,27 @@
     start = world.sim.now
     leader.step(TransferLeadership())
     world.run(100.0)
-    new = world.led()
-    assert new is not leader and world.sim.now - start < world.figures.election_timeout_ms
+    new_leader = world.led()
+    assert new_leader is not leader and world.sim.now - start < world.figures.election_timeout_ms
 
 
 def test_configuration_changes_by_one_voter_at_a_time() -> None:
     world = CouncilWorld(3)
     leader = world.led()
     assert leader.raft is not None
-    now = tuple(world.seats)
-    leader.step(ChangeConfiguration(Configuration(now[:1], ())))  # two at once
-    assert leader.raft.configuration.voters == now
-    leader.step(ChangeConfiguration(Configuration(now, ("z",))))
+    servers = tuple(world.seats)
+    leader.step(ChangeConfiguration(Configuration(servers[:1], ())))  # two voters fewer at once
+    assert leader.raft.configuration.voters == servers
+    leader.step(ChangeConfiguration(Configuration(servers, ("z",))))
     world.run(1_000.0)
     assert leader.raft.configuration.learners == ("z",) and not leader.raft.caught_up("z")
 
 
 def test_voter_far_behind_catches_up_by_a_snapshot_in_parts() -> None:
-    """A voter is down while 400 entries are committed and compacted; the leader no longer has them."""
+    """A voter is down while 400 entries are committed and compacted.
+
+    The leader no longer has them as entries.
+    """
     world = CouncilWorld(3)
     leader = world.led()
     behind = next(seat for seat in world.seats.values() if seat is not leader)
--- a/tests/test_consensus_reconfiguration.py
+++ b/tests/test_consensus_reconfiguration.py
@@ -1,4 +1,4 @@
-"""Which configuration comes next, and when a group is bootstrapped."""
+"""Tests which configuration comes next, and when a group is bootstrapped."""
 
 from __future__ import annotations
 
@@ -10,32 +10,40 @@
 
 
 def candidates(names: str, zones: str = "xyz") -> dict[str, Candidate]:
-    return {name: Candidate(name, f"{name}#1", zones[at % len(zones)]) for at, name in enumerate(names)}
+    """Returns one candidate per letter of `names`, in the zones in turn."""
+    return {
+        name: Candidate(name, f"{name}#1", zones[position % len(zones)])
+        for position, name in enumerate(names)
+    }
 
 
 def all_changes(
-    configuration: Configuration, present: dict[str, Candidate], wanted: int = 3, gone: str = ""
+    configuration: Configuration, present: dict[str, Candidate], target_size: int = 3, gone: str = ""
 ) -> list[Configuration]:
-    """All changes until none is wanted; each learner catches up at once."""
-    found = []
+    """Returns all changes until none is needed. Each learner catches up at once."""
+    changes = []
     while (
-        change := next_configuration(configuration, present, wanted, gone.__contains__, lambda _: True)
+        change := next_configuration(configuration, present, target_size, gone.__contains__, lambda _: True)
     ) is not None:
-        found.append(change)
+        changes.append(change)
         configuration = change
-        assert len(found) < 30
-    return found
+        assert len(changes) < 30
+    return changes
 
 
 def test_group_grows_to_its_size_over_all_zones() -> None:
-    found = all_changes(Configuration(("a#1",)), candidates("abcdef"))
-    zones = {one.zone for one in candidates("abcdef").values() if one.server in found[-1].voters}
+    changes = all_changes(Configuration(("a#1",)), candidates("abcdef"))
+    zones = {
+        candidate.zone
+        for candidate in candidates("abcdef").values()
+        if candidate.server in changes[-1].voters
+    }
     assert zones == {"x", "y", "z"}
-    assert len(found[-1].voters) == 3 and not found[-1].learners
+    assert len(changes[-1].voters) == 3 and not changes[-1].learners
 
 
 def test_voter_is_replaced_only_once_its_node_is_gone_for_good() -> None:
-    """A node is absent. Its voter is kept until the node counts as gone, and then replaced."""
+    """A node is absent. Its voter is kept until the node counts as gone, and is then replaced."""
     present = candidates("abcd")
     del present["b"]
     configuration = Configuration(("a#1", "b#1", "c#1"))
@@ -44,7 +52,7 @@
 
 
 def test_node_back_with_another_disk_learns_before_it_votes() -> None:
-    """A node lost its disk and with it its votes.
+    """A node lost its disk, and with it the votes that it gave.
 
     Under the old identity it could vote twice in a term, so it joins as another server.
     """
@@ -63,8 +71,8 @@
 
 def test_voters_are_spread_to_zones_without_one() -> None:
     present = candidates("abcd", "xxyz")
-    found = all_changes(Configuration(("a#1", "b#1", "c#1")), present)
-    assert {present[node_of(voter)].zone for voter in found[-1].voters} == {"x", "y", "z"}
+    changes = all_changes(Configuration(("a#1", "b#1", "c#1")), present)
+    assert {present[node_of(voter)].zone for voter in changes[-1].voters} == {"x", "y", "z"}
 
 
 @settings(max_examples=200)
@@ -75,18 +83,18 @@
     st.integers(1, 4),
 )
 def test_each_change_is_of_one_voter_and_changes_end(
-    voters: set[str], there: set[str], wanted: int, zones: int
+    voters: set[str], present_names: set[str], target_size: int, zone_count: int
 ) -> None:
-    present = {name: Candidate(name, f"{name}#1", "xyzw"[ord(name) % zones]) for name in there}
+    present = {name: Candidate(name, f"{name}#1", "xyzw"[ord(name) % zone_count]) for name in present_names}
     configuration = Configuration(tuple(sorted(f"{name}#1" for name in voters)))
-    for change in all_changes(configuration, present, wanted, "abcdefgh"):
+    for change in all_changes(configuration, present, target_size, "abcdefgh"):
         assert len(set(configuration.voters) ^ set(change.voters)) <= 1 and change.voters
         configuration = change
-    assert len(configuration.voters) <= max(wanted, len(voters))
+    assert len(configuration.voters) <= max(target_size, len(voters))
 
 
 def test_no_second_group_is_bootstrapped_while_a_founder_knows_of_one() -> None:
-    """The first founder lost its disk and starts anew while the group still exists."""
+    """The first founder lost its disk and starts again while the group still exists."""
     present = candidates("abc")
     assert should_bootstrap("a", ["a", "b", "c"], present, "")
     assert not should_bootstrap("a", ["a", "b", "c"], present | {"b": Candidate("b", "b#1", "y", "old")}, "")
--- a/tests/test_consensus_replica.py
+++ b/tests/test_consensus_replica.py
@@ -1,4 +1,4 @@
-"""Replicas of the committed state, and their leases."""
+"""Tests replicas of the committed state, and their leases."""
 
 from __future__ import annotations
 
@@ -22,49 +22,52 @@
 from worksmux.simulation.followers import LEASE, Following
 
 
-def storm(make: type[Replica], seed: int) -> Following:
-    """Partitions, frozen nodes, slow links and loss while values go on changing."""
-    fleet = Following(12, seed, make, loss=0.1)
-    chance = RandomSource(seed)
+def run_random_faults(replica_type: type[Replica], seed: int) -> Following:
+    """Runs a fleet with random partitions, frozen nodes, slow links and loss while values keep changing."""
+    fleet = Following(12, seed, replica_type, loss=0.1)
+    random = RandomSource(seed)
     fleet.run(3000.0)
     for _ in range(40):
-        fleet.run(600.0 * chance.share())
-        draw, name = chance.share(), fleet.names[1 + int(chance.share() * 11)]
+        fleet.run(600.0 * random.share())
+        draw, name = random.share(), fleet.names[1 + int(random.share() * 11)]
         if draw < 0.4:
             fleet.put()
         elif draw < 0.6 and name not in fleet.frozen:
             fleet.frozen.add(name)
-            fleet.sim.after(9000.0 * chance.share(), fleet.go_on, name)
+            fleet.sim.after(9000.0 * random.share(), fleet.go_on, name)
         elif draw < 0.8:
-            some = chance.sample(fleet.names, 1 + int(chance.share() * 4))
-            fleet.wire.cut(some, [one for one in fleet.names if one not in some], "both")
-            fleet.sim.after(7000.0 * chance.share(), fleet.wire.heal)
+            group = random.sample(fleet.names, 1 + int(random.share() * 4))
+            fleet.wire.cut(group, [other for other in fleet.names if other not in group], "both")
+            fleet.sim.after(7000.0 * random.share(), fleet.wire.heal)
         else:
-            fleet.wire.slow[name] = 8000.0 * chance.share()
+            fleet.wire.slow[name] = 8000.0 * random.share()
     return fleet
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_no_replica_acts_on_state_older_than_its_lease(seed: int) -> None:
-    """Partitions, frozen nodes, slow links and loss at random while values go on changing.
+    """Random partitions, frozen nodes, slow links and loss occur while values keep changing.
 
     No replica that holds a lease may lack a value that was committed longer ago than the lease.
     """
-    assert not storm(Replica, seed).old
+    assert not run_random_faults(Replica, seed).old
 
 
 def test_random_faults_reveal_a_lease_counted_from_the_reply() -> None:
-    """Counting the age of knowledge from when the reply arrived takes a delayed reply for fresh."""
+    """A replica counts the age of its knowledge from when the reply arrived.
+
+    It then takes a delayed reply for fresh, which the random faults must reveal.
+    """
 
     class CountsFromReply(Replica):
-        """A lease from when the reply arrived, however long it was under way."""
+        """Counts the lease from when the reply arrived, however long it was in transit."""
 
         def _on_pull_reply(self, now: float, sender: str, reply: PullReply, output: Output) -> None:
             if reply.number in self.pending_pulls:
                 self.pending_pulls[reply.number] = PendingPull(sender, now)
             super()._on_pull_reply(now, sender, reply, output)
 
-    assert any(storm(CountsFromReply, seed).old for seed in range(30))
+    assert any(run_random_faults(CountsFromReply, seed).old for seed in range(30))
 
 
 def test_change_reaches_all_replicas_and_leases_hold() -> None:
@@ -73,10 +76,12 @@
     start = fleet.sim.now
     fleet.put(b"new")
     fleet.run(1000.0)
-    told = [at - start for at, _, fact in fleet.facts if isinstance(fact, ValuesChanged) and at >= start]
-    assert len(told) == 300 and max(told) < 500.0
+    delays = [
+        time - start for time, _, event in fleet.facts if isinstance(event, ValuesChanged) and time >= start
+    ]
+    assert len(delays) == 300 and max(delays) < 500.0
     fleet.run(2 * LEASE)
-    assert all(one.holds_lease(fleet.now(name)) for name, one in fleet.followers.items())
+    assert all(replica.holds_lease(fleet.now(name)) for name, replica in fleet.followers.items())
 
 
 def test_messages_per_node_do_not_grow_with_the_fleet() -> None:
@@ -93,25 +98,30 @@
 def test_replicas_below_frozen_nodes_keep_their_lease() -> None:
     """All inner nodes of the tree are frozen, and membership still reports them as present.
 
-    The nodes below must pull from others, or their leases end.
+    The nodes below them must pull from others, or their leases end.
     """
     fleet = Following(60)
     fleet.run(2 * LEASE)
-    middle = {parent_of(name, set(fleet.names) - {name}, ["f0"]) for name in fleet.names[1:]} - {"f0", ""}
-    assert middle
-    fleet.frozen |= middle  # membership still reports them as present
+    inner = {parent_of(name, set(fleet.names) - {name}, ["f0"]) for name in fleet.names[1:]} - {
+        "f0",
+        "",
+    }
+    assert inner
+    fleet.frozen |= inner  # membership still reports them as present
     fleet.run(4 * LEASE)
     assert all(
-        one.holds_lease(fleet.now(name)) for name, one in fleet.followers.items() if name not in middle
+        replica.holds_lease(fleet.now(name)) for name, replica in fleet.followers.items() if name not in inner
     )
 
 
 def test_reports_are_summed_on_their_way_up_the_tree() -> None:
     fleet = Following(80)
-    for one in fleet.followers.values():
-        one.build_report = lambda below: str(1 + sum(int(part) for part in below)).encode()
+    for replica in fleet.followers.values():
+        replica.build_report = lambda child_reports: str(
+            1 + sum(int(report) for report in child_reports)
+        ).encode()
     fleet.run(3 * LEASE)
-    assert sum(int(part) for part in fleet.followers["f0"].child_reports()) == 79
+    assert sum(int(report) for report in fleet.followers["f0"].child_reports()) == 79
 
 
 def test_different_state_at_one_index_is_reported_and_not_taken() -> None:
@@ -119,19 +129,24 @@
 
     Neither may take over the state of the other.
     """
-    one = Replica("a", LEASE, 1, 0.0)
-    one.step(0.0, TopologyChanged(frozenset({"b"}), frozenset({"b"})))
-    one.step(1.0, LocalVoterApplied(3, 77, {"plan": VersionedValue(3, b"x")}, -1.0, "b"))
-    out = one.step(2.0, MessageReceived("b", PullRequest(1, 3, 78)))
-    assert out.events == [StateMismatch("b", 3)] and not out.messages
-    asked = next(
-        message for _, message in one.step(one.due, Tick()).messages if isinstance(message, PullRequest)
+    replica = Replica("a", LEASE, 1, 0.0)
+    replica.step(0.0, TopologyChanged(frozenset({"b"}), frozenset({"b"})))
+    replica.step(1.0, LocalVoterApplied(3, 77, {"plan": VersionedValue(3, b"x")}, -1.0, "b"))
+    output = replica.step(2.0, MessageReceived("b", PullRequest(1, 3, 78)))
+    assert output.events == [StateMismatch("b", 3)] and not output.messages
+    pull = next(
+        message
+        for _, message in replica.step(replica.due, Tick()).messages
+        if isinstance(message, PullRequest)
     )
-    out = one.step(one.due, MessageReceived("b", PullReply(asked.number, 3, 78, 0.0, "b")))
-    assert out.events == [StateMismatch("b", 3)] and not one.holds_lease(one.due)
+    output = replica.step(replica.due, MessageReceived("b", PullReply(pull.number, 3, 78, 0.0, "b")))
+    assert output.events == [StateMismatch("b", 3)] and not replica.holds_lease(replica.due)
 
 
 def test_unsolicited_replies_and_notices_of_unknown_nodes_are_ignored() -> None:
-    one = Replica("a", LEASE, 1, 0.0)
-    assert not one.step(1.0, MessageReceived("b", PullReply(9, 5, 1, 0.0, "b"))).events and one.index == 0
-    assert not one.step(1.0, MessageReceived("b", ChangeNotice(5))).messages
+    replica = Replica("a", LEASE, 1, 0.0)
+    assert (
+        not replica.step(1.0, MessageReceived("b", PullReply(9, 5, 1, 0.0, "b"))).events
+        and replica.index == 0
+    )
+    assert not replica.step(1.0, MessageReceived("b", ChangeNotice(5))).messages
--- a/tests/test_consensus_state_machine.py
+++ b/tests/test_consensus_state_machine.py
@@ -1,4 +1,4 @@
-"""The key-value state that the log's commands add up to."""
+"""Tests the replicated key-value state that results from the log's commands."""
 
 from __future__ import annotations
 
@@ -9,18 +9,22 @@
 
 
 def apply_put(state: KeyValueState, put: Put, last: Entry | Snapshot) -> Entry:
+    """Applies a command that follows `last`, and returns its entry."""
     entry = next_entry(last, 1, COMMAND, msgspec.msgpack.encode(put))
     state.apply(entry)
     return entry
 
 
 def test_put_that_builds_on_an_outdated_version_is_ignored() -> None:
-    """Two writers read the same version and both write. The second must not overwrite the first unseen."""
+    """Two writers read the same version and both write.
+
+    The second write must not overwrite the first unseen.
+    """
     state = KeyValueState()
-    one = apply_put(state, Put("plan", b"one", 0), Snapshot())
-    two = apply_put(state, Put("plan", b"late", 0), one)
+    first_entry = apply_put(state, Put("plan", b"one", 0), Snapshot())
+    second_entry = apply_put(state, Put("plan", b"late", 0), first_entry)
     assert state.values["plan"].value == b"one" and state.index == 2
-    apply_put(state, Put("plan", b"two", 1), two)
+    apply_put(state, Put("plan", b"two", 1), second_entry)
     assert state.values["plan"].value == b"two"
 
 
--- a/worksmux/consensus/election.py
+++ b/worksmux/consensus/election.py
@@ -1,20 +1,25 @@
-"""How a server stands for election, votes and becomes leader (Raft §5.2, §5.4.1). Times are milliseconds."""
+"""Elections: how a server requests votes, grants them and becomes leader (Raft §5.2, §5.4.1).
+
+Times are milliseconds.
+"""
 
 from __future__ import annotations
 
 from .entries import NOOP
-from .leader import LeaderDuties
+from .leader import LeaderOperations
 from .messages import RequestVote, VoteReply
 from .outputs import Output
 from .voter import Role
 
 
-class Elections(LeaderDuties):
+class Elections(LeaderOperations):
+    """The operations of a candidate, and of a server that is asked for its vote."""
+
     def _start_pre_vote(self, now: float, output: Output) -> None:
-        """Asks whether an election could be won before the term is raised (thesis §9.6).
+        """Asks the voters whether an election could be won, before the term is raised (thesis §9.6).
 
-        Failure: a server that was cut off raises its term over and over, and deposes a healthy leader when
-        it is back.
+        Without it, a server that was cut off raises its term over and over, and deposes a healthy leader when
+        it is connected again.
         """
         self.pre_voting = True
         self._request_votes(now, self.term + 1, False, output)
@@ -45,12 +50,12 @@
             self._become_leader(now, output)
 
     def _log_is_up_to_date(self, request: RequestVote) -> bool:
-        """Whether the candidate's log is at least as up to date as this one (Raft §5.4.1)."""
+        """Whether the candidate's log is at least as up to date as this server's (Raft §5.4.1)."""
         last = self.log.last
         return (request.last_log_term, request.last_log_index) >= (last.term, last.index)
 
     def _may_vote_for(self, candidate: str) -> bool:
-        """One vote a term (Raft §5.2)."""
+        """Whether the vote of this term is free or was given to the candidate (Raft §5.2)."""
         return self.voted_for in ("", candidate)
 
     def _follows_live_leader(self, now: float) -> bool:
@@ -59,10 +64,10 @@
     def _on_request_vote(self, now: float, sender: str, request: RequestVote, output: Output) -> None:
         """Grants or denies a vote.
 
-        While this server heard from a leader within an election timeout it votes for nobody (thesis
-        §4.2.3). Failure: leases rest on that; a leader could answer a read by its lease while another one
-        commits writes. It shows as a read that misses a write acknowledged before. Only an election that
-        the leader itself asked for is let through, since such a leader no longer uses its lease.
+        A server votes for no candidate within an election timeout of its last contact with a leader (thesis
+        §4.2.3). Leases rest on that rule. Without it, a leader could answer a read by its lease while another
+        one commits writes. It would show as a read that misses an acknowledged write. An election that the
+        leader itself requested is exempt, because that leader no longer uses its lease.
         """
         if self._follows_live_leader(now) and not request.leadership_transfer:
             if request.pre_vote and request.term > self.term:
@@ -96,7 +101,7 @@
             self._count_votes(now, output)
 
     def _become_leader(self, now: float, output: Output) -> None:
-        """Begins the term with an entry of its own, so that earlier ones can be committed (Raft §8)."""
+        """Starts the term with an entry of its own, so that earlier entries can be committed (Raft §8)."""
         self.role = Role.LEADER
         self.term_start_index = self.log.last.index + 1
         self.progress, self.round_sent_at, self.pending_reads = {}, {}, []
--- a/worksmux/consensus/inputs.py
+++ b/worksmux/consensus/inputs.py
@@ -1,4 +1,4 @@
-"""What the caller gives to the Raft core."""
+"""Inputs of the Raft core."""
 
 from __future__ import annotations
 
@@ -10,25 +10,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed; wanted when `due` is reached."""
+    """Reports that time has passed. It is due when `Raft.due` is reached."""
 
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
+    """Carries a message from another server."""
+
     sender: str
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
 class WritesSynced:
-    """All writes up to this number are on disk."""
+    """Reports that all writes up to this number are on disk."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Propose:
-    """Append an entry to the log. `ProposalAppended` or `Rejected` answers, with the same token."""
+    """Requests that an entry is appended to the log.
+
+    The core answers with `ProposalAppended` or `Rejected` and the same token.
+    """
 
     kind: str
     data: bytes
@@ -37,16 +42,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeConfiguration:
-    """Replace the configuration: one voter more or less, or other learners (thesis §4.1)."""
+    """Requests another configuration.
+
+    It may differ by one voter and by any learners (thesis §4.1).
+    """
 
     configuration: Configuration
 
 
 @dataclass(frozen=True, slots=True)
 class ReadIndex:
-    """Ask up to which index a linearizable read must have applied (thesis §6.4).
+    """Requests the index up to which a linearizable read must have applied the log (thesis §6.4).
 
-    `ReadReady` or `Rejected` answers, with the same token.
+    The core answers with `ReadReady` or `Rejected` and the same token.
     """
 
     token: int
@@ -54,7 +62,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Compact:
-    """Replace all entries up to `index`, which is committed, with a snapshot that holds `data`."""
+    """Requests that all entries up to `index` are replaced by a snapshot that holds `data`.
+
+    The entry at `index` must be committed.
+    """
 
     index: int
     data: bytes
@@ -62,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TransferLeadership:
-    """Let another voter lead, as this process is about to exit (thesis §3.10)."""
+    """Requests that another voter leads, as this process is about to exit (thesis §3.10)."""
 
 
 Input = (
--- a/worksmux/consensus/messages.py
+++ b/worksmux/consensus/messages.py
@@ -1,4 +1,4 @@
-"""Messages among voters and learners. Names on the wire differ from those in the code."""
+"""Messages between voters and learners. Tags and field names on the wire differ from those in the code."""
 
 from __future__ import annotations
 
@@ -8,11 +8,10 @@
 
 
 class RequestVote(msgspec.Struct, tag="vote"):
-    """Asks for a vote (Raft §5.2).
+    """Requests a vote (Raft §5.2).
 
     A pre-vote changes no state: it asks whether the vote would be granted (thesis §9.6).
-
-    `leadership_transfer` says that the leader itself asked for this election (thesis §3.10).
+    `leadership_transfer` states that the leader itself requested this election (thesis §3.10).
     """
 
     term: int
@@ -23,7 +22,7 @@
 
 
 class VoteReply(msgspec.Struct, tag="voted"):
-    """The answer to RequestVote."""
+    """Answers RequestVote."""
 
     term: int
     granted: bool
@@ -31,9 +30,10 @@
 
 
 class AppendEntries(msgspec.Struct, tag="append"):
-    """The entries after `prev_log_index`; without any it is a heartbeat (Raft §5.3).
+    """Carries the entries after `prev_log_index`; without entries it is a heartbeat (Raft §5.3).
 
-    `round` numbers what a leader sends, so that it knows when the message that a reply belongs to was sent.
+    `round` numbers what a leader sends, so that the leader knows when it sent the message that a reply
+    answers.
     """
 
     term: int
@@ -45,10 +45,10 @@
 
 
 class AppendReply(msgspec.Struct, tag="appended"):
-    """The answer to AppendEntries.
+    """Answers AppendEntries.
 
-    `index` is the last one at which the logs are known to match; without success, the last at which they
-    may match.
+    `index` is the last index at which the logs are known to match. Without success it is the last index at
+    which they may match.
     """
 
     term: int
@@ -58,7 +58,10 @@
 
 
 class InstallSnapshot(msgspec.Struct, tag="install"):
-    """A part of a snapshot, from byte `offset` on (Raft §7). `size` is that of the whole, in bytes."""
+    """Carries a part of a snapshot, from byte `offset` on (Raft §7).
+
+    `size` is the size of the whole snapshot's data in bytes.
+    """
 
     term: int
     last_included_index: int = msgspec.field(name="index")
@@ -72,7 +75,7 @@
 
 
 class SnapshotReply(msgspec.Struct, tag="installed"):
-    """The answer to InstallSnapshot; `offset` is the next byte that the receiver lacks."""
+    """Answers InstallSnapshot. `offset` is the next byte that the receiver lacks."""
 
     term: int
     last_included_index: int = msgspec.field(name="index")
@@ -81,7 +84,7 @@
 
 
 class TimeoutNow(msgspec.Struct, tag="hurry"):
-    """Start an election without waiting: the leader transfers its leadership (thesis §3.10)."""
+    """Asks the receiver to start an election at once: the leader transfers its leadership (thesis §3.10)."""
 
     term: int
 
--- a/worksmux/consensus/outputs.py
+++ b/worksmux/consensus/outputs.py
@@ -1,4 +1,4 @@
-"""What the Raft core gives back: writes, messages and events."""
+"""Outputs of the Raft core: writes, messages and events."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderChanged:
-    """The leader as known here; empty if unknown."""
+    """Reports the leader as this server knows it, empty if unknown."""
 
     term: int
     leader: str
@@ -18,21 +18,23 @@
 
 @dataclass(frozen=True, slots=True)
 class EntriesCommitted:
+    """Reports entries that are newly committed, in order."""
+
     entries: tuple[Entry, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotInstalled:
-    """The leader's snapshot has replaced all that was applied here."""
+    """Reports that the leader's snapshot has replaced all state applied here."""
 
     snapshot: Snapshot
 
 
 @dataclass(frozen=True, slots=True)
 class ProposalAppended:
-    """The proposal is in the leader's log.
+    """Reports that a proposal is in the leader's log.
 
-    It is committed once the entry committed at `index` has that `term`.
+    It is committed once the entry committed at `index` has the term `term`.
     """
 
     token: int
@@ -42,9 +44,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """A proposal, a read or a change of the configuration was refused.
+    """Reports that a proposal, a read or a change of the configuration was rejected.
 
-    `leader` is the server to ask instead; empty if unknown.
+    `leader` is the server to ask instead, empty if unknown.
     """
 
     token: int
@@ -53,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadReady:
-    """A read is linearizable once everything up to `index` is applied."""
+    """Reports that a read is linearizable once everything up to `index` is applied."""
 
     token: int
     index: int
@@ -61,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InvariantViolation:
-    """A state that correct servers never reach. It is reported and the message that shows it is ignored."""
+    """Reports a state that correct servers never reach. The message that shows it is ignored."""
 
     text: str
 
@@ -79,9 +81,9 @@
 
 @dataclass(slots=True)
 class Output:
-    """`messages` are (receiver, message).
+    """Collects the writes, messages and events of one step. `messages` are pairs (receiver, message).
 
-    They may be sent once `writes`, and all writes before them, are on disk.
+    Messages may be sent once `writes`, and all writes before them, are on disk.
     """
 
     writes: list[StorageWrite] = field(default_factory=list)
--- a/worksmux/consensus/raft.py
+++ b/worksmux/consensus/raft.py
@@ -1,14 +1,14 @@
-"""One server of a Raft group, with pre-vote, leases, snapshots and single-server changes of membership.
+"""One server of a Raft group, with pre-votes, leases, snapshots and single-server membership changes.
 
     output = raft.step(now, raft_input)
 
-Free of I/O and clock; times are milliseconds. `output.writes` have to reach the disk in order.
+The core is free of I/O and clock. Times are milliseconds. `output.writes` have to reach the disk in order.
 `output.messages` may be sent only once these writes, and all before them, are on disk; `WritesSynced` then
-reports that. `raft.due` is when the next `Tick` is wanted.
+reports that. `raft.due` is when the next `Tick` is due.
 
-Leases rest on one rule: a server that heard from a leader votes for no other within an election timeout,
-after a restart neither. A leader that a majority answered within that time, counted from when it sent the
-message, is thus the only one. Clocks may drift apart by MAX_CLOCK_DRIFT.
+Leases rest on one rule: within an election timeout of its last contact with a leader, a server votes for no
+other. A restart counts as contact. So a leader that a majority answered within that time, counted from when
+it sent the message, is the only one. Clocks may drift apart by MAX_CLOCK_DRIFT.
 """
 
 from __future__ import annotations
@@ -41,8 +41,10 @@
 
 
 class Raft(Elections):
+    """A server of a Raft group, which processes one input at a time."""
+
     def step(self, now: float, raft_input: Input) -> Output:
-        """Takes one input and returns what to write, to send and to report."""
+        """Processes one input and returns the writes, the messages to send and the events to report."""
         output = Output()
         match raft_input:
             case Tick():
@@ -81,7 +83,7 @@
                 self._on_request_vote(now, sender, message, output)
                 return
             case VoteReply() if message.pre_vote and message.granted:
-                # It carries the term that the candidate would take, which must not raise the term yet.
+                # The reply carries the term of the election to come, which must not raise this term yet.
                 self._on_vote_reply(now, sender, message, output)
                 return
         if message.term > self.term:
@@ -94,7 +96,7 @@
         self._receive_in_term(now, sender, message, output)
 
     def _receive_in_term(self, now: float, sender: str, message: Message, output: Output) -> None:
-        """A message of this server's own term."""
+        """Processes a message of this server's own term."""
         match message:
             case VoteReply():
                 self._on_vote_reply(now, sender, message, output)
@@ -114,9 +116,9 @@
                 pass
 
     def _accept_leader(self, now: float, sender: str, output: Output) -> bool:
-        """Follows the leader of this term; False if this server itself leads in it."""
+        """Follows the leader of this term; returns False if this server itself leads the term."""
         if self.role is Role.LEADER:
-            text = f"{sender} leads in term {self.term}, and so does {self.server_id}"
+            text = f"{sender} claims to lead term {self.term}, which {self.server_id} leads"
             output.events.append(InvariantViolation(text))
             return False
         self.role, self.leader_contact_at = Role.FOLLOWER, now
@@ -134,47 +136,53 @@
                 reply = AppendReply(self.term, False, self._last_possible_match(index), message.round)
                 output.messages.append((sender, reply))
                 return
-        matched = max(index, log.snapshot.index)  # what the snapshot holds is committed, hence the same
+        matched = max(index, log.snapshot.index)  # the snapshot's entries are committed, hence equal
         matched = self._append_received(message.entries, matched, output)
         self._commit(min(message.leader_commit, matched), output)
         output.messages.append((sender, AppendReply(self.term, True, matched, message.round)))
 
     def _last_possible_match(self, index: int) -> int:
-        """Where the logs may match: all entries of a conflicting term are skipped at once (Raft §5.3)."""
+        """Returns the last index at which the logs may match.
+
+        All entries of a conflicting term are skipped at once (Raft §5.3).
+        """
         log = self.log
         conflicting = log.get(index)
         conflicting_term = conflicting.term if conflicting else -1
-        hint = min(index, log.last.index + 1) - 1
-        while hint > log.snapshot.index:
-            held = log.get(hint)
-            if held is None or held.term != conflicting_term:
+        candidate_index = min(index, log.last.index + 1) - 1
+        while candidate_index > log.snapshot.index:
+            entry = log.get(candidate_index)
+            if entry is None or entry.term != conflicting_term:
                 break
-            hint -= 1
-        return max(hint, log.snapshot.index)
+            candidate_index -= 1
+        return max(candidate_index, log.snapshot.index)
 
     def _append_received(self, entries: tuple[Entry, ...], matched: int, output: Output) -> int:
         """Appends the entries that are new and returns the last index that matches the leader's log.
 
-        Entries that conflict are removed (Raft §5.3), those already held are kept: a late message must not
-        shorten the log.
+        Conflicting entries are removed (Raft §5.3). Entries that the log contains already are kept: a late
+        message must not shorten the log.
         """
         for position, entry in enumerate(entries):
-            held = self.log.get(entry.index)
-            known = held is not None and held.term == entry.term
-            if entry.index <= self.log.snapshot.index or known:
+            existing = self.log.get(entry.index)
+            is_present = existing is not None and existing.term == entry.term
+            if entry.index <= self.log.snapshot.index or is_present:
                 matched = max(matched, entry.index)
                 continue
             new = entries[position:]
-            return new[-1].index if self._replace_tail(new, held is not None, output) else matched
+            return new[-1].index if self._replace_tail(new, existing is not None, output) else matched
         return matched
 
     def _replace_tail(self, new: tuple[Entry, ...], conflicting: bool, output: Output) -> bool:
-        """Puts `new` at its place in the log; False and a report if that would break an invariant."""
+        """Replaces the log from the first index of `new` on by `new`.
+
+        Returns False, and reports a violation, if that would break an invariant.
+        """
         log = self.log
         truncate_from = new[0].index if conflicting else None
         if truncate_from is not None:
             if truncate_from <= self.commit_index:
-                text = f"the committed entry {truncate_from} would be overwritten"
+                text = f"the leader's entries would overwrite the committed entry {truncate_from}"
                 output.events.append(InvariantViolation(text))
                 return False
             log.truncate_from(truncate_from)
@@ -201,7 +209,10 @@
         output.messages.append((sender, SnapshotReply(self.term, index, received, message.round)))
 
     def _add_snapshot_part(self, message: InstallSnapshot, output: Output) -> int:
-        """Adds the next part and installs a complete snapshot; returns the bytes received so far."""
+        """Adds the next part and installs a complete snapshot.
+
+        Returns the number of bytes received so far.
+        """
         incoming = self.incoming_snapshot
         key = (message.last_included_index, message.digest)
         if incoming is None or (incoming.index, incoming.digest) != key:
--- a/worksmux/consensus/reconfiguration.py
+++ b/worksmux/consensus/reconfiguration.py
@@ -1,10 +1,10 @@
-"""Which configuration comes next: the leader brings the group to its size, spread over the zones.
+"""The next configuration: the leader brings the group to its target size, spread over the zones.
 
-Pure functions; one change at a time. A voter whose node is gone for good, or is back with another disk, is
-replaced: its replacement joins as a learner and votes once it has caught up (thesis §4.2.1). Without a
-replacement the voter stays, as a smaller group would keep fewer copies. A group is bootstrapped once, by
-the first of the founders named in the settings, when all of them are present and none of them knows of a
-group.
+The functions are pure and plan one change at a time. A voter is replaced if its node is gone for good, or has
+returned with another disk. Its replacement joins as a learner and votes once it has caught up (thesis
+§4.2.1). Without a replacement the voter stays, as a smaller group would keep fewer copies. A group is
+bootstrapped once, by the first of the founders in the settings, when all founders are present and none knows
+of a group.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 class Candidate:
     """A node that could be a member: it is present and has a disk.
 
-    `group` is the Raft group it knows of, or empty.
+    `group` is the id of the Raft group that it knows of, empty if none.
     """
 
     node: str
@@ -34,9 +34,9 @@
 ) -> bool:
     """Whether this node bootstraps the group now.
 
-    Failure: two groups, each with a leader and a plan of its own. It cannot come about by a founder that
-    starts late or alone: the first founder waits for all others, and does nothing once one of those present
-    knows of a group.
+    Two groups would each have a leader and a failover plan of its own. A founder that starts late or alone
+    cannot cause that: the first founder waits for all others, and does nothing if one of those present knows
+    of a group.
 
     >>> present = {name: Candidate(name, name + "#1", "z") for name in "abc"}
     >>> [should_bootstrap(name, ["a", "b", "c"], present, "") for name in "ab"]
@@ -58,13 +58,13 @@
     is_gone: Callable[[str], bool],
     caught_up: Callable[[str], bool],
 ) -> Configuration | None:
-    """The next change, or None if none is wanted.
+    """Returns the next configuration, or None if no change is needed.
 
     Args:
         candidates: by node, those that are present.
-        target_size: voters wanted.
-        is_gone: whether a node has been away for so long that its voter is replaced.
-        caught_up: whether a learner is near enough to the end of the log to vote.
+        target_size: the wanted number of voters.
+        is_gone: whether a node has been absent for so long that its voter is replaced.
+        caught_up: whether a learner is close enough to the end of the log to vote.
     """
 
     def is_lost(server: str) -> bool:
@@ -78,7 +78,7 @@
     ready = [learner for learner in learners if caught_up(learner)]
     size = _reachable_size(target_size, len(candidates), len(voters))
 
-    # The replacement has caught up before the lost voter goes, so that the group is short for a moment only.
+    # The lost voter is removed only once a replacement has caught up, so the group is short only briefly.
     if lost and len(voters) > 1 and (ready or len(voters) > target_size):
         return Configuration(_without(voters, lost[0]), learners)
     if len(kept) < size:
@@ -89,9 +89,13 @@
 
 
 def _reachable_size(target_size: int, present: int, voters: int) -> int:
-    """An odd number of voters: one more would raise the quorum and survive no further failure."""
-    odd = present if present % 2 else present - 1
-    return max(1, min(target_size, max(odd, voters)))
+    """Returns the target size as far as the present nodes allow it.
+
+    It is an odd number of the present nodes, but not fewer than the voters there are. One voter more than an
+    odd number would raise the quorum and tolerate no further failure.
+    """
+    odd_size = present if present % 2 else present - 1
+    return max(1, min(target_size, max(odd_size, voters)))
 
 
 def _grow(
@@ -101,7 +105,7 @@
     ready: list[str],
     candidates: Mapping[str, Candidate],
 ) -> Configuration | None:
-    """One voter more: a learner that has caught up, else a new learner."""
+    """Adds a voter: a learner that has caught up is promoted, else a new learner is added."""
     if ready:
         return _promote(configuration, learners, ready[0])
     added = "" if learners else _best_addition(kept, candidates)
@@ -117,7 +121,7 @@
     ready: list[str],
     candidates: Mapping[str, Candidate],
 ) -> Configuration | None:
-    """A voter for a zone without one; the zone that has two gives one up afterwards."""
+    """Adds a voter in a zone without one. The zone that has two gives one up afterwards."""
     added = _in_uncovered_zone(kept, candidates)
     if not added:
         return _with_learners(configuration, ())
@@ -152,7 +156,7 @@
 
 
 def _best_addition(voters: list[str], candidates: Mapping[str, Candidate]) -> str:
-    """The server to add, in the zone that has the fewest voters; empty if none is available."""
+    """Returns the server to add, in the zone with the fewest voters; empty if none is available."""
     by_zone = _voters_by_zone(voters, candidates)
     available = _available(voters, candidates)
     if not available:
@@ -161,7 +165,7 @@
 
 
 def _most_redundant(voters: list[str], candidates: Mapping[str, Candidate]) -> str:
-    """The voter to give up, in the zone that has the most."""
+    """Returns the voter to remove, in the zone with the most voters."""
     by_zone = _voters_by_zone(voters, candidates)
     present = [voter for voter in voters if node_of(voter) in candidates]
     if not present:
@@ -170,7 +174,7 @@
 
 
 def _in_uncovered_zone(voters: list[str], candidates: Mapping[str, Candidate]) -> str:
-    """A server in a zone without voters, if another zone has two or more; else empty."""
+    """Returns a server in a zone without voters if another zone has two or more; empty otherwise."""
     by_zone = _voters_by_zone(voters, candidates)
     if max(by_zone.values(), default=0) < 2:
         return ""
--- a/worksmux/consensus/replica.py
+++ b/worksmux/consensus/replica.py
@@ -1,16 +1,17 @@
-"""How every node replicates the committed state and holds a lease on it. Free of I/O and clock.
+"""A node's replica of the committed state, and its lease on it. Free of I/O and clock.
 
     output = replica.step(now, replica_input)
 
-Times are milliseconds. Nodes form a tree under the leader's node (`replication_tree`). A change notice runs
-down the tree: whoever gets one pulls from its parent and notifies the nodes that lately pulled from it.
-State is taken only from the reply to a pull, because of the lease: a reply says how old its knowledge is,
-and the age counts from when the pull was sent, so that a delayed message cannot make it look younger.
+Times are milliseconds. Nodes form a tree below the leader's node (`replication_tree`). A change notice is
+passed down the tree: a node that receives one pulls from its parent and notifies the nodes that recently
+pulled from it. State is taken only from the reply to a pull, because of the lease. A reply states the age of
+its knowledge, and the age counts from when the pull was sent. So a delayed message cannot make knowledge look
+younger than it is.
 
     known as of = (when the pull was sent) - (age in the reply) * (1 + MAX_CLOCK_DRIFT)
 
-Everything that was committed before that moment is known here. Reports run up the same tree, summed on
-their way.
+Everything that was committed before that moment is known here. Reports are passed up the same tree, and
+summed on the way.
 """
 
 from __future__ import annotations
@@ -22,25 +23,27 @@
 from ..policy.random_source import RandomSource
 from .inputs import Tick
 from .replication_messages import ChangeNotice, Message, PullReply, PullRequest
-from .replication_tree import parent_of, place_of
+from .replication_tree import parent_of, tree_order
 from .state_machine import VersionedValue
 from .voter import MAX_CLOCK_DRIFT
 
 PULLS_PER_LEASE = 8
 CHILD_TTL_PULLS = 3.0  # pull intervals after which a node that no longer pulls gets no more notices
-MAX_FAILED_PULLS = 2  # pulls of the parent without newer knowledge, before other nodes are asked too
+MAX_FAILED_PULLS = 2  # rounds without newer knowledge, beyond which other nodes are pulled from too
 UNKNOWN_AGE = -1.0
 
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
+    """Carries a message from another node."""
+
     sender: str
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
 class TopologyChanged:
-    """The nodes that are present, without this one, and the nodes of all voters."""
+    """Carries the nodes that are present, without this one, and the nodes of all voters."""
 
     others: frozenset[str]
     voters: frozenset[str]
@@ -48,9 +51,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalVoterApplied:
-    """This node's own voter has applied up to `index`.
+    """Reports that this node's own voter has applied the log up to `index`.
 
-    `age_ms` is as in `PullReply` if the voter leads, else negative.
+    `age_ms` is as in `PullReply` if the voter leads, and negative otherwise.
     """
 
     index: int
@@ -65,12 +68,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ValuesChanged:
+    """Reports the keys whose values have changed."""
+
     keys: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class StateMismatch:
-    """Another node holds a different state at the same index. Neither takes anything from the other."""
+    """Reports that another node holds a different state at the same index.
+
+    Neither node takes state from the other.
+    """
 
     node: str
     index: int
@@ -81,7 +89,7 @@
 
 @dataclass(slots=True)
 class Output:
-    """`messages` are (receiver's node, message)."""
+    """Collects the messages and events of one step. `messages` are pairs (receiver's node, message)."""
 
     messages: list[tuple[str, Message]] = field(default_factory=list)
     events: list[Event] = field(default_factory=list)
@@ -89,7 +97,7 @@
 
 @dataclass(slots=True)
 class Child:
-    """A node that pulls from this one."""
+    """A node that pulls from this one, with its last report."""
 
     last_pull_at: float
     report: bytes
@@ -97,15 +105,18 @@
 
 @dataclass(slots=True)
 class PendingPull:
+    """A pull that was sent and not answered yet."""
+
     node: str
     sent_at: float
 
 
 class Replica:
-    """
+    """One node's copy of the committed state.
+
     Args:
-        lease_ms: how old knowledge may be that is acted on.
-        build_report: this node's report, from those of the nodes below it.
+        lease_ms: the maximum age of knowledge that is acted on.
+        build_report: builds this node's report from those of the nodes below it.
     """
 
     def __init__(
@@ -125,9 +136,9 @@
         self.pull_interval_ms = lease_ms / PULLS_PER_LEASE
         self.index, self.state_hash = 0, 0
         self.values: dict[str, VersionedValue] = {}
-        self.known_as_of = -inf  # on this node's clock: everything committed by then is known
+        self.known_as_of = -inf  # by this node's clock; everything committed by then is known
         self.leader = ""
-        self.leads = False  # this node's own voter does
+        self.leads = False  # whether this node's own voter is the leader
         self.others: frozenset[str] = frozenset()
         self.voters: frozenset[str] = frozenset()
         self.parent = ""
@@ -138,29 +149,32 @@
         self.due = now + self.pull_interval_ms * self.random.share()
 
     def holds_lease(self, now: float) -> bool:
+        """Whether the known state is recent enough to act on."""
         return now - self.known_as_of < self.lease_ms
 
     def lease_expires_at(self) -> float:
+        """Returns when the lease ends unless it is renewed."""
         return self.known_as_of + self.lease_ms
 
     def child_reports(self) -> list[bytes]:
-        """The reports of the nodes below this one.
+        """Returns the reports of the nodes below this one.
 
-        Failure: two nodes that see the tree differently can take each other for their child, and reports
-        that run in circles grow without bound. So voters' reports go to the leader alone, and others' only
-        to nodes of a lower place: along those no circle closes.
+        Two nodes that see the tree differently can take each other for a child. Reports would then circulate
+        and grow without bound. So voters' reports are counted by the leader alone, and those of other nodes
+        only by voters and by nodes that come before them in the order of the tree. No cycle is possible along
+        that order.
         """
         if self.leads:
             return [child.report for child in self.children.values() if child.report]
-        is_voter, own_place = self.node in self.voters, place_of(self.node)
+        is_voter, own_order = self.node in self.voters, tree_order(self.node)
         return [
             child.report
             for node, child in self.children.items()
-            if child.report and node not in self.voters and (is_voter or place_of(node) > own_place)
+            if child.report and node not in self.voters and (is_voter or tree_order(node) > own_order)
         ]
 
     def step(self, now: float, replica_input: Input) -> Output:
-        """Takes one input and returns what to send and to report."""
+        """Processes one input and returns the messages to send and the events to report."""
         output = Output()
         match replica_input:
             case Tick():
@@ -186,12 +200,12 @@
         if self.leads:
             self._notify_children(output)
             return
-        parent = self._source()
+        parent = self._pull_source()
         if parent:
             self._pull(now, parent, output)
         self.failed_pulls += 1
         if self.failed_pulls > MAX_FAILED_PULLS:
-            # The tree may be broken above the parent: a voter is asked, and any node.
+            # The tree may be broken above the parent, so it pulls from a random voter and a random node.
             for nodes in (self.voters & self.others, self.others):
                 for node in self.random.sample(sorted(nodes - {parent}), 1):
                     self._pull(now, node, output)
@@ -206,8 +220,8 @@
             number: pull for number, pull in self.pending_pulls.items() if pull.sent_at > oldest_pull
         }
 
-    def _source(self) -> str:
-        """The node to pull from: the leader for a voter, the parent in the tree for all others."""
+    def _pull_source(self) -> str:
+        """Returns the node to pull from: the leader for a voter, the parent in the tree for all others."""
         if self.node in self.voters and self.leader in self.others:
             return self.leader
         return self.parent
@@ -215,7 +229,7 @@
     def _pull(self, now: float, node: str, output: Output) -> None:
         self.last_pull_number += 1
         self.pending_pulls[self.last_pull_number] = PendingPull(node, now)
-        report = self.build_report(self.child_reports()) if node == self._source() else b""
+        report = self.build_report(self.child_reports()) if node == self._pull_source() else b""
         request = PullRequest(self.last_pull_number, self.index, self.state_hash, report)
         output.messages.append((node, request))
 
@@ -245,7 +259,7 @@
         if pull is None or pull.node != sender or self.leads:
             return  # unsolicited or a duplicate
         if reply.index < self.index:
-            return  # the sender lacks entries known here, so its age says nothing of what is newer
+            return  # the sender lacks entries known here, so its age does not apply to newer entries
         if self._mismatches(reply.index, reply.state_hash):
             output.events.append(StateMismatch(sender, self.index))
             return
--- a/worksmux/consensus/replication_messages.py
+++ b/worksmux/consensus/replication_messages.py
@@ -1,4 +1,7 @@
-"""Messages by which every node, voter or not, learns the committed state. Field names on the wire differ."""
+"""Messages by which every node, voter or not, receives the committed state.
+
+Tags and field names on the wire differ from those in the code.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,10 @@
 
 
 class PullRequest(msgspec.Struct, tag="pull"):
-    """Asks for the values that changed after `known_index`, and reports on the sender's part of the tree."""
+    """Requests the values that changed after `known_index`.
+
+    `report` covers the sender and the nodes below it in the tree.
+    """
 
     number: int
     known_index: int = msgspec.field(name="have")
@@ -17,10 +23,10 @@
 
 
 class PullReply(msgspec.Struct, tag="told"):
-    """The values that changed.
+    """Carries the values that changed.
 
-    `age_ms` is how long ago it was certain that nothing newer than `index` was committed; negative if
-    unknown. `leader` is the leader's node; empty if unknown.
+    `age_ms` is how long ago it was certain that nothing newer than `index` was committed, negative if
+    unknown. `leader` is the leader's node, empty if unknown.
     """
 
     number: int
@@ -32,7 +38,7 @@
 
 
 class ChangeNotice(msgspec.Struct, tag="news"):
-    """The sender's state has reached `index`: pull from it."""
+    """Reports that the sender's state has reached `index`, so that the receiver pulls from it."""
 
     index: int
 
--- a/worksmux/consensus/voter.py
+++ b/worksmux/consensus/voter.py
@@ -1,4 +1,4 @@
-"""State that a server has in every role: its term and vote, its log, the leader it follows.
+"""The state that a server has in every role: its term and vote, its log, the leader that it follows.
 
 Times are milliseconds.
 """
@@ -14,11 +14,13 @@
 from .entries import Entry, HardState, Log, PersistentState, Snapshot, StorageWrite
 from .outputs import EntriesCommitted, LeaderChanged, Output, Rejected
 
-MAX_CLOCK_DRIFT = 0.02  # fraction by which the clocks of two machines may run apart
-ELECTION_TIMEOUT_SPREAD = 1.0  # fraction of the election timeout that is added at random (Raft §5.2)
+MAX_CLOCK_DRIFT = 0.02  # fraction by which the clocks of two machines may drift apart
+ELECTION_TIMEOUT_SPREAD = 1.0  # maximum fraction of the election timeout that is added at random (Raft §5.2)
 
 
 class Role(Enum):
+    """The role of a server in its term."""
+
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
     LEADER = "leader"
@@ -26,25 +28,27 @@
 
 @dataclass(frozen=True, slots=True)
 class RaftTiming:
+    """The heartbeat interval and the minimum election timeout."""
+
     heartbeat_ms: float = 150.0
-    election_timeout_ms: float = 1000.0  # the least time without a leader's message before an election
+    election_timeout_ms: float = 1000.0  # minimum time without a leader's message before an election
 
 
 @dataclass(slots=True)
 class Progress:
-    """What a leader knows of another server (Raft figure 2: nextIndex, matchIndex)."""
+    """What a leader knows of another server's log (Raft figure 2: nextIndex, matchIndex)."""
 
     match_index: int = 0
     next_index: int = 1
     tracked_since: float = 0.0
-    last_contact: float = -inf  # when the newest message that it answered was sent
-    data_sent_at: float = -inf  # when entries or snapshot data that are not yet answered were sent
-    snapshot_offset: int = -1  # next byte of a snapshot being sent; -1: none is
+    last_contact: float = -inf  # when the newest message that the server replied to was sent
+    data_sent_at: float = -inf  # when entries or snapshot data that await a reply were sent; -inf: none do
+    snapshot_offset: int = -1  # next byte of the snapshot being sent; -1: none is being sent
 
 
 @dataclass(frozen=True, slots=True)
 class PendingRead:
-    """A read that waits for a majority to answer messages of `round` (thesis §6.4)."""
+    """A read that waits for a majority to reply to the messages of `round` (thesis §6.4)."""
 
     token: int
     index: int
@@ -53,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnsyncedAppend:
-    """Entries from `first_index` on, which are not yet on disk."""
+    """Entries from `first_index` on that are not on disk yet."""
 
     write_number: int
     first_index: int
@@ -61,7 +65,7 @@
 
 @dataclass(slots=True)
 class IncomingSnapshot:
-    """A snapshot of which parts have arrived."""
+    """A snapshot that is being received in parts."""
 
     index: int
     digest: int
@@ -69,6 +73,8 @@
 
 
 class Voter:
+    """Holds a server's state and the operations that all roles share."""
+
     def __init__(
         self, server_id: str, saved: PersistentState, timing: RaftTiming, seed: int, now: float
     ) -> None:
@@ -81,56 +87,59 @@
         self.commit_index = saved.snapshot.index
         self.last_write_number = 0
         self.unsynced: list[UnsyncedAppend] = []
-        # As a candidate.
+        # State of a candidate.
         self.votes: set[str] = set()
         self.pre_voting = False
-        # As a leader.
+        # State of a leader.
         self.progress: dict[str, Progress] = {}
         self.round = 0
         self.round_sent_at: dict[int, float] = {}
         self.pending_reads: list[PendingRead] = []
-        self.term_start_index = 0  # of this leader's first entry
+        self.term_start_index = 0  # index of the first entry of the leader's own term
         self.transferring, self.transfer_deadline = False, 0.0
-        # As a follower.
+        # State of a follower.
         self.incoming_snapshot: IncomingSnapshot | None = None
-        # A restart counts as contact: the lease of a leader that this server followed may still run.
+        # A restart counts as contact: a leader that this server followed may still hold its lease.
         self.leader_contact_at = now
         self.heartbeat_at = inf
         self.election_at = self._election_deadline(now)
 
     @property
     def due(self) -> float:
-        """When the next tick is wanted."""
+        """Returns when the next `Tick` is due."""
         if self.role is Role.LEADER:
             return self.heartbeat_at
         return self.election_at if self._is_voter() else inf
 
     @property
     def synced_index(self) -> int:
-        """The last index up to which the log is on disk."""
+        """Returns the last index up to which the log is on disk."""
         if not self.unsynced:
             return self.log.last.index
         return min(self.log.last.index, self.unsynced[0].first_index - 1)
 
-    def _reached_by_quorum(self, own: float, of_other: Callable[[Progress], float]) -> float:
-        """The highest value that a majority of the voters has reached."""
-        reached = sorted(
+    def _reached_by_quorum(self, own_value: float, value_of: Callable[[Progress], float]) -> float:
+        """Returns the highest value that a majority of the voters has reached."""
+        values = sorted(
             (
-                own if voter == self.server_id else of_other(self.progress[voter])
+                own_value if voter == self.server_id else value_of(self.progress[voter])
                 for voter in self.configuration.voters
             ),
             reverse=True,
         )
-        return reached[self.configuration.quorum - 1]
+        return values[self.configuration.quorum - 1]
 
     def quorum_contact_age(self, now: float) -> float:
-        """Milliseconds since a majority is known to have followed this leader; infinite if it is none."""
+        """Returns the milliseconds since a majority is known to have followed this leader.
+
+        The age is infinite if this server does not lead.
+        """
         if self.role is not Role.LEADER:
             return inf
         return now - self._reached_by_quorum(now, lambda progress: progress.last_contact)
 
     def holds_lease(self, now: float) -> bool:
-        """Whether no other server can have been elected by now (thesis §6.4.1)."""
+        """Whether no other server can have been elected until now (thesis §6.4.1)."""
         lease_ms = self.timing.election_timeout_ms * (1 - MAX_CLOCK_DRIFT)
         return not self.transferring and self.quorum_contact_age(now) < lease_ms
 
@@ -177,7 +186,7 @@
     def _commit(self, index: int, output: Output) -> None:
         index = min(index, self.log.last.index)
         if index > self.commit_index:
-            entries = self.log.between(self.commit_index, index)
+            entries = self.log.entries_between(self.commit_index, index)
             self.commit_index = index
             output.events.append(EntriesCommitted(entries))
 
