--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -186,28 +186,28 @@
     """
     world = CouncilWorld(3, seed)
     old_leader, random = world.led(), RandomSource(seed + 5)
-    others = [seat for seat in world.seats.values() if seat is not old_leader]
+    others = [server for server in world.seats.values() if server is not old_leader]
     world.run(500.0)
-    world.wire.cut([old_leader.name], [seat.name for seat in others])
+    world.wire.cut([old_leader.name], [server.name for server in others])
     start = world.sim.now
 
-    def freeze(seat: SeatInTime) -> None:
-        seat.freeze()
-        world.sim.after(max_pause_ms * random.share(), resume, seat)
+    def freeze_server(server: SeatInTime) -> None:
+        server.freeze()
+        world.sim.after(max_pause_ms * random.share(), resume_server, server)
 
-    def resume(seat: SeatInTime) -> None:
-        seat.go_on()
-        world.sim.after(20.0 + 40.0 * random.share(), freeze, seat)
+    def resume_server(server: SeatInTime) -> None:
+        server.go_on()
+        world.sim.after(20.0 + 40.0 * random.share(), freeze_server, server)
 
     if max_pause_ms:
-        for seat in others:
-            world.sim.after(100.0 * random.share(), freeze, seat)
+        for server in others:
+            world.sim.after(100.0 * random.share(), freeze_server, server)
     while not any(
-        seat.raft is not None
-        and not seat.frozen
-        and seat.raft.holds_lease(seat.now)
-        and seat.raft.commit_index >= seat.raft.term_start_index
-        for seat in others
+        server.raft is not None
+        and not server.frozen
+        and server.raft.holds_lease(server.now)
+        and server.raft.commit_index >= server.raft.term_start_index
+        for server in others
     ):
         world.run(5.0)
     return world.sim.now - start
@@ -271,7 +271,7 @@
     """
     world = CouncilWorld(3)
     leader = world.led()
-    behind = next(seat for seat in world.seats.values() if seat is not leader)
+    behind = next(server for server in world.seats.values() if server is not leader)
     behind.crash(lose_disk=False)
     for _ in range(400):
         world.propose(leader.name, b"y" * 400)
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -33,7 +33,7 @@
 
 
 def written_store(path: Path) -> Path:
-    """Writes and closes a store with the records LINES and one record in another table."""
+    """Writes and closes a store with the twenty records of LINES and one record in another table."""
     store = open_store(path)
     store.write({"lines": dict(LINES), "facts": {"serial": b"7"}}, 1000.0)
     store.database.execute("PRAGMA wal_checkpoint(TRUNCATE)")
--- a/worksmux/consensus/entries.py
+++ b/worksmux/consensus/entries.py
@@ -23,7 +23,7 @@
 class Configuration(msgspec.Struct, frozen=True):
     """The voters of the group, and the non-voting learners that are catching up to become voters.
 
-    A server is identified by its node's name and an id of its disk, as in `front-1#9f3a`. A node that lost
+    A server is identified by its node's name and an id of its disk, as in `node-1#9f3a`. A node that lost
     its disk also lost its votes and its log (Raft figure 2), so it returns as another server.
     """
 
@@ -44,8 +44,8 @@
 def node_of(server: str) -> str:
     """Returns the name of a server's node.
 
-    >>> node_of("front-1#9f3a")
-    'front-1'
+    >>> node_of("node-1#9f3a")
+    'node-1'
     """
     return server.rpartition("#")[0]
 
--- a/worksmux/consensus/raft.py
+++ b/worksmux/consensus/raft.py
@@ -118,7 +118,7 @@
     def _accept_leader(self, now: float, sender: str, output: Output) -> bool:
         """Follows the leader of this term; returns False if this server itself leads the term."""
         if self.role is Role.LEADER:
-            text = f"{sender} claims to lead term {self.term}, which {self.server_id} leads"
+            text = f"{sender} claims to lead term {self.term}, but its leader is {self.server_id}"
             output.events.append(InvariantViolation(text))
             return False
         self.role, self.leader_contact_at = Role.FOLLOWER, now
@@ -182,7 +182,7 @@
         truncate_from = new[0].index if conflicting else None
         if truncate_from is not None:
             if truncate_from <= self.commit_index:
-                text = f"the leader's entries would overwrite the committed entry {truncate_from}"
+                text = f"the committed entry {truncate_from} would be overwritten by the leader's entries"
                 output.events.append(InvariantViolation(text))
                 return False
             log.truncate_from(truncate_from)
--- a/worksmux/storage/database.py
+++ b/worksmux/storage/database.py
@@ -228,4 +228,4 @@
             store.replace(table, records, 0.0)
             store.delete_manifest(table)
     except sqlite3.Error as error:
-        store.notes.append(f"the recovered records could not be written to {store.path}: {error}")
+        store.notes.append(f"the recovered records could not be written to the new database: {error}")
