--- a/benchmarks/counting.py
+++ b/benchmarks/counting.py
@@ -19,7 +19,7 @@
 from worksmux.net import clock
 from worksmux.net.loop import the_reactor
 from worksmux.settings.front import Counting
-from worksmux.tokenization.cache import Frequent, Recent, cost
+from worksmux.tokenization.cache import LruCache, TinyLfuCache, entry_bytes
 from worksmux.tokenization.pieces import cut, render
 from worksmux.tokenization.samples import SAMPLES
 from worksmux.tokenization.service import Result, TokenService
@@ -146,11 +146,11 @@
             if piece.key not in ids:
                 ids[piece.key] = tokens(opened, piece.text)
             trace.append(piece)
-    whole = sum(map(cost, ids.values()))
+    whole = sum(map(entry_bytes, ids.values()))
     print(f"{len(trace)} pieces of {prompts} prompts, {len(ids)} different; {whole / 2**20:.1f} MiB for all")
     for part in (0.05, 0.1, 0.25):
         rates = []
-        for cache in (Recent(int(part * whole)), Frequent(int(part * whole)), Recent(2 * whole)):
+        for cache in (LruCache(int(part * whole)), TinyLfuCache(int(part * whole)), LruCache(2 * whole)):
             hit = 0
             for piece in trace:
                 if cache.get(piece.key) is not None:
--- a/benchmarks/module_by_size.py
+++ b/benchmarks/module_by_size.py
@@ -22,13 +22,13 @@
 from worksmux.policy.settings import PolicySettings
 from worksmux.policy.state import Attempt, Engine, Outcome, Request
 from worksmux.settings.document import load
-from worksmux.settings.front import read_front
+from worksmux.settings.front import read_gateway_settings
 
 REQUESTS, OUT = 3000, 200
 
 
 def settings() -> PolicySettings:
-    return read_front(load("benchmarks/front.kdl")).module
+    return read_gateway_settings(load("benchmarks/front.kdl")).policy_settings
 
 
 def fleet(count: int) -> list[EndpointEntry]:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -13,12 +13,12 @@
 from worksmux.policy.settings import NON_IDEMPOTENT, ROLE_COMBINED, ROLE_DECODE, ROLE_PREFILL, PolicySettings
 from worksmux.scenarios.scenario import load_scenario, read_scenario
 from worksmux.settings.document import SettingsError, load, parse
-from worksmux.settings.front import read_front
+from worksmux.settings.front import read_gateway_settings
 
 
 def faults(text: str) -> list[str]:
     with pytest.raises(SettingsError) as caught:
-        read_front(parse(text, "f.kdl"))
+        read_gateway_settings(parse(text, "f.kdl"))
     return [str(one) for one in caught.value.complaints]
 
 
@@ -27,7 +27,7 @@
 
 
 def test_policy_gets_the_sections_of_a_file() -> None:
-    module = read_front(parse(SETTINGS)).module
+    module = read_gateway_settings(parse(SETTINGS)).policy_settings
     assert isinstance(module, PolicySettings)
     assert module.request_classes[1].effect == NON_IDEMPOTENT
     assert module.engine_roles == (ROLE_PREFILL, ROLE_DECODE, ROLE_COMBINED)
@@ -78,7 +78,7 @@
 def test_half_a_file_is_refused_or_whole(cut: int) -> None:
     text = SETTINGS[:cut]
     try:
-        read_front(parse(text))
+        read_gateway_settings(parse(text))
     except SettingsError as error:
         assert error.complaints
     else:
@@ -118,10 +118,11 @@
 
 
 def test_section_fleet_is_read_and_without_it_a_front_is_alone() -> None:
-    plain, told = read_front(parse(SETTINGS)), read_front(parse(SETTINGS + FLEET))
+    plain, told = read_gateway_settings(parse(SETTINGS)), read_gateway_settings(parse(SETTINGS + FLEET))
     assert plain.fleet is None and plain.regions == {}
-    assert told.fleet is not None and told.fleet.carries == {"north": 65.0}
-    assert told.fleet.reach == {"b": "127.0.0.1:9002"} and told.regions == {"north": "west", "south": "west"}
+    assert told.fleet is not None and told.fleet.zone_capacity == {"north": 65.0}
+    assert told.fleet.address_overrides == {"b": "127.0.0.1:9002"}
+    assert told.regions == {"north": "west", "south": "west"}
 
 
 @pytest.mark.parametrize(
--- a/tests/test_tokens.py
+++ b/tests/test_tokens.py
@@ -21,11 +21,11 @@
 from worksmux.net import clock
 from worksmux.settings.front import Counting
 from worksmux.tokenization.blocks import Shared, chain
-from worksmux.tokenization.cache import Frequent, Recent, cost
-from worksmux.tokenization.desk import Ask, Desk, Verdict
+from worksmux.tokenization.cache import LruCache, TinyLfuCache, entry_bytes
 from worksmux.tokenization.pieces import Cuts, cut, render
 from worksmux.tokenization.pool import Worker, Workers
 from worksmux.tokenization.samples import SAMPLES
+from worksmux.tokenization.scheduler import Ask, CountScheduler, Verdict
 from worksmux.tokenization.service import Result, TokenService
 from worksmux.tokenization.sketch import Sketch
 from worksmux.tokenization.vocabulary import TokenizerFormatError, load, tokens
@@ -141,7 +141,7 @@
 
 @given(st.lists(st.tuples(st.integers(0, 30), st.integers(0, 400)), max_size=200), st.integers(2_000, 20_000))
 def test_bytes_kept_never_pass_the_bound(steps: list[tuple[int, int]], bound: int) -> None:
-    for cache in (Recent(bound), Frequent(bound, 256)):
+    for cache in (LruCache(bound), TinyLfuCache(bound, 256)):
         for key, size in steps:
             ids = bytes(size)
             found = cache.get(key)
@@ -152,7 +152,7 @@
 
 
 def test_kept_ids_are_those_that_were_put() -> None:
-    for cache in (Recent(50_000), Frequent(50_000, 256)):
+    for cache in (LruCache(50_000), TinyLfuCache(50_000, 256)):
         for key in range(60):
             cache.put(key, bytes([key]) * key)
             cache.get(key)
@@ -176,8 +176,8 @@
     chance, trace = random.Random(3), []
     for at in range(20_000):
         trace.append(chance.randrange(60) if chance.random() < 0.4 else 1000 + at)
-    size = 50 * cost(bytes(600))
-    assert hits(Frequent(size, 256), trace) > 1.3 * hits(Recent(size), trace)
+    size = 50 * entry_bytes(bytes(600))
+    assert hits(TinyLfuCache(size, 256), trace) > 1.3 * hits(LruCache(size), trace)
 
 
 def test_sketch_counts_and_forgets() -> None:
@@ -197,8 +197,8 @@
     return Ask(known, missing, limit, 8, promised, now)
 
 
-def desk(line: int = 10_000, long: int = 1000) -> Desk:
-    return Desk(long, line, 1, 1, 5000.0)
+def desk(line: int = 10_000, long: int = 1000) -> CountScheduler:
+    return CountScheduler(long, line, 1, 1, 5000.0)
 
 
 def test_kept_prompt_is_counted_and_one_surely_too_long_is_refused_unread() -> None:
@@ -211,12 +211,12 @@
 def test_full_line_goes_on_by_bounds_and_defers_what_may_be_too_long() -> None:
     one = desk(line=500)
     assert one.arrive(ask(400)) is Verdict.WAIT
-    assert one.arrive(ask(200)) is Verdict.BOUND and one.arrive(ask(200, limit=150)) is Verdict.DEFER
+    assert one.arrive(ask(200)) is Verdict.BOUND and one.arrive(ask(200, limit=150)) is Verdict.REJECT
     first = one.next(False)
     assert first
     one.begin(first, 5.0)
     one.done(first, 10.0)
-    assert one.arrive(ask(200)) is not Verdict.DEFER and one.lanes[False].bytes == 200
+    assert one.arrive(ask(200)) is not Verdict.REJECT and one.queues[False].bytes == 200
 
 
 def test_short_prompts_have_workers_of_their_own_and_the_first_promised_is_next() -> None:
@@ -237,7 +237,7 @@
     assert at is not None and at < 200
     assert one.late(at) == [(sure, Verdict.BOUND)] and one.late(at) == []
     last = one.next_deadline()
-    assert last is not None and last <= 500 and one.late(last) == [(unsure, Verdict.DEFER)]
+    assert last is not None and last <= 500 and one.late(last) == [(unsure, Verdict.REJECT)]
 
 
 def test_expected_wait_decides_before_the_line_is_full() -> None:
@@ -248,7 +248,7 @@
     one.begin(slow, 0.0)
     one.done(slow, 1000.0)  # ten milliseconds a byte
     assert one.arrive(ask(100, now=1000.0)) is Verdict.BOUND
-    assert one.arrive(ask(100, limit=90, now=1000.0)) is Verdict.DEFER
+    assert one.arrive(ask(100, limit=90, now=1000.0)) is Verdict.REJECT
 
 
 def test_prompt_that_costs_two_workers_goes_on_by_its_bound() -> None:
@@ -256,7 +256,7 @@
     one.arrive(poison)
     one.next(False)
     assert one.lost(poison, 1.0) is Verdict.WAIT and one.next(False) is poison
-    assert one.lost(poison, 2.0) is Verdict.BOUND and one.lanes[False].bytes == 0 and poison.over
+    assert one.lost(poison, 2.0) is Verdict.BOUND and one.queues[False].bytes == 0 and poison.over
 
 
 class DeskMachine(RuleBasedStateMachine):
@@ -264,14 +264,14 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.desk, self.now = desk(2000, 300), 0.0
+        self.scheduler, self.now = desk(2000, 300), 0.0
         self.queued: list[Ask] = []
         self.out: list[Ask] = []
 
     @rule(size=st.integers(0, 900), limit=st.sampled_from([50, 400, 10**9]), promised=st.floats(10, 2000))
     def arrive(self, size: int, limit: int, promised: float) -> None:
         one = ask(size, limit=limit, now=self.now, promised=promised)
-        verdict = self.desk.arrive(one)
+        verdict = self.scheduler.arrive(one)
         if verdict is Verdict.WAIT or verdict is Verdict.BOUND and one.wait_until:
             self.queued.append(one)
         if verdict is Verdict.BOUND:
@@ -279,34 +279,34 @@
 
     @rule(long=st.booleans())
     def serve(self, long: bool) -> None:
-        found = self.desk.next(long)
+        found = self.scheduler.next(long)
         if found:
             self.queued.remove(found)
             self.out.append(found)
-            assert self.desk.begin(found, self.now) > 0
+            assert self.scheduler.begin(found, self.now) > 0
 
     @precondition(lambda self: self.out)
     @rule(how=st.sampled_from(["done", "lost", "gone"]))
     def end(self, how: str) -> None:
         one = self.out.pop()
         if how == "lost":
-            if self.desk.lost(one, self.now) is Verdict.WAIT:
+            if self.scheduler.lost(one, self.now) is Verdict.WAIT:
                 self.queued.append(one)
         elif how == "done":
-            self.desk.done(one, self.now)
+            self.scheduler.done(one, self.now)
         else:
-            self.desk.gone(one)
+            self.scheduler.gone(one)
 
     @rule(step=st.floats(0, 500))
     def wait(self, step: float) -> None:
         self.now += step
-        for one, verdict in self.desk.late(self.now):
-            assert verdict is (Verdict.BOUND if one.most <= one.limit else Verdict.DEFER)
+        for one, verdict in self.scheduler.late(self.now):
+            assert verdict is (Verdict.BOUND if one.most <= one.limit else Verdict.REJECT)
         assert all(not one.waits or one.wait_until > self.now for one in self.queued + self.out)
 
     @invariant()
     def line_is_what_is_in_it(self) -> None:
-        total = sum(lane.bytes for lane in self.desk.lanes.values())
+        total = sum(queue.bytes for queue in self.scheduler.queues.values())
         assert total == sum(one.missing for one in self.queued + self.out) <= 2000
 
 
@@ -390,7 +390,7 @@
             os.kill(worker.process.pid, signal.SIGSTOP if at else signal.SIGKILL)
         for text in SAMPLES.values():
             bench.ask(text, promised=LONG)
-        bench.ask("line of a log\n" * 3000, promised=LONG)  # its lane's worker is the one that hangs
+        bench.ask("line of a log\n" * 3000, promised=LONG)  # its queue's worker is the one that hangs
 
     bench.reactor.callLater(0, strike)
     bench.run(lambda: len(bench.told) >= len(SAMPLES) + 1 and bench.service.workers.replaced >= 2, 60.0)
@@ -411,7 +411,7 @@
         told_under.append((bench.service.vocabularies[0].version, result, text))
         if len(told_under) % 20 == 0 and changes < 21:
             changes += 1
-            bench.service.use([VOCABULARIES[changes % 2]])
+            bench.service.switch_vocabularies([VOCABULARIES[changes % 2]])
 
     for text in texts:
         bench.service.count([("user", text)], 0, 10**9, LONG, 0, lambda result, text=text: told(result, text))
@@ -439,7 +439,9 @@
     gone = [bench.ask("x\n" * 400) for _ in range(3)]
     for one in gone:
         bench.service.cancel(one)
-    assert not bench.service.open and sum(lane.bytes for lane in bench.service.desk.lanes.values()) == 0
+    assert (
+        not bench.service.open and sum(queue.bytes for queue in bench.service.scheduler.queues.values()) == 0
+    )
 
 
 class Slow:
@@ -487,7 +489,7 @@
 def test_time_of_a_count_begins_when_the_versions_before_it_are_loaded() -> None:
     clock, pool, worker, process = slow_worker()
     worker.outReceived(frame(Counted(0, VOCABULARIES[0].version)))
-    pool.use(VOCABULARIES)
+    pool.switch_vocabularies(VOCABULARIES)
     told: list[Any] = []
     worker.count(VOCABULARIES[1].version, ["a"], 9, 200.0, told.append)
     clock.pump([0.1] * 10)
@@ -504,7 +506,7 @@
         self.replaced, self.busy, self.idle = 0, [], {False: 1, True: 1}  # type: int, list[Any], dict[bool, int]
         self.feed: Any = None
 
-    def use(self, vocabularies: Any) -> None: ...
+    def switch_vocabularies(self, vocabularies: Any) -> None: ...
 
     def take(self, long: bool) -> Any:
         if not self.idle[long]:
@@ -555,7 +557,7 @@
                 assert what.prompt == exact(text, which)
                 assert (what.verdict is Verdict.TOO_LONG) == (what.prompt > limit)
             else:
-                assert what.least <= exact(text, which) and (
+                assert what.min_tokens <= exact(text, which) and (
                     what.verdict is not Verdict.BOUND or (exact(text, which) <= what.prompt <= limit)
                 )
 
@@ -569,13 +571,13 @@
     @rule(which=st.integers(0, 1))
     def change(self, which: int) -> None:
         self.changes += 1
-        self.service.use([VOCABULARIES[which]])
+        self.service.switch_vocabularies([VOCABULARIES[which]])
 
     def teardown(self) -> None:
         while self.workers.busy:
             self.workers.end(0, False)
         assert set(self.told) == set(range(self.asked)) and not self.service.open
-        assert sum(lane.bytes for lane in self.service.desk.lanes.values()) == 0
+        assert sum(queue.bytes for queue in self.service.scheduler.queues.values()) == 0
 
 
 TestVersions = VersionMachine.TestCase
@@ -610,16 +612,16 @@
 @given(st.just(0))
 def test_settings_of_counting_are_checked(_: int) -> None:
     from worksmux.settings.document import SettingsError, parse
-    from worksmux.settings.front import read_front
+    from worksmux.settings.front import read_gateway_settings
 
-    assert read_front(parse(TOKENS)).counting
+    assert read_gateway_settings(parse(TOKENS)).counting
     for old, new, words in (
         ('tokenizer "lab"\n', 'tokenizer "labb"\n', "is not given"),
         ('line "256KiB"', 'line "1KiB"', "no long prompt"),
         ("block 16", "", "block is missing"),
     ):
         with pytest.raises(SettingsError, match=words):
-            read_front(parse(TOKENS.replace(old, new, 1)))
+            read_gateway_settings(parse(TOKENS.replace(old, new, 1)))
 
 
 def test_change_of_version_under_load_leaves_no_stale_count(tmp_path: Path) -> None:
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -18,7 +18,7 @@
 from worksmux.fault_trial.small import FIGURES, SETTINGS, Rig
 from worksmux.net import clock
 from worksmux.settings.document import SettingsError, parse
-from worksmux.settings.front import read_front
+from worksmux.settings.front import read_gateway_settings
 
 TEXT = (
     SETTINGS
@@ -326,7 +326,7 @@
         .replace('role="both" memory=1000000 call="emb', 'role="read" memory=1000000 call="emb')
     )
     with pytest.raises(SettingsError) as raised:
-        read_front(parse(invalid_settings))
+        read_gateway_settings(parse(invalid_settings))
     text = str(raised.value)
     assert "no kind of engine carries rerank" in text and "no full load could ever wait" in text
     assert 'embeddings is one stage; set role "both"' in text
--- a/worksmux/commands/main.py
+++ b/worksmux/commands/main.py
@@ -55,11 +55,11 @@
 def check(file: File) -> None:
     """Check a front's settings and name every fault, with line and remedy."""
     from ..gateway.serve import vocabularies
-    from ..settings.front import load_front
+    from ..settings.front import load_gateway_settings
     from ..tokenization.vocabulary import TokenizerFormatError
 
     try:
-        settings = load_front(file)
+        settings = load_gateway_settings(file)
         vocabularies(settings)
     except SettingsError as error:
         raise refuse(error) from error
--- a/worksmux/commands/tokens.py
+++ b/worksmux/commands/tokens.py
@@ -14,7 +14,7 @@
 
 from ..api.chat import text_of
 from ..tokenization.blocks import chain
-from ..tokenization.cache import Frequent
+from ..tokenization.cache import TinyLfuCache
 from ..tokenization.pieces import cut, render
 from ..tokenization.samples import SAMPLES
 from ..tokenization.vocabulary import TokenizerFormatError, Vocabulary, load
@@ -104,7 +104,7 @@
     shared = [" ".join(chance.choices(list(SAMPLES.values()), k=12)) for _ in range(20)]
     rates = {}
     for kept in (False, True):
-        cache, done, start = Frequent(1 << 25), 0, time.perf_counter()
+        cache, done, start = TinyLfuCache(1 << 25), 0, time.perf_counter()
         while time.perf_counter() - start < seconds:
             messages = [("system", chance.choice(shared))]
             for _ in range(3):
--- a/worksmux/experiment/plan.py
+++ b/worksmux/experiment/plan.py
@@ -124,8 +124,8 @@
 
 def read_experiment(root: Section, base: Path) -> Experiment:
     """Raises SettingsError with every complaint at once; the day's file is sought beside the experiment's."""
-    node = root.only("experiment")
-    name, day, seeds = node.title(), node.text("day"), node.whole("seeds", 3, least=1, most=1000)
+    node = root.required("experiment")
+    name, day, seeds = node.title(), node.text("day"), node.integer("seeds", 3, min_value=1, max_value=1000)
     journal = node.flag("audit", False)
     node.end()
     axes: dict[str, list[Value]] = {}
--- a/worksmux/fault_trial/small.py
+++ b/worksmux/fault_trial/small.py
@@ -20,7 +20,7 @@
 from worksmux.net import client, clock
 from worksmux.policy.id_map import PolicyFactory
 from worksmux.settings.document import parse
-from worksmux.settings.front import FrontSettings, read_front
+from worksmux.settings.front import GatewaySettings, read_gateway_settings
 
 from .small_engines import list_entry, small_spec
 
@@ -162,9 +162,11 @@
         """Publishes an engine's state in the registry at once."""
         self.registry.change(list_entry(engine, state, started), at_once=True)
 
-    def settings(self) -> FrontSettings:
+    def settings(self) -> GatewaySettings:
         """The gateway settings with the registry's port."""
-        return read_front(parse(self.text.replace('127.0.0.1:1"', f'127.0.0.1:{self.registry.port}"')))
+        return read_gateway_settings(
+            parse(self.text.replace('127.0.0.1:1"', f'127.0.0.1:{self.registry.port}"'))
+        )
 
     def front(self) -> GatewayProcess:
         """Starts a gateway."""
--- a/worksmux/gateway/active_versions.py
+++ b/worksmux/gateway/active_versions.py
@@ -10,7 +10,7 @@
 from ..config_audit.audit_log import Version
 from ..endpoints.list_reader import EndpointListReader
 from ..failover.plan import Plan, encode
-from ..settings.front import FrontSettings
+from ..settings.front import GatewaySettings
 
 NO_SERIAL = -1  # no endpoint list has been digested
 
@@ -26,7 +26,7 @@
     endpoint list are digested again when they change.
     """
 
-    def __init__(self, settings: FrontSettings) -> None:
+    def __init__(self, settings: GatewaySettings) -> None:
         self._fixed_versions = {
             "program": Version(0, self._program_digest()),
             "settings": Version(0, self._settings_digest(settings)),
@@ -45,19 +45,19 @@
         return program_hash.hexdigest()
 
     @staticmethod
-    def _settings_digest(settings: FrontSettings) -> str:
+    def _settings_digest(settings: GatewaySettings) -> str:
         """The digest of the settings that all gateways share.
 
         Settings that differ between gateways are left out, so that digests can be compared across the fleet.
         """
-        module = replace(settings.module, node_index=0, zone=0)  # differ between gateways
+        module = replace(settings.policy_settings, node_index=0, zone=0)  # differ between gateways
         shared = repr(
             (
                 settings.zones,
                 settings.request_classes,
                 settings.kinds,
                 settings.transport,
-                settings.lanes,
+                settings.stages,
                 settings.admission,
                 sorted(settings.regions.items()),
                 module,
--- a/worksmux/gateway/admission_settings.py
+++ b/worksmux/gateway/admission_settings.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..admission.controller import AdmissionSettings, ClassSettings
-from ..settings.front import Admission, FrontSettings
+from ..settings.front import Admission, GatewaySettings
 from ..settings.shared import RequestClass
 
 CHAT_POOL = "chat"
@@ -12,7 +12,7 @@
 SHED_FALL_LAGS = 20
 
 
-def admission_settings(settings: FrontSettings, bounds: Admission) -> AdmissionSettings:
+def admission_settings(settings: GatewaySettings, bounds: Admission) -> AdmissionSettings:
     """Builds the settings of the admission controller.
 
     The request classes of chat come first; they are shed but never queued.  The request classes of each
@@ -22,7 +22,7 @@
         _class_settings(request_class, bounds, CHAT_POOL, 0.0, 0)
         for request_class in settings.request_classes
     ]
-    for stage in settings.lanes:
+    for stage in settings.stages:
         classes += [
             _class_settings(request_class, bounds, stage.call, float(bounds.line_tokens), bounds.line_calls)
             for request_class in stage.request_classes
--- a/worksmux/gateway/chat_engine_client.py
+++ b/worksmux/gateway/chat_engine_client.py
@@ -16,7 +16,7 @@
 from ..policy.events import EndpointListUpdate, SlotReserved
 from ..policy.id_map import IdMap
 from ..policy.state import Attempt, Engine, Outcome, Request
-from ..settings.front import FrontSettings
+from ..settings.front import GatewaySettings
 from .attempts import DecodeCall, EngineCall, PrefillCall, rejection_outcome
 from .metrics import Metrics
 
@@ -33,7 +33,7 @@
     metrics: Metrics
 
     def __init__(
-        self, settings: FrontSettings, id_map: IdMap, reactor: Reactor, metrics: Metrics, name: str
+        self, settings: GatewaySettings, id_map: IdMap, reactor: Reactor, metrics: Metrics, name: str
     ) -> None:
         super().__init__(id_map, reactor, metrics)
         self.settings = settings
@@ -197,7 +197,7 @@
         release = chat.ENCODER.encode(calls.Release(context.key))
         self._release_until(engine, release, 1)
         if not is_answered:
-            pause_ms = self.settings.module.release_within_ms / 2
+            pause_ms = self.settings.policy_settings.release_within_ms / 2
             self.reactor.callLater(pause_ms / 1000, self._release_until, engine, release, 1)
 
     def _release_kv_cache(self, request: Request) -> None:
@@ -228,7 +228,7 @@
             status: int, headers: dict[str, str], reply: bytes, error: client.CallError | None
         ) -> None:
             calls_per_round = self.settings.transport.release_tries
-            release_within_ms = self.settings.module.release_within_ms
+            release_within_ms = self.settings.policy_settings.release_within_ms
             if status == OK or engine.state == "gone" or call_number >= MAX_RELEASE_ROUNDS * calls_per_round:
                 return
             if call_number < calls_per_round:
--- a/worksmux/gateway/clients.py
+++ b/worksmux/gateway/clients.py
@@ -18,7 +18,7 @@
 from ..forwarding.stream_relay import StreamRelay
 from ..net import clock
 from ..net.server import Exchange
-from ..tokenization.desk import Verdict
+from ..tokenization.scheduler import Verdict
 from ..tokenization.service import Prompt, Result, TokenService
 from .answers import ANSWER_HEADER, SERVICE_UNAVAILABLE, Headers
 from .chat_engine_client import ChatEngineClient
@@ -225,7 +225,7 @@
         self._prompt = self._tokens.count(
             chat_request.parts,
             chat_request.request_class,
-            request_class.most_prompt,
+            request_class.max_prompt_tokens,
             time_left_ms,
             chat_request.session,
             self._on_count,
@@ -254,7 +254,7 @@
         match result.verdict:
             case Verdict.TOO_LONG:
                 self._reject_length(result)
-            case Verdict.DEFER:
+            case Verdict.REJECT:
                 self._core.metrics.not_accepted("counting overloaded")
                 ChatClient(self._exchange, chat_request).reject(RETRY_AFTER_COUNTING_MS)
             case _:
@@ -262,8 +262,10 @@
         self._stop_counting()
 
     def _reject_length(self, result: Result) -> None:
-        max_prompt_tokens = self._core.settings.request_classes[self._chat_request.request_class].most_prompt
-        count = f"{result.least}" if result.exact else f"at least {result.least}"
+        max_prompt_tokens = self._core.settings.request_classes[
+            self._chat_request.request_class
+        ].max_prompt_tokens
+        count = f"{result.min_tokens}" if result.exact else f"at least {result.min_tokens}"
         message = (
             f"the prompt has {count} tokens; "
             f"{self._chat_request.model} takes {max_prompt_tokens} at most; shorten it"
--- a/worksmux/gateway/endpoint_cache.py
+++ b/worksmux/gateway/endpoint_cache.py
@@ -23,7 +23,7 @@
 from ..net.loop import Reactor
 from ..policy.events import EndpointEntry, EndpointListUpdate
 from ..policy.state import Engine, Outcome
-from ..settings.front import MemorySettings
+from ..settings.front import EndpointCacheSettings
 from ..storage.database import Store, open_store
 from ..storage.errors import StoreUnusableError
 from ..storage.writer import Writer
@@ -52,7 +52,9 @@
     `engine_list` is set by GatewayProcess, which builds both.
     """
 
-    def __init__(self, settings: MemorySettings, core: ChatEngineClient, reactor: Reactor, seed: int) -> None:
+    def __init__(
+        self, settings: EndpointCacheSettings, core: ChatEngineClient, reactor: Reactor, seed: int
+    ) -> None:
         self.settings, self.core, self.reactor = settings, core, reactor
         self.cached_list: CachedEndpointList | None = None  # set by `start`
         self.engine_list: Any = None
@@ -78,7 +80,7 @@
         self.cached_list = self._make_cached_list(saved, is_complete)
         self._log_start(self.cached_list, source, is_complete)
         self._apply(self.cached_list.initial_update(), "cached")
-        self._learned.restore(learned, self._metadata.turnover, self.settings.believed_for)
+        self._learned.restore(learned, self._metadata.turnover, self.settings.expected_lifetime_ms)
         self._schedule_tick()
         self._learned.start()
 
@@ -91,7 +93,7 @@
             saved, is_complete = self._read(store)
             learned = read_learned(store)
             if not store.read_only:
-                self._writer = Writer(store, self.settings.write_pause / 1000, self._store_failed)
+                self._writer = Writer(store, self.settings.min_write_interval_ms / 1000, self._store_failed)
         except StoreUnusableError as error:
             LOG.error("endpoint cache unusable; nothing is saved until the next start", why=str(error))
         return saved, is_complete, learned
@@ -120,9 +122,9 @@
             clock.now(),
             clock.wall(),
             self._metadata.turnover,
-            self.settings.believed_for,
-            self.core.settings.module.node_count,
-            self.settings.probe_rate,
+            self.settings.expected_lifetime_ms,
+            self.core.settings.policy_settings.node_count,
+            self.settings.max_probes_per_s,
             is_complete,
             self._seed,
         )
--- a/worksmux/gateway/engine_list.py
+++ b/worksmux/gateway/engine_list.py
@@ -23,7 +23,7 @@
 from ..net.loop import Reactor, Transport
 from ..policy.events import EndpointListUpdate
 from ..policy.state import Engine
-from ..settings.front import ListSource
+from ..settings.front import EndpointListSource
 from .chat_engine_client import ChatEngineClient
 from .endpoint_cache import EndpointCache
 
@@ -38,7 +38,7 @@
 
     def __init__(self, engine_list: EngineList) -> None:
         self.engine_list = engine_list
-        self.MAX_LENGTH = engine_list.source.longest_line
+        self.MAX_LENGTH = engine_list.source.max_line_bytes
 
     def connectionMade(self) -> None:
         """Reports the new connection to the engine list."""
@@ -71,21 +71,21 @@
 
     noisy = False
 
-    def __init__(self, source: ListSource, core: ChatEngineClient, reactor: Reactor) -> None:
+    def __init__(self, source: EndpointListSource, core: ChatEngineClient, reactor: Reactor) -> None:
         self.source, self.core, self.reactor = source, core, reactor
         settings = core.settings
         self.endpoint_list = EndpointList(
             [kind.name for kind in settings.kinds],
             settings.zones,
             self.engine,
-            source.silence,
-            max(source.silence, settings.module.slow_start_ms),
+            source.max_silence_ms,
+            max(source.max_silence_ms, settings.policy_settings.slow_start_ms),
         )
         self.list_reader = self.endpoint_list.reader
         self._connection: RegistryConnection | None = None  # None while not connected
-        self._pause_ms = source.least_pause
+        self._pause_ms = source.min_pause_ms
         self.endpoint_cache: EndpointCache | None = None  # set by GatewayProcess
-        self._watching = not source.ask
+        self._watching = not source.polls
         self._last_received_at = 0.0
         self._stopped = False
         self._timer: Any = None  # reconnects, or checks whether the registry is silent
@@ -113,7 +113,7 @@
 
     def _connect(self) -> None:
         if not self._stopped:
-            self.reactor.connectTCP(*self.source.address, self, timeout=self.source.most_pause / 1000)
+            self.reactor.connectTCP(*self.source.address, self, timeout=self.source.max_pause_ms / 1000)
 
     def buildProtocol(self, addr: IAddress | None) -> RegistryConnection:
         """Builds the protocol of a new connection."""
@@ -136,7 +136,7 @@
         if not self._stopped:
             pause_ms = self._pause_ms * random.uniform(MIN_JITTER, 1.0)
             self._timer = self.reactor.callLater(pause_ms / 1000, self._connect)
-            self._pause_ms = min(2 * self._pause_ms, self.source.most_pause)
+            self._pause_ms = min(2 * self._pause_ms, self.source.max_pause_ms)
 
     def connection_opened(self, connection: RegistryConnection) -> None:
         """Introduces the gateway to the registry, and subscribes to changes if the policy wants them."""
@@ -145,9 +145,9 @@
         self._last_received_at = self._connected_at = clock.now()
         self.core.metrics.registry_connected.set(1)
         connection.send(Hello(hello=self.core.settings.name, serial=self.list_reader.serial))
-        if self.source.ask and self._watching:
+        if self.source.polls and self._watching:
             connection.send(Hello(watch=True))
-        self._timer = self.reactor.callLater(self.source.silence / 1000, self._check_silence)
+        self._timer = self.reactor.callLater(self.source.max_silence_ms / 1000, self._check_silence)
 
     def _check_silence(self) -> None:
         """Drops the connection of a registry that hangs with its connection open.
@@ -155,7 +155,7 @@
         Failure: no list would arrive any more, and no error would show it.  A registry that works sends an
         empty line as a heartbeat.
         """
-        silence_left_ms = self._last_received_at + self.source.silence - clock.now()
+        silence_left_ms = self._last_received_at + self.source.max_silence_ms - clock.now()
         if silence_left_ms > 0:
             self._timer = self.reactor.callLater(silence_left_ms / 1000, self._check_silence)
         elif self._connection is not None:
@@ -175,10 +175,10 @@
             why=reason.getErrorMessage(),
             serial=self.list_reader.serial,
         )
-        if self.source.ask:
+        if self.source.polls:
             self.core.tell(EndpointListUpdate("failed", []))
-        if clock.now() - self._connected_at > self.source.most_pause:
-            self._pause_ms = self.source.least_pause  # after a short connection the backoff continues
+        if clock.now() - self._connected_at > self.source.max_pause_ms:
+            self._pause_ms = self.source.min_pause_ms  # after a short connection the backoff continues
         self._reconnect_later()
 
     def line_received(self, line: bytes) -> None:
--- a/worksmux/gateway/fleet/active_plan.py
+++ b/worksmux/gateway/fleet/active_plan.py
@@ -14,7 +14,7 @@
 from ...failover.plan import Plan, decode
 from ...net import clock
 from ...policy.events import FailoverPlan
-from ...settings.front import FrontSettings
+from ...settings.front import GatewaySettings
 from ..chat_engine_client import ChatEngineClient
 from .zone_reports import ZoneReports
 
@@ -41,10 +41,10 @@
     """The newest plan, and whether this node holds the lease that is required to apply all of it."""
 
     def __init__(
-        self, settings: FrontSettings, core: ChatEngineClient, replica: Replica, reports: ZoneReports
+        self, settings: GatewaySettings, core: ChatEngineClient, replica: Replica, reports: ZoneReports
     ) -> None:
         self._settings, self._core, self._replica, self._reports = settings, core, replica, reports
-        self._home_zone = settings.zones[settings.module.zone]
+        self._home_zone = settings.zones[settings.policy_settings.zone]
         self._request_classes = [request_class.name for request_class in settings.request_classes]
         self._published: FailoverPlan | None = None
         self.plan = Plan()
--- a/worksmux/gateway/fleet/consensus_voter.py
+++ b/worksmux/gateway/fleet/consensus_voter.py
@@ -84,7 +84,7 @@
         self._state_hash = _StateHash(-1, 0)
 
     def _new_core(self, stream: int) -> raft.Raft:
-        timing = RaftTiming(self._fleet.beat, self._fleet.patience)
+        timing = RaftTiming(self._fleet.heartbeat_ms, self._fleet.election_timeout_ms)
         return raft.Raft(self.name, self._disk.saved, timing, mix(self._seed, stream), clock.now())
 
     @property
--- a/worksmux/gateway/fleet/fleet_membership.py
+++ b/worksmux/gateway/fleet/fleet_membership.py
@@ -14,7 +14,7 @@
 from ...net import clock
 from ...policy.hashing import mix
 from ...settings.fleet import FleetSettings
-from ...settings.front import FrontSettings
+from ...settings.front import GatewaySettings
 from .core_timers import CoreTimers
 from .message_transport import GossipMessage, MessageTransport
 
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        settings: FrontSettings,
+        settings: GatewaySettings,
         fleet: FleetSettings,
         transport: MessageTransport,
         timers: CoreTimers,
@@ -49,7 +49,7 @@
 
     def start(self, metadata: dict[str, str]) -> None:
         """Creates the core; the transport must listen already, because its address is announced."""
-        zone = self._settings.zones[self._settings.module.zone]
+        zone = self._settings.zones[self._settings.policy_settings.zone]
         this_node = MembershipUpdate(
             self._settings.name,
             self._transport.generation,
@@ -61,7 +61,7 @@
             metadata,
         )
         seed = mix(self._seed, SWIM_SEED)
-        self._swim = Swim(this_node, self._fleet.seeds, self._fleet.period, seed, clock.now())
+        self._swim = Swim(this_node, self._fleet.seeds, self._fleet.probe_interval_ms, seed, clock.now())
 
     @property
     def is_started(self) -> bool:
--- a/worksmux/gateway/fleet/leader_tasks.py
+++ b/worksmux/gateway/fleet/leader_tasks.py
@@ -20,7 +20,7 @@
 from ...failover.reports import FleetReport
 from ...net import clock
 from ...settings.fleet import FleetSettings
-from ...settings.front import FrontSettings
+from ...settings.front import GatewaySettings
 from .consensus_voter import ConsensusVoter
 from .fleet_membership import FleetMembership
 
@@ -34,7 +34,7 @@
 
     def __init__(
         self,
-        settings: FrontSettings,
+        settings: GatewaySettings,
         fleet: FleetSettings,
         voter: ConsensusVoter,
         membership: FleetMembership,
@@ -49,9 +49,9 @@
         self._planner_settings = PlannerSettings(
             {zone: settings.regions.get(zone, "") for zone in settings.zones},
             {request_class.name: request_class.credit for request_class in settings.request_classes},
-            settings.module.slow_start_share,
-            fleet.look,
-            fleet.carries,
+            settings.policy_settings.slow_start_share,
+            fleet.planning_interval_ms,
+            fleet.zone_capacity,
         )
         self._planner: Planner | None = None
         self._proposed_at_ms = -inf
@@ -77,7 +77,7 @@
         configuration = next_configuration(
             raft.configuration,
             self._membership.candidates(),
-            self._fleet.seats,
+            self._fleet.voter_count,
             lambda node: self._is_gone(node, now_ms),
             raft.caught_up,
         )
@@ -99,7 +99,7 @@
             return False
         leader_since_ms = self._voter.leader_since_ms
         absent_since_ms = member.state_since if member is not None else leader_since_ms
-        return now_ms - max(absent_since_ms, leader_since_ms) > self._fleet.gone
+        return now_ms - max(absent_since_ms, leader_since_ms) > self._fleet.removal_delay_ms
 
     def plan_failover(self) -> None:
         """Runs the planner once and proposes its plan, unless an earlier proposal may still be committed."""
@@ -119,5 +119,5 @@
         return (
             self._planner is not None
             and self._planner.plan.number > plan_in_force.number
-            and now_ms < self._proposed_at_ms + self._fleet.patience
+            and now_ms < self._proposed_at_ms + self._fleet.election_timeout_ms
         )
--- a/worksmux/gateway/fleet/message_transport.py
+++ b/worksmux/gateway/fleet/message_transport.py
@@ -118,8 +118,10 @@
         self.address = settings.address
         self.refused_count: Counter[str] = Counter()  # by reason
         self.sent_count = self.sent_bytes = self.dropped_count = 0
-        keep_alive_ms = KEEP_ALIVE_PERIODS * settings.period
-        self._server = Server(self._on_exchange, settings.body, MAX_HEAD_BYTES, keep_alive_ms, reactor)
+        keep_alive_ms = KEEP_ALIVE_PERIODS * settings.probe_interval_ms
+        self._server = Server(
+            self._on_exchange, settings.max_body_bytes, MAX_HEAD_BYTES, keep_alive_ms, reactor
+        )
         self._pools: dict[str, client.Pool] = {}  # by address
         self._pending_calls: Counter[str] = Counter()  # by address
         self._fault_logged_at_ms: dict[str, float] = {}  # by reason and sender
@@ -143,7 +145,7 @@
 
     def send(self, receiver: str, address: str, payload: Payload) -> None:
         """Sends a message to a node; a configured address overrides the advertised `address`."""
-        address = self.settings.reach.get(receiver, address)
+        address = self.settings.address_overrides.get(receiver, address)
         if not address or self._closed:
             return
         if self._pending_calls[address] >= MAX_PENDING_CALLS:
@@ -167,8 +169,8 @@
         """Returns the connection pool of an address; raises AddressError."""
         if address not in self._pools:
             host, port = _parse_address(address)
-            connect_timeout_ms = self.settings.period
-            keep_alive_ms = KEEP_ALIVE_PERIODS * self.settings.period
+            connect_timeout_ms = self.settings.probe_interval_ms
+            keep_alive_ms = KEEP_ALIVE_PERIODS * self.settings.probe_interval_ms
             self._pools[address] = client.Pool(
                 self.reactor,
                 host,
@@ -193,7 +195,7 @@
             call.abandon()
             self._pending_calls[address] -= 1
 
-        timer = self.reactor.callLater(self.settings.period / 1000, on_timeout)
+        timer = self.reactor.callLater(self.settings.probe_interval_ms / 1000, on_timeout)
         reader = client.BufferedResponse(MAX_HEAD_BYTES, on_end)
         call = pool.call("POST", MESSAGE_PATH, reader, (("Content-Type", CONTENT_TYPE),), body)
 
--- a/worksmux/gateway/fleet/peering.py
+++ b/worksmux/gateway/fleet/peering.py
@@ -27,7 +27,7 @@
 from ...net.loop import Reactor
 from ...policy.events import Event
 from ...policy.hashing import mix
-from ...settings.front import FrontSettings
+from ...settings.front import GatewaySettings
 from ..active_versions import ActiveVersions
 from ..chat_engine_client import ChatEngineClient
 from .active_plan import ActivePlan
@@ -60,7 +60,9 @@
     `on_superseded` is called when another process with this node's name has started later.
     """
 
-    def __init__(self, settings: FrontSettings, core: ChatEngineClient, reactor: Reactor, seed: int) -> None:
+    def __init__(
+        self, settings: GatewaySettings, core: ChatEngineClient, reactor: Reactor, seed: int
+    ) -> None:
         fleet = settings.fleet
         assert fleet is not None
         self.settings, self.fleet = settings, fleet
@@ -84,7 +86,7 @@
 
         self.reports = ZoneReports(settings, lambda detail: self.transport.refuse("report", "", detail))
         self.replica = replica.Replica(
-            settings.name, fleet.lease, mix(seed, REPLICA_SEED), clock.now(), self.reports.encoded_total
+            settings.name, fleet.lease_ms, mix(seed, REPLICA_SEED), clock.now(), self.reports.encoded_total
         )
         self.active_plan = ActivePlan(settings, core, self.replica, self.reports)
         self.leader_tasks = LeaderTasks(
@@ -227,7 +229,7 @@
     def _run_periodic_work(self) -> None:
         if self._closed or not self.membership.is_started:
             return
-        self._reactor.callLater(self.fleet.look / 1000, self._run_periodic_work)
+        self._reactor.callLater(self.fleet.planning_interval_ms / 1000, self._run_periodic_work)
         now_ms = clock.now()
         self.reports.refresh(now_ms)
         self._announce_metadata()
--- a/worksmux/gateway/fleet/zone_reports.py
+++ b/worksmux/gateway/fleet/zone_reports.py
@@ -8,7 +8,7 @@
 
 from ...failover.reports import FleetReport, sum_reports
 from ...failover.watcher import Watcher
-from ...settings.front import FrontSettings
+from ...settings.front import GatewaySettings
 
 _REPORT_DECODER = msgspec.msgpack.Decoder(FleetReport)
 
@@ -16,9 +16,9 @@
 class ZoneReports:
     """Collects zone reports; `on_refused(detail)` is called for each report that cannot be used."""
 
-    def __init__(self, settings: FrontSettings, on_refused: Callable[[str], None]) -> None:
+    def __init__(self, settings: GatewaySettings, on_refused: Callable[[str], None]) -> None:
         request_classes = [request_class.name for request_class in settings.request_classes]
-        self.watcher = Watcher(settings.zones, request_classes, settings.module)
+        self.watcher = Watcher(settings.zones, request_classes, settings.policy_settings)
         self.latest = FleetReport(zones={}, demand={})  # this node's own
         self._on_refused = on_refused
 
--- a/worksmux/gateway/serve.py
+++ b/worksmux/gateway/serve.py
@@ -17,7 +17,7 @@
 from ..net.server import Server
 from ..policy.id_map import IdMap, PolicyFactory
 from ..settings.document import SettingsError
-from ..settings.front import Admission, FrontSettings, load_front
+from ..settings.front import Admission, GatewaySettings, load_gateway_settings
 from ..tokenization.service import TokenService
 from ..tokenization.vocabulary import TokenizerFormatError, Vocabulary
 from ..tokenization.vocabulary import load as load_vocabulary
@@ -41,7 +41,7 @@
 FAULT_EXIT_DELAY_S = 0.2  # time in which the last answers are sent
 
 
-def vocabularies(settings: FrontSettings) -> list[Vocabulary]:
+def vocabularies(settings: GatewaySettings) -> list[Vocabulary]:
     """The tokenizer of each request class; an empty list if prompt lengths are estimated.
 
     Each file is read once.  Raises TokenizerFormatError.
@@ -52,7 +52,7 @@
     placeholder = next(iter(loaded_by_name.values()))  # for a single-stage request class without a tokenizer
     request_classes = [
         *settings.request_classes,
-        *(request_class for stage in settings.lanes for request_class in stage.request_classes),
+        *(request_class for stage in settings.stages for request_class in stage.request_classes),
     ]
     return [loaded_by_name.get(request_class.tokenizer, placeholder) for request_class in request_classes]
 
@@ -64,7 +64,7 @@
     """
 
     def __init__(
-        self, settings: FrontSettings, reactor: Reactor, make_policy: PolicyFactory | None = None
+        self, settings: GatewaySettings, reactor: Reactor, make_policy: PolicyFactory | None = None
     ) -> None:
         """`make_policy` builds the policy instead of the one that the settings name."""
         self.settings, self.reactor = settings, reactor
@@ -100,14 +100,14 @@
 
     def _make_core(self, seed: int) -> ChatEngineClient:
         settings = self.settings
-        id_map = IdMap(settings.module, seed, self._make_policy)
+        id_map = IdMap(settings.policy_settings, seed, self._make_policy)
         start_name = f"{settings.name}-{secrets.token_hex(4)}"
         return ChatEngineClient(settings, id_map, self.reactor, self.metrics, start_name)
 
     def _make_endpoint_cache(self, seed: int) -> EndpointCache | None:
-        if not self.settings.memory:
+        if not self.settings.endpoint_cache:
             return None
-        endpoint_cache = EndpointCache(self.settings.memory, self.core, self.reactor, seed)
+        endpoint_cache = EndpointCache(self.settings.endpoint_cache, self.core, self.reactor, seed)
         self.engine_list.endpoint_cache, endpoint_cache.engine_list = endpoint_cache, self.engine_list
         self.core.on_attempt = endpoint_cache.attempt_ended
         return endpoint_cache
@@ -126,7 +126,7 @@
         settings = self.settings
         dispatchers = {
             stage.call: StageDispatcher(stage, self.core, seed + number + 1, self._make_policy)
-            for number, stage in enumerate(settings.lanes)
+            for number, stage in enumerate(settings.stages)
         }
         self.core.stages = list(dispatchers.values())
         admission = AdmissionController(admission_settings(settings, bounds), seed)
@@ -224,7 +224,7 @@
     def reload(self, path: str) -> None:
         """Applies settings that can change at run time; after any error the old settings stay in force."""
         try:
-            new_settings = load_front(path)
+            new_settings = load_gateway_settings(path)
         except SettingsError as error:
             LOG.error(
                 "configuration not reloaded", complaints=[str(complaint) for complaint in error.complaints]
@@ -245,17 +245,17 @@
         self._apply_bounds(new_settings)
         LOG.info("configuration reloaded")
 
-    def _reload_tokenizers(self, new_settings: FrontSettings) -> None:
+    def _reload_tokenizers(self, new_settings: GatewaySettings) -> None:
         """Reads the tokenizers again.  Raises TokenizerFormatError; then the old ones stay in use."""
         if not self.tokens:
             return
         new_vocabularies = vocabularies(new_settings)
         pairs = zip(new_vocabularies, self.tokens.vocabularies, strict=True)
         changed_count = sum(new.version != old.version for new, old in pairs)
-        self.tokens.use(new_vocabularies)
+        self.tokens.switch_vocabularies(new_vocabularies)
         LOG.info("tokenizers reloaded", request_classes_changed=changed_count)
 
-    def _apply_bounds(self, new_settings: FrontSettings) -> None:
+    def _apply_bounds(self, new_settings: GatewaySettings) -> None:
         transport = new_settings.transport
         self.clients.max_answer_tokens = [
             request_class.most_answer for request_class in new_settings.request_classes
@@ -275,7 +275,7 @@
 
     Raises SettingsError and TokenizerFormatError.
     """
-    settings = load_front(path)
+    settings = load_gateway_settings(path)
     reactor = the_reactor()
     gateway = GatewayProcess(settings, reactor)
     writer = set_up(settings.log_format, settings.log_level, front=settings.name)
--- a/worksmux/gateway/settings_reload.py
+++ b/worksmux/gateway/settings_reload.py
@@ -2,30 +2,34 @@
 
 from __future__ import annotations
 
-from ..settings.front import FrontSettings
+from ..settings.front import GatewaySettings
 
-RESTART_ONLY_SECTIONS = (
-    "name",
-    "listen",
-    "watch",
-    "turn",
-    "policy",
-    "zones",
-    "kinds",
-    "module",
-    "lanes",
-    "admission",
-    "source",
-    "memory",
-    "regions",
-    "fleet",
-    "log_format",
-)
+RESTART_ONLY_SECTIONS = {  # the name in the log, and the attribute of GatewaySettings
+    "name": "name",
+    "listen": "listen",
+    "watch": "watch",
+    "turn": "tick_ms",
+    "policy": "policy",
+    "zones": "zones",
+    "kinds": "kinds",
+    "module": "policy_settings",
+    "lanes": "stages",
+    "admission": "admission",
+    "source": "source",
+    "memory": "endpoint_cache",
+    "regions": "regions",
+    "fleet": "fleet",
+    "log_format": "log_format",
+}
 
 
-def changes_that_need_a_restart(old: FrontSettings, new: FrontSettings) -> list[str]:
+def changes_that_need_a_restart(old: GatewaySettings, new: GatewaySettings) -> list[str]:
     """The names of changed sections that need a restart; empty if all of `new` can be applied."""
-    changed_sections = [name for name in RESTART_ONLY_SECTIONS if getattr(old, name) != getattr(new, name)]
+    changed_sections = [
+        section
+        for section, attribute in RESTART_ONLY_SECTIONS.items()
+        if getattr(old, attribute) != getattr(new, attribute)
+    ]
     if [request_class.name for request_class in old.request_classes] != [
         request_class.name for request_class in new.request_classes
     ]:
--- a/worksmux/gateway/stage.py
+++ b/worksmux/gateway/stage.py
@@ -29,7 +29,7 @@
 from ..policy.events import AttemptEnded, ClientDisconnected, FirstToken, TimerFired
 from ..policy.id_map import IdMap, PolicyFactory
 from ..policy.state import Attempt, Outcome, Request
-from ..settings.front import Lane as StageSettings
+from ..settings.front import StageSettings
 from .attempts import OK, EngineCall
 from .chat_engine_client import ChatEngineClient
 
@@ -103,7 +103,7 @@
     def __init__(
         self, settings: StageSettings, core: ChatEngineClient, seed: int, make_policy: PolicyFactory
     ) -> None:
-        super().__init__(IdMap(settings.module, seed, make_policy), core.reactor, core.metrics)
+        super().__init__(IdMap(settings.policy_settings, seed, make_policy), core.reactor, core.metrics)
         self.settings = settings
         self._core = core
         self._contexts: dict[Request, BatchContext] = {}
--- a/worksmux/gateway/token_metrics.py
+++ b/worksmux/gateway/token_metrics.py
@@ -47,4 +47,4 @@
         self._pieces_missed.set(service.misses)
         self._workers_replaced.set(service.workers.replaced)
         self._recounted.set(service.recounted)
-        self._queued_bytes.set(sum(lane.bytes for lane in service.desk.lanes.values()))
+        self._queued_bytes.set(sum(queue.bytes for queue in service.scheduler.queues.values()))
--- a/worksmux/gateway/vectors.py
+++ b/worksmux/gateway/vectors.py
@@ -124,7 +124,7 @@
         """Accepts a request, which gets exactly one final answer, and passes it to admission."""
         self.open_requests[request] = None
         self._core.metrics.arrived(request.vector_class.settings.name)
-        slack_ms = float(self._core.settings.module.answer_slack_ms)
+        slack_ms = float(self._core.settings.policy_settings.answer_slack_ms)
         time_left_ms = request.batched.deadline - request.arrived_at
         request.overdue_timer = self._core.reactor.callLater(
             (time_left_ms + slack_ms) / 1000, self._time_out, request
--- a/worksmux/load/settings.py
+++ b/worksmux/load/settings.py
@@ -46,8 +46,12 @@
 
 def read_load(root: Section) -> LoadSettings:
     """Raises SettingsError with every complaint at once."""
-    node = root.only("load")
-    name, processes, seed = node.title(), node.whole("processes", 1, least=1, most=64), node.whole("seed", 1)
+    node = root.required("load")
+    name, processes, seed = (
+        node.title(),
+        node.integer("processes", 1, min_value=1, max_value=64),
+        node.integer("seed", 1),
+    )
     targets = []
     for one in node.all("target"):
         try:
@@ -57,29 +61,32 @@
         one.end()
     if not targets:
         node.complain('no target; add one or more, such as target "127.0.0.1:8080"')
-    most_lag, time_out = node.time("most-lag", 50.0, least=0.1), node.time("time-out", 60_000.0, least=1)
-    most_open = node.whole("most-open", 4000, least=1)
-    closed, length = node.whole("closed", 0), node.time("length", 0.0)
+    most_lag, time_out = (
+        node.duration_ms("most-lag", 50.0, min_value=0.1),
+        node.duration_ms("time-out", 60_000.0, min_value=1),
+    )
+    most_open = node.integer("most-open", 4000, min_value=1)
+    closed, length = node.integer("closed", 0), node.duration_ms("length", 0.0)
     node.end()
     phases = []
     for one in root.all("phase"):
-        rate = one.number("rate", least=0.0)
+        rate = one.number("rate", min_value=0.0)
         phases.append(
             Phase(
-                one.time("length", least=1),
+                one.duration_ms("length", min_value=1),
                 rate,
-                one.number("to", rate, least=0.0),
-                one.number("wave", 0.0, most=1.0),
-                one.time("every", 1000.0, least=1),
+                one.number("to", rate, min_value=0.0),
+                one.number("wave", 0.0, max_value=1.0),
+                one.duration_ms("every", 1000.0, min_value=1),
                 one.number("burst", 1.0),
-                one.time("burst-for", 0.0),
+                one.duration_ms("burst-for", 0.0),
             )
         )
         one.end()
-    trace_node = root.maybe("trace")
+    trace_node = root.optional("trace")
     trace, speed = "", 1.0
     if trace_node is not None:
-        trace, speed = trace_node.title(), trace_node.number("speed", 1.0, least=0.001)
+        trace, speed = trace_node.title(), trace_node.number("speed", 1.0, min_value=0.001)
         if trace and not Path(trace).is_file():
             trace_node.complain(f'trace "{trace}" cannot be read; record one with worksmux load run --record')
         trace_node.end()
@@ -93,15 +100,15 @@
             RequestClassLoad(
                 one.title(),
                 one.number("share", 1.0),
-                one.span("new-tokens", (50.0, 200.0)),
-                one.span("answer-tokens", (10.0, 50.0)),
-                one.span("turns", (1.0, 1.0)),
-                one.times("think", (1000.0, 1000.0)),
-                one.whole("beginnings", 0),
+                one.number_range("new-tokens", (50.0, 200.0)),
+                one.number_range("answer-tokens", (10.0, 50.0)),
+                one.number_range("turns", (1.0, 1.0)),
+                one.duration_range("think", (1000.0, 1000.0)),
+                one.integer("beginnings", 0),
                 one.number("beginning-tokens", 0.0),
-                one.whole("retries", 0),
-                one.times("wait", (100.0, 500.0)),
-                one.time("patience", 10_000.0, least=1),
+                one.integer("retries", 0),
+                one.duration_range("wait", (100.0, 500.0)),
+                one.duration_ms("patience", 10_000.0, min_value=1),
             )
         )
         one.end()
--- a/worksmux/scenarios/scenario.py
+++ b/worksmux/scenarios/scenario.py
@@ -184,7 +184,7 @@
 
     def module_settings(self, number: int, zone: str) -> PolicySettings:
         """The policy settings of the gateway with this number."""
-        return shared.module_settings(
+        return shared.policy_settings(
             self.request_classes,
             self.kinds,
             self.rules,
@@ -205,15 +205,15 @@
         traffic = Traffic(
             node.title(),
             node.number("share"),
-            node.span("new-tokens"),
-            node.span("answer-tokens", (1.0, 1.0)),
-            node.span("turns", (1.0, 1.0)),
-            node.times("think", (1000.0, 1000.0)),
-            node.whole("beginnings", 0),
-            node.span("beginning-tokens", (0.0, 0.0)),
-            node.number("beginning-share", 0.0, most=1.0),
-            node.span("inputs", (1.0, 1.0)),
-            node.whole("callers", 1, least=1),
+            node.number_range("new-tokens"),
+            node.number_range("answer-tokens", (1.0, 1.0)),
+            node.number_range("turns", (1.0, 1.0)),
+            node.duration_range("think", (1000.0, 1000.0)),
+            node.integer("beginnings", 0),
+            node.number_range("beginning-tokens", (0.0, 0.0)),
+            node.number("beginning-share", 0.0, max_value=1.0),
+            node.number_range("inputs", (1.0, 1.0)),
+            node.integer("callers", 1, min_value=1),
         )
         if traffic.request_class not in {request_class.name for request_class in request_classes}:
             node.complain(
@@ -232,11 +232,11 @@
     for node in root.all("machine"):
         machine = Machine(
             node.title(),
-            node.whole("slots", least=1),
-            node.whole("line"),
+            node.integer("slots", min_value=1),
+            node.integer("line"),
             node.number("read-speed", 0.0),
-            node.time("step", 20.0, least=0.1),
-            node.time("per-stream", 0.3),
+            node.duration_ms("step", 20.0, min_value=0.1),
+            node.duration_ms("per-stream", 0.3),
         )
         node.end()
         entries[machine.kind] = machine
@@ -279,7 +279,7 @@
         source = node.choice("from", ["", "fronts", *scenario_zones], "")
         if kind == "cut-off":
             how = node.choice("how", PARTITION_MODES, "both")
-            if not source or not node.maybe("zone") and "zone" not in node.props:
+            if not source or not node.optional("zone") and "zone" not in node.props:
                 node.complain(
                     'cut-off: name a zone and what it is cut off from, such as zone="north" from="fronts"'
                 )
@@ -287,22 +287,22 @@
             how = node.value("how", str, "", "")
         if kind not in FAULT_KINDS:
             node.complain(f'unknown trouble "{kind}"; known: {", ".join(sorted(FAULT_KINDS))}')
-        names = tuple(node.texts("names")) if "names" in node.props or node.maybe("names") else ()
+        names = tuple(node.texts("names")) if "names" in node.props or node.optional("names") else ()
         entries.append(
             ScenarioFault(
                 kind,
-                node.time("at"),
-                node.time("for", 1000.0),
-                node.number("part", 0.0, most=1.0),
+                node.duration_ms("at"),
+                node.duration_ms("for", 1000.0),
+                node.number("part", 0.0, max_value=1.0),
                 node.choice("role", ["", *shared.ROLES], ""),
                 node.choice("zone", ["", *scenario_zones], ""),
-                node.whole("cell", -1, least=-1, most=cells),
+                node.integer("cell", -1, min_value=-1, max_value=cells),
                 names,
-                node.number("share", 1.0, most=1.0),
+                node.number("share", 1.0, max_value=1.0),
                 node.number("factor", 1.0),
                 node.value("offering", str, "", ""),
                 how,
-                node.time("every", 1000.0, least=1),
+                node.duration_ms("every", 1000.0, min_value=1),
                 node.line,
                 region,
                 source,
@@ -314,26 +314,30 @@
 
 def read_scenario(root: Section) -> Scenario:
     """Reads a scenario; raises SettingsError with all complaints."""
-    section = root.only("day")
+    section = root.required("day")
     name, length, settle = (
         section.title(),
-        section.time("length", least=1000),
-        section.time("settle", 15_000.0),
+        section.duration_ms("length", min_value=1000),
+        section.duration_ms("settle", 15_000.0),
     )
-    seed, slack = section.whole("seed", 1), section.time("slack", 60.0)
+    seed, slack = section.integer("seed", 1), section.duration_ms("slack", 60.0)
     section.end()
     zones = root.texts("zones")
-    gateways_section = root.only("fronts")
+    gateways_section = root.required("fronts")
     regions = shared.regions(root, zones)
     gateway_count, policy = (
-        gateways_section.whole("count", least=1, most=10_000),
+        gateways_section.integer("count", min_value=1, max_value=10_000),
         gateways_section.choice("policy", POLICIES, "worksmux"),
     )
     request_classes, kinds = shared.request_classes(root), shared.kinds(root)
     machines = _machines(root, kinds)
     places = _engines(root, zones, machines)
-    links_section, cold_section, load_section = root.only("links"), root.only("cold"), root.only("load")
-    clients_section, registry_section = root.only("clients"), root.only("registry")
+    links_section, cold_section, load_section = (
+        root.required("links"),
+        root.required("cold"),
+        root.required("load"),
+    )
+    clients_section, registry_section = root.required("clients"), root.required("registry")
     scenario = Scenario(
         name,
         length,
@@ -347,19 +351,19 @@
         kinds,
         machines,
         places,
-        links_section.number("near", least=1),
-        links_section.number("far", least=1),
+        links_section.number("near", min_value=1),
+        links_section.number("far", min_value=1),
         links_section.number("zone-slower", 2.0),
-        links_section.time("lease", 8_000.0),
-        cold_section.number("from", least=0.01, most=1.0),
-        cold_section.time("warm-up"),
-        load_section.number("jobs-per-second", least=0.01),
-        clients_section.span("retries", (0.0, 0.0)),
-        clients_section.times("wait", (100.0, 500.0)),
-        clients_section.span("patience", (1.0, 1.0)),
-        clients_section.number("streams", 1.0, most=1.0),
-        clients_section.time("notice", 1500.0),
-        registry_section.times("late"),
+        links_section.duration_ms("lease", 8_000.0),
+        cold_section.number("from", min_value=0.01, max_value=1.0),
+        cold_section.duration_ms("warm-up"),
+        load_section.number("jobs-per-second", min_value=0.01),
+        clients_section.number_range("retries", (0.0, 0.0)),
+        clients_section.duration_range("wait", (100.0, 500.0)),
+        clients_section.number_range("patience", (1.0, 1.0)),
+        clients_section.number("streams", 1.0, max_value=1.0),
+        clients_section.duration_ms("notice", 1500.0),
+        registry_section.duration_range("late"),
         registry_section.choice("changes", ["pushed", "asked-for"], "pushed") == "asked-for",
         _faults(root, zones, len(places), regions),
         shared.rules(root),
@@ -372,7 +376,7 @@
         read_admission(root, any(request_class.call != "chat" for request_class in request_classes)),
         regions,
         gateways_section.flag("fleet", False),
-        gateways_section.whole("seats", 3, least=1, most=5),
+        gateways_section.integer("seats", 3, min_value=1, max_value=5),
         gateways_section.number("carries", 0.0),
     )
     for node in (
--- a/worksmux/settings/document.py
+++ b/worksmux/settings/document.py
@@ -77,7 +77,7 @@
             self.complain(f"{key}: given {len(found)} times; keep one", found[-1][1])
         return found[0] if found else None
 
-    def value(self, key: str, make: Callable[[Any], T], stand_in: T, default: T | None = None) -> T:
+    def value(self, key: str, make: Callable[[Any], T], placeholder: T, default: T | None = None) -> T:
         """A key's value through `make`, which raises ValueError with what was expected."""
         raw = self._raw(key)
         if raw is None:
@@ -85,21 +85,21 @@
                 return default
             if not any(node.name == key for node in self.nodes):
                 self.complain(f"{self.name}: {key} is missing; add it inside {self.name}")
-            return stand_in
+            return placeholder
         try:
             return make(raw[0])
         except ValueError as error:
             self.complain(f"{key}: {error}, not {raw[0]!r}", raw[1])
-            return stand_in
+            return placeholder
 
-    def time(self, key: str, default: float | None = None, least: float = 0.0) -> float:
+    def duration_ms(self, key: str, default: float | None = None, min_value: float = 0.0) -> float:
         def make(raw: object) -> float:
             found = units.milliseconds(raw)
-            if found < least:
-                raise ValueError(f"expected at least {least:g}ms")
+            if found < min_value:
+                raise ValueError(f"expected at least {min_value:g}ms")
             return found
 
-        return self.value(key, make, max(1.0, least), default)
+        return self.value(key, make, max(1.0, min_value), default)
 
     def size(self, key: str, default: int | None = None) -> int:
         return self.value(key, units.size, 1, default)
@@ -107,27 +107,35 @@
     def address(self, key: str, default: tuple[str, int] | None = None) -> tuple[str, int]:
         return self.value(key, units.address, ("127.0.0.1", 0), default)
 
-    def number(self, key: str, default: float | None = None, least: float = 0.0, most: float = 1e15) -> float:
+    def number(
+        self, key: str, default: float | None = None, min_value: float = 0.0, max_value: float = 1e15
+    ) -> float:
         def make(raw: object) -> float:
-            if isinstance(raw, bool) or not isinstance(raw, (int, float)) or not least <= raw <= most:
-                span = f"from {least:g}" + (f" to {most:g}" if most < 1e15 else "")
+            if (
+                isinstance(raw, bool)
+                or not isinstance(raw, (int, float))
+                or not min_value <= raw <= max_value
+            ):
+                span = f"from {min_value:g}" + (f" to {max_value:g}" if max_value < 1e15 else "")
                 raise ValueError(f"expected a number {span}")
             return float(raw)
 
-        return self.value(key, make, least, default)
+        return self.value(key, make, min_value, default)
 
-    def whole(self, key: str, default: int | None = None, least: int = 0, most: int = 10**9) -> int:
+    def integer(
+        self, key: str, default: int | None = None, min_value: int = 0, max_value: int = 10**9
+    ) -> int:
         def make(raw: object) -> int:
             if (
                 isinstance(raw, bool)
                 or not isinstance(raw, (int, float))
                 or raw != int(raw)
-                or not least <= raw <= most
+                or not min_value <= raw <= max_value
             ):
-                raise ValueError(f"expected a whole number from {least} to {most}")
+                raise ValueError(f"expected a whole number from {min_value} to {max_value}")
             return int(raw)
 
-        return self.value(key, make, least, default)
+        return self.value(key, make, min_value, default)
 
     def flag(self, key: str, default: bool | None = None) -> bool:
         def make(raw: object) -> bool:
@@ -153,11 +161,11 @@
 
         return self.value(key, make, choices[0] if choices else "", default)
 
-    def span(self, key: str, default: tuple[float, float] | None = None) -> tuple[float, float]:
+    def number_range(self, key: str, default: tuple[float, float] | None = None) -> tuple[float, float]:
         """A child with two numbers, the lower first, or one that stands for both."""
         return self._pair(key, lambda raw: raw, "numbers, such as 40 120", default)
 
-    def times(self, key: str, default: tuple[float, float] | None = None) -> tuple[float, float]:
+    def duration_range(self, key: str, default: tuple[float, float] | None = None) -> tuple[float, float]:
         return self._pair(key, units.milliseconds, 'times, such as "1s" "4s"', default)
 
     def _pair(
@@ -189,7 +197,7 @@
 
     def texts(self, key: str) -> list[str]:
         """One or more names, given as a child or, if it is one, as a property."""
-        node = Section(key, self.line, [self.props[key]]) if key in self.props else self.only(key)
+        node = Section(key, self.line, [self.props[key]]) if key in self.props else self.required(key)
         self.known.add(key)
         if not node.args or not all(isinstance(arg, str) and arg for arg in node.args):
             self.complain(f"{key}: expected one or more names in quotes", node.line)
@@ -200,14 +208,14 @@
         self.known.add(key)
         return [self._adopt(node) for node in self.nodes if node.name == key]
 
-    def maybe(self, key: str) -> Section | None:
+    def optional(self, key: str) -> Section | None:
         found = self.all(key)
         if len(found) > 1:
             self.complain(f"{key}: given {len(found)} times; keep one", found[-1].line)
         return found[0] if found else None
 
-    def only(self, key: str) -> Section:
-        found = self.maybe(key)
+    def required(self, key: str) -> Section:
+        found = self.optional(key)
         if found is None:
             self.complain(f"{self.name}: {key} is missing; add a section {key}")
             return self._adopt(Section(key, self.line, complaints=self.complaints))
@@ -239,7 +247,7 @@
 
     Raises SettingsError where the text is not KDL (version 1, https://kdl.dev/spec-v1/).
 
-    >>> parse('limits {\\n trips 4 \\n}').all("limits")[0].whole("trips")
+    >>> parse('limits {\\n trips 4 \\n}').all("limits")[0].integer("trips")
     4
     """
     try:
--- a/worksmux/settings/fleet.py
+++ b/worksmux/settings/fleet.py
@@ -33,17 +33,17 @@
     address: str  # host:port; empty: as it listens
     seeds: tuple[str, ...]
     founders: tuple[str, ...]
-    seats: int
+    voter_count: int
     disk: str
-    period: float  # between two probes of other fronts
-    beat: float  # of the council's leader
-    patience: float  # without a leader, until a seat stands
-    lease: float  # of what was decided in common
-    look: float  # between two looks of the planner
-    gone: float  # a front away for so long loses its seat
-    body: int  # bytes of a message
-    carries: dict[str, float]
-    reach: dict[str, str]
+    probe_interval_ms: float  # between two probes of other fronts
+    heartbeat_ms: float  # of the council's leader
+    election_timeout_ms: float  # without a leader, until a seat stands
+    lease_ms: float  # of what was decided in common
+    planning_interval_ms: float  # between two looks of the planner
+    removal_delay_ms: float  # a front away for so long loses its seat
+    max_body_bytes: int  # bytes of a message
+    zone_capacity: dict[str, float]
+    address_overrides: dict[str, str]
 
 
 def _pairs(node: Section, key: str, wanted: str) -> list[tuple[str, object, Section]]:
@@ -66,20 +66,22 @@
 
 
 def read_fleet(root: Section, zones: list[str]) -> FleetSettings | None:
-    node = root.maybe("fleet")
+    node = root.optional("fleet")
     if node is None:
         return None
-    seeds = tuple(_address(one, "seeds", node) for one in node.texts("seeds")) if node.maybe("seeds") else ()
+    seeds = (
+        tuple(_address(one, "seeds", node) for one in node.texts("seeds")) if node.optional("seeds") else ()
+    )
     told = node.address("address", ("", 0))
-    carries = {}
+    zone_capacity = {}
     for zone, value, one in _pairs(node, "carries", 'a zone and jobs a second, such as carries "north" 65'):
         if zone not in zones:
             one.complain(f'carries: zone "{zone}" is not among the zones {", ".join(zones)}')
         elif isinstance(value, bool) or not isinstance(value, (int, float)) or value <= 0:
             one.complain(f"carries: expected jobs a second above 0, not {value!r}")
         else:
-            carries[zone] = float(value)
-    reach = {
+            zone_capacity[zone] = float(value)
+    address_overrides = {
         name: _address(value, "reach", one)
         for name, value, one in _pairs(
             node, "reach", 'a front and an address, such as reach "front-2" "127.0.0.1:9002"'
@@ -91,25 +93,25 @@
         f"{told[0]}:{told[1]}" if told[0] else "",
         seeds,
         tuple(node.texts("founders")),
-        node.whole("seats", 3, least=1, most=5),
+        node.integer("seats", 3, min_value=1, max_value=5),
         node.text("disk"),
-        node.time("period", 500.0, least=10),
-        node.time("beat", 150.0, least=5),
-        node.time("patience", 1000.0, least=20),
-        node.time("lease", 4000.0, least=100),
-        node.time("look", 250.0, least=20),
-        node.time("gone", 60_000.0, least=100),
+        node.duration_ms("period", 500.0, min_value=10),
+        node.duration_ms("beat", 150.0, min_value=5),
+        node.duration_ms("patience", 1000.0, min_value=20),
+        node.duration_ms("lease", 4000.0, min_value=100),
+        node.duration_ms("look", 250.0, min_value=20),
+        node.duration_ms("gone", 60_000.0, min_value=100),
         node.size("body", 2**20),
-        carries,
-        reach,
+        zone_capacity,
+        address_overrides,
     )
-    if found.seats not in SEATS:
-        node.complain(f"seats: expected 1, 3 or 5, not {found.seats}")
-    if found.patience < 3 * found.beat:
+    if found.voter_count not in SEATS:
+        node.complain(f"seats: expected 1, 3 or 5, not {found.voter_count}")
+    if found.election_timeout_ms < 3 * found.heartbeat_ms:
         node.complain("patience is under three beats; one lost message would end a leader's reign")
-    if found.lease < 2 * found.patience:
+    if found.lease_ms < 2 * found.election_timeout_ms:
         node.complain("lease is under twice patience; each change of leader would leave the fronts alone")
-    if found.lease < 8 * found.look:
+    if found.lease_ms < 8 * found.planning_interval_ms:
         node.complain("lease is under eight looks; a plan could be older than what it was made for")
     node.end()
     return found
--- a/worksmux/settings/front.py
+++ b/worksmux/settings/front.py
@@ -34,15 +34,15 @@
 
 
 @dataclass(frozen=True)
-class ListSource:
+class EndpointListSource:
     """Where the list of engines comes from."""
 
     address: Address
-    ask: bool  # changes come only after they were asked for
-    least_pause: float  # before the next attempt to connect
-    most_pause: float
-    longest_line: int
-    silence: float  # without any line: the connection is given up
+    polls: bool  # changes come only after they were asked for
+    min_pause_ms: float  # before the next attempt to connect
+    max_pause_ms: float
+    max_line_bytes: int
+    max_silence_ms: float  # without any line: the connection is given up
 
 
 @dataclass(frozen=True)
@@ -62,13 +62,13 @@
 
 
 @dataclass(frozen=True)
-class MemorySettings:
+class EndpointCacheSettings:
     """What is kept on disk of the list of engines; milliseconds."""
 
     file: str
-    believed_for: float  # before this front has seen any turnover: a line's mean life
-    probe_rate: float  # probes a second that all fronts together may send to one engine
-    write_pause: float  # between two writes
+    expected_lifetime_ms: float  # before this front has seen any turnover: a line's mean life
+    max_probes_per_s: float  # probes a second that all fronts together may send to one engine
+    min_write_interval_ms: float  # between two writes
     seeds: list[Line]  # engines to ask where nothing is remembered
 
 
@@ -91,70 +91,70 @@
 
 
 @dataclass(frozen=True)
-class Lane:
+class StageSettings:
     """What carries one call of one stage: its offerings, and what its decision module is given."""
 
     call: str
     request_classes: list[shared.RequestClass]
-    module: PolicySettings
+    policy_settings: PolicySettings
 
 
 @dataclass(frozen=True)
-class FrontSettings:
+class GatewaySettings:
     name: str
     listen: Address
     watch: Address  # health and metrics
-    turn: float  # the shortest time between two turns
+    tick_ms: float  # the shortest time between two turns
     seed: int | None
     policy: str
     zones: list[str]
     request_classes: list[shared.RequestClass]
     kinds: list[shared.Kind]
     transport: Transport
-    source: ListSource
+    source: EndpointListSource
     tokenizers: dict[str, str]  # name: file
     counting: Counting | None
-    memory: MemorySettings | None
+    endpoint_cache: EndpointCacheSettings | None
     log_format: str
     log_level: str
-    module: PolicySettings  # what the decision module is given
-    lanes: list[Lane]
+    policy_settings: PolicySettings  # what the decision module is given
+    stages: list[StageSettings]
     admission: Admission | None
     regions: dict[str, str]  # by zone; empty where none are told
     fleet: FleetSettings | None  # other fronts, and what is decided in common; none: alone as ever
 
 
 def read_transport(section: Section) -> Transport:
-    node = section.only("transport")
+    node = section.required("transport")
     found = Transport(
-        node.time("connect-time-out", least=1),
-        node.time("keep-alive", least=1),
-        node.whole("idle-connections", 32),
-        node.time("stream-silence", least=1),
-        node.time("call-time-out", least=1),
-        node.whole("release-tries", 3, least=1),
-        node.time("answer-margin", 0.0),
+        node.duration_ms("connect-time-out", min_value=1),
+        node.duration_ms("keep-alive", min_value=1),
+        node.integer("idle-connections", 32),
+        node.duration_ms("stream-silence", min_value=1),
+        node.duration_ms("call-time-out", min_value=1),
+        node.integer("release-tries", 3, min_value=1),
+        node.duration_ms("answer-margin", 0.0),
         node.size("body"),
         node.size("head"),
         node.size("reply"),
-        node.whole("open-jobs", least=1),
-        node.time("drain-time"),
+        node.integer("open-jobs", min_value=1),
+        node.duration_ms("drain-time"),
     )
     node.end()
     return found
 
 
-def _source(section: Section) -> ListSource:
-    node = section.only("registry")
-    found = ListSource(
+def _source(section: Section) -> EndpointListSource:
+    node = section.required("registry")
+    found = EndpointListSource(
         node.address("address"),
         node.choice("changes", ["pushed", "asked-for"], "pushed") == "asked-for",
-        node.time("least-pause", least=1),
-        node.time("most-pause", least=1),
+        node.duration_ms("least-pause", min_value=1),
+        node.duration_ms("most-pause", min_value=1),
         node.size("longest-line"),
-        node.time("silence", least=1),
+        node.duration_ms("silence", min_value=1),
     )
-    if found.most_pause < found.least_pause:
+    if found.max_pause_ms < found.min_pause_ms:
         node.complain("registry: most-pause is shorter than least-pause; swap them")
     node.end()
     return found
@@ -176,18 +176,18 @@
             )
     if not files:
         return {}, None
-    node = root.only("counting")
+    node = root.required("counting")
     found = Counting(
         node.size("cache"),
-        node.whole("workers", least=1, most=64),
-        node.whole("long-workers", least=1, most=64),
+        node.integer("workers", min_value=1, max_value=64),
+        node.integer("long-workers", min_value=1, max_value=64),
         node.size("long-from"),
         node.size("line"),
-        node.whole("piece", least=64),
-        node.whole("block", least=1),
-        node.whole("shared-blocks", least=1),
-        node.whole("shared-sessions", least=2),
-        node.time("time-limit", least=1),
+        node.integer("piece", min_value=64),
+        node.integer("block", min_value=1),
+        node.integer("shared-blocks", min_value=1),
+        node.integer("shared-sessions", min_value=2),
+        node.duration_ms("time-limit", min_value=1),
     )
     if found.line < found.long:
         node.complain("counting: line is shorter than long-from; no long prompt would ever be counted")
@@ -195,8 +195,10 @@
     return files, found
 
 
-def _memory(root: Section, kinds: list[shared.Kind], zones: list[str]) -> MemorySettings | None:
-    node = root.maybe("memory")
+def _endpoint_cache(
+    root: Section, kinds: list[shared.Kind], zones: list[str]
+) -> EndpointCacheSettings | None:
+    node = root.optional("memory")
     if node is None:
         return None
     seeds = []
@@ -210,15 +212,15 @@
                 seed.choice("kind", [kind.name for kind in kinds]),
                 "ready",
                 seed.choice("zone", zones),
-                seed.whole("cell", 0),
+                seed.integer("cell", 0),
             )
         )
         seed.end()
-    found = MemorySettings(
+    found = EndpointCacheSettings(
         node.text("file"),
-        node.time("believed-for", least=1),
-        node.number("probe-rate", least=0.001),
-        node.time("write-pause", 500.0),
+        node.duration_ms("believed-for", min_value=1),
+        node.number("probe-rate", min_value=0.001),
+        node.duration_ms("write-pause", 500.0),
         seeds,
     )
     node.end()
@@ -226,22 +228,22 @@
 
 
 def read_admission(root: Section, wanted: bool) -> Admission | None:
-    node = root.maybe("admission")
+    node = root.optional("admission")
     if node is None:
         if wanted:
             root.complain("admission is missing; offerings of embeddings or rerank need that section")
         return None
     found = Admission(
-        node.whole("load-tokens", least=1),
-        node.whole("load-inputs", least=1),
-        node.whole("line-tokens", least=1),
-        node.whole("line-calls", least=1),
-        node.whole("open-calls", least=1),
-        node.number("repeat-ratio", 0.1, most=1.0),
-        node.number("repeat-burst", 10.0, least=1.0),
-        node.times("stay-away", (200.0, 20_000.0)),
-        node.time("loop-lag", 100.0, least=1),
-        node.whole("sockets", 10_000, least=1),
+        node.integer("load-tokens", min_value=1),
+        node.integer("load-inputs", min_value=1),
+        node.integer("line-tokens", min_value=1),
+        node.integer("line-calls", min_value=1),
+        node.integer("open-calls", min_value=1),
+        node.number("repeat-ratio", 0.1, max_value=1.0),
+        node.number("repeat-burst", 10.0, min_value=1.0),
+        node.duration_range("stay-away", (200.0, 20_000.0)),
+        node.duration_ms("loop-lag", 100.0, min_value=1),
+        node.integer("sockets", 10_000, min_value=1),
         node.size("memory", 4 * 2**30),
     )
     if found.line_tokens < found.load_tokens:
@@ -250,14 +252,14 @@
     return found
 
 
-def read_front(root: Section) -> FrontSettings:
+def read_gateway_settings(root: Section) -> GatewaySettings:
     """All settings of a front; raises SettingsError with every complaint at once."""
-    node = root.only("front")
+    node = root.required("front")
     name = node.title()
     listen, watch = node.address("listen"), node.address("watch", ("127.0.0.1", 0))
-    zone, number, fronts = node.text("zone"), node.whole("number", 0), node.whole("fronts", least=1)
-    turn = node.time("turn", least=0.1)
-    seed = node.whole("seed", -1, least=-1, most=2**53)
+    zone, number, fronts = node.text("zone"), node.integer("number", 0), node.integer("fronts", min_value=1)
+    tick_ms = node.duration_ms("turn", min_value=0.1)
+    seed = node.integer("seed", -1, min_value=-1, max_value=2**53)
     policy = node.choice("policy", POLICIES, "worksmux")
     node.end()
     zones = root.texts("zones")
@@ -269,11 +271,11 @@
     figures, allowed, priced = shared.rules(root), shared.limits(root), shared.prices(root)
     transport, source = read_transport(root), _source(root)
     tokenizers, counting = read_counting(root, offered)
-    memory = _memory(root, kinds, zones)
+    endpoint_cache = _endpoint_cache(root, kinds, zones)
     one_stage = [one for one in offered if one.call != "chat"]
     admission = read_admission(root, bool(one_stage))
     regions, fleet = shared.regions(root, zones), read_fleet(root, zones)
-    log = root.maybe("log") or Section("log", root.line, complaints=root.complaints)
+    log = root.optional("log") or Section("log", root.line, complaints=root.complaints)
     log_format, level = (
         log.choice("format", ["json", "console"], "json"),
         log.choice("level", ["debug", "info", "warning", "error"], "info"),
@@ -297,20 +299,20 @@
         "node_index": number,
         "node_count": fronts,
         "zone": zones.index(zone),
-        "tick_ms": turn,
+        "tick_ms": tick_ms,
         "connect_timeout_ms": transport.connect_time_out,
     }
-    module = shared.module_settings(
-        chat or offered, kinds, figures, allowed, priced, **place, polls_endpoint_list=source.ask
+    policy_settings = shared.policy_settings(
+        chat or offered, kinds, figures, allowed, priced, **place, polls_endpoint_list=source.polls
     )
-    lanes = []
+    stages = []
     for call in dict.fromkeys(one.call for one in one_stage):
         own = [one for one in one_stage if one.call == call]
-        lanes.append(
-            Lane(
+        stages.append(
+            StageSettings(
                 call,
                 own,
-                shared.module_settings(
+                shared.policy_settings(
                     own,
                     kinds,
                     figures,
@@ -321,11 +323,11 @@
                 ),
             )
         )
-    return FrontSettings(
+    return GatewaySettings(
         name,
         listen,
         watch,
-        turn,
+        tick_ms,
         None if seed < 0 else seed,
         policy,
         zones,
@@ -335,16 +337,16 @@
         source,
         tokenizers,
         counting,
-        memory,
+        endpoint_cache,
         log_format,
         level,
-        module,
-        lanes,
+        policy_settings,
+        stages,
         admission,
         regions,
         fleet,
     )
 
 
-def load_front(path: str | Path) -> FrontSettings:
-    return read_front(load(path))
+def load_gateway_settings(path: str | Path) -> GatewaySettings:
+    return read_gateway_settings(load(path))
--- a/worksmux/settings/shared.py
+++ b/worksmux/settings/shared.py
@@ -31,7 +31,7 @@
     group: str
     remembered: float
     tokenizer: str = ""  # its name; none: lengths are guessed from bytes
-    most_prompt: int = 10**9  # tokens
+    max_prompt_tokens: int = 10**9  # tokens
     call: str = "chat"  # what clients ask it by
     share: float = 1.0  # of the engines, among offerings of its call that wait
 
@@ -46,20 +46,20 @@
         chat = call == "chat"  # only an answer of tokens has a pace and a length
         one = RequestClass(
             node.title(),
-            node.time("promised-time", least=1),
-            node.time("promised-per-1000-tokens", 0.0),
-            node.time("outer-limit", least=1),
-            node.time("token-time", None if chat else 1.0, least=1),
-            node.whole("most-answer", None if chat else 1, least=1),
+            node.duration_ms("promised-time", min_value=1),
+            node.duration_ms("promised-per-1000-tokens", 0.0),
+            node.duration_ms("outer-limit", min_value=1),
+            node.duration_ms("token-time", None if chat else 1.0, min_value=1),
+            node.integer("most-answer", None if chat else 1, min_value=1),
             node.number("credit", 1.0),
-            node.number("late-credit", 0.0, most=1.0),
+            node.number("late-credit", 0.0, max_value=1.0),
             effect,
             node.choice("group", GROUPS, None if labelled else "all"),
-            node.time("remembered", None if labelled else 0.0),
+            node.duration_ms("remembered", None if labelled else 0.0),
             node.value("tokenizer", str, "", ""),
-            node.whole("most-prompt", 10**9, least=1),
+            node.integer("most-prompt", 10**9, min_value=1),
             call,
-            node.number("share", 1.0, least=0.001),
+            node.number("share", 1.0, min_value=0.001),
         )
         if not chat and effect != "redoable":
             node.complain(f'offering "{one.name}": {call} has no effect; set effect "redoable"')
@@ -93,7 +93,7 @@
         one = Kind(
             node.title(),
             node.choice("role", ROLES),
-            node.number("memory", least=1),
+            node.number("memory", min_value=1),
             node.choice("call", CALLS, "chat"),
         )
         if one.call != "chat" and one.role != "both":
@@ -129,15 +129,15 @@
 
 def rules(section: Section) -> dict[str, float]:
     """The figures of the five rules, named as the module names them."""
-    node = section.only("rules")
+    node = section.required("rules")
     found = {
-        "answer_slack": node.time("answer-slack"),
-        "drain_grace": node.time("drain-grace"),
-        "release_within": node.time("release-within", least=1),
-        "cold_share": node.number("cold-share", most=1.0),
-        "warm_up": node.time("warm-up"),
+        "answer_slack": node.duration_ms("answer-slack"),
+        "drain_grace": node.duration_ms("drain-grace"),
+        "release_within": node.duration_ms("release-within", min_value=1),
+        "cold_share": node.number("cold-share", max_value=1.0),
+        "warm_up": node.duration_ms("warm-up"),
         "fall_multiple": node.number("fall-multiple"),
-        "fall_time": node.time("fall-time"),
+        "fall_time": node.duration_ms("fall-time"),
     }
     node.end()
     return found
@@ -145,22 +145,22 @@
 
 def limits(section: Section) -> dict[str, Any]:
     """What the module is told it may do."""
-    node = section.only("limits")
+    node = section.required("limits")
     found = {
-        "most_trips": node.whole("trips", least=2, most=100),
+        "most_trips": node.integer("trips", min_value=2, max_value=100),
         "may_cancel": node.flag("cancel", True),
         "may_probe": node.flag("probe", True),
         "may_hold": node.flag("hold", False),
         "writers_read": node.flag("writers-read", False),
         "second_copies": node.flag("second-copies", False),
-        "stay_away": node.time("stay-away", 0.0),
+        "stay_away": node.duration_ms("stay-away", 0.0),
     }
     node.end()
     return found
 
 
 def prices(section: Section) -> dict[str, float]:
-    node = section.maybe("prices")
+    node = section.optional("prices")
     names = ("far", "late", "cross", "waste", "probe")
     if node is None:
         return {f"{name}_price": 0.0 for name in names}
@@ -169,7 +169,7 @@
     return found
 
 
-def module_settings(
+def policy_settings(
     offered: list[RequestClass],
     kinds_of: list[Kind],
     figures: dict[str, float],
--- a/worksmux/tokenization/cache.py
+++ b/worksmux/tokenization/cache.py
@@ -1,8 +1,8 @@
-"""Kept tokens of pieces, within a fixed bound of bytes that counts each entry's overhead too.
+"""Caches the token ids of pieces within a fixed bound in bytes that includes the overhead of each entry.
 
-Two ways of keeping: `Recent` drops what was longest unused; `Frequent` lets a newcomer in only past what it
-would push out (window, probation and protected parts, admission by a sketch of recent frequencies), so that a
-scan of prompts that come once leaves the shared beginnings where they are.
+`LruCache` evicts the least recently used entry.  `TinyLfuCache` admits an entry only if it is used more often
+than the entries it would evict (window, probation and protected segments; admission by a sketch of recent
+frequencies).  So a scan of prompts that occur once does not evict the shared prefixes.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 WINDOW, PROTECTED = 0.05, 0.8  # of the bound; of what is not the window
 
 
-def cost(ids: bytes) -> int:
+def entry_bytes(ids: bytes) -> int:
     """Bytes that an entry takes with its key and its place in the tables."""
     return sys.getsizeof(ids) + KEY + SLOT
 
@@ -33,7 +33,7 @@
     def clear(self) -> None: ...
 
 
-class Recent:
+class LruCache:
     """Least recently used goes first."""
 
     def __init__(self, bound: int) -> None:
@@ -47,13 +47,13 @@
         return ids
 
     def put(self, key: int, ids: bytes) -> None:
-        if cost(ids) > self.bound:
+        if entry_bytes(ids) > self.bound:
             return
-        self.used -= cost(self.entries.pop(key)) if key in self.entries else 0
+        self.used -= entry_bytes(self.entries.pop(key)) if key in self.entries else 0
         self.entries[key] = ids
-        self.used += cost(ids)
+        self.used += entry_bytes(ids)
         while self.used > self.bound:
-            self.used -= cost(self.entries.popitem(last=False)[1])
+            self.used -= entry_bytes(self.entries.popitem(last=False)[1])
 
     def clear(self) -> None:
         self.entries.clear()
@@ -69,18 +69,18 @@
 
     def add(self, key: int, ids: bytes) -> None:
         self.entries[key] = ids
-        self.used += cost(ids)
+        self.used += entry_bytes(ids)
 
     def take(self, key: int) -> bytes:
         ids = self.entries.pop(key)
-        self.used -= cost(ids)
+        self.used -= entry_bytes(ids)
         return ids
 
     def oldest(self) -> int:
         return next(iter(self.entries))
 
 
-class Frequent:
+class TinyLfuCache:
     """Window, probation and protected parts; the sketch decides who is admitted (W-TinyLFU)."""
 
     def __init__(self, bound: int, mean: int = 2048) -> None:
@@ -112,7 +112,7 @@
         return None
 
     def put(self, key: int, ids: bytes) -> None:
-        size = cost(ids)
+        size = entry_bytes(ids)
         if size > self.main_room or any(
             key in part.entries for part in (self.window, self.probation, self.protected)
         ):
@@ -124,7 +124,7 @@
 
     def _admit(self, key: int, ids: bytes) -> None:
         """A candidate goes in if it is seen more often than each of those that it would push out."""
-        size = cost(ids)
+        size = entry_bytes(ids)
         if size > self.main_room:
             return
         often = self.sketch.count(key)
@@ -136,7 +136,7 @@
                 if self.sketch.count(old) >= often:
                     return
                 victims.append((part, old))
-                room += cost(kept)
+                room += entry_bytes(kept)
         for part, old in victims:
             part.take(old)
         self.probation.add(key, ids)
--- a/worksmux/tokenization/pool.py
+++ b/worksmux/tokenization/pool.py
@@ -159,7 +159,7 @@
                 env=dict(os.environ),
             )
 
-    def use(self, vocabularies: list[Vocabulary]) -> None:
+    def switch_vocabularies(self, vocabularies: list[Vocabulary]) -> None:
         """From now on these versions, and no others."""
         fresh = {one.version: one for one in vocabularies}
         for worker in self.workers:
--- a/worksmux/tokenization/desk.py
+++ b/worksmux/tokenization/scheduler.py
@@ -1,7 +1,7 @@
 """Decides what is counted when, what is bounded and what is turned away.  Free of I/O; time is passed in.
 
 A prompt whose pieces are all kept is counted at once.  Else its missing bytes wait in one of two lanes: short
-ones must not stand behind a pasted log, so long ones have workers of their own.  Within a lane the earliest
+ones must not stand behind a pasted log, so long ones have workers of their own.  Within a queue the earliest
 promised time is next.  A prompt may wait for its count for a part of its promised time; after that it goes on
 with a bound that no count exceeds (a byte-level token covers a byte at least), and is corrected if the count
 comes before its first trip has ended.  A prompt that may be over its offering's limit is never let through on
@@ -30,7 +30,7 @@
     WAIT = "wait"  # in the line; its job waits for it, for a time
     BOUND = "bound"  # go on with the bound
     TOO_LONG = "too long"  # over the offering's limit: refused before any trip
-    DEFER = "defer"  # may be too long and cannot be counted in time
+    REJECT = "defer"  # may be too long and cannot be counted in time
 
 
 @dataclass(eq=False, slots=True)
@@ -63,7 +63,7 @@
 
 
 @dataclass
-class Lane:
+class CountQueue:
     """The line of one size of prompt."""
 
     workers: int
@@ -71,7 +71,7 @@
     bytes: int = 0  # waiting and being counted
 
 
-class Desk:
+class CountScheduler:
     """One for each front.  `long` is the size from which a prompt is long; `bound` the bytes that may
     wait."""
 
@@ -79,7 +79,7 @@
         self, long: int, bound: int, short_workers: int, long_workers: int, time_limit: float
     ) -> None:
         self.long, self.bound, self.time_limit = long, bound, time_limit
-        self.lanes = {False: Lane(short_workers), True: Lane(long_workers)}
+        self.queues = {False: CountQueue(short_workers), True: CountQueue(long_workers)}
         self.rate = SlidingWindow(RATE_MEMORY, 10)  # milliseconds for a byte
         self.order = count()
         self.deadlines: list[tuple[float, int, Ask]] = []
@@ -93,10 +93,10 @@
         if not ask.missing:
             return Verdict.COUNTED
         ask.long = ask.missing > self.long
-        lane = self.lanes[ask.long]
-        if sum(one.bytes for one in self.lanes.values()) + ask.missing > self.bound:
+        queue = self.queues[ask.long]
+        if sum(one.bytes for one in self.queues.values()) + ask.missing > self.bound:
             return self._without(ask)
-        wait = self._wait(lane, ask)
+        wait = self._wait(queue, ask)
         ask.wait_until = ask.now + WAIT * ask.promised_time
         safe = ask.most <= ask.limit
         if not safe and ask.now + wait > ask.now + ask.promised_time:
@@ -104,8 +104,8 @@
         if not safe:
             ask.wait_until = ask.now + ask.promised_time / 2
         ask.waits = not (safe and ask.now + wait > ask.wait_until)
-        lane.bytes += ask.missing
-        heapq.heappush(lane.waiting, (ask.now + ask.promised_time, next(self.order), ask))
+        queue.bytes += ask.missing
+        heapq.heappush(queue.waiting, (ask.now + ask.promised_time, next(self.order), ask))
         if not ask.waits:
             return Verdict.BOUND  # counted all the same, to correct it and to keep its pieces
         heapq.heappush(self.deadlines, (ask.wait_until, next(self.order), ask))
@@ -115,15 +115,15 @@
         """A prompt that is not going to be counted in time."""
         if ask.most <= ask.limit:
             return Verdict.BOUND
-        return Verdict.DEFER
+        return Verdict.REJECT
 
-    def _wait(self, lane: Lane, ask: Ask) -> float:
+    def _wait(self, queue: CountQueue, ask: Ask) -> float:
         per_byte = self.rate.mean(ask.now)
-        return per_byte * (lane.bytes / lane.workers + ask.missing)
+        return per_byte * (queue.bytes / queue.workers + ask.missing)
 
     def next(self, long: bool) -> Ask | None:
-        """The prompt that a free worker of this lane should count now."""
-        waiting = self.lanes[long].waiting
+        """The prompt that a free worker of this queue should count now."""
+        waiting = self.queues[long].waiting
         while waiting:
             ask = heapq.heappop(waiting)[2]
             if not ask.over:
@@ -145,7 +145,9 @@
         """Its worker has died or hung.  Back to the line, unless it has cost too many: then by its bound."""
         ask.workers_lost += 1
         if ask.workers_lost < POISON:
-            heapq.heappush(self.lanes[ask.long].waiting, (ask.now + ask.promised_time, next(self.order), ask))
+            heapq.heappush(
+                self.queues[ask.long].waiting, (ask.now + ask.promised_time, next(self.order), ask)
+            )
             return Verdict.WAIT
         self._out(ask)
         return self._without(ask)
@@ -158,7 +160,7 @@
     def _out(self, ask: Ask) -> None:
         if not ask.over:
             ask.over = True
-            self.lanes[ask.long].bytes -= ask.missing
+            self.queues[ask.long].bytes -= ask.missing
 
     def late(self, now: float) -> list[tuple[Ask, Verdict]]:
         """Those that have waited long enough, and what becomes of them; their counts may still come."""
--- a/worksmux/tokenization/service.py
+++ b/worksmux/tokenization/service.py
@@ -13,10 +13,10 @@
 from ..net.loop import Reactor
 from ..settings.front import Counting
 from .blocks import WIDTH, Shared, chain
-from .cache import Cache, Frequent
-from .desk import Ask, Desk, Verdict
+from .cache import Cache, TinyLfuCache
 from .pieces import Parts, Piece, cut
 from .pool import Worker, Workers
+from .scheduler import Ask, CountScheduler, Verdict
 from .vocabulary import Vocabulary
 from .worker import Counted
 
@@ -35,7 +35,7 @@
     version: int
     prefix: int = 0
     prefix_tokens: float = 0.0
-    least: int = 0
+    min_tokens: int = 0
 
 
 OnResult = Callable[[Result], None]
@@ -72,14 +72,16 @@
         reactor: Reactor,
         bounds: Counting,
         vocabularies: list[Vocabulary],
-        make: Callable[[int], Cache] = Frequent,
+        make: Callable[[int], Cache] = TinyLfuCache,
     ) -> None:
         self.reactor, self.bounds = reactor, bounds
         self.vocabularies = vocabularies
         self.cache = make(bounds.cache)
         self.shared = Shared(bounds.shared_blocks, bounds.shared_sessions)
         self.deepest = max(1, round(DEEPEST * bounds.shared_blocks))
-        self.desk = Desk(bounds.long, bounds.line, bounds.workers, bounds.long_workers, bounds.time_limit)
+        self.scheduler = CountScheduler(
+            bounds.long, bounds.line, bounds.workers, bounds.long_workers, bounds.time_limit
+        )
         self.workers = Workers(reactor, bounds.workers, bounds.long_workers, bounds.time_limit, self._feed)
         self.open: dict[Ask, Prompt] = {}  # counted or waiting
         self.strangers = 0  # jobs without a session: each is one of its own
@@ -140,7 +142,7 @@
             prompt.arrived,
             vocabulary.version,
         )
-        verdict = self.desk.arrive(ask)
+        verdict = self.scheduler.arrive(ask)
         if verdict is Verdict.COUNTED:
             return self._counted(prompt)
         if verdict in (Verdict.WAIT, Verdict.BOUND) and not ask.over and ask.wait_until:
@@ -155,14 +157,16 @@
         prompt.over = True
         if prompt.ask in self.open:
             del self.open[prompt.ask]
-            self.desk.gone(prompt.ask)
+            self.scheduler.gone(prompt.ask)
 
     def _tell(self, prompt: Prompt, verdict: Verdict) -> None:
         if prompt.told or prompt.over or not prompt.ask or not prompt.vocabulary:
             return
         prompt.told = True
         prompt.on_result(
-            Result(verdict, float(prompt.ask.most), False, prompt.vocabulary.version, least=prompt.ask.least)
+            Result(
+                verdict, float(prompt.ask.most), False, prompt.vocabulary.version, min_tokens=prompt.ask.least
+            )
         )
 
     def _counted(self, prompt: Prompt) -> None:
@@ -173,7 +177,9 @@
         prompt.told = prompt.over = True
         total = sum(len(one) for one in prompt.ids if one is not None) // WIDTH + sum(prompt.more.values())
         if total > prompt.limit:
-            prompt.on_result(Result(Verdict.TOO_LONG, total, True, prompt.vocabulary.version, least=total))
+            prompt.on_result(
+                Result(Verdict.TOO_LONG, total, True, prompt.vocabulary.version, min_tokens=total)
+            )
             return
         hashes = chain(self._beginning(prompt), self.bounds.block, prompt.vocabulary.version)
         depth = self.shared.show(hashes, prompt.session)
@@ -201,9 +207,9 @@
     # Workers.
 
     def _feed(self, long: bool) -> None:
-        """Gives idle workers of a lane what is next."""
+        """Gives idle workers of a queue what is next."""
         while worker := self.workers.take(long):
-            ask = self.desk.next(long)
+            ask = self.scheduler.next(long)
             if ask is None:
                 return self.workers.back(worker)
             prompt = self.open[ask]
@@ -231,49 +237,49 @@
                     self.cache.put(self._key(prompt.vocabulary, prompt.pieces[at]), ids)
             self._finish(prompt, ask)
 
-        patience = self.desk.begin(ask, clock.now())
+        patience = self.scheduler.begin(ask, clock.now())
         texts = [prompt.pieces[at].text for at in missing]
         self.bytes_counted += sum(prompt.pieces[at].size for at in missing)
         worker.count(ask.version, texts, self.deepest * self.bounds.block, patience, counted)
 
     def _finish(self, prompt: Prompt, ask: Ask) -> None:
         self.open.pop(ask, None)
-        self.desk.done(ask, clock.now())
+        self.scheduler.done(ask, clock.now())
         self._counted(prompt)
 
     def _lost(self, prompt: Prompt, ask: Ask) -> None:
-        verdict = self.desk.lost(ask, clock.now())
+        verdict = self.scheduler.lost(ask, clock.now())
         if verdict is not Verdict.WAIT:
             self.open.pop(ask, None)
             self._tell(prompt, verdict)
         self._feed(ask.long)
 
     def _watch(self) -> None:
-        at = self.desk.next_deadline()
+        at = self.scheduler.next_deadline()
         if at is not None and (self.timer is None or not self.timer.active()):
             self.timer = self.reactor.callLater(max(0.0, at - clock.now()) / 1000, self._late)
 
     def _late(self) -> None:
-        for ask, verdict in self.desk.late(clock.now()):
+        for ask, verdict in self.scheduler.late(clock.now()):
             if ask in self.open:
                 self._tell(self.open[ask], verdict)
-                if verdict is Verdict.DEFER:
+                if verdict is Verdict.REJECT:
                     self.cancel(self.open[ask])
         self._watch()
 
     # Versions.
 
-    def use(self, vocabularies: list[Vocabulary]) -> None:
+    def switch_vocabularies(self, vocabularies: list[Vocabulary]) -> None:
         """A change of versions in service: what is waiting or half counted begins anew under the new ones.
 
         No result under an old version is given after this returns.
         """
         self.vocabularies = vocabularies
-        self.workers.use(vocabularies)
+        self.workers.switch_vocabularies(vocabularies)
         for ask, prompt in list(self.open.items()):
             if vocabularies[prompt.request_class].version != ask.version:
                 del self.open[ask]
-                self.desk.gone(ask)
+                self.scheduler.gone(ask)
                 self.recounted += 1
                 if not prompt.over:
                     self._begin(prompt)
