--- a/benchmarks/council_storms.py
+++ b/benchmarks/council_storms.py
@@ -9,12 +9,12 @@
 import time
 from concurrent.futures import ProcessPoolExecutor
 
-from worksmux.simulation.consensus import storm
+from worksmux.simulation.consensus import run_random_faults
 
 
 def one(seed: int) -> tuple[str, int, int, int]:
     try:
-        world = storm(seed)
+        world = run_random_faults(seed)
     except AssertionError as error:
         return f"seed {seed}: {error}", 0, 0, 0
     return "", len(world.acknowledged), world.read_count, len(world.leaders)
--- a/benchmarks/fleet_growth.py
+++ b/benchmarks/fleet_growth.py
@@ -15,32 +15,32 @@
 from worksmux.consensus.replica import ValuesChanged
 from worksmux.failover.reports import FleetReport, ZoneReport, sum_reports
 from worksmux.gossip.members import MemberState
-from worksmux.simulation.followers import LEASE, Following
-from worksmux.simulation.peers import World
-from worksmux.simulation.wire import Weather
+from worksmux.simulation.followers import LEASE_MS, ReplicationSimulation
+from worksmux.simulation.peers import GossipSimulation
+from worksmux.simulation.wire import NetworkConditions
 
 PERIOD = 500.0
 
 
 def peers(task: tuple[int, float]) -> str:
     count, loss = task
-    world = World(1, PERIOD, Weather(loss=loss))
+    world = GossipSimulation(1, PERIOD, NetworkConditions(loss=loss))
     for at in range(count):
         world.start(f"f{at}")
         if at % 20 == 19:
             world.run(20.0)
-    joined = world.agree(400 * PERIOD)
-    world.told.clear()
-    world.wire.sent.clear()
-    world.wire.weigh = True
+    joined = world.wait_for_agreement(400 * PERIOD)
+    world.changes.clear()
+    world.network.sent.clear()
+    world.network.counts_bytes = True
     world.run(10 * PERIOD)
     seconds = 10 * PERIOD / 1000
-    messages = sum(world.wire.sent.values()) / count / seconds
-    size = sum(world.wire.bytes.values()) / count / seconds
-    world.wire.weigh = False
+    messages = sum(world.network.sent.values()) / count / seconds
+    size = sum(world.network.bytes.values()) / count / seconds
+    world.network.counts_bytes = False
     world.peers["f1"].stop()
-    found = world.agree(200 * PERIOD)
-    false = {fact.after.name for _, _, fact in world.told if fact.after.state == MemberState.DEAD} - {"f1"}
+    found = world.wait_for_agreement(200 * PERIOD)
+    false = {fact.after.name for _, _, fact in world.changes if fact.after.state == MemberState.DEAD} - {"f1"}
     return (
         f"peers {count:5} fronts, loss {loss:4.0%}: {messages:5.1f} messages and {size:6.0f} bytes a "
         f"front a second; all joined {joined / 1000:.1f} s after the last; a death known by all after "
@@ -50,29 +50,29 @@
 
 def follow(task: tuple[int, int]) -> str:
     count, zones = task
-    fleet = Following(count)
+    fleet = ReplicationSimulation(count)
     seen = ZoneReport(1, 0, 0, 1, 3.0, 3.0, 0.0, 1.25, 1.5, 0.3, 0.0)
     own = FleetReport(
         1, {f"zone-{at}": seen for at in range(zones)}, {"hint": 1.0, "explain": 0.6, "mark": 0.4}
     )
-    for one in fleet.followers.values():
+    for one in fleet.replicas.values():
         one.build_report = lambda below: msgspec.msgpack.encode(
             sum_reports([own, *(msgspec.msgpack.decode(data, type=FleetReport) for data in below)])
         )
-    fleet.run(2 * LEASE)
-    fleet.sent, fleet.wire.weigh = 0, True
-    fleet.wire.sent.clear()
-    fleet.run(LEASE)
-    size = sum(fleet.wire.bytes.values()) / count / (LEASE / 1000)
-    most = max(fleet.wire.sent.values()) / (LEASE / 1000)
-    rate = fleet.sent / count / (LEASE / 1000)
+    fleet.run(2 * LEASE_MS)
+    fleet.sent, fleet.network.counts_bytes = 0, True
+    fleet.network.sent.clear()
+    fleet.run(LEASE_MS)
+    size = sum(fleet.network.bytes.values()) / count / (LEASE_MS / 1000)
+    most = max(fleet.network.sent.values()) / (LEASE_MS / 1000)
+    rate = fleet.sent / count / (LEASE_MS / 1000)
     start = fleet.sim.now
     fleet.put(b"x" * 2000)
     fleet.run(2000.0)
     told = sorted(
-        at - start for at, _, fact in fleet.facts if isinstance(fact, ValuesChanged) and at >= start
+        at - start for at, _, fact in fleet.events if isinstance(fact, ValuesChanged) and at >= start
     )
-    leader = fleet.followers["f0"]
+    leader = fleet.replicas["f0"]
     heard = msgspec.msgpack.decode(leader.build_report(leader.child_reports()), type=FleetReport)
     return (
         f"following {count:5} fronts, {zones} zones: {rate:.1f} messages and {size:.0f} bytes a front a "
--- a/benchmarks/mass_restart.py
+++ b/benchmarks/mass_restart.py
@@ -17,7 +17,7 @@
 from worksmux.policy.events import EndpointListUpdate
 from worksmux.scenarios.scenario import Scenario, read_scenario
 from worksmux.settings.document import parse
-from worksmux.simulation.day import EPOCH, Model, Remembered
+from worksmux.simulation.day import EPOCH_MS, Model, Remembered
 
 AGES = {"1 s": 1e3, "1 min": 6e4, "1 h": 3.6e6, "1 day": 8.64e7, "3 weeks": 1.8e9}
 PARTS = {"none": 0.0, "a tenth": 0.1, "half": 0.5, "all": 1.0}
@@ -113,12 +113,12 @@
         for at, place in enumerate(places):
             old = f"old-{place.id}" if (at * 7) % len(places) < gone else place.id
             saved = Line(old, "", 0, place.kind, "ready", place.zone, place.cell)
-            lines.append(StoredEndpoint(saved, EPOCH - age))
+            lines.append(StoredEndpoint(saved, EPOCH_MS - age))
             if (at * 11) % len(places) < COLD * len(places):
-                model.engines[place.id].started = EPOCH - 500.0
-                model.registry.lines[place.id].started = EPOCH - 500.0
+                model.engines[place.id].started = EPOCH_MS - 500.0
+                model.registry.lines[place.id].started = EPOCH_MS - 500.0
         model.registry.lost = how != "live"
-        model.registry.last_up = EPOCH - age
+        model.registry.last_up = EPOCH_MS - age
 
     def remembered(_: int) -> Remembered:
         return Remembered(lines, Turnover(), 3.6e6, 20.0)
@@ -128,24 +128,24 @@
         for at in range(scenario.fronts):
             model.sim.after(150.0, trust_wholly, model, at, lines)
     ends: list[float] = []
-    start = EPOCH + 1000.0
+    start = EPOCH_MS + 1000.0
     model.clients.on_end = lambda end, now: ends.append(now) if end in ("delivered", "late") else None
     model.run()
-    fronts = [front for front in model.fronts if front]
+    fronts = [front for front in model.gateways if front]
     counts = [engine.counts for engine in model.engines.values()]
     return Found(
         min(ends) - start if ends else None,
         model.clients.totals.ends.get("delivered", 0),
         sum(front.counts.unreachable for front in fronts),
         max([0.0, *(front.counts.stale_last - start for front in fronts if front.counts.stale_last)]),
-        max(one.peak for one in counts),
+        max(one.cold_peak for one in counts),
         sum(one.falls for one in counts),
         max(one.probe_peak for one in counts),
     )
 
 
 def trust_wholly(model: Model, at: int, lines: list[StoredEndpoint]) -> None:
-    front = model.fronts[at]
+    front = model.gateways[at]
     if front is not None:
         entries = [
             entry
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -13,22 +13,30 @@
 from worksmux.consensus.raft import Raft
 from worksmux.consensus.voter import RaftTiming, Role
 from worksmux.policy.random_source import RandomSource
-from worksmux.simulation.consensus import CouncilWorld, InvariantViolationError, Make, SeatInTime, storm
+from worksmux.simulation.consensus import (
+    ConsensusSimulation,
+    InvariantViolationError,
+    RaftFactory,
+    SimulatedVoter,
+    run_random_faults,
+)
 
 FAULT_RUNS = 60
 
 
 def first_violation(
-    core_type: Make,
+    core_type: RaftFactory,
     seeds: int = 1500,
-    patient: bool = True,
-    fragile: float = 0.04,
+    writes_before_sends: bool = True,
+    power_loss_share: float = 0.04,
     accepts: Callable[[str], bool] = bool,
 ) -> str:
     """Returns the first violation with a core among those that `accepts` selects; empty if there is none."""
     for seed in range(seeds):
         try:
-            storm(seed, core_type, patient=patient, fragile=fragile)
+            run_random_faults(
+                seed, core_type, writes_before_sends=writes_before_sends, power_loss_share=power_loss_share
+            )
         except InvariantViolationError as violation:
             if accepts(str(violation)):
                 return str(violation)
@@ -45,7 +53,7 @@
     """
     acknowledged = reads = 0
     for seed in range(block * FAULT_RUNS // 4, (block + 1) * FAULT_RUNS // 4):
-        world = storm(seed)
+        world = run_random_faults(seed)
         acknowledged += len(world.acknowledged)
         reads += world.read_count
     assert acknowledged and reads  # otherwise the runs checked nothing
@@ -100,7 +108,7 @@
         (CommitsAlone, ""),
     ],
 )
-def test_random_faults_reveal_a_broken_core(make: Make, expected: str) -> None:
+def test_random_faults_reveal_a_broken_core(make: RaftFactory, expected: str) -> None:
     """Each core breaks one rule of Raft on purpose. The random faults must reveal that."""
     assert (
         expected in (violation := first_violation(make, accepts=lambda text: expected in text)) and violation
@@ -112,25 +120,25 @@
 
     A server then forgets a vote or an entry that it has acknowledged.
     """
-    assert first_violation(Raft, patient=False, fragile=0.5)
+    assert first_violation(Raft, writes_before_sends=False, power_loss_share=0.5)
 
 
 @pytest.mark.parametrize("make", [Raft, VotesDespiteLeader])
-def test_no_vote_is_granted_while_a_leader_lease_may_run(make: Make) -> None:
+def test_no_vote_is_granted_while_a_leader_lease_may_run(make: RaftFactory) -> None:
     """The link between the leader and one voter is cut. The third voter still has contact with both.
 
     The leader continues to answer reads by its lease. If the third voter granted its vote to the one that is
     cut off, that one would commit entries which the reads of the old leader miss.
     """
-    world = CouncilWorld(3, make=make)
-    leader = world.led()
-    cut_off = next(name for name in world.seats if name != leader.name)
+    world = ConsensusSimulation(3, make=make)
+    leader = world.wait_for_leader()
+    cut_off = next(name for name in world.voters if name != leader.name)
     world.run(500.0)
-    world.wire.cut([leader.name], [cut_off])
+    world.network.cut([leader.name], [cut_off])
     is_stale = False
     for _ in range(400):
         world.run(4.0)
-        cut_off_server = world.seats[cut_off]
+        cut_off_server = world.voters[cut_off]
         if cut_off_server.raft is not None and cut_off_server.raft.role is Role.LEADER:
             world.propose(cut_off)
             world.run(12.0)
@@ -150,16 +158,16 @@
     With pre-votes its term stays the same, so the leader and its term survive when the voter is connected
     again.
     """
-    world = CouncilWorld(3)
-    leader = world.led()
+    world = ConsensusSimulation(3)
+    leader = world.wait_for_leader()
     assert leader.raft is not None
     term = leader.raft.term
-    cut_off = next(name for name in world.seats if name != leader.name)
-    world.wire.cut([cut_off], [name for name in world.seats if name != cut_off])
+    cut_off = next(name for name in world.voters if name != leader.name)
+    world.network.cut([cut_off], [name for name in world.voters if name != cut_off])
     world.run(10_000.0)
-    world.wire.heal()
+    world.network.remove_partitions()
     world.run(2_000.0)
-    assert world.led() is leader and leader.raft.term == term
+    assert world.wait_for_leader() is leader and leader.raft.term == term
 
 
 def test_leader_without_majority_steps_down_and_rejects_reads() -> None:
@@ -167,16 +175,16 @@
 
     It must reject reads, as the others elect another leader.
     """
-    world = CouncilWorld(5)
-    leader = world.led()
-    minority = [leader.name, next(name for name in world.seats if name != leader.name)]
-    world.wire.cut(minority, [name for name in world.seats if name not in minority])
-    world.run(3 * world.figures.election_timeout_ms)
+    world = ConsensusSimulation(5)
+    leader = world.wait_for_leader()
+    minority = [leader.name, next(name for name in world.voters if name != leader.name)]
+    world.network.cut(minority, [name for name in world.voters if name not in minority])
+    world.run(3 * world.timing.election_timeout_ms)
     assert leader.raft is not None and leader.raft.role is not Role.LEADER
-    refused = world.refused
+    refused = world.rejected_count
     world.read(leader.name)
-    assert world.refused == refused + 1
-    assert world.led().name not in minority
+    assert world.rejected_count == refused + 1
+    assert world.wait_for_leader().name not in minority
 
 
 def leaderless_time(seed: int, max_pause_ms: float) -> float:
@@ -184,19 +192,19 @@
 
     Each of the others' processes freezes for up to `max_pause_ms`, runs for a while, and so on.
     """
-    world = CouncilWorld(3, seed)
-    old_leader, random = world.led(), RandomSource(seed + 5)
-    others = [server for server in world.seats.values() if server is not old_leader]
+    world = ConsensusSimulation(3, seed)
+    old_leader, random = world.wait_for_leader(), RandomSource(seed + 5)
+    others = [server for server in world.voters.values() if server is not old_leader]
     world.run(500.0)
-    world.wire.cut([old_leader.name], [server.name for server in others])
+    world.network.cut([old_leader.name], [server.name for server in others])
     start = world.sim.now
 
-    def freeze_server(server: SeatInTime) -> None:
+    def freeze_server(server: SimulatedVoter) -> None:
         server.freeze()
         world.sim.after(max_pause_ms * random.share(), resume_server, server)
 
-    def resume_server(server: SeatInTime) -> None:
-        server.go_on()
+    def resume_server(server: SimulatedVoter) -> None:
+        server.resume()
         world.sim.after(20.0 + 40.0 * random.share(), freeze_server, server)
 
     if max_pause_ms:
@@ -230,33 +238,33 @@
 
     The old leader then continues, and receives a read before its first tick.
     """
-    world = CouncilWorld(3)
-    old_leader = world.led()
+    world = ConsensusSimulation(3)
+    old_leader = world.wait_for_leader()
     old_leader.freeze()
-    new_leader = world.led()
+    new_leader = world.wait_for_leader()
     world.propose(new_leader.name)
     world.run(500.0)
     assert world.acknowledged
-    old_leader.go_on(asked=True)  # raises InvariantViolationError if it answers a stale read
+    old_leader.resume(reads_first=True)  # raises InvariantViolationError if it answers a stale read
     world.run(3_000.0)
-    assert world.led().raft is not None
+    assert world.wait_for_leader().raft is not None
 
 
 def test_leadership_transfer_is_faster_than_an_election_timeout() -> None:
-    world = CouncilWorld(3)
-    leader = world.led()
+    world = ConsensusSimulation(3)
+    leader = world.wait_for_leader()
     start = world.sim.now
     leader.step(TransferLeadership())
     world.run(100.0)
-    new_leader = world.led()
-    assert new_leader is not leader and world.sim.now - start < world.figures.election_timeout_ms
+    new_leader = world.wait_for_leader()
+    assert new_leader is not leader and world.sim.now - start < world.timing.election_timeout_ms
 
 
 def test_configuration_changes_by_one_voter_at_a_time() -> None:
-    world = CouncilWorld(3)
-    leader = world.led()
+    world = ConsensusSimulation(3)
+    leader = world.wait_for_leader()
     assert leader.raft is not None
-    servers = tuple(world.seats)
+    servers = tuple(world.voters)
     leader.step(ChangeConfiguration(Configuration(servers[:1], ())))  # two voters fewer at once
     assert leader.raft.configuration.voters == servers
     leader.step(ChangeConfiguration(Configuration(servers, ("z",))))
@@ -269,9 +277,9 @@
 
     The leader no longer has them as entries.
     """
-    world = CouncilWorld(3)
-    leader = world.led()
-    behind = next(server for server in world.seats.values() if server is not leader)
+    world = ConsensusSimulation(3)
+    leader = world.wait_for_leader()
+    behind = next(server for server in world.voters.values() if server is not leader)
     behind.crash(lose_disk=False)
     for _ in range(400):
         world.propose(leader.name, b"y" * 400)
--- a/tests/test_consensus_replica.py
+++ b/tests/test_consensus_replica.py
@@ -19,12 +19,12 @@
 from worksmux.consensus.replication_tree import parent_of
 from worksmux.consensus.state_machine import VersionedValue
 from worksmux.policy.random_source import RandomSource
-from worksmux.simulation.followers import LEASE, Following
+from worksmux.simulation.followers import LEASE_MS, ReplicationSimulation
 
 
-def run_random_faults(replica_type: type[Replica], seed: int) -> Following:
+def run_random_faults(replica_type: type[Replica], seed: int) -> ReplicationSimulation:
     """Runs a fleet with random partitions, frozen nodes, slow links and loss while values keep changing."""
-    fleet = Following(12, seed, replica_type, loss=0.1)
+    fleet = ReplicationSimulation(12, seed, replica_type, loss=0.1)
     random = RandomSource(seed)
     fleet.run(3000.0)
     for _ in range(40):
@@ -34,13 +34,13 @@
             fleet.put()
         elif draw < 0.6 and name not in fleet.frozen:
             fleet.frozen.add(name)
-            fleet.sim.after(9000.0 * random.share(), fleet.go_on, name)
+            fleet.sim.after(9000.0 * random.share(), fleet.resume, name)
         elif draw < 0.8:
             group = random.sample(fleet.names, 1 + int(random.share() * 4))
-            fleet.wire.cut(group, [other for other in fleet.names if other not in group], "both")
-            fleet.sim.after(7000.0 * random.share(), fleet.wire.heal)
+            fleet.network.cut(group, [other for other in fleet.names if other not in group], "both")
+            fleet.sim.after(7000.0 * random.share(), fleet.network.remove_partitions)
         else:
-            fleet.wire.slow[name] = 8000.0 * random.share()
+            fleet.network.extra_delay_ms[name] = 8000.0 * random.share()
     return fleet
 
 
@@ -50,7 +50,7 @@
 
     No replica that holds a lease may lack a value that was committed longer ago than the lease.
     """
-    assert not run_random_faults(Replica, seed).old
+    assert not run_random_faults(Replica, seed).stale_replicas
 
 
 def test_random_faults_reveal_a_lease_counted_from_the_reply() -> None:
@@ -67,30 +67,30 @@
                 self.pending_pulls[reply.number] = PendingPull(sender, now)
             super()._on_pull_reply(now, sender, reply, output)
 
-    assert any(run_random_faults(CountsFromReply, seed).old for seed in range(30))
+    assert any(run_random_faults(CountsFromReply, seed).stale_replicas for seed in range(30))
 
 
 def test_change_reaches_all_replicas_and_leases_hold() -> None:
-    fleet = Following(300)
-    fleet.run(2 * LEASE)
+    fleet = ReplicationSimulation(300)
+    fleet.run(2 * LEASE_MS)
     start = fleet.sim.now
     fleet.put(b"new")
     fleet.run(1000.0)
     delays = [
-        time - start for time, _, event in fleet.facts if isinstance(event, ValuesChanged) and time >= start
+        time - start for time, _, event in fleet.events if isinstance(event, ValuesChanged) and time >= start
     ]
     assert len(delays) == 300 and max(delays) < 500.0
-    fleet.run(2 * LEASE)
-    assert all(replica.holds_lease(fleet.now(name)) for name, replica in fleet.followers.items())
+    fleet.run(2 * LEASE_MS)
+    assert all(replica.holds_lease(fleet.now(name)) for name, replica in fleet.replicas.items())
 
 
 def test_messages_per_node_do_not_grow_with_the_fleet() -> None:
     rates = {}
     for count in (30, 240):
-        fleet = Following(count)
-        fleet.run(LEASE)
+        fleet = ReplicationSimulation(count)
+        fleet.run(LEASE_MS)
         fleet.sent = 0
-        fleet.run(LEASE)
+        fleet.run(LEASE_MS)
         rates[count] = fleet.sent / count
     assert rates[240] < 1.5 * rates[30]
 
@@ -100,28 +100,28 @@
 
     The nodes below them must pull from others, or their leases end.
     """
-    fleet = Following(60)
-    fleet.run(2 * LEASE)
+    fleet = ReplicationSimulation(60)
+    fleet.run(2 * LEASE_MS)
     inner = {parent_of(name, set(fleet.names) - {name}, ["f0"]) for name in fleet.names[1:]} - {
         "f0",
         "",
     }
     assert inner
     fleet.frozen |= inner  # membership still reports them as present
-    fleet.run(4 * LEASE)
+    fleet.run(4 * LEASE_MS)
     assert all(
-        replica.holds_lease(fleet.now(name)) for name, replica in fleet.followers.items() if name not in inner
+        replica.holds_lease(fleet.now(name)) for name, replica in fleet.replicas.items() if name not in inner
     )
 
 
 def test_reports_are_summed_on_their_way_up_the_tree() -> None:
-    fleet = Following(80)
-    for replica in fleet.followers.values():
+    fleet = ReplicationSimulation(80)
+    for replica in fleet.replicas.values():
         replica.build_report = lambda child_reports: str(
             1 + sum(int(report) for report in child_reports)
         ).encode()
-    fleet.run(3 * LEASE)
-    assert sum(int(report) for report in fleet.followers["f0"].child_reports()) == 79
+    fleet.run(3 * LEASE_MS)
+    assert sum(int(report) for report in fleet.replicas["f0"].child_reports()) == 79
 
 
 def test_different_state_at_one_index_is_reported_and_not_taken() -> None:
@@ -129,7 +129,7 @@
 
     Neither may take over the state of the other.
     """
-    replica = Replica("a", LEASE, 1, 0.0)
+    replica = Replica("a", LEASE_MS, 1, 0.0)
     replica.step(0.0, TopologyChanged(frozenset({"b"}), frozenset({"b"})))
     replica.step(1.0, LocalVoterApplied(3, 77, {"plan": VersionedValue(3, b"x")}, -1.0, "b"))
     output = replica.step(2.0, MessageReceived("b", PullRequest(1, 3, 78)))
@@ -144,7 +144,7 @@
 
 
 def test_unsolicited_replies_and_notices_of_unknown_nodes_are_ignored() -> None:
-    replica = Replica("a", LEASE, 1, 0.0)
+    replica = Replica("a", LEASE_MS, 1, 0.0)
     assert (
         not replica.step(1.0, MessageReceived("b", PullReply(9, 5, 1, 0.0, "b"))).events
         and replica.index == 0
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -11,27 +11,27 @@
 from worksmux.gossip.members import AppliedUpdate, MemberList, MembershipUpdate, MemberState
 from worksmux.gossip.outputs import Superseded
 from worksmux.policy.random_source import RandomSource
-from worksmux.simulation.peers import Peer, World
-from worksmux.simulation.wire import Weather
+from worksmux.simulation.peers import GossipSimulation, Peer
+from worksmux.simulation.wire import NetworkConditions
 
 PERIOD = 500.0
 
 
-def make_fleet(count: int = 7, seed: int = 1, **weather: float) -> World:
+def make_fleet(count: int = 7, seed: int = 1, **conditions: float) -> GossipSimulation:
     """Returns a fleet whose nodes have joined and agree, with its list of changes emptied."""
-    fleet = World(seed, PERIOD, Weather(**weather))  # type: ignore[arg-type]
+    fleet = GossipSimulation(seed, PERIOD, NetworkConditions(**conditions))  # type: ignore[arg-type]
     for number in range(count):
         fleet.start(f"f{number}")
-    fleet.agree(30 * PERIOD)
-    fleet.told.clear()
+    fleet.wait_for_agreement(30 * PERIOD)
+    fleet.changes.clear()
     return fleet
 
 
-def deaths(fleet: World) -> list[tuple[str, str]]:
+def deaths(fleet: GossipSimulation) -> list[tuple[str, str]]:
     """Returns the pairs (observer, node) of all declarations that a node is dead."""
     return [
         (observer, change.after.name)
-        for _, observer, change in fleet.told
+        for _, observer, change in fleet.changes
         if change.after.state == MemberState.DEAD
     ]
 
@@ -132,7 +132,7 @@
     """One node of nine crashes while the network loses messages."""
     fleet = make_fleet(9, loss=loss)
     fleet.peers["f4"].stop()
-    fleet.agree(40 * PERIOD)
+    fleet.wait_for_agreement(40 * PERIOD)
     fleet.run(20 * PERIOD)
     assert {name for _, name in deaths(fleet)} == {"f4"}
     assert {observer for observer, _ in deaths(fleet)} == set(fleet.peers)
@@ -144,7 +144,7 @@
     The two must not declare each other dead, as helpers report each of them alive.
     """
     fleet = make_fleet(6)
-    fleet.wire.cut(["f1"], ["f2"])
+    fleet.network.cut(["f1"], ["f2"])
     fleet.run(60 * PERIOD)
     assert not deaths(fleet)
 
@@ -160,9 +160,9 @@
     frozen.freeze()
     fleet.run(60 * PERIOD)
     assert {name for _, name in deaths(fleet)} == {"f3"}
-    frozen.go_on()
+    frozen.resume()
     assert frozen.swim.health.level > 0  # it lowers its own health first
-    fleet.agree(30 * PERIOD)
+    fleet.wait_for_agreement(30 * PERIOD)
     assert not [death for death in deaths(fleet) if death[0] == "f3"]
     assert all(
         peer.swim.members.known["f3"].update.generation == 1
@@ -175,7 +175,7 @@
     """All messages of one node are late by more than a period."""
     fleet = make_fleet(8)
     starved = fleet.peers["f2"]
-    fleet.wire.slow["f2"] = 1.3 * PERIOD
+    fleet.network.extra_delay_ms["f2"] = 1.3 * PERIOD
     fleet.run(40 * PERIOD)
     assert not [death for death in deaths(fleet) if death[0] == "f2"]
     other_levels = [peer.swim.health.level for name, peer in fleet.peers.items() if name != "f2"]
@@ -185,7 +185,7 @@
 def test_node_that_leaves_is_never_declared_dead() -> None:
     fleet = make_fleet(7)
     fleet.peers["f5"].leave()
-    fleet.agree(10 * PERIOD)
+    fleet.wait_for_agreement(10 * PERIOD)
     fleet.run(40 * PERIOD)
     assert not deaths(fleet)
     assert all(peer.swim.members.known["f5"].state == MemberState.LEFT for peer in fleet.peers.values())
@@ -198,8 +198,8 @@
     fleet = make_fleet(6)
     fleet.peers["f1"].stop()
     fleet.run(40 * PERIOD)
-    fleet.start("f1", life=2)
-    fleet.agree(20 * PERIOD)
+    fleet.start("f1", generation=2)
+    fleet.wait_for_agreement(20 * PERIOD)
     assert fleet.peers["f0"].swim.members.known["f1"].update.generation == 2
 
 
@@ -211,9 +211,9 @@
     fleet = make_fleet(6)
     fleet.peers["f4"].stop()
     fleet.run(40 * PERIOD)
-    fleet.start("f4", life=50).stop()
+    fleet.start("f4", generation=50).stop()
     fleet.run(5 * PERIOD)
-    restarted = fleet.start("f4", life=3)
+    restarted = fleet.start("f4", generation=3)
     fleet.run(20 * PERIOD)
     assert restarted.swim.me.generation > 50
     assert fleet.peers["f0"].swim.members.known["f4"].update.generation == restarted.swim.me.generation
@@ -226,8 +226,8 @@
     newer = Peer(fleet, "f3", 9, ["f0", "f1"], address="f3-again")
     fleet.peers["f3"] = newer
     fleet.run(30 * PERIOD)
-    assert [event for _, event in older.facts if isinstance(event, Superseded)]
-    assert not [event for _, event in newer.facts if isinstance(event, Superseded)]
+    assert [event for _, event in older.events if isinstance(event, Superseded)]
+    assert not [event for _, event in newer.events if isinstance(event, Superseded)]
     assert fleet.peers["f0"].swim.members.known["f3"].update.address == "f3-again"
 
 
@@ -242,22 +242,22 @@
     """
     fleet = make_fleet(8)
     half = ["f0", "f2", "f4", "f6"]
-    fleet.wire.cut(half, [name for name in fleet.peers if name not in half], direction)
+    fleet.network.cut(half, [name for name in fleet.peers if name not in half], direction)
     fleet.run(80 * PERIOD)
     assert deaths(fleet)
-    fleet.wire.heal()
-    fleet.agree(60 * PERIOD)
+    fleet.network.remove_partitions()
+    fleet.wait_for_agreement(60 * PERIOD)
 
 
 def test_node_joins_once_a_seed_is_up() -> None:
     """A node starts while all its seeds are down."""
-    fleet = World(1, PERIOD)
+    fleet = GossipSimulation(1, PERIOD)
     late = fleet.start("f9", seeds=["f0", "f1"])
     fleet.run(20 * PERIOD)
-    assert not late.believes()
+    assert not late.known_states()
     for number in range(3):
         fleet.start(f"f{number}")
-    fleet.agree(30 * PERIOD)
+    fleet.wait_for_agreement(30 * PERIOD)
 
 
 def test_messages_per_node_do_not_grow_with_the_fleet() -> None:
@@ -265,16 +265,18 @@
     for count in (10, 80):
         fleet = make_fleet(count)
         fleet.run(120 * PERIOD)
-        fleet.wire.sent.clear()
+        fleet.network.sent.clear()
         fleet.run(40 * PERIOD)
-        sent[count] = max(fleet.wire.sent.values())
+        sent[count] = max(fleet.network.sent.values())
     assert sent[80] < 1.5 * sent[10]
 
 
-def run_random_faults(seed: int) -> World:
+def run_random_faults(seed: int) -> GossipSimulation:
     """Runs random crashes, restarts, frozen processes, partitions and loss, then waits until all agree."""
     random = RandomSource(seed)
-    fleet = World(seed, PERIOD, Weather((0.3, 80.0 * random.share()), 0.2 * random.share(), 0.1))
+    fleet = GossipSimulation(
+        seed, PERIOD, NetworkConditions((0.3, 80.0 * random.share()), 0.2 * random.share(), 0.1)
+    )
     names = [f"f{number}" for number in range(7)]
     generations = dict.fromkeys(names, 1)
     for name in names:
@@ -290,22 +292,22 @@
             peer.stop()
         elif draw < 0.5:
             peer.freeze()
-            fleet.sim.after(20 * PERIOD * random.share(), peer.go_on)
+            fleet.sim.after(20 * PERIOD * random.share(), peer.resume)
         elif draw < 0.8:
             group = random.sample(names, 1 + int(3 * random.share()))
-            fleet.wire.cut(
+            fleet.network.cut(
                 group,
                 [other for other in names if other not in group],
                 ("both", "out", "in")[int(3 * random.share())],
             )
-            fleet.sim.after(20 * PERIOD * random.share(), fleet.wire.heal)
+            fleet.sim.after(20 * PERIOD * random.share(), fleet.network.remove_partitions)
     fleet.run(25 * PERIOD)
-    fleet.wire.heal()
-    fleet.wire.weather = Weather()
+    fleet.network.remove_partitions()
+    fleet.network.conditions = NetworkConditions()
     for peer in list(fleet.peers.values()):
         if peer.frozen:
-            peer.go_on()
-    fleet.agree(120 * PERIOD)
+            peer.resume()
+    fleet.wait_for_agreement(120 * PERIOD)
     return fleet
 
 
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -10,7 +10,7 @@
 from worksmux.experiment.worst import one
 from worksmux.scenarios.scenario import load_scenario, read_scenario
 from worksmux.settings.document import parse
-from worksmux.simulation.day import PLAYED
+from worksmux.simulation.day import SUPPORTED_FAULTS
 
 FILE = Path(__file__).parent.parent / "examples" / "no-discovery-day.kdl"
 BASE = load_scenario(FILE)
@@ -35,7 +35,11 @@
         for day in days:
             assert 1 <= len(day.troubles) <= MOST and LOADS[0] <= day.load <= LOADS[1]
             for trouble in day.troubles:
-                assert trouble.kind in PLAYED and trouble.at >= 0 and trouble.length <= LONGEST * BASE.length
+                assert (
+                    trouble.kind in SUPPORTED_FAULTS
+                    and trouble.at >= 0
+                    and trouble.length <= LONGEST * BASE.length
+                )
                 assert 0 < trouble.part <= 1
         search.take(days, [(random.Random(1).random(), 0.5) for _ in days])
 
--- a/worksmux/experiment/play.py
+++ b/worksmux/experiment/play.py
@@ -8,7 +8,7 @@
 from ..checker.rules import check
 from ..scenarios.figures import rule_parameters
 from ..scenarios.scenario import Scenario
-from ..simulation.day import EPOCH, Model
+from ..simulation.day import EPOCH_MS, Model
 
 BACK = 0.9  # of the delivered before the first trouble: service counts as whole again
 PERCENT = (50, 90, 99)
@@ -18,19 +18,19 @@
     """Shares are of all jobs, times in milliseconds, `cpu_ms_job` of this process for one job."""
     model = Model(day, journal=audit)
     ends: list[tuple[float, str]] = []
-    model.clients.on_end = lambda how, now: ends.append((now - EPOCH - 1000.0, how))
+    model.clients.on_end = lambda how, now: ends.append((now - EPOCH_MS - 1000.0, how))
     start = time.process_time()
     records = model.run()
     cpu = time.process_time() - start
     totals = model.clients.totals
     requests = max(1, totals.requests)
-    firsts = sorted(totals.firsts)
-    fronts = [front for front in model.fronts if front is not None]
+    firsts = sorted(totals.first_token_waits_ms)
+    fronts = [front for front in model.gateways if front is not None]
     engines = [engine.counts for engine in model.engines.values()]
     found = {
         "jobs": float(totals.requests),
-        "unanswered": float(model.clients.open),
-        "credit": totals.credit / (totals.asked or 1.0),
+        "unanswered": float(model.clients.open_requests),
+        "credit": totals.credit / (totals.requested_credit or 1.0),
         **{
             f"{how}_share": totals.ends.get(name, 0) / requests
             for how, name in (
@@ -54,7 +54,7 @@
         "trips_job": sum(front.counts.attempts for front in fronts) / requests,
         "probes_job": sum(front.counts.probes for front in fronts) / requests,
         "unreachable_job": sum(front.counts.unreachable for front in fronts) / requests,
-        "cold_peak": max((one.peak for one in engines), default=0.0),
+        "cold_peak": max((one.cold_peak for one in engines), default=0.0),
         "falls": float(sum(one.falls for one in engines)),
         "busiest": busiest([float(one.attempts) for one in engines]),
         "cpu_ms_job": 1000 * cpu / requests,
--- a/worksmux/simulation/clients.py
+++ b/worksmux/simulation/clients.py
@@ -47,10 +47,10 @@
     """What all jobs came to, so that large days need no journal."""
 
     requests: int = 0
-    asked: float = 0.0
+    requested_credit: float = 0.0
     credit: float = 0.0
     ends: dict[str, int] = field(default_factory=dict)
-    firsts: list[float] = field(default_factory=list)
+    first_token_waits_ms: list[float] = field(default_factory=list)
     tries: int = 0
 
 
@@ -58,11 +58,11 @@
     def __init__(
         self, sim: Sim, day: Scenario, fronts: list[ModelFront | None], note: Note, hop: float
     ) -> None:
-        self.sim, self.day, self.fronts, self.note, self.hop = sim, day, fronts, note, hop
+        self.sim, self.day, self.gateways, self.note, self.hop = sim, day, fronts, note, hop
         self.chance = random.Random(day.seed)
         self.request_classes: list[RequestClass] = day.request_classes
         self.at_of = {one.name: at for at, one in enumerate(day.request_classes)}
-        self.count = self.turn = self.open = 0
+        self.count = self.turn = self.open_requests = 0
         self.dead: dict[int, float] = {}
         self.start, self.over = 0.0, False
         self.totals = Totals()
@@ -146,13 +146,13 @@
             self._next_front(),
             self.chance.random() < self.day.streams,
         )
-        self.open += 1
+        self.open_requests += 1
         self._try(request)
 
     def _next_front(self) -> int:
         """By chance, but for those known to be dead."""
         for _ in range(8):
-            at = self.chance.randrange(len(self.fronts))
+            at = self.chance.randrange(len(self.gateways))
             since = self.dead.get(at)
             if since is None or self.sim.now < since + self.day.notice:
                 return at
@@ -169,7 +169,7 @@
         stays = min(request.patience, 4 * request_class.outer_limit)
         # Who wants the answer whole sees no first token: it stays for the longest answer besides.
         whole = 0.0 if request.stream else 2 * request_class.token_time * request_class.most_answer
-        front = self.fronts[request.front]
+        front = self.gateways[request.front]
         state = {"first": None, "over": False}  # type: dict[str, float | bool | None]
         self.note(
             "clients",
@@ -260,12 +260,12 @@
         )
         totals.requests += 1
         totals.tries += request.tries
-        totals.asked += request_class.credit
+        totals.requested_credit += request_class.credit
         totals.credit += credit
         totals.ends[how] = totals.ends.get(how, 0) + 1
         if wait is not None:
-            totals.firsts.append(wait)
-        self.open -= 1
+            totals.first_token_waits_ms.append(wait)
+        self.open_requests -= 1
         self.on_end(how, self.sim.now)
         if how in ("delivered", "late") and session.turns > 0 and not self.over:
             again = replace(session, tokens=session.tokens + request.answer)
--- a/worksmux/simulation/conductor.py
+++ b/worksmux/simulation/conductor.py
@@ -62,7 +62,7 @@
         model, now = self.model, self.model.sim.now
         model.sim.after(self.map.interval_ms, self.look)
         reports: dict[int, FleetReport] = {}
-        for at, front in enumerate(model.fronts):
+        for at, front in enumerate(model.gateways):
             if front is None:
                 continue
             if front.watcher is None:
@@ -79,7 +79,7 @@
             for at, own in reports.items():
                 planner = self.alone.setdefault(at, Planner(self.map, Plan()))
                 plan = planner.update(own)
-                front = model.fronts[at]
+                front = model.gateways[at]
                 if plan is not None and front is not None:
                     self.tell(at, front, plan)
         elif self.mode == "ceiling":
@@ -87,7 +87,7 @@
         else:
             model.sim.after(self.ways.up, self.plan_for_all, sum_reports(reports.values()))
         if self.mode != "alone":
-            for at, front in enumerate(model.fronts):  # those that were started since
+            for at, front in enumerate(model.gateways):  # those that were started since
                 if front is not None and self.told.get(at, (front, 0))[0] is not front:
                     self.tell(at, front, self.plan)
 
@@ -101,7 +101,7 @@
 
     def spread(self, plan: Plan) -> None:
         self.plan = plan
-        for at, front in enumerate(self.model.fronts):
+        for at, front in enumerate(self.model.gateways):
             if front is not None:
                 self.tell(at, front, plan)
 
--- a/worksmux/simulation/consensus.py
+++ b/worksmux/simulation/consensus.py
@@ -29,9 +29,9 @@
 from ..policy.hashing import mix
 from ..policy.random_source import RandomSource
 from .sim import Sim, Timer
-from .wire import Weather, Wire
+from .wire import NetworkConditions, SimulatedNetwork
 
-Make = Callable[[str, PersistentState, RaftTiming, int, float], Raft]
+RaftFactory = Callable[[str, PersistentState, RaftTiming, int, float], Raft]
 
 
 class InvariantViolationError(AssertionError):
@@ -61,10 +61,10 @@
         )
 
 
-class SeatInTime:
+class SimulatedVoter:
     """One seat and its disk.  Messages leave once the writes before them are on disk."""
 
-    def __init__(self, world: CouncilWorld, name: str, disk: Disk) -> None:
+    def __init__(self, world: ConsensusSimulation, name: str, disk: Disk) -> None:
         self.world, self.name, self.disk = world, name, disk
         chance = RandomSource(mix(world.seed, len(name) * 7919 + ord(name[0])))
         self.rate = 1 + world.drift * (2 * chance.share() - 1)
@@ -89,15 +89,15 @@
         self.raft = self.world.make(
             self.name,
             self.disk.read(),
-            self.world.figures,
+            self.world.timing,
             mix(self.world.seed, self.starts * 31 + ord(self.name[0])),
             self.now,
         )
-        self.world.wire.listen(self.name, self.take)
+        self.world.network.listen(self.name, self.take)
         self.rest()
 
     def crash(self, lose_disk: bool = False) -> None:
-        self.world.wire.leave(self.name)
+        self.world.network.leave(self.name)
         self.raft = None
         if self.timer is not None:
             self.timer.cancel()
@@ -131,7 +131,7 @@
         """One write at a time; what needs none leaves at once."""
         while self.waiting and not self.writing:
             write, messages = self.waiting[0]
-            if write is not None and self.world.patient:
+            if write is not None and self.world.writes_before_sends:
                 self.writing = True
                 delay = self.world.chance.share() * self.world.disk_ms
                 self.world.sim.after(delay, self.written, self.starts)
@@ -144,7 +144,7 @@
 
     def falls(self) -> bool:
         """Whether the machine loses its power at this very write."""
-        if self.world.chance.share() >= self.world.fragile:
+        if self.world.chance.share() >= self.world.power_loss_share:
             return False
         self.crash()
         self.world.sim.after(500.0 * self.world.chance.share(), restart, self)
@@ -166,7 +166,7 @@
 
     def post(self, messages: list[tuple[str, Message]]) -> None:
         for seat, message in messages:
-            self.world.wire.send(self.name, seat, message)
+            self.world.network.send(self.name, seat, message)
 
     def take(self, sender: str, message: Message) -> None:
         if self.frozen:
@@ -177,12 +177,12 @@
     def freeze(self) -> None:
         self.frozen = True
 
-    def go_on(self, asked: bool = False) -> None:
-        """`asked`: it is asked to read before it has looked at the time."""
+    def resume(self, reads_first: bool = False) -> None:
+        """`reads_first`: it is asked to read before it has looked at the time."""
         if self.raft is None or not self.frozen:
             return
         self.frozen = False
-        if asked:
+        if reads_first:
             self.world.read(self.name)
         self.step(Tick())
         unheard, self.unheard = self.unheard, []
@@ -190,53 +190,59 @@
             self.take(sender, message)
 
 
-class CouncilWorld:
+class ConsensusSimulation:
     """Seats a, b, c and so on; every proposal, read and agreed entry is checked against the others."""
 
     def __init__(
         self,
         count: int = 3,
         seed: int = 1,
-        make: Make = Raft,
-        weather: Weather | None = None,
+        make: RaftFactory = Raft,
+        conditions: NetworkConditions | None = None,
         drift: float = 0.008,
         disk_ms: float = 3.0,
-        patient: bool = True,
+        writes_before_sends: bool = True,
     ) -> None:
         self.sim = Sim()
         self.sim.now = 1000.0
-        self.seed, self.make, self.drift, self.disk_ms, self.patient = seed, make, drift, disk_ms, patient
+        self.seed, self.make, self.drift, self.disk_ms, self.writes_before_sends = (
+            seed,
+            make,
+            drift,
+            disk_ms,
+            writes_before_sends,
+        )
         self.chance = RandomSource(mix(seed, 17))
-        self.wire = Wire(self.sim, mix(seed, 3), weather)
-        self.figures = RaftTiming(60.0, 400.0)
+        self.network = SimulatedNetwork(self.sim, mix(seed, 3), conditions)
+        self.timing = RaftTiming(60.0, 400.0)
         names = [chr(ord("a") + at) for at in range(count)]
-        self.seats: dict[str, SeatInTime] = {}
+        self.voters: dict[str, SimulatedVoter] = {}
         base = Snapshot(configuration=Configuration(tuple(names)))
         for name in names:
-            self.seats[name] = SeatInTime(self, name, Disk(PersistentState(snapshot=base)))
+            self.voters[name] = SimulatedVoter(self, name, Disk(PersistentState(snapshot=base)))
         self.leaders: dict[int, set[str]] = {}
         self.agreed: dict[int, Entry] = {}
         self.token = 0
         self.proposed: dict[int, tuple[int, int]] = {}  # token: index and term
         self.acknowledged: dict[int, int] = {}  # token: index
         self.reads: dict[int, int] = {}  # token: the highest index acknowledged as it was asked
-        self.read_count = self.refused = 0
-        self.fragile = 0.0  # the part of writes at which the power fails
-        for seat in self.seats.values():
+        self.read_count = self.rejected_count = 0
+        self.power_loss_share = 0.0  # the part of writes at which the power fails
+        for seat in self.voters.values():
             seat.start()
 
     def run(self, ms: float) -> None:
         self.sim.run(self.sim.now + ms)
 
-    def leader(self) -> SeatInTime | None:
+    def leader(self) -> SimulatedVoter | None:
         leading = [
             seat
-            for seat in self.seats.values()
+            for seat in self.voters.values()
             if seat.raft is not None and not seat.frozen and seat.raft.role is Role.LEADER
         ]
         return max(leading, key=lambda seat: seat.raft.term if seat.raft else 0, default=None)
 
-    def led(self, within: float = 10_000.0) -> SeatInTime:
+    def wait_for_leader(self, within: float = 10_000.0) -> SimulatedVoter:
         """Runs until there is a leader that a majority follows."""
         end = self.sim.now + within
         while True:
@@ -253,15 +259,15 @@
 
     def propose(self, name: str, data: bytes = b"x") -> int:
         self.token += 1
-        self.seats[name].step(Propose(COMMAND, data + str(self.token).encode(), self.token))
+        self.voters[name].step(Propose(COMMAND, data + str(self.token).encode(), self.token))
         return self.token
 
     def read(self, name: str) -> None:
         self.token += 1
         self.reads[self.token] = max(self.acknowledged.values(), default=0)
-        self.seats[name].step(ReadIndex(self.token))
+        self.voters[name].step(ReadIndex(self.token))
 
-    def fact(self, seat: SeatInTime, fact: Event) -> None:
+    def fact(self, seat: SimulatedVoter, fact: Event) -> None:
         match fact:
             case LeaderChanged(term, leader) if leader == seat.name:
                 self.leaders.setdefault(term, set()).add(leader)
@@ -285,13 +291,13 @@
                         f"{seat.name} read up to {index}, yet {self.reads[token]} was acknowledged"
                     )
             case Rejected():
-                self.refused += 1
+                self.rejected_count += 1
             case InvariantViolation(text):
                 raise InvariantViolationError(f"{seat.name}: {text}")
             case _:
                 pass
 
-    def commits(self, seat: SeatInTime, entry: Entry) -> None:
+    def commits(self, seat: SimulatedVoter, entry: Entry) -> None:
         held = self.agreed.setdefault(entry.index, entry)
         if held.digest != entry.digest:
             raise InvariantViolationError(f"{seat.name} agreed to another entry {entry.index}")
@@ -305,7 +311,7 @@
 
     def final_check(self) -> None:
         """All seats that are up have the same, and hold all that was acknowledged."""
-        for seat in self.seats.values():
+        for seat in self.voters.values():
             raft = seat.raft
             if raft is None:
                 continue
@@ -313,14 +319,14 @@
                 held = raft.log.get(index)
                 if held is not None and index <= raft.commit_index and held.digest != entry.digest:
                     raise InvariantViolationError(f"{seat.name} holds another entry {index}")
-        up = [seat.raft for seat in self.seats.values() if seat.raft is not None]
+        up = [seat.raft for seat in self.voters.values() if seat.raft is not None]
         most = max(raft.commit_index for raft in up)
         last = max(self.acknowledged.values(), default=0)
         if most < last:
             raise InvariantViolationError(f"{last} was acknowledged, and only {most} is left")
 
     def compact(self, name: str) -> None:
-        raft = self.seats[name].raft
+        raft = self.voters[name].raft
         if raft is not None and raft.commit_index > raft.log.snapshot.index + 5:
             data = msgspec.msgpack.encode(
                 [
@@ -329,43 +335,45 @@
                     if index in self.agreed
                 ]
             )
-            self.seats[name].step(Compact(raft.commit_index, data))
+            self.voters[name].step(Compact(raft.commit_index, data))
 
 
-def storm(
+def run_random_faults(
     seed: int,
-    make: Make = Raft,
+    make: RaftFactory = Raft,
     steps: int = 120,
-    patient: bool = True,
+    writes_before_sends: bool = True,
     seats: int = 0,
-    fragile: float = 0.04,
-) -> CouncilWorld:
+    power_loss_share: float = 0.04,
+) -> ConsensusSimulation:
     """One run with everything at once: loss, repeats, reordering, cuts, crashes, freezes, snapshots, reads.
     Raises InvariantViolationError where something that must always hold does not."""
     chance = RandomSource(mix(seed, 99))
-    weather = Weather((0.3, 3.0 + 60.0 * chance.share()), 0.2 * chance.share(), 0.2 * chance.share())
-    world = CouncilWorld(
+    conditions = NetworkConditions(
+        (0.3, 3.0 + 60.0 * chance.share()), 0.2 * chance.share(), 0.2 * chance.share()
+    )
+    world = ConsensusSimulation(
         seats or (3 if chance.share() < 0.6 else 5),
         seed,
         make,
-        weather,
+        conditions,
         disk_ms=1.0 + 10.0 * chance.share(),
-        patient=patient,
+        writes_before_sends=writes_before_sends,
     )
-    world.fragile = fragile * chance.share()
-    names = list(world.seats)
+    world.power_loss_share = power_loss_share * chance.share()
+    names = list(world.voters)
     for _ in range(steps):
         world.run(120.0 * chance.share())
         name = names[int(chance.share() * len(names))]
-        seat, draw = world.seats[name], chance.share()
+        seat, draw = world.voters[name], chance.share()
         leader = world.leader()
         if draw < 0.35:
             target = leader.name if leader is not None and chance.share() < 0.8 else name
-            if world.seats[target].raft is not None and not world.seats[target].frozen:
+            if world.voters[target].raft is not None and not world.voters[target].frozen:
                 for _ in range(1 + int(3 * chance.share())):
                     world.propose(target)
         elif draw < 0.5:
-            for other in world.seats.values():  # all that believe to lead, and one more
+            for other in world.voters.values():  # all that believe to lead, and one more
                 if (
                     other.raft is not None
                     and not other.frozen
@@ -382,28 +390,28 @@
             others = [other for other in names if other not in some]
             if chance.share() < 0.4:  # one pair alone: both still reach the others
                 some, others = [leader.name if leader else some[0]], chance.sample(others, 1)
-            world.wire.cut(some, others, ("both", "out", "in")[int(3 * chance.share())])
-            world.sim.after(1200.0 * chance.share(), world.wire.heal)
+            world.network.cut(some, others, ("both", "out", "in")[int(3 * chance.share())])
+            world.sim.after(1200.0 * chance.share(), world.network.remove_partitions)
         elif draw < 0.8:
             victim = leader if leader is not None and chance.share() < 0.6 else seat
             if victim.raft is not None and not victim.frozen:
                 victim.freeze()
-                world.sim.after(1500.0 * chance.share(), victim.go_on, chance.share() < 0.5)
+                world.sim.after(1500.0 * chance.share(), victim.resume, chance.share() < 0.5)
         elif draw < 0.9:
             world.compact(name)
-    world.wire.heal()
-    world.wire.weather, world.fragile = Weather(), 0.0
+    world.network.remove_partitions()
+    world.network.conditions, world.power_loss_share = NetworkConditions(), 0.0
     world.run(2000.0)
-    for seat in world.seats.values():
-        seat.go_on()
+    for seat in world.voters.values():
+        seat.resume()
         if seat.raft is None:
             seat.start()
-    world.led()
+    world.wait_for_leader()
     world.run(2000.0)
     world.final_check()
     return world
 
 
-def restart(seat: SeatInTime) -> None:
+def restart(seat: SimulatedVoter) -> None:
     if seat.raft is None:
         seat.start()
--- a/worksmux/simulation/day.py
+++ b/worksmux/simulation/day.py
@@ -42,7 +42,7 @@
 from .sim import Sim
 
 HOP = 0.5  # milliseconds that a message takes
-PLAYED = (
+SUPPORTED_FAULTS = (
     frozenset(
         {
             "crash",
@@ -61,7 +61,7 @@
     | CLIENT_FAULTS
     | ENDPOINT_LIST_FAULTS
 )
-EPOCH = 1e9  # where simulated time starts, so that older times are positive
+EPOCH_MS = 1e9  # where simulated time starts, so that older times are positive
 
 
 class UnsupportedScenarioError(WorksmuxError):
@@ -87,7 +87,7 @@
         self.lines: dict[str, Line] = {}
         self.serial = 0
         self.lost, self.extra, self.skip = False, 0.0, 0
-        self.last_up = EPOCH
+        self.last_up = EPOCH_MS
         self.last: dict[int, float] = {}  # by front: one connection keeps its messages in order
 
     def change(self, line: Line, at_once: bool = False) -> None:
@@ -97,7 +97,7 @@
         if self.skip > 0:
             self.skip -= 1
             return
-        for at in range(len(self.model.fronts)):
+        for at in range(len(self.model.gateways)):
             delay = 0.0 if at_once else self.chance.uniform(*self.model.day.list_late) + self.extra
             self._send(at, delay, message)
 
@@ -112,7 +112,7 @@
         self.model.sim.after(self.last[at] - now, self._tell, at, message)
 
     def _tell(self, at: int, message: Listing) -> None:
-        front = self.model.fronts[at]
+        front = self.model.gateways[at]
         if self.lost or front is None:
             return
         self.model.note(
@@ -131,7 +131,7 @@
     def lose(self, on: bool) -> None:
         self.lost, self.last_up = on, self.model.sim.now
         if not on:
-            for at, front in enumerate(self.model.fronts):
+            for at, front in enumerate(self.model.gateways):
                 if front is not None:
                     front.roster.reader.connected()
                     self.model.sim.after(self.chance.uniform(0.0, 500.0), self.full, at)
@@ -150,19 +150,19 @@
         built: Callable[[Model], None] | None = None,
     ) -> None:
         for trouble in day.faults:
-            if trouble.kind not in PLAYED:
+            if trouble.kind not in SUPPORTED_FAULTS:
                 raise UnsupportedScenarioError(
                     f'line {trouble.line}: the model does not play "{trouble.kind}"; '
                     "leave it out, or play the day with `worksmux trial`"
                 )
         self.day, self.make = day, make or POLICIES[day.policy]
         self.sim = Sim()
-        self.sim.now = EPOCH
+        self.sim.now = EPOCH_MS
         self.chance = random.Random(day.seed)
         self.lines: list[dict[str, Any]] | None = [] if journal else None
         self.engines: dict[str, ModelEngine] = {}
         self.starts: dict[str, int] = {}
-        self.fronts: list[ModelFront | None] = [None] * day.fronts
+        self.gateways: list[ModelFront | None] = [None] * day.fronts
         self.saved: list[Remembered | None] = [None] * day.fronts
         self.remembered = remembered
         self.registry = Registry(self)
@@ -170,7 +170,7 @@
             self.start_engine(place, cold=False)
         if built is not None:
             built(self)
-        self.clients = Clients(self.sim, day, self.fronts, self.note, HOP)
+        self.clients = Clients(self.sim, day, self.gateways, self.note, HOP)
 
     def note(self, who: str, what: str, **facts: Any) -> None:
         if self.lines is not None:
@@ -211,11 +211,11 @@
             day.zones,
             [kind.name for kind in day.kinds],
             self.make,
-            day.seed * 7919 + at * 31 + int(self.sim.now - EPOCH),
+            day.seed * 7919 + at * 31 + int(self.sim.now - EPOCH_MS),
             self.note,
             HOP,
         )
-        self.fronts[at] = front
+        self.gateways[at] = front
         saved = self.saved[at] or (self.remembered(at) if self.remembered else None)
         if day.memory or self.remembered:
             front.learner = LearnedStateRecorder([one.name for one in day.request_classes])
@@ -251,7 +251,7 @@
         return [(known.engine, known.line.started) for known in front.roster.reader.known.values()]
 
     def kill_front(self, at: int) -> None:
-        front = self.fronts[at]
+        front = self.gateways[at]
         if front is None:
             return
         if self.day.memory and front.learner is not None:
@@ -270,7 +270,7 @@
                 lines, learned=LearnedState(pace if isinstance(pace, FleetTimings) else None, marks)
             )
         front.die()
-        self.fronts[at] = None
+        self.gateways[at] = None
 
     # The day.
 
@@ -278,7 +278,7 @@
         """Plays the day to the end of its settling; its records, where a journal is kept."""
         for at in range(self.day.fronts):
             self.sim.after(self.chance.uniform(0.0, 100.0), self.start_front, at)
-        self.sim.run(EPOCH + 1000.0)
+        self.sim.run(EPOCH_MS + 1000.0)
         self.note("runner", "day", name=self.day.name, start=self.sim.now, policy=self.day.policy)
         start = self.sim.now
         for trouble in self.day.faults:
@@ -287,7 +287,7 @@
         self.clients.begin()
         self.sim.run(start + self.day.length)
         until = start + self.day.length + self.day.settle
-        while self.clients.open and self.sim.now < until:
+        while self.clients.open_requests and self.sim.now < until:
             self.sim.run(min(until, self.sim.now + 500.0))
         self.sim.run(self.sim.now + 1000.0)
         return gather(self.lines) if self.lines is not None else None
--- a/worksmux/simulation/engine.py
+++ b/worksmux/simulation/engine.py
@@ -67,7 +67,7 @@
 
     attempts: int = 0
     probes: int = 0
-    peak: float = 0.0  # the most that reached it cold, against what it can stand
+    cold_peak: float = 0.0  # the most that reached it cold, against what it can stand
     probe_peak: int = 0  # probes within one second
     falls: int = 0
 
@@ -124,7 +124,7 @@
             self.pressure.popleft()
         room = self.spec.fall_multiple * warm * self.spec.capacity * self.spec.fall_time / 1000
         room += 3 * float(room**0.5)
-        self.counts.peak = max(self.counts.peak, len(self.pressure) / room)
+        self.counts.cold_peak = max(self.counts.cold_peak, len(self.pressure) / room)
         return len(self.pressure) > room
 
     # Calls.
--- a/worksmux/simulation/wire.py
+++ b/worksmux/simulation/wire.py
@@ -21,23 +21,23 @@
 
 
 @dataclass
-class Weather:
+class NetworkConditions:
     """How the network is; milliseconds and shares."""
 
     delay: tuple[float, float] = (0.3, 2.0)
     loss: float = 0.0
-    twice: float = 0.0
+    duplicates: float = 0.0
 
 
-class Wire:
-    def __init__(self, sim: Sim, seed: int, weather: Weather | None = None) -> None:
-        self.sim, self.chance, self.weather = sim, RandomSource(seed), weather or Weather()
+class SimulatedNetwork:
+    def __init__(self, sim: Sim, seed: int, conditions: NetworkConditions | None = None) -> None:
+        self.sim, self.chance, self.conditions = sim, RandomSource(seed), conditions or NetworkConditions()
         self.at: dict[str, Take] = {}
         self.cuts: set[tuple[str, str]] = set()  # directed pairs of addresses
-        self.slow: dict[str, float] = {}  # milliseconds more, for all that comes from an address
+        self.extra_delay_ms: dict[str, float] = {}  # milliseconds more, for all that comes from an address
         self.sent: Counter[str] = Counter()
         self.bytes: Counter[str] = Counter()
-        self.weigh = False  # count bytes, which costs time
+        self.counts_bytes = False  # count bytes, which costs time
 
     def listen(self, address: str, take: Take) -> None:
         """`take(sender, message)`."""
@@ -56,19 +56,19 @@
                     if how in ("both", "in"):
                         self.cuts.add((other, one))
 
-    def heal(self) -> None:
+    def remove_partitions(self) -> None:
         self.cuts.clear()
 
     def send(self, sender: str, to: str, message: Any) -> None:
         self.sent[sender] += 1
-        if self.weigh:
+        if self.counts_bytes:
             self.bytes[sender] += len(msgspec.msgpack.encode(message))
-        if (sender, to) in self.cuts or self.chance.share() < self.weather.loss:
+        if (sender, to) in self.cuts or self.chance.share() < self.conditions.loss:
             return
-        copies = 1 + (self.chance.share() < self.weather.twice)
+        copies = 1 + (self.chance.share() < self.conditions.duplicates)
         for _ in range(copies):
-            least, most = self.weather.delay
-            delay = least + (most - least) * self.chance.share() + self.slow.get(sender, 0.0)
+            least, most = self.conditions.delay
+            delay = least + (most - least) * self.chance.share() + self.extra_delay_ms.get(sender, 0.0)
             self.sim.after(delay, self._arrive, sender, to, message)
 
     def _arrive(self, sender: str, to: str, message: Any) -> None:
