--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -10,12 +10,12 @@
 import random
 import time
 
-from worksmux.load.wheel import Wheel
+from worksmux.load.timer_queue import TimerQueue
 
 
 def wheel(times: list[float], cancelled: set[int]) -> float:
     start = time.perf_counter()
-    one = Wheel[int]()
+    one = TimerQueue[int]()
     timers = [one.put(at, number) for number, at in enumerate(times)]
     for number in cancelled:
         one.cancel(timers[number])
--- a/benchmarks/without_discovery.py
+++ b/benchmarks/without_discovery.py
@@ -75,8 +75,8 @@
         if how == "wholly" and front.endpoint_cache and front.endpoint_cache.cached_list:
             front.endpoint_cache.cached_list.due_probes.clear()  # nothing is asked, nothing is dropped
         records = rig.run_clients(length=3000.0, rate=20.0)
-        firsts = [float(line["t"]) for line in records.lines if line["what"] == "first token"]
-        start = min(float(line["t"]) for line in records.lines if line["what"] == "try")
+        firsts = [float(line["t"]) for line in records.journal_lines if line["what"] == "first token"]
+        start = min(float(line["t"]) for line in records.journal_lines if line["what"] == "try")
         done = sum(request["how"] == "delivered" for request in records.requests)
         return (min(firsts) - start if firsts else None), done / max(1, len(records.requests)), len(lost)
 
--- a/tests/test_checker_fleet.py
+++ b/tests/test_checker_fleet.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from worksmux.checker.fleet import first_common, one_plan, sent_abroad
+from worksmux.checker.fleet import check_plan_lease, first_common, sent_abroad
 from worksmux.checker.records import Records, gather
 
 
@@ -54,9 +54,9 @@
         (900.0, "w-n", "c", "f1", "1"),
         (9000.0, "w-n", "d", "f1", "1 alone"),
     )
-    assert one_plan(kept, 1000.0).kept
+    assert check_plan_lease(kept, 1000.0).kept
     late = lines((200.0, "w-n", "b", "f2", "2"), (1900.0, "w-n", "c", "f1", "1"))
-    assert not one_plan(late, 1000.0).kept
+    assert not check_plan_lease(late, 1000.0).kept
 
 
 def test_time_until_all_act_on_a_newer_plan() -> None:
--- a/tests/test_endpoint_cache.py
+++ b/tests/test_endpoint_cache.py
@@ -95,7 +95,7 @@
     write_cache(rig, tmp_path / "memory", HOUR_MS, e4={"started": 1.0})
     rig.registry.go_offline()
     records = rig.run_clients(length=2500.0, rate=20.0)
-    assert keeps_rules(records) and not records.falls and cold.spec.id == "e4"
+    assert keeps_rules(records) and not records.overload_failures and cold.spec.id == "e4"
     known_endpoint = rig.fronts[0].engine_list.list_reader.known["e4"]
     assert clock.now() - known_endpoint.started < 20_000
 
@@ -105,10 +105,12 @@
     rig.announce(rig.engines[1], "draining")
     rig.at(700, rig.registry.go_online)
     records = rig.run_clients(length=2000.0, rate=15.0)
-    listed_at = records.told["a", "e1"].times[0]
+    listed_at = records.endpoint_histories["a", "e1"].times[0]
     assert keeps_rules(records) and {request["how"] for request in records.requests} == {"delivered"}
     assert not [
-        attempt for attempt in records.attempts if attempt.engine == "e1" and attempt.got > listed_at + 250
+        attempt
+        for attempt in records.attempts
+        if attempt.engine == "e1" and attempt.received_at_ms > listed_at + 250
     ]
     cache = rig.fronts[0].endpoint_cache
     assert cache and cache.cached_list and cache.cached_list.superseded
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -9,7 +9,7 @@
 from typer.testing import CliRunner
 
 from worksmux.commands.main import app
-from worksmux.experiment.book import Book, RunStoreError, to_parquet
+from worksmux.experiment.book import RunStore, RunStoreError, to_parquet
 from worksmux.experiment.plan import Experiment, load_experiment
 from worksmux.experiment.play import back_after, busiest, play
 from worksmux.experiment.runner import run_all
@@ -79,7 +79,7 @@
 
 def test_work_taken_up_again_loses_and_counts_twice_nothing(tmp_path: Path) -> None:
     plan, said = small(tmp_path), []  # type: Experiment, list[str]
-    book = Book(tmp_path / "runs")
+    book = RunStore(tmp_path / "runs")
     runs = list(plan.runs())
     book.add(runs[0].key, runs[0].seed, runs[0].values, {"credit": 0.5})
     assert run_all(plan, book, 2, said.append) == 0 and "1 done before" in said[0]
@@ -93,14 +93,14 @@
 def test_run_that_fails_costs_only_itself(tmp_path: Path) -> None:
     plan, said = small(tmp_path, 1), []  # type: Experiment, list[str]
     broken = Experiment(plan.name, str(tmp_path / "gone.kdl"), plan.text, 1, plan.axes, {}, False)
-    assert run_all(broken, Book(tmp_path / "runs"), 2, said.append) == 2 and "failed" in said[-1]
+    assert run_all(broken, RunStore(tmp_path / "runs"), 2, said.append) == 2 and "failed" in said[-1]
 
 
 def test_file_that_is_no_book_is_left_alone(tmp_path: Path) -> None:
     path = tmp_path / "runs"
     path.write_bytes(b"something else" * 100)
     with pytest.raises(RunStoreError):
-        Book(path)
+        RunStore(path)
     assert path.read_bytes() == b"something else" * 100
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,7 +14,7 @@
 import msgspec
 import pytest
 
-from worksmux.checker.fleet import one_plan
+from worksmux.checker.fleet import check_plan_lease
 from worksmux.checker.records import Records
 from worksmux.checker.rules import check
 from worksmux.fault_trial.fleet import FleetRig
@@ -39,7 +39,7 @@
 def checked_records(rig: FleetRig) -> Records:
     """Returns the records of the run, after checking that all rules hold and no plan outlived its lease."""
     records = rig.settle()
-    for verdict in [*check(records, FIGURES), one_plan(records, LEASE_MS, FIGURES.slack)]:
+    for verdict in [*check(records, FIGURES), check_plan_lease(records, LEASE_MS, FIGURES.slack)]:
         assert verdict.kept, verdict.findings[0]
     return records
 
@@ -51,7 +51,11 @@
 
 
 def zones_of(rig: FleetRig, records: Records, since: float) -> set[str]:
-    return {attempt.zone for attempt in records.attempts if attempt.got > since and attempt.role == "read"}
+    return {
+        attempt.zone
+        for attempt in records.attempts
+        if attempt.received_at_ms > since and attempt.role == "read"
+    }
 
 
 def plan_number(rig: FleetRig, name: str) -> int:
@@ -98,7 +102,7 @@
     rig.resume(leader)
     rig.until(lambda: "south" in rig.status(leader)["plan"]["rows"], "the old leader has the plan too")
     records = rig.settle()
-    assert one_plan(records, LEASE_MS, FIGURES.slack).kept
+    assert check_plan_lease(records, LEASE_MS, FIGURES.slack).kept
     # A frozen node answers its clients late by as long as it was frozen.
     assert [verdict.kept for verdict in check(records, FIGURES)][1:4] == [True] * 3
 
@@ -125,7 +129,7 @@
     rig.until(lambda: not any(rig.status(name)["alone"] for name in rig.fronts), "together again")
     records = checked_records(rig)
     assert served_share(records) > MIN_SERVED_SHARE
-    acted_without_lease = {attempt.front for attempt in records.attempts if "alone" in attempt.plan}
+    acted_without_lease = {attempt.gateway for attempt in records.attempts if "alone" in attempt.plan}
     for name in acted_without_lease & set(others):  # its lease expired before it learned of the new leader
         assert len(rig.fronts[name].seen(LEASE_EXPIRED)) > expired_before[name]
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -191,7 +191,7 @@
     policy: Any = rig.fronts[0].core.id_map.policy
     assert records.requests and final_answers(records) == {"delivered"}
     assert {attempt.engine for attempt in records.attempts} == {"e0", "e2"}
-    assert {engine for _, engine, _, _ in records.asked_places} == {"e2"}
+    assert {engine for _, engine, _, _ in records.reservation_requests} == {"e2"}
     kinds = [type(event).__name__ for event in policy.events]
     assert {
         "EndpointListUpdate",
@@ -242,7 +242,7 @@
     assert (
         sum(isinstance(event, EndpointListUpdate) for event in policy.events) == 3
     )  # at the start, after WatchEndpoints, after FetchEndpointList
-    journal_lines = [line for line in load(tmp_path).lines if line["who"] == "e0"]
+    journal_lines = [line for line in load(tmp_path).journal_lines if line["who"] == "e0"]
     assert {"release"} <= {line["what"] for line in journal_lines}
     assert next(line for line in journal_lines if line["what"] == "end")["how"] == "cut"
 
--- a/tests/test_gateway_rules.py
+++ b/tests/test_gateway_rules.py
@@ -29,12 +29,12 @@
     rig.at(500, rig.announce, rig.engines[1], "draining")
     rig.at(500, rig.announce, rig.engines[2], "draining")
     records = rig.run_clients(length=2000.0)
-    listed_at = records.told["a", "e1"].times[-1]
+    listed_at = records.endpoint_histories["a", "e1"].times[-1]
     assert broken_rules(records) == [] and len(records.requests) > 20
     assert not [
         attempt
         for attempt in records.attempts
-        if attempt.engine in ("e1", "e2") and attempt.got > listed_at + 250
+        if attempt.engine in ("e1", "e2") and attempt.received_at_ms > listed_at + 250
     ]
 
 
@@ -44,7 +44,7 @@
     rig.at(300, rig.add_engine, "decode", 0, True)
     rig.at(300, rig.add_engine, "prefill", 1, True)
     records = rig.run_clients(length=2500.0, rate=30.0)
-    assert broken_rules(records) == [] and not records.falls
+    assert broken_rules(records) == [] and not records.overload_failures
     assert any(attempt.engine in ("e6", "e7") for attempt in records.attempts)
 
 
@@ -138,7 +138,7 @@
     rig.at(1200, rig.announce, rig.engines[2], "draining")
     records = rig.run_clients(length=2500.0)
     assert final_answers(records) == {"delivered"} and broken_rules(records) == []
-    listing = records.told["a", "e2"]
+    listing = records.endpoint_histories["a", "e2"]
     assert listing.states[-1][0] == "draining"
 
 
@@ -159,5 +159,5 @@
     rig.reactor.callLater(0.7, lambda: call[0].abandon())
     rig.reactor.callLater(1.5, rig.reactor.stop)
     rig.run()
-    places = [holding for holding in load(tmp_path).holdings if holding.what == "place"]
+    places = [holding for holding in load(tmp_path).claims if holding.resource == "place"]
     assert places and all(holding.why == "release" for holding in places)
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -24,7 +24,7 @@
 
 from worksmux.config_audit.audit_log import AuditRecord, chain_faults
 from worksmux.consensus.entries import HardState, Snapshot, StorageWrite
-from worksmux.experiment.book import Book
+from worksmux.experiment.book import RunStore
 from worksmux.gateway.endpoint_cache import read_learned
 from worksmux.gateway.fleet.consensus_disk import ConsensusDisk
 from worksmux.load import trace
@@ -183,7 +183,7 @@
 
 def test_experiment_runs_are_read_and_written_as_before(tmp_path: Path) -> None:
     pinned = CONTENTS["runs.db"]
-    old, new = Book(copied("runs.db", tmp_path)), Book(tmp_path / "new.db")
+    old, new = RunStore(copied("runs.db", tmp_path)), RunStore(tmp_path / "new.db")
     assert old.rows() == pinned["read"] and old.done() == {"k1", "k2"}
     for key, seed, values, figures in pinned["rows"]:
         new.add(key, seed, json.loads(values), json.loads(figures))
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -17,8 +17,8 @@
 from worksmux.load.generator import LoadError, run
 from worksmux.load.page import page
 from worksmux.load.settings import LoadSettings, read_load
+from worksmux.load.timer_queue import TimerQueue
 from worksmux.load.trace import Recorder, Row, TraceFormatError, merge, read
-from worksmux.load.wheel import Wheel
 from worksmux.settings.document import SettingsError, parse
 
 
@@ -26,7 +26,7 @@
 def test_wheel_rings_each_timer_once_in_order_and_never_early(
     seed: int, timers: list[tuple[float, bool]]
 ) -> None:
-    chance, wheel, now = random.Random(seed), Wheel[int](), 0.0
+    chance, wheel, now = random.Random(seed), TimerQueue[int](), 0.0
     kept = {number: wheel.put(time, number) for number, (time, _) in enumerate(timers)}
     for number, (_, cancelled) in enumerate(timers):
         if cancelled:
@@ -44,7 +44,7 @@
 
 
 def test_timer_put_in_while_others_ring_is_not_lost() -> None:
-    wheel, rung = Wheel[int](), []
+    wheel, rung = TimerQueue[int](), []
     wheel.put(10.0, 1)
     for timer in wheel.due(20.0):
         rung.append(timer.item)
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from worksmux.experiment.play import play
-from worksmux.experiment.search import LOADS, LONGEST, MOST, Found, Search, written
+from worksmux.experiment.search import LOADS, LONGEST, MOST, CandidateScenario, Search, scenario_file_text
 from worksmux.experiment.worst import one
 from worksmux.scenarios.scenario import load_scenario, read_scenario
 from worksmux.settings.document import parse
@@ -16,11 +16,11 @@
 BASE = load_scenario(FILE)
 
 
-def planted(days: list[Found]) -> list[tuple[float, float]]:
+def planted(days: list[CandidateScenario]) -> list[tuple[float, float]]:
     """Regret by hangs alone, as much as they last and strike."""
     return [
         (
-            sum(trouble.length * trouble.part for trouble in day.troubles if trouble.kind == "hang")
+            sum(trouble.length * trouble.part for trouble in day.faults if trouble.kind == "hang")
             / BASE.length,
             0.5,
         )
@@ -33,26 +33,26 @@
     for _ in range(30):
         days = search.batch(12)
         for day in days:
-            assert 1 <= len(day.troubles) <= MOST and LOADS[0] <= day.load <= LOADS[1]
-            for trouble in day.troubles:
+            assert 1 <= len(day.faults) <= MOST and LOADS[0] <= day.load <= LOADS[1]
+            for trouble in day.faults:
                 assert (
                     trouble.kind in SUPPORTED_FAULTS
                     and trouble.at >= 0
                     and trouble.length <= LONGEST * BASE.length
                 )
                 assert 0 < trouble.part <= 1
-        search.take(days, [(random.Random(1).random(), 0.5) for _ in days])
+        search.add_results(days, [(random.Random(1).random(), 0.5) for _ in days])
 
 
 def test_what_is_planted_is_found_and_all_else_is_left_out() -> None:
     search = Search(BASE, 2)
     for _ in range(40):
         days = search.batch(12)
-        search.take(days, planted(days))
-    worst = search.best[0]
+        search.add_results(days, planted(days))
+    worst = search.highest_regret[0]
     assert worst.regret > 0.3
     small = search.shrink(worst, planted, 40)
-    assert {trouble.kind for trouble in small.troubles} == {"hang"} and small.regret >= 0.7 * worst.regret
+    assert {trouble.kind for trouble in small.faults} == {"hang"} and small.regret >= 0.7 * worst.regret
     assert small.load <= max(1.0, worst.load)
 
 
@@ -63,7 +63,7 @@
 def test_day_that_was_found_is_written_and_plays_as_it_did() -> None:
     search = Search(BASE, 5)
     found = search.fresh()
-    day = read_scenario(parse(written(FILE.read_text(), BASE, found)))
+    day = read_scenario(parse(scenario_file_text(FILE.read_text(), BASE, found)))
     wanted = found.day(BASE)
     assert [(t.kind, t.at, t.length, t.part, t.role, t.zone) for t in day.faults] == [
         (t.kind, t.at, t.length, t.part, t.role, t.zone) for t in wanted.faults
--- a/tests/test_tokens.py
+++ b/tests/test_tokens.py
@@ -684,4 +684,8 @@
     from worksmux.checker.records import load as records
 
     found = records(tmp_path)
-    assert len(found.attempts) == 2 and found.counts and all(front == own for _, front, own in found.counts)
+    assert (
+        len(found.attempts) == 2
+        and found.token_counts
+        and all(front == own for _, front, own in found.token_counts)
+    )
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -177,10 +177,12 @@
     run_with(rig, send_requests)
     assert [reply[0] for reply in client.replies.values()] == [200, 200]
     records = load(tmp_path)
-    listed_at = records.told["a", "e4"].times[-1]
+    listed_at = records.endpoint_histories["a", "e4"].times[-1]
     assert all(verdict.kept for verdict in check(records, FIGURES))
     assert not [
-        attempt for attempt in records.attempts if attempt.engine == "e4" and attempt.got > listed_at + 250
+        attempt
+        for attempt in records.attempts
+        if attempt.engine == "e4" and attempt.received_at_ms > listed_at + 250
     ]
 
 
@@ -434,7 +436,7 @@
     attempts = [
         attempt
         for attempt in load(tmp_path).attempts
-        if attempt.request_class == embeddings.PATH and attempt.how == "done"
+        if attempt.request_class == embeddings.PATH and attempt.outcome == "done"
     ]
     estimated_tokens = sum(embeddings.tokens_of(text) for text in inputs)
     assert estimated_tokens < 400 and len(attempts) > 1  # the estimate would give one batch
--- a/worksmux/checker/fleet.py
+++ b/worksmux/checker/fleet.py
@@ -9,22 +9,22 @@
 from .rules import Verdict
 
 
-def one_plan(records: Records, lease: float, slack: float = 60.0) -> Verdict:
+def check_plan_lease(records: Records, lease: float, slack: float = 60.0) -> Verdict:
     """Nobody acts on a plan longer than the lease after another has come into force: after its first trip,
     which is no earlier than its agreement.  Trips of fronts that are alone say so and are not judged."""
     verdict = Verdict(0, "one plan")
     first: dict[int, float] = {}
     attempts = [(attempt, int(attempt.plan)) for attempt in records.attempts if attempt.plan.isdigit()]
     for attempt, number in attempts:
-        first[number] = min(first.get(number, attempt.got), attempt.got)
+        first[number] = min(first.get(number, attempt.received_at_ms), attempt.received_at_ms)
     newer = sorted(first.items())
     for attempt, number in attempts:
         verdict.checked += 1
         over = min((at for other, at in newer if other > number), default=None)
-        if over is not None and attempt.got > over + lease + slack:
+        if over is not None and attempt.received_at_ms > over + lease + slack:
             verdict.find(
-                f"job {attempt.request}: {attempt.front} sent it to {attempt.engine} by plan {number}, "
-                f"{attempt.got - over:.0f} ms after another was acted on",
+                f"job {attempt.request}: {attempt.gateway} sent it to {attempt.engine} by plan {number}, "
+                f"{attempt.received_at_ms - over:.0f} ms after another was acted on",
                 attempt.request,
             )
     return verdict
@@ -38,7 +38,7 @@
     read_in = {
         attempt.request: attempt
         for attempt in records.attempts
-        if attempt.role == "read" and attempt.how == "read"
+        if attempt.role == "read" and attempt.outcome == "read"
     }
     writers: dict[str, list[AttemptRecord]] = defaultdict(list)
     for attempt in records.attempts:
@@ -66,14 +66,16 @@
 
 
 def _could(records: Records, attempts: list[AttemptRecord], sent: AttemptRecord, lately: float) -> bool:
-    told = records.told.get((sent.front, attempts[0].engine))
-    last = told.at(sent.got) if told else None
-    seen = [one for one in attempts if sent.got - lately <= one.got <= sent.got]
+    told = records.endpoint_histories.get((sent.gateway, attempts[0].engine))
+    last = told.at(sent.received_at_ms) if told else None
+    seen = [
+        one for one in attempts if sent.received_at_ms - lately <= one.received_at_ms <= sent.received_at_ms
+    ]
     return bool(
         last
         and last[1] == "ready"
         and seen
-        and all(one.how in ("done", "") or (one.end or 0.0) > sent.got for one in seen)
+        and all(one.outcome in ("done", "") or (one.end or 0.0) > sent.received_at_ms for one in seen)
     )
 
 
@@ -86,20 +88,26 @@
     """Milliseconds from a moment until the last front first sent a trip by a plan newer than all before it;
     0 where that never came."""
     before = max(
-        [int(attempt.plan) for attempt in records.attempts if attempt.plan.isdigit() and attempt.got < since],
+        [
+            int(attempt.plan)
+            for attempt in records.attempts
+            if attempt.plan.isdigit() and attempt.received_at_ms < since
+        ],
         default=0,
     )
     first: dict[str, float] = {}
     for attempt in records.attempts:
-        if attempt.got >= since and attempt.plan.isdigit() and int(attempt.plan) > before:
-            first[attempt.front] = min(first.get(attempt.front, attempt.got), attempt.got)
+        if attempt.received_at_ms >= since and attempt.plan.isdigit() and int(attempt.plan) > before:
+            first[attempt.gateway] = min(
+                first.get(attempt.gateway, attempt.received_at_ms), attempt.received_at_ms
+            )
     return max(first.values()) - since if first else 0.0
 
 
 def summary(records: Records, lease: float, slack: float) -> dict[str, Any]:
-    verdict, near = one_plan(records, lease, slack), sent_abroad(records)
+    verdict, near = check_plan_lease(records, lease, slack), sent_abroad(records)
     plans = plans_seen(records)
-    troubles = [line for line in records.lines if line["what"] == "trouble"]
+    troubles = [line for line in records.journal_lines if line["what"] == "trouble"]
     told: dict[str, Any] = {
         "plans": len(plans),
         "highest": max(plans, default=0),
--- a/worksmux/checker/records.py
+++ b/worksmux/checker/records.py
@@ -25,18 +25,18 @@
     zone: str
     cell: int
     request: str
-    front: str
+    gateway: str
     try_id: str
     request_class: str
-    got: float
+    received_at_ms: float
     end: float | None = None
-    how: str = ""
+    outcome: str = ""
     made: int = 0
     plan: str = ""  # that its front acted on, where fronts decide in common
 
     @property
     def may_have_run(self) -> bool:
-        return self.role != "read" and self.how not in TURNED_AWAY
+        return self.role != "read" and self.outcome not in TURNED_AWAY
 
 
 @dataclass(slots=True)
@@ -56,20 +56,20 @@
 
 
 @dataclass(slots=True)
-class Holding:
+class Claim:
     """State or a place held for a job at an engine."""
 
     engine: str
     request: str
     front: str
-    what: str
+    resource: str
     since: float
     until: float | None = None
     why: str = ""
 
 
 @dataclass(slots=True)
-class Told:
+class EndpointHistory:
     """What one front was told of one engine, in order."""
 
     times: list[float] = field(default_factory=list)
@@ -86,16 +86,22 @@
     tries: dict[str, TryRecord] = field(default_factory=dict)
     requests: list[Line] = field(default_factory=list)  # ends of clients' jobs
     attempts: list[AttemptRecord] = field(default_factory=list)
-    holdings: list[Holding] = field(default_factory=list)
-    asked_places: list[tuple[float, str, str, str]] = field(default_factory=list)  # time, engine, front, job
-    told: dict[tuple[str, str], Told] = field(default_factory=lambda: defaultdict(Told))
-    counts: list[tuple[str, int, int]] = field(default_factory=list)  # job, tokens by front and by engine
-    falls: list[tuple[float, str]] = field(default_factory=list)
+    claims: list[Claim] = field(default_factory=list)
+    reservation_requests: list[tuple[float, str, str, str]] = field(
+        default_factory=list
+    )  # time, engine, front, job
+    endpoint_histories: dict[tuple[str, str], EndpointHistory] = field(
+        default_factory=lambda: defaultdict(EndpointHistory)
+    )
+    token_counts: list[tuple[str, int, int]] = field(
+        default_factory=list
+    )  # job, tokens by front and by engine
+    overload_failures: list[tuple[float, str]] = field(default_factory=list)
     killed_fronts: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
     frozen_fronts: dict[str, list[tuple[float, float]]] = field(default_factory=lambda: defaultdict(list))
     cuts: dict[tuple[str, str], list[tuple[float, float]]] = field(default_factory=lambda: defaultdict(list))
     end: float = 0.0
-    lines: list[Line] = field(default_factory=list)
+    journal_lines: list[Line] = field(default_factory=list)
 
     @property
     def by_try(self) -> dict[str, list[AttemptRecord]]:
@@ -126,7 +132,7 @@
         return [
             f"{line['t']:.1f} {line['who']}: {line['what']} "
             + " ".join(f"{key}={value}" for key, value in line.items() if key not in ("t", "who", "what"))
-            for line in self.lines
+            for line in self.journal_lines
             if wanted & {str(line.get(key, "")) for key in ("job", "try", "try_id", "who")}
         ]
 
@@ -140,12 +146,12 @@
 
 
 def gather(lines: Iterable[Line]) -> Records:
-    found = Records(lines=sorted(lines, key=lambda line: float(line["t"])))
+    found = Records(journal_lines=sorted(lines, key=lambda line: float(line["t"])))
     open_attempts: dict[str, AttemptRecord] = {}
-    open_holdings: dict[tuple[str, str, str], Holding] = {}
+    open_holdings: dict[tuple[str, str, str], Claim] = {}
     engines: dict[str, Line] = {}
     listed: dict[str, dict[str, str]] = defaultdict(dict)
-    for line in found.lines:
+    for line in found.journal_lines:
         found.end = max(found.end, float(line["t"]))
         _engine_line(found, line, engines, open_attempts, open_holdings)
         _client_line(found, line)
@@ -158,7 +164,7 @@
     line: Line,
     engines: dict[str, Line],
     open_attempts: dict[str, AttemptRecord],
-    holdings: dict[tuple[str, str, str], Holding],
+    holdings: dict[tuple[str, str, str], Claim],
 ) -> None:
     time, who = float(line["t"]), str(line["who"])
     match line["what"]:
@@ -184,12 +190,12 @@
             _close(holdings, who, line["job"], "place", time, "taken")
         case "end" if line["trip"] in open_attempts:
             attempt = open_attempts.pop(line["trip"])
-            attempt.end, attempt.how, attempt.made = time, line["how"], int(line.get("made", 0))
+            attempt.end, attempt.outcome, attempt.made = time, line["how"], int(line.get("made", 0))
         case "held" | "placed":
             what = "state" if line["what"] == "held" else "place"
-            holding = Holding(who, line["job"], line["front"], what, time)
+            holding = Claim(who, line["job"], line["front"], what, time)
             holdings[who, line["job"], what] = holding
-            found.holdings.append(holding)
+            found.claims.append(holding)
         case "pulled" | "freed":
             _close(holdings, who, line["job"], "state", time, line.get("why", "pulled"))
         case "unplaced":
@@ -198,18 +204,18 @@
             _close(holdings, who, line["job"], "state", time, "release")
             _close(holdings, who, line["job"], "place", time, "release")
         case "place asked":
-            found.asked_places.append((time, who, line["front"], line["job"]))
+            found.reservation_requests.append((time, who, line["front"], line["job"]))
         case "counted":
-            found.counts.append((line["job"], line["by_front"], line["own"]))
+            found.token_counts.append((line["job"], line["by_front"], line["own"]))
         case "fell":
-            found.falls.append((time, who))
+            found.overload_failures.append((time, who))
             _close_all(who, time, holdings, open_attempts)
         case _:
             pass
 
 
 def _close(
-    holdings: dict[tuple[str, str, str], Holding], who: str, request: str, what: str, time: float, why: str
+    holdings: dict[tuple[str, str, str], Claim], who: str, request: str, what: str, time: float, why: str
 ) -> None:
     holding = holdings.pop((who, request, what), None)
     if holding:
@@ -217,14 +223,14 @@
 
 
 def _close_all(
-    who: str, time: float, holdings: dict[tuple[str, str, str], Holding], attempts: dict[str, AttemptRecord]
+    who: str, time: float, holdings: dict[tuple[str, str, str], Claim], attempts: dict[str, AttemptRecord]
 ) -> None:
     """The process at `who` is no more: what it held is gone and its trips broke."""
     for key in [key for key in holdings if key[0] == who]:
         _close(holdings, *key, time, "died")
     for name in [name for name, attempt in attempts.items() if attempt.engine == who]:
         attempt = attempts.pop(name)
-        attempt.end, attempt.how = time, "died"
+        attempt.end, attempt.outcome = time, "died"
 
 
 def _client_line(found: Records, line: Line) -> None:
@@ -257,7 +263,7 @@
     found: Records,
     line: Line,
     listed: dict[str, dict[str, str]],
-    holdings: dict[tuple[str, str, str], Holding],
+    holdings: dict[tuple[str, str, str], Claim],
 ) -> None:
     time = float(line["t"])
     match line["what"]:
@@ -269,7 +275,7 @@
                 entries += [(name, "gone", 0.0) for name in known if name not in named]
             for name, state, started in entries:
                 known[name] = state
-                told = found.told[front, name]
+                told = found.endpoint_histories[front, name]
                 told.times.append(time)
                 told.states.append((state, started))
         case "front killed":
--- a/worksmux/checker/report.py
+++ b/worksmux/checker/report.py
@@ -9,14 +9,14 @@
 from hdrh.histogram import HdrHistogram
 
 from .records import Records
-from .rules import Figures, Verdict, check
+from .rules import RuleParameters, Verdict, check
 
 TRACE = 40  # lines of a trace that are shown
 
 
-def summary(records: Records, figures: Figures) -> dict[str, Any]:
+def summary(records: Records, parameters: RuleParameters) -> dict[str, Any]:
     """All figures of a run as plain values."""
-    verdicts = check(records, figures)
+    verdicts = check(records, parameters)
     ends = Counter(request["how"] for request in records.requests)
     asked = sum(request["asked"] for request in records.requests)
     firsts = HdrHistogram(1, 600_000, 3)
@@ -27,7 +27,7 @@
     reads = {
         attempt.request: attempt
         for attempt in records.attempts
-        if attempt.role == "read" and attempt.how == "read"
+        if attempt.role == "read" and attempt.outcome == "read"
     }
     moved = [attempt for attempt in writing if attempt.made and attempt.request in reads]
     out = [attempt for attempt in moved if attempt.cell != reads[attempt.request].cell]
@@ -49,11 +49,11 @@
         "first_ms": {f"p{at:g}": firsts.get_value_at_percentile(at) for at in (50, 90, 99)},
         "one_stage": one_stage(records),
         "trips_a_job": _part(len(records.attempts), len(records.requests)),
-        "counts": len(records.counts),
-        "counts_wrong": sum(front != own for _, front, own in records.counts),
+        "counts": len(records.token_counts),
+        "counts_wrong": sum(front != own for _, front, own in records.token_counts),
         "drain_last_send_ms": drain_last_send(records),
         "moved_out_of_cell": _part(len(out), len(moved)),
-        "engines_fallen": len(records.falls),
+        "engines_fallen": len(records.overload_failures),
         "fronts_killed": sum(map(len, records.killed_fronts.values())),
         "rules": [_verdict(records, verdict) for verdict in verdicts],
         "kept": all(verdict.kept for verdict in verdicts),
@@ -65,7 +65,7 @@
     return dict(
         sorted(
             Counter(
-                attempt.how or "no end"
+                attempt.outcome or "no end"
                 for attempt in records.attempts
                 if attempt.request_class.startswith("/v1/")
             ).items()
@@ -77,10 +77,10 @@
     """The longest time from telling a front of a drain to its last new trip there, in milliseconds."""
     longest = 0.0
     for attempt in records.attempts:
-        told = records.told.get((attempt.front, attempt.engine))
-        last = told.at(attempt.got) if told else None
+        told = records.endpoint_histories.get((attempt.gateway, attempt.engine))
+        last = told.at(attempt.received_at_ms) if told else None
         if last and last[1] == "draining":
-            longest = max(longest, attempt.got - last[0])
+            longest = max(longest, attempt.received_at_ms - last[0])
     return round(longest, 1)
 
 
--- a/worksmux/checker/rules.py
+++ b/worksmux/checker/rules.py
@@ -8,11 +8,11 @@
 
 from dataclasses import dataclass, field
 
-from .records import AttemptRecord, Holding, Records, TryRecord
+from .records import AttemptRecord, Claim, Records, TryRecord
 
 
 @dataclass(frozen=True)
-class Figures:
+class RuleParameters:
     """What the rules' words leave to settings; milliseconds."""
 
     answer_slack: float
@@ -41,26 +41,26 @@
         self.findings.append((text, names))
 
 
-def check(records: Records, figures: Figures) -> list[Verdict]:
+def check(records: Records, parameters: RuleParameters) -> list[Verdict]:
     """All five verdicts, in order."""
     return [
-        one_answer(records, figures),
-        no_effect_twice(records, figures),
-        drains_kept(records, figures),
-        no_cold_push(records, figures),
-        nothing_pinned(records, figures),
+        one_answer(records, parameters),
+        no_effect_twice(records, parameters),
+        drains_kept(records, parameters),
+        no_cold_push(records, parameters),
+        nothing_pinned(records, parameters),
     ]
 
 
-def one_answer(records: Records, figures: Figures) -> Verdict:
+def one_answer(records: Records, parameters: RuleParameters) -> Verdict:
     """Rule 1: one final answer in time, and nothing sent for the job after it."""
     verdict = Verdict(1, "one final answer", len(records.tries))
     attempts = records.by_try
     for one in records.tries.values():
         names = (one.id, *{attempt.request for attempt in attempts.get(one.id, [])})
-        limit = one.sent + one.left + figures.answer_slack + figures.slack
+        limit = one.sent + one.left + parameters.answer_slack + parameters.slack
         end = one.answers[-1][0] if one.answers else records.end
-        dead = records.killed_between(one.front, one.sent - figures.slack, end + figures.slack)
+        dead = records.killed_between(one.front, one.sent - parameters.slack, end + parameters.slack)
         for odd in one.odd:
             verdict.find(f"try {one.id}: {odd}", *names)
         if len(one.answers) != 1:
@@ -68,7 +68,7 @@
                 verdict.find(f"try {one.id}: {len(one.answers)} answers", *names)
             continue
         time, how = one.answers[0]
-        if how == "left" and time < one.sent + one.left - figures.slack:
+        if how == "left" and time < one.sent + one.left - parameters.slack:
             pass  # the client went before the time that it had named
         elif how in ("left", "reset", "cut") and not dead:
             verdict.find(f"try {one.id}: no final answer ({how})", *names)
@@ -77,17 +77,18 @@
             verdict.find(f"try {one.id}: answered {late:.0f} ms after its client's time", *names)
         for attempt in attempts.get(one.id, []):
             # A front that was frozen reads that its client has left after what came before that.
-            if attempt.got > time + figures.slack and not records.frozen_between(
-                one.front, one.sent, attempt.got
+            if attempt.received_at_ms > time + parameters.slack and not records.frozen_between(
+                one.front, one.sent, attempt.received_at_ms
             ):
                 verdict.find(
-                    f"try {one.id}: sent to {attempt.engine} {attempt.got - time:.0f} ms after the end",
+                    f"try {one.id}: sent to {attempt.engine} "
+                    f"{attempt.received_at_ms - time:.0f} ms after the end",
                     *names,
                 )
     return verdict
 
 
-def no_effect_twice(records: Records, figures: Figures) -> Verdict:
+def no_effect_twice(records: Records, parameters: RuleParameters) -> Verdict:
     """Rule 2: what may have run is not repeated, or only where its offering allows it."""
     verdict = Verdict(2, "no effect twice")
     made: dict[str, list[AttemptRecord]] = {}
@@ -100,10 +101,10 @@
         for attempt in attempts:
             if attempt.role == "read":
                 continue
-            if ran and not _repeat_allowed(one, ran, attempt, figures):
+            if ran and not _repeat_allowed(one, ran, attempt, parameters):
                 verdict.find(
                     f"{one.effect} try {one.id}: sent to {attempt.engine}, but {ran[0].engine} may have "
-                    f"run it ({ran[0].how or 'no end'})",
+                    f"run it ({ran[0].outcome or 'no end'})",
                     one.id,
                     attempt.request,
                 )
@@ -115,7 +116,7 @@
         if (
             ran
             and deferred
-            and (one.effect == "irreversible" or figures.groups.get(one.request_class) != "all")
+            and (one.effect == "irreversible" or parameters.groups.get(one.request_class) != "all")
         ):
             verdict.find(
                 f"{one.effect} try {one.id}: deferred, but {ran[0].engine} may have run it",
@@ -133,32 +134,37 @@
 
 
 def _repeat_allowed(
-    one: TryRecord, ran: list[AttemptRecord], attempt: AttemptRecord, figures: Figures
+    one: TryRecord, ran: list[AttemptRecord], attempt: AttemptRecord, parameters: RuleParameters
 ) -> bool:
     if one.effect == "irreversible":
         return False
-    group = figures.groups.get(one.request_class, "all")
+    group = parameters.groups.get(one.request_class, "all")
     inside = all(
         group == "all" or other.zone == attempt.zone and (group == "zone" or other.cell == attempt.cell)
         for other in ran
     )
     return (
-        inside and attempt.got - ran[0].got <= figures.remembered.get(one.request_class, 0.0) + figures.slack
+        inside
+        and attempt.received_at_ms - ran[0].received_at_ms
+        <= parameters.remembered.get(one.request_class, 0.0) + parameters.slack
     )
 
 
-def drains_kept(records: Records, figures: Figures) -> Verdict:
+def drains_kept(records: Records, parameters: RuleParameters) -> Verdict:
     """Rule 3: nothing new, places included, to an engine that the front was told drains or is gone."""
     verdict = Verdict(3, "drains kept")
-    sent = [(attempt.got, attempt.engine, attempt.front, attempt.request) for attempt in records.attempts]
-    for time, engine, front, request in sent + records.asked_places:
-        told = records.told.get((front, engine))
+    sent = [
+        (attempt.received_at_ms, attempt.engine, attempt.gateway, attempt.request)
+        for attempt in records.attempts
+    ]
+    for time, engine, front, request in sent + records.reservation_requests:
+        told = records.endpoint_histories.get((front, engine))
         last = told.at(time) if told else None
         if last is None:
             continue
         verdict.checked += 1
         when, state, _ = last
-        late = time - when - figures.drain_grace - figures.slack
+        late = time - when - parameters.drain_grace - parameters.slack
         if state != "ready" and late > 0:
             verdict.find(
                 f"job {request}: {front} sent to {engine}, told '{state}' {time - when:.0f} ms before",
@@ -167,59 +173,57 @@
     return verdict
 
 
-def no_cold_push(records: Records, figures: Figures) -> Verdict:
+def no_cold_push(records: Records, parameters: RuleParameters) -> Verdict:
     """Rule 4: no engine fell over by the work of fronts that were told it had just started."""
     verdict = Verdict(4, "no cold engine pushed over", len({attempt.engine for attempt in records.attempts}))
-    for time, engine in records.falls:
+    for time, engine in records.overload_failures:
         window = [
             attempt
             for attempt in records.attempts
-            if attempt.engine == engine and time - figures.fall_time <= attempt.got <= time
+            if attempt.engine == engine and time - parameters.fall_time <= attempt.received_at_ms <= time
         ]
         knew = 0
         for attempt in window:
-            told = records.told.get((attempt.front, engine))
-            last = told.at(attempt.got) if told else None
+            told = records.endpoint_histories.get((attempt.gateway, engine))
+            last = told.at(attempt.received_at_ms) if told else None
             knew += bool(last and last[2] > 0)
         if window and knew >= 2 / 3 * len(window):
             verdict.find(
-                f"engine {engine} fell over: {len(window)} trips in {figures.fall_time:.0f} ms, "
+                f"engine {engine} fell over: {len(window)} trips in {parameters.fall_time:.0f} ms, "
                 f"{knew} of them from fronts that knew of its start",
                 engine,
             )
     return verdict
 
 
-def nothing_pinned(records: Records, figures: Figures) -> Verdict:
+def nothing_pinned(records: Records, parameters: RuleParameters) -> Verdict:
     """Rule 5: with no trip out, held state or place is taken or let go in time."""
-    verdict = Verdict(5, "nothing left pinned", len(records.holdings))
+    verdict = Verdict(5, "nothing left pinned", len(records.claims))
     attempts = records.by_request
-    for holding in records.holdings:
-        until = holding.until if holding.until is not None else records.end
-        if records.killed_between(holding.front, holding.since - figures.slack, until + figures.slack):
+    for claim in records.claims:
+        until = claim.until if claim.until is not None else records.end
+        if records.killed_between(claim.front, claim.since - parameters.slack, until + parameters.slack):
             continue
         # What lies beyond a cut cannot be let go, and a trip that vanished in one was out all the same: while
         # its front is cut off from any engine a job is not judged, the time begins when that is over.
-        out = [(attempt.got, attempt.end) for attempt in attempts.get(holding.request, [])]
-        out += [
-            span for (front, _), spans in records.cuts.items() if front == holding.front for span in spans
-        ]
-        gap = _longest_gap(holding, until, out)
-        if gap > figures.release_within + figures.slack:
+        out = [(attempt.received_at_ms, attempt.end) for attempt in attempts.get(claim.request, [])]
+        out += [span for (front, _), spans in records.cuts.items() if front == claim.front for span in spans]
+        gap = _longest_gap(claim, until, out)
+        if gap > parameters.release_within + parameters.slack:
             verdict.find(
-                f"job {holding.request}: its {holding.what} lay at {holding.engine} for {gap:.0f} ms, no "
-                f"trip out ({holding.why or 'to the end'})",
-                holding.request,
+                f"job {claim.request}: its {claim.resource} lay at {claim.engine} for {gap:.0f} ms, no "
+                f"trip out ({claim.why or 'to the end'})",
+                claim.request,
             )
     return verdict
 
 
-def _longest_gap(holding: Holding, until: float, out: list[tuple[float, float | None]]) -> float:
-    """The longest time within the holding in which none of the job's trips was out; `out` are their spans."""
-    longest, free_since = 0.0, holding.since
+def _longest_gap(claim: Claim, until: float, out: list[tuple[float, float | None]]) -> float:
+    """The longest time within the claim in which none of the job's trips was out; `out` are their spans."""
+    longest, free_since = 0.0, claim.since
     for start, over in sorted(out, key=lambda span: span[0]):
         end = over if over is not None else until
-        if end <= holding.since or start >= until:
+        if end <= claim.since or start >= until:
             continue
         longest = max(longest, start - free_since)
         free_since = max(free_since, end)
--- a/worksmux/commands/experiments.py
+++ b/worksmux/commands/experiments.py
@@ -12,7 +12,7 @@
 from .refusals import BAD_CALL, refuse
 
 if TYPE_CHECKING:
-    from ..experiment.book import Book
+    from ..experiment.book import RunStore
     from ..experiment.plan import Experiment
 
 experiments = typer.Typer(no_args_is_help=True, help="Sweeps over days in the model of the fleet.")
@@ -24,12 +24,12 @@
 ]
 
 
-def _open(file: Path, book: Path | None) -> tuple[Experiment, Book]:
-    from ..experiment.book import Book, RunStoreError
+def _open(file: Path, book: Path | None) -> tuple[Experiment, RunStore]:
+    from ..experiment.book import RunStore, RunStoreError
     from ..experiment.plan import load_experiment
 
     try:
-        return load_experiment(file), Book(book or file.with_suffix(".runs"))
+        return load_experiment(file), RunStore(book or file.with_suffix(".runs"))
     except SettingsError as error:
         raise refuse(error) from error
     except RunStoreError as error:
@@ -110,8 +110,8 @@
     workers: Annotated[int, typer.Option(help="days at once; default: half of the processors")] = 0,
 ) -> None:
     """Look for a day on which the decisions do worst against plain policies, and make it small."""
-    from ..experiment.search import Search, written
-    from ..experiment.worst import Field
+    from ..experiment.search import Search, scenario_file_text
+    from ..experiment.worst import EvaluationPool
     from ..scenarios.scenario import load_scenario
 
     try:
@@ -119,17 +119,19 @@
     except SettingsError as error:
         raise refuse(error) from error
     found = Search(base, seed)
-    with Field(base, workers or max(1, (os.cpu_count() or 2) // 2)) as field:
+    with EvaluationPool(base, workers or max(1, (os.cpu_count() or 2) // 2)) as field:
         for number in range(rounds):
             days = found.batch(size)
-            found.take(days, field.play(days))
-            worst = found.best[0]
+            found.add_results(days, field.evaluate(days))
+            worst = found.highest_regret[0]
             typer.echo(
-                f"{number + 1} of {rounds}: {found.played} days, the worst regret {worst.regret:.3f} "
-                f"(credit {worst.credit:.3f}, {len(worst.troubles)} troubles)"
+                f"{number + 1} of {rounds}: {found.evaluated_count} days, "
+                f"the worst regret {worst.regret:.3f} "
+                f"(credit {worst.credit:.3f}, {len(worst.faults)} troubles)"
             )
-        small = found.shrink(found.best[0], field.play)
-    out.write_text(written(day.read_text(encoding="utf-8"), base, small), encoding="utf-8")
+        small = found.shrink(found.highest_regret[0], field.evaluate)
+    out.write_text(scenario_file_text(day.read_text(encoding="utf-8"), base, small), encoding="utf-8")
     typer.echo(
-        f"{out}: regret {small.regret:.3f} with {len(small.troubles)} troubles, after {found.played} days"
+        f"{out}: regret {small.regret:.3f} with {len(small.faults)} troubles, "
+        f"after {found.evaluated_count} days"
     )
--- a/worksmux/experiment/book.py
+++ b/worksmux/experiment/book.py
@@ -24,7 +24,7 @@
     """The file is not one of ours; the message says what to do."""
 
 
-class Book:
+class RunStore:
     """An SQLite file; a run is there whole or not at all, also after a kill in the middle of writing."""
 
     def __init__(self, path: Path) -> None:
--- a/worksmux/experiment/plan.py
+++ b/worksmux/experiment/plan.py
@@ -38,7 +38,7 @@
     return replace(day, engines=places, rate=day.rate * int(times))
 
 
-def _troubles(day: Scenario, factor: Any) -> Scenario:
+def _faults(day: Scenario, factor: Any) -> Scenario:
     return replace(
         day, faults=[replace(one, length=one.length * factor) for one in day.faults] if factor else []
     )
@@ -74,7 +74,7 @@
     ),
     "length": Axis(lambda day, value: replace(day, length=1000.0 * value), "seconds", _number(1)),
     "list-late": Axis(_late, "times the day's lateness of lists", _number(0)),
-    "troubles": Axis(_troubles, "times the length of each trouble; 0 for none", _number(0)),
+    "troubles": Axis(_faults, "times the length of each trouble; 0 for none", _number(0)),
     "policy": Axis(
         lambda day, value: replace(day, policy=value),
         f"of {', '.join(POLICIES)}",
--- a/worksmux/experiment/runner.py
+++ b/worksmux/experiment/runner.py
@@ -7,7 +7,7 @@
 from concurrent.futures import FIRST_COMPLETED, Future, ProcessPoolExecutor, wait
 from concurrent.futures.process import BrokenProcessPool
 
-from .book import Book
+from .book import RunStore
 from .plan import Experiment, Run
 from .play import play
 
@@ -16,7 +16,7 @@
     return play(experiment.scenario(run), experiment.journal)
 
 
-def run_all(experiment: Experiment, book: Book, workers: int, say: Callable[[str], None]) -> int:
+def run_all(experiment: Experiment, book: RunStore, workers: int, say: Callable[[str], None]) -> int:
     """Plays what is missing and writes each run as it ends; returns how many failed.
 
     A kill loses the runs that are out, nothing else; a process that dies takes its own run along and the rest
@@ -35,7 +35,7 @@
 
 
 def _batch(
-    experiment: Experiment, book: Book, waiting: list[Run], workers: int, say: Callable[[str], None]
+    experiment: Experiment, book: RunStore, waiting: list[Run], workers: int, say: Callable[[str], None]
 ) -> tuple[list[Run], int]:
     """Plays until all are done or a process has died; what is left, and how many failed."""
     failed, number, whole = 0, 0, len(waiting)
--- a/worksmux/experiment/search.py
+++ b/worksmux/experiment/search.py
@@ -50,31 +50,32 @@
 
 
 @dataclass(frozen=True)
-class Found:
+class CandidateScenario:
     """A day's changes to its base, and what they came to."""
 
-    troubles: tuple[ScenarioFault, ...]
+    faults: tuple[ScenarioFault, ...]
     load: float
     regret: float = 0.0
     credit: float = 0.0
 
     def day(self, base: Scenario) -> Scenario:
-        troubles = sorted(self.troubles, key=lambda one: one.at)
+        troubles = sorted(self.faults, key=lambda one: one.at)
         return replace(base, faults=troubles, rate=base.rate * self.load)
 
 
-Players = Callable[[list[Found]], list[tuple[float, float]]]  # regret and credit of each, in order
+# Regret and credit of each, in order.
+Players = Callable[[list[CandidateScenario]], list[tuple[float, float]]]
 
 
 class Search:
     def __init__(self, base: Scenario, seed: int) -> None:
         self.base, self.chance = base, random.Random(seed)
-        self.best: list[Found] = []
-        self.played = 0
+        self.highest_regret: list[CandidateScenario] = []
+        self.evaluated_count = 0
 
     # What is tried.
 
-    def trouble(self) -> ScenarioFault:
+    def random_fault(self) -> ScenarioFault:
         """One at random."""
         chance, base = self.chance, self.base
         kind = chance.choice(KINDS)
@@ -98,15 +99,17 @@
             0,
         )
 
-    def fresh(self) -> Found:
+    def fresh(self) -> CandidateScenario:
         count = self.chance.randint(1, MOST)
-        return Found(tuple(self.trouble() for _ in range(count)), round(self.chance.uniform(*LOADS), 2))
+        return CandidateScenario(
+            tuple(self.random_fault() for _ in range(count)), round(self.chance.uniform(*LOADS), 2)
+        )
 
-    def mutated(self, found: Found) -> Found:
-        chance, troubles = self.chance, list(found.troubles)
+    def mutated(self, found: CandidateScenario) -> CandidateScenario:
+        chance, troubles = self.chance, list(found.faults)
         match chance.randrange(5):
             case 0 if len(troubles) < MOST:
-                troubles.append(self.trouble())
+                troubles.append(self.random_fault())
             case 1 if len(troubles) > 1:
                 del troubles[chance.randrange(len(troubles))]
             case 2:
@@ -122,63 +125,63 @@
                     part=round(min(1.0, one.part * chance.uniform(0.5, 2.0)), 2),
                 )
             case _:
-                troubles[chance.randrange(len(troubles))] = self.trouble()
-        return Found(tuple(troubles), found.load)
+                troubles[chance.randrange(len(troubles))] = self.random_fault()
+        return CandidateScenario(tuple(troubles), found.load)
 
-    def crossed(self, one: Found, other: Found) -> Found:
-        pool = [*one.troubles, *other.troubles]
-        count = min(MOST, len(pool), max(1, (len(one.troubles) + len(other.troubles)) // 2))
-        return Found(tuple(self.chance.sample(pool, count)), one.load)
+    def crossed(self, one: CandidateScenario, other: CandidateScenario) -> CandidateScenario:
+        pool = [*one.faults, *other.faults]
+        count = min(MOST, len(pool), max(1, (len(one.faults) + len(other.faults)) // 2))
+        return CandidateScenario(tuple(self.chance.sample(pool, count)), one.load)
 
-    def batch(self, size: int) -> list[Found]:
+    def batch(self, size: int) -> list[CandidateScenario]:
         """What to play next: a third new, the rest from the worst so far."""
         days = []
         for at in range(size):
-            if not self.best or at % 3 == 0:
+            if not self.highest_regret or at % 3 == 0:
                 days.append(self.fresh())
-            elif at % 3 == 1 or len(self.best) < 2:
-                days.append(self.mutated(self.chance.choice(self.best)))
+            elif at % 3 == 1 or len(self.highest_regret) < 2:
+                days.append(self.mutated(self.chance.choice(self.highest_regret)))
             else:
-                days.append(self.crossed(*self.chance.sample(self.best, 2)))
+                days.append(self.crossed(*self.chance.sample(self.highest_regret, 2)))
         return days
 
     # What came of it.
 
-    def take(self, days: Iterable[Found], figures: Iterable[tuple[float, float]]) -> None:
+    def add_results(self, days: Iterable[CandidateScenario], figures: Iterable[tuple[float, float]]) -> None:
         told = [
             replace(day, regret=regret, credit=credit)
             for day, (regret, credit) in zip(days, figures, strict=True)
         ]
-        self.played += len(told)
-        self.best = sorted([*self.best, *told], key=lambda one: -one.regret)[:BEAM]
+        self.evaluated_count += len(told)
+        self.highest_regret = sorted([*self.highest_regret, *told], key=lambda one: -one.regret)[:BEAM]
 
-    def smaller(self, found: Found) -> list[Found]:
+    def smaller(self, found: CandidateScenario) -> list[CandidateScenario]:
         """Each one step smaller, the largest steps first."""
         tries = []
-        if len(found.troubles) > 1:
+        if len(found.faults) > 1:
             tries += [
-                replace(found, troubles=found.troubles[:at] + found.troubles[at + 1 :])
-                for at in range(len(found.troubles))
+                replace(found, faults=found.faults[:at] + found.faults[at + 1 :])
+                for at in range(len(found.faults))
             ]
-        for at, one in enumerate(found.troubles):
-            rest = found.troubles[:at], found.troubles[at + 1 :]
+        for at, one in enumerate(found.faults):
+            rest = found.faults[:at], found.faults[at + 1 :]
             for changed in (
                 replace(one, length=round(one.length / 2)),
                 replace(one, part=round(one.part / 2, 2)),
             ):
                 if changed.length >= 0.02 * self.base.length and changed.part >= 0.02:
-                    tries.append(replace(found, troubles=(*rest[0], changed, *rest[1])))
+                    tries.append(replace(found, faults=(*rest[0], changed, *rest[1])))
         if found.load > 1.05:
             tries.append(replace(found, load=round(max(1.0, found.load * 0.8), 2)))
         return tries
 
-    def shrink(self, found: Found, play: Players, rounds: int = 12) -> Found:
+    def shrink(self, found: CandidateScenario, play: Players, rounds: int = 12) -> CandidateScenario:
         """The smallest day that keeps most of the regret."""
         bound = KEEPS * found.regret
         for _ in range(rounds):
             tries = self.smaller(found)
             figures = play(tries)
-            self.played += len(tries)
+            self.evaluated_count += len(tries)
             kept = next(
                 (
                     replace(one, regret=regret, credit=credit)
@@ -193,10 +196,10 @@
         return found
 
 
-def lines(found: Found) -> str:
+def lines(found: CandidateScenario) -> str:
     """The troubles as they stand in a day's file."""
     told = []
-    for one in sorted(found.troubles, key=lambda one: one.at):
+    for one in sorted(found.faults, key=lambda one: one.at):
         more = "".join(
             f' {key}="{value}"'
             for key, value in (("role", one.role), ("zone", one.zone), ("offering", one.request_class))
@@ -210,7 +213,7 @@
     return "\n".join(told) + "\n"
 
 
-def written(text: str, base: Scenario, found: Found) -> str:
+def scenario_file_text(text: str, base: Scenario, found: CandidateScenario) -> str:
     """The base day's file with these troubles in place of its own, and the load."""
     kept = [
         line for line in text.splitlines() if not line.startswith("trouble ") and not line.startswith("load ")
--- a/worksmux/experiment/worst.py
+++ b/worksmux/experiment/worst.py
@@ -10,7 +10,7 @@
 from ..scenarios.scenario import Scenario
 from ..settings.front import POLICIES
 from .play import play
-from .search import Found
+from .search import CandidateScenario
 
 SEEDS = 2  # of each day: a single lucky one counts for less
 
@@ -26,14 +26,14 @@
     return max(found[1:]) - found[0], found[0]
 
 
-class Field:
+class EvaluationPool:
     """A pool of processes for one base day."""
 
     def __init__(self, base: Scenario, workers: int) -> None:
         self.base = base
         self.pool = ProcessPoolExecutor(workers, mp_context=multiprocessing.get_context("spawn"))
 
-    def __enter__(self) -> Field:
+    def __enter__(self) -> EvaluationPool:
         return self
 
     def __exit__(
@@ -41,5 +41,5 @@
     ) -> None:
         self.pool.shutdown(cancel_futures=True)
 
-    def play(self, days: list[Found]) -> list[tuple[float, float]]:
+    def evaluate(self, days: list[CandidateScenario]) -> list[tuple[float, float]]:
         return list(self.pool.map(one, [found.day(self.base) for found in days]))
--- a/worksmux/fault_trial/small.py
+++ b/worksmux/fault_trial/small.py
@@ -11,7 +11,7 @@
 
 from worksmux.api import engine as calls
 from worksmux.checker.records import Records, load
-from worksmux.checker.rules import Figures
+from worksmux.checker.rules import RuleParameters
 from worksmux.fakes.clients import Clients, ClientsSpec, FrontSpec, RequestClassSpec
 from worksmux.fakes.engine import EngineProcess, Fault
 from worksmux.fakes.journal import Journal
@@ -93,7 +93,7 @@
 }
 """
 # The slack covers delays on a busy machine: the whole rig runs in one process.
-FIGURES = Figures(8.0, 250.0, 300.0, 1000.0, {"note": "cell"}, {"note": 2000.0}, slack=400.0)
+FIGURES = RuleParameters(8.0, 250.0, 300.0, 1000.0, {"note": "cell"}, {"note": 2000.0}, slack=400.0)
 
 
 def plain_request_class(
--- a/worksmux/load/generator.py
+++ b/worksmux/load/generator.py
@@ -18,7 +18,7 @@
 from ..net import clock
 from .settings import LoadSettings
 from .trace import merge
-from .worker import Second, Told, Work, histogram
+from .worker import SecondStats, WorkerReport, WorkerTask, histogram
 
 HEAD_START = 1500.0  # milliseconds for the processes to come up
 PERCENTS = (50.0, 90.0, 99.0, 99.9)
@@ -36,7 +36,7 @@
     )
     workers = []
     for part in range(settings.processes):
-        work = Work(
+        work = WorkerTask(
             settings.targets,
             [astuple(phase) for phase in settings.phases],
             settings.request_classes,
@@ -64,7 +64,7 @@
 class _Part:
     """One process and the thread that reads what it says."""
 
-    def __init__(self, work: Work, say: Callable[[str], None]) -> None:
+    def __init__(self, work: WorkerTask, say: Callable[[str], None]) -> None:
         self.say, self.part = say, work.part
         self.process = subprocess.Popen(
             [sys.executable, "-m", "worksmux.load.worker"],
@@ -75,7 +75,7 @@
         assert self.process.stdin is not None
         self.process.stdin.write(msgspec.json.encode(work))
         self.process.stdin.close()
-        self.final: Told | None = None
+        self.final: WorkerReport | None = None
         self.words = b""
         self.reader = threading.Thread(target=self._read, daemon=True)
         self.errors = threading.Thread(target=self._listen, daemon=True)
@@ -85,7 +85,7 @@
     def _read(self) -> None:
         assert self.process.stdout is not None
         for line in self.process.stdout:
-            told = msgspec.json.decode(line, type=Told)
+            told = msgspec.json.decode(line, type=WorkerReport)
             if told.final:
                 self.final = told
             else:
@@ -99,7 +99,7 @@
         assert self.process.stderr is not None
         self.words = self.process.stderr.read()
 
-    def result(self) -> Told:
+    def result(self) -> WorkerReport:
         self.process.wait()
         self.reader.join()
         self.errors.join()
@@ -125,14 +125,14 @@
     return {**told, "max": found.get_max_value() / 10, "count": float(found.get_total_count())}
 
 
-def report(settings: LoadSettings, finals: list[Told]) -> dict[str, Any]:
+def report(settings: LoadSettings, finals: list[WorkerReport]) -> dict[str, Any]:
     ends: Counter[str] = Counter()
-    seconds: list[Second] = []
+    seconds: list[SecondStats] = []
     for told in finals:
         ends.update(told.ends)
         for at, second in enumerate(told.seconds):
             if len(seconds) <= at:
-                seconds.append(Second())
+                seconds.append(SecondStats())
             seconds[at].sent += second.sent
             seconds[at].ended += second.ended
             seconds[at].open += second.open
--- a/worksmux/load/wheel.py
+++ b/worksmux/load/timer_queue.py
@@ -23,7 +23,7 @@
         self.time, self.item, self.waits = time, item, True
 
 
-class Wheel(Generic[T]):
+class TimerQueue(Generic[T]):
     """`tick` in the unit of the times."""
 
     def __init__(self, tick: float = 1.0) -> None:
--- a/worksmux/load/worker.py
+++ b/worksmux/load/worker.py
@@ -1,7 +1,7 @@
 """One process of the generator: sends each job at its intended time, whatever became of those before.
 
-`python -m worksmux.load.worker` reads its `Work` as JSON from standard input and writes a line of JSON each
-second and one at the end.  Delays count from the intended time, so a stall of the front, or of this very
+`python -m worksmux.load.worker` reads its `WorkerTask` as JSON from standard input and writes a line of JSON
+each second and one at the end.  Delays count from the intended time, so a stall of the front, or of this very
 process, stands in the figures of every job that it made late (the fault otherwise made is called coordinated
 omission); how late the sending itself was is told apart, second by second.
 """
@@ -24,8 +24,8 @@
 from ..net import client, clock
 from ..net.loop import Reactor, the_reactor
 from .arrivals import Phase, arrivals
+from .timer_queue import TimerQueue
 from .trace import Recorder, Row, read
-from .wheel import Wheel
 
 LONGEST = 3_600_000  # milliseconds that a histogram holds, in tenths
 AHEAD = 1000.0  # milliseconds: arrivals are put on the wheel so long before they are due
@@ -48,7 +48,7 @@
     patience: float  # to a first token
 
 
-class Work(msgspec.Struct):
+class WorkerTask(msgspec.Struct):
     """What one process does."""
 
     targets: list[tuple[str, int]]
@@ -67,7 +67,7 @@
     record: str = ""
 
 
-class Second(msgspec.Struct):
+class SecondStats(msgspec.Struct):
     """One second of sending, as seen from the intended times."""
 
     sent: int = 0
@@ -76,7 +76,7 @@
     open: int = 0
 
 
-class Told(msgspec.Struct):
+class WorkerReport(msgspec.Struct):
     """A line of output; `final` carries the histograms (HDR, in tenths of a millisecond)."""
 
     part: int
@@ -89,7 +89,7 @@
     whole: str = ""
     from_send: str = ""
     lags: str = ""
-    seconds: list[Second] = []
+    seconds: list[SecondStats] = []
 
 
 def histogram() -> Any:
@@ -191,16 +191,16 @@
 
 
 class Worker:
-    def __init__(self, work: Work, reactor: Reactor, say: Any) -> None:
+    def __init__(self, work: WorkerTask, reactor: Reactor, say: Any) -> None:
         self.work, self.reactor, self.say = work, reactor, say
         self.chance = random.Random(work.seed * 1009 + work.part)
         self.pools = [
             client.Pool(reactor, host, port, 2000.0, 10_000.0, 256, 65_536) for host, port in work.targets
         ]
-        self.wheel: Wheel[Request] = Wheel()
+        self.wheel: TimerQueue[Request] = TimerQueue()
         self.first, self.whole, self.from_send, self.lags = (histogram() for _ in range(4))
         self.ends: Counter[str] = Counter()
-        self.seconds: list[Second] = []
+        self.seconds: list[SecondStats] = []
         self.open = self.sessions = self.count = 0
         self.worst = 0.0
         self.coming = self._coming()
@@ -284,10 +284,10 @@
 
     # Sending.
 
-    def _second(self, time: float) -> Second:
+    def _second(self, time: float) -> SecondStats:
         at = max(0, int(time / 1000))
         while len(self.seconds) <= at:
-            self.seconds.append(Second())
+            self.seconds.append(SecondStats())
         return self.seconds[at]
 
     def _send(self, request: Request) -> None:
@@ -391,8 +391,8 @@
 
     # Telling.
 
-    def _told(self, final: bool = False) -> Told:
-        told = Told(self.work.part, self._now(), dict(self.ends), self.worst, self.open, final)
+    def _told(self, final: bool = False) -> WorkerReport:
+        told = WorkerReport(self.work.part, self._now(), dict(self.ends), self.worst, self.open, final)
         if final:
             told.first, told.whole, told.from_send, told.lags = (
                 one.encode().decode() for one in (self.first, self.whole, self.from_send, self.lags)
@@ -416,7 +416,7 @@
 
 
 def main() -> None:
-    work = msgspec.json.decode(sys.stdin.buffer.read(), type=Work)
+    work = msgspec.json.decode(sys.stdin.buffer.read(), type=WorkerTask)
     reactor = the_reactor()
     Worker(work, reactor, lambda told: print(msgspec.json.encode(told).decode(), flush=True)).run()
     reactor.run()
--- a/worksmux/scenarios/figures.py
+++ b/worksmux/scenarios/figures.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from ..checker.rules import Figures
+from ..checker.rules import RuleParameters
 from .scenario import Scenario
 
 
-def rule_parameters(scenario: Scenario) -> Figures:
+def rule_parameters(scenario: Scenario) -> RuleParameters:
     """The time limits and the deduplication settings of a scenario, for the audit's rules."""
-    return Figures(
+    return RuleParameters(
         scenario.rules["answer_slack"],
         scenario.rules["drain_grace"],
         scenario.rules["release_within"],
