--- a/tests/test_chat_requests.py
+++ b/tests/test_chat_requests.py
@@ -13,7 +13,8 @@
 from worksmux.api.errors import InvalidRequestError
 
 
-def request(headers: dict[str, str] | None = None, **fields: Any) -> chat.ChatRequest:
+def new_request(headers: dict[str, str] | None = None, **fields: Any) -> chat.ChatRequest:
+    """Parses a request with a system message of 40 bytes."""
     body = {
         "model": "hint",
         "messages": [{"role": "system", "content": "s" * 40}, {"role": "user", "content": "q"}],
@@ -22,22 +23,25 @@
 
 
 def test_defaults_come_from_request_class_and_first_message() -> None:
-    one, other = (
-        request(),
-        request(messages=[{"role": "system", "content": "s" * 40}, {"role": "user", "content": "z"}]),
+    chat_request, other = (
+        new_request(),
+        new_request(messages=[{"role": "system", "content": "s" * 40}, {"role": "user", "content": "z"}]),
     )
     assert (
-        one.max_tokens == 50
-        and one.prefix == other.prefix != 0
-        and one.prefix_tokens == 10
-        and one.time_left_ms is None
+        chat_request.max_tokens == 50
+        and chat_request.prefix == other.prefix != 0
+        and chat_request.prefix_tokens == 10
+        and chat_request.time_left_ms is None
     )
     assert (
-        request(max_tokens=7).max_tokens == 7
-        and request(max_completion_tokens=9, max_tokens=7).max_tokens == 9
+        new_request(max_tokens=7).max_tokens == 7
+        and new_request(max_completion_tokens=9, max_tokens=7).max_tokens == 9
+    )
+    assert new_request({chat.RETRY_COUNT: "2"}).is_retry and not new_request({chat.RETRY_COUNT: "0"}).is_retry
+    assert (
+        new_request({chat.PREFIX: "lab"}).prefix != chat_request.prefix
+        and new_request(stream=None).stream is False
     )
-    assert request({chat.RETRY_COUNT: "2"}).is_retry and not request({chat.RETRY_COUNT: "0"}).is_retry
-    assert request({chat.PREFIX: "lab"}).prefix != one.prefix and request(stream=None).stream is False
 
 
 @pytest.mark.parametrize(
@@ -45,18 +49,18 @@
 )
 def test_header_that_is_no_number_is_rejected(headers: dict[str, str]) -> None:
     with pytest.raises(InvalidRequestError):
-        request(headers)
+        new_request(headers)
 
 
 def test_unknown_fields_are_forwarded_unchanged() -> None:
-    one = request(temperature=0.5, logit_bias={"7": 1}, stream=True)
-    decode = json.loads(chat.decode_body(one, chat.KvParams("e", "h", 1, [3], "j")))
+    chat_request = new_request(temperature=0.5, logit_bias={"7": 1}, stream=True)
+    decode = json.loads(chat.decode_body(chat_request, chat.KvParams("e", "h", 1, [3], "j")))
     assert decode["temperature"] == 0.5 and decode["logit_bias"] == {"7": 1} and decode["stream"] is True
     assert (
         decode["kv_transfer_params"]["remote_engine_id"] == "e"
         and decode["kv_transfer_params"]["remote_port"] == 1
     )
-    prefill = json.loads(chat.prefill_body(one))
+    prefill = json.loads(chat.prefill_body(chat_request))
     assert (
         prefill["max_tokens"] == 1
         and prefill["stream"] is False
--- a/tests/test_stream_events.py
+++ b/tests/test_stream_events.py
@@ -15,16 +15,16 @@
 )
 def test_events_are_parsed_however_they_are_split(texts: list[bytes], data: st.DataObject) -> None:
     stream = b"".join(event(text) for text in texts)
-    events, found = EventParser(1000), []
+    parser, events = EventParser(1000), []
     while stream:
         size = data.draw(st.integers(1, len(stream)))
-        found += events.feed(stream[:size])
+        events += parser.feed(stream[:size])
         stream = stream[size:]
-    assert found == texts and not events.has_partial_event
+    assert events == texts and not parser.has_partial_event
 
 
 def test_event_without_end_is_rejected() -> None:
-    events = EventParser(100)
+    parser = EventParser(100)
     with pytest.raises(EventTooLongError):
         for _ in range(50):
-            events.feed(b"data: xxxxxxxx\n")
+            parser.feed(b"data: xxxxxxxx\n")
--- a/worksmux/api/__init__.py
+++ b/worksmux/api/__init__.py
@@ -1,1 +1,1 @@
-"""Messages of each published form: typed, checked, without I/O."""
+"""Messages of the HTTP APIs and of the endpoint list: typed and checked.  Free of I/O."""
--- a/worksmux/api/chat.py
+++ b/worksmux/api/chat.py
@@ -1,10 +1,10 @@
-"""Chat completions in the published form (`POST /v1/chat/completions`, `GET /v1/models`), from client and to
-engine.
+"""Chat completions in the published form (`POST /v1/chat/completions`, `GET /v1/models`), from clients and to
+engines.
 
-Only what routing needs is read: the other fields of a job go on to the engine as they came.  Between reader
-and writer the field `kv_transfer_params` of disaggregated serving is used, in the form that public engines
-document: a reader gets `do_remote_decode` and one token to make, and returns a handle, which the writer is
-given.
+Only the fields that routing needs are decoded; all others are forwarded to the engine unchanged.  KV cache is
+handed from prefill to decode engine in `kv_transfer_params`, the field that public engines document: the
+prefill engine is sent `do_remote_decode` and one token to generate, and returns a handle, which is passed to
+the decode engine.
 """
 
 from __future__ import annotations
@@ -32,16 +32,20 @@
 
 
 class Message(msgspec.Struct):
+    """One message of a conversation."""
+
     role: str
     content: Text = None
 
 
 class StreamOptions(msgspec.Struct):
+    """The options of a streamed answer."""
+
     include_usage: bool = False
 
 
 class RequestBody(msgspec.Struct):
-    """The fields of a job that the front reads."""
+    """The fields of a client's request that the gateway reads."""
 
     model: str
     messages: list[Message]
@@ -54,7 +58,7 @@
 
 
 class KvParams(msgspec.Struct, omit_defaults=True):
-    """The handle of a read state, as a reader returns it."""
+    """The handle of a prompt's KV cache, as the prefill engine returns it."""
 
     remote_engine_id: str
     remote_host: str
@@ -66,6 +70,8 @@
 
 
 class Usage(msgspec.Struct):
+    """An engine's token counts for one request."""
+
     prompt_tokens: int = 0
     completion_tokens: int = 0
     total_tokens: int = 0
@@ -73,29 +79,34 @@
 
     @property
     def cached(self) -> int:
+        """The prompt tokens that the engine found in its prefix cache."""
         return (self.prompt_tokens_details or {}).get("cached_tokens", 0)
 
 
 class PrefillReply(msgspec.Struct):
-    """A reader's answer."""
+    """The response of a prefill engine."""
 
     kv_transfer_params: KvParams
     usage: Usage | None = None
 
 
 class Delta(msgspec.Struct):
+    """The part of an answer that one event of a stream adds."""
+
     content: str | None = None
     role: str | None = None
 
 
 class Choice(msgspec.Struct):
+    """One alternative answer in an event of a stream; clients get one alternative only."""
+
     index: int = 0
     delta: Delta | None = None
     finish_reason: str | None = None
 
 
 class Chunk(msgspec.Struct):
-    """One event of a stream."""
+    """The data of one event of a stream."""
 
     id: str
     choices: list[Choice]
@@ -111,57 +122,64 @@
 
 @dataclass(slots=True)
 class ChatRequest:
-    """A client's job as the front takes it; times in milliseconds, lengths in tokens."""
+    """A client's parsed request; lengths are in tokens."""
 
     request_class: int
     model: str
-    fields: dict[str, msgspec.Raw]
+    fields: dict[str, msgspec.Raw]  # all fields as the client sent them
     stream: bool
     include_usage: bool
-    max_tokens: int
+    max_tokens: int  # of the answer
     prompt_tokens: float
-    session: int
-    prefix: int
+    session: int  # a hash; 0: none
+    prefix: int  # a hash of the shared prompt prefix or of its name; 0: none
     prefix_tokens: float
     time_left_ms: float | None
     is_retry: bool
     idempotency_key: str
     request_id: str
     parts: list[tuple[str, str]]  # role and text of each message
-    has_named_prefix: bool  # the client told its shared beginning itself
-    is_prompt_exact: bool = False  # the prompt's length is counted, not guessed
+    has_named_prefix: bool  # the client itself named the shared prefix
+    is_prompt_exact: bool = False  # `prompt_tokens` is counted, not estimated
     answer_id: str = field(default_factory=lambda: "chatcmpl-" + secrets.token_hex(12))
 
 
 def parse_number(raw: str | None, name: str) -> float | None:
-    """A header's number from 0; None where it is absent.  Raises BadJob."""
+    """Parses a header's number, which must be at least 0; None if the header is absent.
+
+    Raises InvalidRequestError.
+    """
     if raw is None:
         return None
     try:
-        found = float(raw)
+        number = float(raw)
     except ValueError:
-        found = -1.0
-    if not 0 <= found < 1e12:
+        number = -1.0
+    if not 0 <= number < 1e12:
         raise InvalidRequestError(f"the header {name} must be a number from 0", name)
-    return found
+    return number
 
 
-def _identity(text: str | None) -> int:
-    """A number for a text, above 0; 0 for none."""
+def _hash(text: str | None) -> int:
+    """A hash of the text, above 0; 0 for no text."""
     return (xxhash.xxh3_64_intdigest(text.encode("utf-8", "surrogatepass")) or 1) if text else 0
 
 
 def text_of(content: Text) -> str:
-    """A message's text; of a list of parts, those that are text."""
+    """The text of a message's content; of a list of parts, the parts that are text."""
     if isinstance(content, list):
         return "".join(str(part.get("text", "")) for part in content)
     return content or ""
 
 
 def parse_request(
-    body: bytes, header: Callable[[str], str | None], request_classes: dict[str, int], most: list[int]
+    body: bytes, header: Callable[[str], str | None], request_classes: dict[str, int], max_tokens: list[int]
 ) -> ChatRequest:
-    """Reads a client's job; `most` gives each offering's longest answer.  Raises BadJob with the remedy."""
+    """Parses and checks a client's request.
+
+    `request_classes` numbers the request classes by model name, and `max_tokens` has the longest answer of
+    each.  Raises InvalidRequestError, whose message tells the client what to change.
+    """
     try:
         known, fields = REQUEST_DECODER.decode(body), FIELDS_DECODER.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -177,34 +195,34 @@
         raise InvalidRequestError("messages must hold at least one message", "messages")
     if known.n not in (None, 1):
         raise InvalidRequestError("n must be 1: one job has one answer", "n")
-    at = request_classes[known.model]
-    longest = known.max_completion_tokens if known.max_completion_tokens is not None else known.max_tokens
-    if longest is not None and longest < 1:
+    request_class = request_classes[known.model]
+    client_max = known.max_completion_tokens if known.max_completion_tokens is not None else known.max_tokens
+    if client_max is not None and client_max < 1:
         raise InvalidRequestError("max_tokens must be at least 1", "max_tokens")
     parts = [(message.role, text_of(message.content)) for message in known.messages]
     lengths = [len(text.encode("utf-8", "surrogatepass")) for _, text in parts]
     first = known.messages[0]
-    named = header(PREFIX) or known.prompt_cache_key
-    shared = named or (parts[0][1] if first.role in ("system", "developer") and lengths[0] else None)
+    prefix_name = header(PREFIX) or known.prompt_cache_key
+    prefix = prefix_name or (parts[0][1] if first.role in ("system", "developer") and lengths[0] else None)
     prefix_tokens = parse_number(header(PREFIX_TOKENS), PREFIX_TOKENS)
-    repeats = parse_number(header(CLIENT_RETRIES) or header(RETRY_COUNT), CLIENT_RETRIES)
+    retries = parse_number(header(CLIENT_RETRIES) or header(RETRY_COUNT), CLIENT_RETRIES)
     return ChatRequest(
-        at,
+        request_class,
         known.model,
         fields,
         bool(known.stream),
         bool(known.stream_options and known.stream_options.include_usage),
-        min(longest or most[at], most[at]),
+        min(client_max or max_tokens[request_class], max_tokens[request_class]),
         max(1.0, sum(lengths) / BYTES_PER_TOKEN),
-        _identity(header(SESSION)),
-        _identity(shared),
-        prefix_tokens if prefix_tokens is not None else lengths[0] / BYTES_PER_TOKEN * bool(shared),
+        _hash(header(SESSION)),
+        _hash(prefix),
+        prefix_tokens if prefix_tokens is not None else lengths[0] / BYTES_PER_TOKEN * bool(prefix),
         parse_number(header(TIME_LEFT), TIME_LEFT),
-        bool(repeats),
+        bool(retries),
         header(IDEMPOTENCY_KEY) or "",
         header(REQUEST_ID) or "",
         parts,
-        bool(named),
+        bool(prefix_name),
     )
 
 
@@ -213,7 +231,7 @@
 
 
 TRUE, FALSE, ONE, USAGE = _raw(True), _raw(False), _raw(1), _raw({"include_usage": True})
-TO_READ = _raw(
+PREFILL_PARAMS = _raw(
     {
         "do_remote_decode": True,
         "do_remote_prefill": False,
@@ -226,16 +244,19 @@
 
 
 def prefill_body(request: ChatRequest) -> bytes:
-    """The body for a reader: one token, whole, and the state kept for another engine."""
-    fields = {**request.fields, "stream": FALSE, "max_tokens": ONE, "kv_transfer_params": TO_READ}
+    """The body for a prefill engine: it generates one token without streaming and holds the KV cache for
+    another engine."""
+    fields = {**request.fields, "stream": FALSE, "max_tokens": ONE, "kv_transfer_params": PREFILL_PARAMS}
     fields.pop("max_completion_tokens", None)
     fields.pop("stream_options", None)
     return ENCODER.encode(fields)
 
 
-def decode_body(request: ChatRequest, state: KvParams | None) -> bytes:
-    """The body for what answers, always as a stream with usage; `state` is left out where it reads by
-    itself."""
+def decode_body(request: ChatRequest, kv_handle: KvParams | None) -> bytes:
+    """The body for the engine that generates the answer, always as a stream with usage.
+
+    `kv_handle` is None for a combined engine, which does the prefill itself.
+    """
     fields = {
         **request.fields,
         "stream": TRUE,
@@ -243,13 +264,13 @@
         "max_tokens": _raw(request.max_tokens),
     }
     fields.pop("max_completion_tokens", None)
-    if state is not None:
-        fields["kv_transfer_params"] = _raw(state)
+    if kv_handle is not None:
+        fields["kv_transfer_params"] = _raw(kv_handle)
     return ENCODER.encode(fields)
 
 
 def encode_response(request: ChatRequest, text: str, finish: str, usage: Usage) -> bytes:
-    """The answer of a job that asked for no stream."""
+    """Encodes the answer to a client that did not request a stream."""
     return ENCODER.encode(
         {
             "id": request.answer_id,
@@ -277,7 +298,10 @@
     usage: Usage | None = None,
     first: bool = False,
 ) -> bytes:
-    """One event's data of a streamed answer; the first names the role, one with `usage` is the last."""
+    """Encodes the data of one event of a streamed answer.
+
+    The first event has the role, and an event with `usage` is the last and has no choices.
+    """
     delta = {"role": "assistant"} if first else {}
     if content is not None:
         delta["content"] = content
@@ -295,6 +319,7 @@
 
 
 def models(names: list[str]) -> bytes:
+    """Encodes the answer of `GET /v1/models`."""
     return ENCODER.encode(
         {
             "object": "list",
--- a/worksmux/api/engine.py
+++ b/worksmux/api/engine.py
@@ -1,9 +1,9 @@
-"""The small calls between front and engine beside the chat form: probe, place and release, and the load
-report.
+"""Control calls from the gateway to engines beside the published forms, and load reports.
 
-`GET /worksmux/probe` answers 200 with {"load": {...}}; `POST /worksmux/place` {"job", "tokens", "reader"}
-answers 200 with {"held": bool}; `POST /worksmux/release` {"job"} answers 200.  Load reports travel in the
-header `endpoint-load-metrics: JSON {"named_metrics": {...}}`, the open request cost aggregation form.
+`GET /worksmux/probe` is answered by 200 and {"load": {...}}, `POST /worksmux/place` with {"job", "tokens",
+"reader"} by 200 and {"held": bool}, and `POST /worksmux/release` with {"job"} by 200.  A load report is the
+header `endpoint-load-metrics: JSON {"named_metrics": {...}}` of a response, in the form of open request cost
+aggregation (ORCA).
 """
 
 from __future__ import annotations
@@ -21,13 +21,16 @@
 PULL, CONTROL = "/worksmux/state", "/worksmux/control"
 LOAD = "endpoint-load-metrics"
 REQUEST, GATEWAY, CLIENT_ATTEMPT = "x-worksmux-job", "x-worksmux-front", "x-worksmux-try"
-PLAN = "x-worksmux-plan"  # of the fleet's plans the one acted on, and whether the front is alone
-PROMPT_TOKENS = "x-worksmux-prompt-tokens"  # as the front counted them; left out where it guessed
+PLAN = "x-worksmux-plan"  # the failover plan in use, and whether the gateway is cut off from the fleet
+PROMPT_TOKENS = "x-worksmux-prompt-tokens"  # the gateway's count; absent if it only has an estimate
 FULL, STATE_LOST, DRAINING = "full", "state_lost", "draining"
 
 
 class ReserveSlot(msgspec.Struct):
-    """Asks to hold a slot and memory for a job's answer, and to pull its state as it is read."""
+    """Asks a decode engine to reserve a slot and memory for a request and to pull its KV cache.
+
+    `kv_source` is the handle of the KV cache, which is pulled during the prefill.
+    """
 
     request: str = msgspec.field(name="job")
     tokens: float
@@ -35,15 +38,19 @@
 
 
 class ReserveSlotReply(msgspec.Struct):
+    """Whether the decode engine has reserved the slot."""
+
     held: bool
 
 
 class Release(msgspec.Struct):
+    """Asks an engine to free all that it holds for a request."""
+
     request: str = msgspec.field(name="job")
 
 
 class ProbeReply(msgspec.Struct):
-    """What an engine says of itself; `started` is milliseconds since 1970, 0 for long ago."""
+    """An engine's identity and load; `started` is in milliseconds since 1970, 0 for long ago."""
 
     load: dict[str, float] = {}
     id: str = ""
@@ -53,11 +60,13 @@
 
 
 class LoadReport(msgspec.Struct):
+    """The load of an engine by the names of its metrics."""
+
     named_metrics: dict[str, float] = {}
 
 
 def load_report(header: str | None) -> dict[str, float] | None:
-    """The figures of a load report; None where there is none, or it is malformed: a report is only advice.
+    """The figures of a load report; None if it is absent or malformed, as a report is only advisory.
 
     >>> load_report('JSON {"named_metrics": {"queue": 2}}'), load_report("TEXT queue=2")
     ({'queue': 2.0}, None)
@@ -71,4 +80,5 @@
 
 
 def load_header(figures: dict[str, float]) -> tuple[str, str]:
+    """The name and the value of the header of a load report."""
     return LOAD, "JSON " + msgspec.json.encode(LoadReport(figures)).decode()
--- a/worksmux/api/errors.py
+++ b/worksmux/api/errors.py
@@ -1,4 +1,4 @@
-"""Errors in the chat API's published form: {"error": {"message", "type", "param", "code"}}."""
+"""Error bodies in the chat API's published form: {"error": {"message", "type", "param", "code"}}."""
 
 from __future__ import annotations
 
@@ -8,6 +8,8 @@
 
 
 class ErrorBody(msgspec.Struct):
+    """What went wrong, for people (`message`) and for programs (`type`, `param`, `code`)."""
+
     message: str
     type: str
     param: str | None = None
@@ -15,11 +17,13 @@
 
 
 class ErrorReply(msgspec.Struct):
+    """The body of an answer with an error status."""
+
     error: ErrorBody
 
 
 class InvalidRequestError(WorksmuxError):
-    """A client's job that cannot be taken, with the status and the body to answer."""
+    """A client's request is invalid; has the status and the body of the answer."""
 
     def __init__(
         self, message: str, param: str | None = None, code: str | None = None, status: int = 400
@@ -30,7 +34,8 @@
 
 
 def error(message: str, kind: str, param: str | None = None, code: str | None = None) -> bytes:
-    """
+    """Encodes an error body; `kind` is its `type`.
+
     >>> error("no", "server_error", code="deferred")
     b'{"error":{"message":"no","type":"server_error","param":null,"code":"deferred"}}'
     """
@@ -38,7 +43,7 @@
 
 
 def message_of(body: bytes) -> str:
-    """The message of an error body; empty where it is none."""
+    """The message of an error body; empty if the body has another form."""
     try:
         return msgspec.json.decode(body, type=ErrorReply).error.message
     except (msgspec.DecodeError, UnicodeDecodeError):
@@ -46,7 +51,7 @@
 
 
 def code_of(body: bytes) -> str:
-    """The code of an error body; empty where it is none.
+    """The code of an error body; empty if it has none or the body has another form.
 
     >>> code_of(error("", "", code="state_lost")), code_of(b"{")
     ('state_lost', '')
--- a/worksmux/api/listing.py
+++ b/worksmux/api/listing.py
@@ -1,9 +1,9 @@
-"""The list of engines as JSON lines, between registry and front.
+"""The endpoint list as JSON lines between the registry and a gateway.
 
-The front opens with {"hello": its name, "serial": the last it has}; {"watch": true} asks for changes where
-they come only when asked for, and {"fetch": true} for the whole list.  The registry sends {"list": "full" |
-"delta" | "failed", "serial", "previous" (of a delta), "now", "engines"}; `now` and `started` are milliseconds
-since 1970 on its clock.
+A gateway begins with {"hello": its name, "serial": the last one it has}.  {"watch": true} requests changes
+from a registry that sends them only on request, and {"fetch": true} requests the full list.  The registry
+sends {"list": "full" | "delta" | "failed", "serial", "previous" (in a delta), "now", "engines"}; `now` and
+`started` are milliseconds since 1970 on the registry's clock.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Line(msgspec.Struct):
-    """One engine."""
+    """One engine of the list."""
 
     id: str
     host: str
@@ -28,6 +28,8 @@
 
 
 class Listing(msgspec.Struct, rename={"scope": "list"}):
+    """A message of the registry: the full list, the changes since `previous`, or why it has no list."""
+
     scope: Literal["full", "delta", "failed"]
     serial: int = 0
     previous: int | None = None
@@ -37,7 +39,7 @@
 
 
 class Hello(msgspec.Struct, omit_defaults=True):
-    """What a front says: one of the three."""
+    """A message of a gateway: `hello` with `serial`, `watch`, or `fetch`."""
 
     hello: str = ""
     serial: int = 0
--- a/worksmux/api/rerank.py
+++ b/worksmux/api/rerank.py
@@ -1,5 +1,5 @@
-"""Rerank in the form that public engines document (`POST /v1/rerank`): a query and documents come in, each
-document's index and relevance score go out, the most relevant first."""
+"""Reranking in the form that public engines document (`POST /v1/rerank`): from a query and documents to the
+index and relevance score of each document, the most relevant first."""
 
 from __future__ import annotations
 
@@ -13,14 +13,18 @@
 from .errors import InvalidRequestError
 
 PATH = "/v1/rerank"
-MOST_DOCUMENTS = 1000
+MAX_DOCUMENTS = 1000
 
 
 class Document(msgspec.Struct):
+    """A document to rank."""
+
     text: str
 
 
 class RequestBody(msgspec.Struct):
+    """The body of a client's request; fields that are not listed here are not forwarded."""
+
     model: str
     query: str
     documents: list[str | Document]
@@ -30,18 +34,24 @@
 
 
 class ToEngine(msgspec.Struct):
+    """The body of a request to an engine."""
+
     model: str
     query: str
     documents: list[str]
 
 
 class Score(msgspec.Struct, omit_defaults=True):
+    """The relevance of the document at `index`."""
+
     index: int
     relevance_score: float
     document: Document | None = None
 
 
 class Reply(msgspec.Struct):
+    """The response of an engine and the answer to a client."""
+
     results: list[Score]
     id: str = ""
     model: str = ""
@@ -54,62 +64,75 @@
 
 @dataclass(slots=True)
 class RerankRequest:
+    """A client's parsed request."""
+
     model: str
     query: str
     inputs: list[str]
-    costs: list[float]  # of each document with the query before it
+    costs: list[float]  # estimated tokens of each document with the query
     top_n: int
     return_documents: bool
     user: str
 
 
 def parse_request(body: bytes) -> RerankRequest:
-    """Raises BadJob with the published error form."""
+    """Parses and checks a client's request.  Raises InvalidRequestError."""
     try:
         known = REQUEST_DECODER.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise InvalidRequestError(f"the body is not a rerank call: {error}") from error
     if not known.query:
         raise InvalidRequestError("query must not be empty", "query")
-    if not 1 <= len(known.documents) <= MOST_DOCUMENTS:
-        raise InvalidRequestError(f"documents must be 1 to {MOST_DOCUMENTS}", "documents")
+    if not 1 <= len(known.documents) <= MAX_DOCUMENTS:
+        raise InvalidRequestError(f"documents must be 1 to {MAX_DOCUMENTS}", "documents")
     if known.top_n is not None and known.top_n < 1:
         raise InvalidRequestError("top_n must be at least 1", "top_n")
-    texts = [one if isinstance(one, str) else one.text for one in known.documents]
-    query = tokens_of(known.query)
-    costs = [query + tokens_of(text) for text in texts]
-    top = min(known.top_n or len(texts), len(texts))
+    texts = [document if isinstance(document, str) else document.text for document in known.documents]
+    query_tokens = tokens_of(known.query)
+    costs = [query_tokens + tokens_of(text) for text in texts]
+    top_n = min(known.top_n or len(texts), len(texts))
     return RerankRequest(
-        known.model, known.query, texts, costs, top, known.return_documents, known.user or ""
+        known.model, known.query, texts, costs, top_n, known.return_documents, known.user or ""
     )
 
 
 def to_engine(model: str, query: str, documents: list[str]) -> bytes:
+    """Encodes a request to an engine."""
     return msgspec.json.encode(ToEngine(model, query, documents))
 
 
-def scores(body: bytes, wanted: int) -> tuple[dict[int, float], Usage]:
-    """The scores of an engine's reply by position, in whatever order they came; an index out of range or
-    given twice, and a score that is no finite number, is left out.  Raises ValueError where the reply is
-    none."""
+def scores(body: bytes, document_count: int) -> tuple[dict[int, float], Usage]:
+    """The scores of an engine's response to `document_count` documents, by index, and its usage.
+
+    Invalid entries are left out: an index out of range or given twice, and a score that is not finite.
+    Raises ValueError if the body is no rerank response.
+    """
     try:
         reply = REPLY_DECODER.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise ValueError(str(error)) from error
-    found: dict[int, float] = {}
-    twice: set[int] = set()
-    for one in reply.results:
-        if one.index in found or not 0 <= one.index < wanted or not isfinite(one.relevance_score):
-            twice.add(one.index)
+    score_by_index: dict[int, float] = {}
+    invalid: set[int] = set()
+    for entry in reply.results:
+        if (
+            entry.index in score_by_index
+            or not 0 <= entry.index < document_count
+            or not isfinite(entry.relevance_score)
+        ):
+            invalid.add(entry.index)
         else:
-            found[one.index] = one.relevance_score
-    return {at: score for at, score in found.items() if at not in twice}, reply.usage
+            score_by_index[entry.index] = entry.relevance_score
+    return {index: score for index, score in score_by_index.items() if index not in invalid}, reply.usage
+
 
+def encode_response(answer_id: str, request: RerankRequest, scores: list[Any], tokens: int) -> bytes:
+    """Encodes the answer to a client: the most relevant document first, ties in the client's order.
 
-def encode_response(name: str, call: RerankRequest, found: list[Any], tokens: int) -> bytes:
-    """The answer to a client: the most relevant first, at a tie as they were given."""
-    order = sorted(range(len(found)), key=lambda at: (-found[at], at))[: call.top_n]
+    `scores` are in the order of the documents.
+    """
+    order = sorted(range(len(scores)), key=lambda index: (-scores[index], index))[: request.top_n]
     results = [
-        Score(at, found[at], Document(call.inputs[at]) if call.return_documents else None) for at in order
+        Score(index, scores[index], Document(request.inputs[index]) if request.return_documents else None)
+        for index in order
     ]
-    return msgspec.json.encode(Reply(results, name, call.model, Usage(tokens, tokens)))
+    return msgspec.json.encode(Reply(results, answer_id, request.model, Usage(tokens, tokens)))
--- a/worksmux/batching/__init__.py
+++ b/worksmux/batching/__init__.py
@@ -1,1 +1,1 @@
-"""Batches over engines: large calls split, small ones joined, each put together again.  Free of I/O."""
+"""Batches for engines: large requests are split, small ones share a batch.  Free of I/O."""
--- a/worksmux/batching/planner.py
+++ b/worksmux/batching/planner.py
@@ -1,18 +1,18 @@
-"""Turns calls of many inputs into loads for engines and their results into one final answer for each call.
+"""Divides requests with many inputs into batches for engines, and collects one final result for each request.
 
-A call larger than a load is split into contiguous parts of like size.  Calls smaller than a load may join one
-with others of the same model and form: only while other loads are out, for else the engines are free and
-waiting gains nothing; never longer than a ratio of the time until the answer is promised; and only where
-nobody's time would be cut below another's promised time.
+A request larger than a batch is split into contiguous parts of similar cost.  A request smaller than a batch
+may share one with others of its group: only while other batches are in flight, since otherwise engines are
+idle and waiting gains nothing; for at most a share of the time left until its latency target; and only if no
+request's deadline is earlier than another's latency target.
 
-What can go wrong with a load, and what follows:
+Failures of a batch:
 
-- Its trip brought some of the results: those count, and the next trip asks for the rest.
-- It was deferred or broken off: its missing inputs go out again while there is time and the budget for
-  repeats allows it; else every call that needs them ends so, and nothing more is sent for these.
-- Its input was refused as bad: alone, its call ends with that message; joined, each call goes out by itself,
-  so that one bad input harms none of the others.
-- A client leaves: its inputs are no longer asked for; a load that nobody needs is dropped.
+- An attempt returned some of the results: they are kept, and the next attempt sends the other inputs only.
+- The batch was rejected or aborted: its missing inputs are sent again if the latency target and the retry
+  budget allow; otherwise each request that needs them fails, and nothing more is sent for it.
+- An engine rejected its input: a request in a batch of its own fails with that message; a shared batch is
+  divided into one batch for each request, so that an invalid input affects no other request.
+- A client disconnects: its inputs are no longer sent, and a batch without other inputs is cancelled.
 """
 
 from __future__ import annotations
@@ -23,21 +23,21 @@
 from math import ceil
 from typing import Any
 
-MAX_WAIT_SHARE = 0.05  # of the time until an answer is promised: how long a small call waits for others
-SMALL_REQUEST_SHARE = 0.5  # of a load: what is larger goes alone
-RETRY_PAUSE_SHARE = 0.02  # of the same time: before what was deferred goes out again
+MAX_WAIT_SHARE = 0.05  # of the time until the latency target: a small request waits this long for others
+SMALL_REQUEST_SHARE = 0.5  # of the batch limits: a larger request shares no batch
+RETRY_PAUSE_SHARE = 0.02  # of the time from arrival to latency target: the pause before a retry
 
 
 class BatchFailure(Enum):
-    """How a batch ended without all of its results."""
+    """Why a batch ended without all of its results."""
 
-    REJECTED = "deferred"  # it has had no effect; nobody could take it in time
-    ABORTED = "broken off"  # its time or its trips ran out
+    REJECTED = "deferred"  # nothing was executed; no engine could accept it in time
+    ABORTED = "broken off"  # its deadline passed or its attempts were used up
 
 
 @dataclass(frozen=True)
 class BatchLimits:
-    """Of one load: tokens and inputs; `may_join` is off where a load can serve one call alone."""
+    """Limits of one batch; `may_join` is false if a batch can serve one request only."""
 
     max_tokens: float
     max_inputs: int
@@ -46,17 +46,17 @@
 
 @dataclass(eq=False, slots=True)
 class BatchedRequest:
-    """One client's call; `costs` are tokens by input."""
+    """One client's request; `costs` are the tokens of its inputs."""
 
     costs: list[float]
-    group: Hashable  # calls of one group may share a load
+    group: Hashable  # requests of the same group may share a batch
     limits: BatchLimits
     arrived_at: float
     latency_target_at: float
     deadline: float
-    item: Any = None
+    item: Any = None  # the caller's own
     results: list[Any] = field(default_factory=list)
-    missing: int = 0
+    missing: int = 0  # inputs without a result
     batches: dict[InputBatch, None] = field(default_factory=dict)
     ended: bool = False
 
@@ -67,7 +67,7 @@
 
 @dataclass(eq=False, slots=True)
 class InputBatch:
-    """What one engine is asked at once: inputs of one or more calls, (call, index) in order."""
+    """Inputs of one or more requests for one engine, as (request, index) in order."""
 
     inputs: list[tuple[BatchedRequest, int]]
     group: Hashable
@@ -77,23 +77,30 @@
     ended: bool = False
 
     def missing_inputs(self) -> list[tuple[BatchedRequest, int]]:
-        """What is still asked for: the next trip's inputs, in order."""
-        return [(call, at) for call, at in self.inputs if not call.ended and call.results[at] is None]
+        """The inputs of the next attempt, in order: no result yet, and the request has not ended."""
+        return [
+            (request, index)
+            for request, index in self.inputs
+            if not request.ended and request.results[index] is None
+        ]
 
     def requests(self) -> list[BatchedRequest]:
-        return list(dict.fromkeys(call for call, _ in self.inputs))
+        """The requests that have inputs in the batch."""
+        return list(dict.fromkeys(request for request, _ in self.inputs))
 
     def missing_inputs_by_request(self) -> list[tuple[BatchedRequest, list[int]]]:
-        """Each call that is not over with those of its inputs that are still asked for."""
-        found: dict[BatchedRequest, list[int]] = {call: [] for call in self.requests() if not call.ended}
-        for call, at in self.missing_inputs():
-            found[call].append(at)
-        return list(found.items())
+        """Each request that has not ended, with the indices of its missing inputs in the batch."""
+        indices: dict[BatchedRequest, list[int]] = {
+            request: [] for request in self.requests() if not request.ended
+        }
+        for request, index in self.missing_inputs():
+            indices[request].append(index)
+        return list(indices.items())
 
 
 @dataclass(slots=True)
 class RequestResult:
-    """A call's one final answer: all results, or how it ended, or the message of a bad input."""
+    """The final result of a request: all results, the failure, or the message about an invalid input."""
 
     request: BatchedRequest
     failure: BatchFailure | None = None
@@ -102,202 +109,220 @@
 
 @dataclass(slots=True)
 class Step:
+    """What the caller has to do after an event."""
+
     send: list[InputBatch] = field(default_factory=list)
-    send_later: list[tuple[float, InputBatch]] = field(default_factory=list)  # at that time
-    cancel: list[InputBatch] = field(default_factory=list)  # nobody needs them: called off
+    send_later: list[tuple[float, InputBatch]] = field(default_factory=list)  # with the time to send at
+    cancel: list[InputBatch] = field(default_factory=list)  # no request needs them any more
     results: list[RequestResult] = field(default_factory=list)
 
 
 class Planner:
-    """`may_retry` tells whether a part may be sent again: the budget for repeats."""
+    """Assigns inputs of requests to batches.
+
+    `may_retry` returns whether a part of a request may be sent again, by the retry budget.
+    """
 
     def __init__(self, may_retry: Callable[[BatchedRequest], bool]) -> None:
         self.may_retry = may_retry
-        self.open_batches: dict[Hashable, InputBatch] = {}
-        self.flush_at: dict[Hashable, float] = {}
-        self.in_flight: dict[Hashable, int] = {}
+        self.open_batches: dict[Hashable, InputBatch] = {}  # batches that wait for more requests, by group
+        self.flush_at: dict[Hashable, float] = {}  # when an open batch is sent, by group
+        self.in_flight: dict[Hashable, int] = {}  # count of batches, by group
         self.last_number = 0
 
-    # Calls.
+    # Requests.
 
-    def add(self, now: float, call: BatchedRequest) -> Step:
+    def add(self, now: float, request: BatchedRequest) -> Step:
+        """Plans a new request; one without inputs is served at once."""
         step = Step()
-        if not call.costs:
-            call.ended = True
-            step.results.append(RequestResult(call))
+        if not request.costs:
+            request.ended = True
+            step.results.append(RequestResult(request))
             return step
-        total = sum(call.costs)
-        small = (
-            call.limits.may_join
-            and total <= SMALL_REQUEST_SHARE * call.limits.max_tokens
-            and len(call.costs) <= SMALL_REQUEST_SHARE * call.limits.max_inputs
+        total_cost = sum(request.costs)
+        is_small = (
+            request.limits.may_join
+            and total_cost <= SMALL_REQUEST_SHARE * request.limits.max_tokens
+            and len(request.costs) <= SMALL_REQUEST_SHARE * request.limits.max_inputs
         )
-        if small and self.in_flight.get(call.group, 0):
-            self._join(now, call, total, step)
+        if is_small and self.in_flight.get(request.group, 0):
+            self._join(now, request, total_cost, step)
         else:
-            for part in split(call.costs, call.limits):
-                self._send(self._alone(call, part), step)
+            for part in split(request.costs, request.limits):
+                self._send(self._own_batch(request, part), step)
         return step
 
     @staticmethod
-    def _alone(call: BatchedRequest, inputs: list[int]) -> InputBatch:
-        """A load of one call's inputs."""
+    def _own_batch(request: BatchedRequest, indices: list[int]) -> InputBatch:
+        """A batch of inputs of one request."""
         return InputBatch(
-            [(call, at) for at in inputs], call.group, sum(call.costs[at] for at in inputs), call.deadline
+            [(request, index) for index in indices],
+            request.group,
+            sum(request.costs[index] for index in indices),
+            request.deadline,
         )
 
-    def _join(self, now: float, call: BatchedRequest, total: float, step: Step) -> None:
-        load = self.open_batches.get(call.group)
-        if load is not None and not self._fits(load, call, total):
-            self._flush(call.group, step)
-            load = None
-        if load is None:
-            load = self.open_batches[call.group] = InputBatch([], call.group, 0.0, call.deadline)
-            self.flush_at[call.group] = float("inf")
-        load.inputs += [(call, at) for at in range(len(call.costs))]
-        load.cost += total
-        load.deadline = min(load.deadline, call.deadline)
-        call.batches[load] = None
-        self.flush_at[call.group] = min(
-            self.flush_at[call.group], now + MAX_WAIT_SHARE * max(0.0, call.latency_target_at - now)
+    def _join(self, now: float, request: BatchedRequest, total_cost: float, step: Step) -> None:
+        """Adds a request to the open batch of its group, and sends the batch if it is full."""
+        batch = self.open_batches.get(request.group)
+        if batch is not None and not self._fits(batch, request, total_cost):
+            self._flush(request.group, step)
+            batch = None
+        if batch is None:
+            batch = self.open_batches[request.group] = InputBatch([], request.group, 0.0, request.deadline)
+            self.flush_at[request.group] = float("inf")
+        batch.inputs += [(request, index) for index in range(len(request.costs))]
+        batch.cost += total_cost
+        batch.deadline = min(batch.deadline, request.deadline)
+        request.batches[batch] = None
+        self.flush_at[request.group] = min(
+            self.flush_at[request.group], now + MAX_WAIT_SHARE * max(0.0, request.latency_target_at - now)
         )
         if (
-            load.cost >= call.limits.max_tokens * (1 - SMALL_REQUEST_SHARE / 2)
-            or len(load.inputs) >= call.limits.max_inputs
+            batch.cost >= request.limits.max_tokens * (1 - SMALL_REQUEST_SHARE / 2)
+            or len(batch.inputs) >= request.limits.max_inputs
         ):
-            self._flush(call.group, step)
+            self._flush(request.group, step)
 
     @staticmethod
-    def _fits(load: InputBatch, call: BatchedRequest, total: float) -> bool:
-        ends = min(load.deadline, call.deadline)
+    def _fits(batch: InputBatch, request: BatchedRequest, total_cost: float) -> bool:
+        """Whether a batch with this request is within the limits and ends after all its latency targets."""
+        deadline = min(batch.deadline, request.deadline)
         return (
-            load.cost + total <= call.limits.max_tokens
-            and len(load.inputs) + len(call.costs) <= call.limits.max_inputs
-            and ends >= max(call.latency_target_at, *(other.latency_target_at for other in load.requests()))
+            batch.cost + total_cost <= request.limits.max_tokens
+            and len(batch.inputs) + len(request.costs) <= request.limits.max_inputs
+            and deadline
+            >= max(request.latency_target_at, *(other.latency_target_at for other in batch.requests()))
         )
 
     def _flush(self, group: Hashable, step: Step) -> None:
-        load = self.open_batches.pop(group, None)
+        """Sends the open batch of a group, if any of its inputs is still needed."""
+        batch = self.open_batches.pop(group, None)
         self.flush_at.pop(group, None)
-        if load is not None and load.missing_inputs():
-            self._send(load, step)
+        if batch is not None and batch.missing_inputs():
+            self._send(batch, step)
 
-    def _send(self, load: InputBatch, step: Step, at: float | None = None) -> None:
+    def _send(self, batch: InputBatch, step: Step, send_at: float | None = None) -> None:
+        """Sends a batch, at once or at `send_at`; it counts as in flight from now on."""
         self.last_number += 1
-        load.number = self.last_number
-        for call in load.requests():
-            call.batches[load] = None
-        self.in_flight[load.group] = self.in_flight.get(load.group, 0) + 1
-        if at is None:
-            step.send.append(load)
+        batch.number = self.last_number
+        for request in batch.requests():
+            request.batches[batch] = None
+        self.in_flight[batch.group] = self.in_flight.get(batch.group, 0) + 1
+        if send_at is None:
+            step.send.append(batch)
         else:
-            step.send_later.append((at, load))
+            step.send_later.append((send_at, batch))
 
     def tick(self, now: float) -> Step:
-        """Sends what has waited long enough for others."""
+        """Sends the open batches that have waited long enough for more requests."""
         step = Step()
-        for group in [group for group, until in self.flush_at.items() if until <= now]:
+        for group in [group for group, flush_at in self.flush_at.items() if flush_at <= now]:
             self._flush(group, step)
         return step
 
     def next_time(self) -> float | None:
+        """When `tick` should be called next."""
         return min(self.flush_at.values(), default=None)
 
-    def client_disconnected(self, call: BatchedRequest) -> Step:
-        """Its client has hung up."""
+    def client_disconnected(self, request: BatchedRequest) -> Step:
+        """Ends a request without a result."""
         step = Step()
-        self._over(call, step)
+        self._end_request(request, step)
         return step
 
-    # Loads.
+    # Batches.
 
     def add_results(
-        self, load: InputBatch, asked: list[tuple[BatchedRequest, int]], results: dict[int, Any]
+        self, batch: InputBatch, sent: list[tuple[BatchedRequest, int]], results: dict[int, Any]
     ) -> None:
-        """Some results of a trip that failed, by position in what it asked for; the rest is asked again."""
+        """Stores the results of an attempt, by position in the inputs it `sent`; some may be missing."""
         for position, result in results.items():
-            call, at = asked[position]
-            if not call.ended and call.results[at] is None:
-                call.results[at] = result
-                call.missing -= 1
+            request, index = sent[position]
+            if not request.ended and request.results[index] is None:
+                request.results[index] = result
+                request.missing -= 1
 
     def batch_served(
-        self, load: InputBatch, asked: list[tuple[BatchedRequest, int]], results: dict[int, Any]
+        self, batch: InputBatch, sent: list[tuple[BatchedRequest, int]], results: dict[int, Any]
     ) -> Step:
-        """All results of a trip."""
+        """A batch has ended with all results of its last attempt."""
         step = Step()
-        self._ended(load)
-        self.add_results(load, asked, results)
-        for call in load.requests():
-            self._maybe_done(call, step)
+        self._end_batch(batch)
+        self.add_results(batch, sent, results)
+        for request in batch.requests():
+            self._end_if_complete(request, step)
         return step
 
     @staticmethod
-    def _maybe_done(call: BatchedRequest, step: Step) -> None:
-        if not call.ended and not call.missing:
-            call.ended = True
-            step.results.append(RequestResult(call))
+    def _end_if_complete(request: BatchedRequest, step: Step) -> None:
+        if not request.ended and not request.missing:
+            request.ended = True
+            step.results.append(RequestResult(request))
 
-    def batch_failed(self, now: float, load: InputBatch, failure: BatchFailure) -> Step:
+    def batch_failed(self, now: float, batch: InputBatch, failure: BatchFailure) -> Step:
+        """A batch has ended without all results: missing inputs are sent again, or their requests fail."""
         step = Step()
-        self._ended(load)
-        for call, needed in load.missing_inputs_by_request():
-            if not needed:
-                self._maybe_done(call, step)  # its last results came by a trip that failed
+        self._end_batch(batch)
+        for request, indices in batch.missing_inputs_by_request():
+            if not indices:
+                self._end_if_complete(request, step)  # an earlier attempt returned its last results
                 continue
-            pause = RETRY_PAUSE_SHARE * max(0.0, call.latency_target_at - call.arrived_at)
-            if now + 2 * pause < min(call.latency_target_at, call.deadline) and self.may_retry(call):
-                self._send(self._alone(call, needed), step, now + pause)
+            pause = RETRY_PAUSE_SHARE * max(0.0, request.latency_target_at - request.arrived_at)
+            if now + 2 * pause < min(request.latency_target_at, request.deadline) and self.may_retry(request):
+                self._send(self._own_batch(request, indices), step, now + pause)
             else:
-                self._over(call, step)
-                step.results.append(RequestResult(call, failure))
+                self._end_request(request, step)
+                step.results.append(RequestResult(request, failure))
         return step
 
-    def input_rejected(self, load: InputBatch, message: str) -> Step:
-        """The engine calls the input bad."""
+    def input_rejected(self, batch: InputBatch, message: str) -> Step:
+        """An engine has rejected an input of a batch as invalid."""
         step = Step()
-        self._ended(load)
-        joined = len(load.requests()) > 1  # also where only one is left: it may not be the bad one
-        for call, needed in load.missing_inputs_by_request():
-            if not needed:
-                self._maybe_done(call, step)
-            elif joined:
-                self._send(self._alone(call, needed), step)
+        self._end_batch(batch)
+        was_shared = len(batch.requests()) > 1  # counts ended requests: theirs may be the invalid input
+        for request, indices in batch.missing_inputs_by_request():
+            if not indices:
+                self._end_if_complete(request, step)
+            elif was_shared:
+                self._send(self._own_batch(request, indices), step)
             else:
-                self._over(call, step)
+                self._end_request(request, step)
                 step.results.append(
-                    RequestResult(call, input_error=message or "the engine refused the input")
+                    RequestResult(request, input_error=message or "the engine refused the input")
                 )
         return step
 
-    def _ended(self, load: InputBatch) -> None:
-        if load.ended:
+    def _end_batch(self, batch: InputBatch) -> None:
+        if batch.ended:
             return
-        load.ended = True
-        for call in load.requests():
-            call.batches.pop(load, None)
-        left = self.in_flight.get(load.group, 0) - 1
-        if left > 0:
-            self.in_flight[load.group] = left
+        batch.ended = True
+        for request in batch.requests():
+            request.batches.pop(batch, None)
+        in_flight = self.in_flight.get(batch.group, 0) - 1
+        if in_flight > 0:
+            self.in_flight[batch.group] = in_flight
         else:
-            self.in_flight.pop(load.group, None)
-
-    def _over(self, call: BatchedRequest, step: Step) -> None:
-        """Nothing more is wanted for it."""
-        call.ended = True
-        for load in list(call.batches):
-            if not load.missing_inputs():
-                if self.open_batches.get(load.group) is load:
-                    del self.open_batches[load.group]
-                    del self.flush_at[load.group]
+            self.in_flight.pop(batch.group, None)
+
+    def _end_request(self, request: BatchedRequest, step: Step) -> None:
+        """Ends a request, and cancels the batches that no other request needs."""
+        request.ended = True
+        for batch in list(request.batches):
+            if not batch.missing_inputs():
+                if self.open_batches.get(batch.group) is batch:
+                    del self.open_batches[batch.group]
+                    del self.flush_at[batch.group]
                 else:
-                    self._ended(load)
-                    step.cancel.append(load)
-        call.batches.clear()
+                    self._end_batch(batch)
+                    step.cancel.append(batch)
+        request.batches.clear()
 
 
 def split(costs: list[float], limits: BatchLimits) -> list[list[int]]:
-    """Indices in contiguous parts of like cost, each within the limits; an input over the bound goes alone.
+    """Divides inputs into contiguous parts of similar cost within the limits, given as indices.
+
+    An input that exceeds the limit by itself is a part of its own.
 
     >>> split([4.0, 4.0, 4.0, 4.0, 30.0, 1.0], BatchLimits(12.0, 3))
     [[0, 1, 2], [3], [4], [5]]
@@ -305,19 +330,19 @@
     [[0, 1, 2, 3], [4, 5, 6, 7]]
     """
     count = max(ceil(sum(costs) / limits.max_tokens), ceil(len(costs) / limits.max_inputs), 1)
-    target = min(limits.max_tokens, max(sum(costs) / count, max(costs, default=0.0)))
+    target_cost = min(limits.max_tokens, max(sum(costs) / count, max(costs, default=0.0)))
     parts: list[list[int]] = []
-    size = 0.0
-    for at, cost in enumerate(costs):
-        full = parts and (
-            size + cost > limits.max_tokens
+    part_cost = 0.0
+    for index, cost in enumerate(costs):
+        is_full = parts and (
+            part_cost + cost > limits.max_tokens
             or len(parts[-1]) >= limits.max_inputs
-            or size + cost / 2 > target
-            and size >= target / 2
+            or part_cost + cost / 2 > target_cost
+            and part_cost >= target_cost / 2
         )
-        if not parts or full:
+        if not parts or is_full:
             parts.append([])
-            size = 0.0
-        parts[-1].append(at)
-        size += cost
+            part_cost = 0.0
+        parts[-1].append(index)
+        part_cost += cost
     return parts
