--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -1,5 +1,4 @@
-"""Bursts of connections, and a reactor that is late by them: requests are still forwarded and KV cache
-released."""
+"""Bursts of connections that make the reactor late: requests are still forwarded and KV cache is released."""
 
 from __future__ import annotations
 
@@ -23,37 +22,37 @@
 
 
 def test_burst_of_connections_is_accepted_a_few_at_a_time() -> None:
-    """1,500 clients connect in a second.
+    """1,500 clients connect in a second, and the reactor accepts a few of them in each iteration.
 
-    The reactor accepts a few of them in each iteration. If it took a hundred before it reads anything else,
-    it would see connections to engines come up only after their time-out.
+    If it accepted a hundred at a time, it would notice established connections to engines only after their
+    connect timeout.
     """
     reactor: Any = EPollReactor()  # type: ignore[no-untyped-call]
     server = Server(lambda exchange: None, 1000, 1000, 2000.0, reactor, 0.0, 50)
     _, port = listen(reactor, ("127.0.0.1", 0), server)
     waiting = [socket.create_connection(("127.0.0.1", port)) for _ in range(BURST)]
-    taken = [0]
-    server.on_connection = lambda channel: taken.append(taken.pop() + 1)
-    most = 0
-    while (before := sum(taken)) < BURST:
+    accepted = [0]
+    server.on_connection = lambda channel: accepted.append(accepted.pop() + 1)
+    max_accepted = 0
+    while (before := sum(accepted)) < BURST:
         reactor.iterate(0.01)
-        most = max(most, sum(taken) - before)
-    assert most <= MAX_ACCEPTED_PER_ITERATION
-    for one in waiting:
-        one.close()
+        max_accepted = max(max_accepted, sum(accepted) - before)
+    assert max_accepted <= MAX_ACCEPTED_PER_ITERATION
+    for connection in waiting:
+        connection.close()
 
 
-class Resting:
-    """A connection as the server's count sees it, which counts how often it is looked at."""
+class FakeChannel:
+    """A fake connection; counts how often the rank of any connection is read."""
 
-    looks = 0
+    rank_reads = 0
 
-    def __init__(self, rank: int, since: float) -> None:
-        self._rank, self.since_ms, self.aborted = rank, since, False
+    def __init__(self, rank: int, since_ms: float) -> None:
+        self._rank, self.since_ms, self.aborted = rank, since_ms, False
         self.transport = self
 
     def eviction_rank(self) -> int:
-        Resting.looks += 1
+        FakeChannel.rank_reads += 1
         return self._rank
 
     def abortConnection(self) -> None:
@@ -61,27 +60,27 @@
 
 
 def test_connection_to_close_is_found_without_a_full_search() -> None:
-    """Clients connect while all descriptors are in use, and each new connection closes another one.
+    """Clients connect while all descriptors are in use, and each new connection evicts another one.
 
-    Finding that one must not cost more with each connection that there is.
+    The cost of finding that one must not grow with the number of connections.
     """
     server = Server(lambda exchange: None, 1, 1, 2000.0, None, 0.0, 560)
-    resting = [Resting(2, float(at)) for at in range(560)]
-    for one in resting:
-        server.connection_made(one)
-    Resting.looks = 0
-    new = [Resting(3, 1000.0 + at) for at in range(400)]
-    for one in new:
-        server.connection_made(one)
-    assert len(server.channels) == 560 and Resting.looks < 10 * len(new)
-    assert resting[0].aborted and sum(one.aborted for one in (*resting, *new)) == len(new)
+    idle = [FakeChannel(2, float(at)) for at in range(560)]
+    for channel in idle:
+        server.connection_made(channel)
+    FakeChannel.rank_reads = 0
+    new = [FakeChannel(3, 1000.0 + at) for at in range(400)]
+    for channel in new:
+        server.connection_made(channel)
+    assert len(server.channels) == 560 and FakeChannel.rank_reads < 10 * len(new)
+    assert idle[0].aborted and sum(channel.aborted for channel in (*idle, *new)) == len(new)
 
 
-class Reply:
-    """Takes one reply."""
+class StatusReceiver:
+    """Records the status of a response, or the error."""
 
     def __init__(self) -> None:
-        self.status, self.trouble = 0, ""
+        self.status, self.error = 0, ""
 
     def head_received(self, status: int, headers: dict[str, str]) -> None:
         self.status = status
@@ -90,34 +89,34 @@
 
     def done(self) -> None: ...
 
-    def failed(self, trouble: client.CallError) -> None:
-        self.trouble = str(trouble)
+    def failed(self, error: client.CallError) -> None:
+        self.error = str(error)
 
 
-def test_connection_that_came_up_in_a_late_iteration_is_used() -> None:
-    """A reactor iteration takes longer than a connection may take.
+def test_connection_that_is_established_in_a_late_iteration_is_used() -> None:
+    """A reactor iteration takes longer than the connect timeout.
 
-    The connection has come up meanwhile and is used. If its time-out fired first, no connection would ever
-    come up.
+    The connection was established in the meantime and is used. If its timeout fired first, no connection
+    would ever be established.
     """
     rig = Rig()
     engine: Engine = rig.engine("prefill", lambda _: PREFILL_REPLY)
     now = rig.reactor.seconds()
     rig.reactor.seconds = lambda: now
     pool = client.Pool(rig.reactor, "127.0.0.1", engine.port_number, 250.0, 0.0, 0, 1000)
-    reply = Reply()
-    pool.call("GET", "/alive", reply)
+    receiver = StatusReceiver()
+    pool.call("GET", "/alive", receiver)
     now += 0.3  # the iteration was late
     for _ in range(200):
         rig.reactor.iterate(0.005)
-        if reply.status or reply.trouble:
+        if receiver.status or receiver.error:
             break
-    assert (reply.status, reply.trouble) == (202, "")
+    assert (receiver.status, receiver.error) == (202, "")
 
 
 def small_fleet(faults: list[s.Fault], **behaviour: Any) -> s.Schedule:
     """One process, two prefill and two decode engines in one zone, a request every 25 ms."""
-    plain: dict[str, Any] = {
+    defaults: dict[str, Any] = {
         "release_within": 500.0,
         "connect_timeout": 250.0,
         "try_limit": 5,
@@ -140,7 +139,7 @@
         ["a"],
         engines,
         [s.RequestClass("chat", "free", 1200.0, 2500.0)],
-        s.Behaviour(**{**plain, **behaviour}),
+        s.Behaviour(**{**defaults, **behaviour}),
         requests,
         faults,
     )
@@ -148,12 +147,12 @@
 
 @pytest.mark.parametrize("iteration_ms", [150.0, 260.0])
 def test_kv_cache_is_released_while_every_iteration_is_late(iteration_ms: float) -> None:
-    """A flood as a reactor sees it: for 3 s each iteration takes longer than a connection may take."""
-    late: list[s.Fault] = []
+    """For 3 s every reactor iteration takes that long; the connect timeout is 250 ms."""
+    faults: list[s.Fault] = []
     start = 1000.0
     while start < 4000.0:
-        late.append(s.Hang(start, start + iteration_ms, "n0"))
+        faults.append(s.Hang(start, start + iteration_ms, "n0"))
         start += iteration_ms + ITERATION_GAP_MS
-    result = play(small_fleet(late))
-    assert not [one for one in result.violations if one.rule is Rule.KV_CACHE_HELD]
+    result = play(small_fleet(faults))
+    assert not [violation for violation in result.violations if violation.rule is Rule.KV_CACHE_HELD]
     assert result.served > 0.5 * result.requests
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -1,4 +1,4 @@
-"""The client connection: framing of responses, and which errors tell that a request was not sent."""
+"""The client connection: framing of responses, and errors that tell whether a request was sent."""
 
 from __future__ import annotations
 
@@ -27,19 +27,19 @@
     def done(self) -> None:
         self.end = "done"
 
-    def failed(self, trouble: client.CallError) -> None:
-        self.end = type(trouble).__name__
+    def failed(self, error: client.CallError) -> None:
+        self.end = type(error).__name__
 
 
 class ImmediateReactor:
-    """A reactor that makes delayed calls at once."""
+    """A fake reactor that makes delayed calls at once."""
 
     def callLater(self, delay: float, call: Any, *args: Any) -> None:
         call(*args)
 
 
 class WritingTransport(StringTransport):
-    """Writes at once, as a socket with room does, and asks its producer for more."""
+    """Writes at once, as a socket with buffer space does, and asks its producer for more."""
 
     aborted = False
 
@@ -63,7 +63,7 @@
 
 
 def send_request(transport: WritingTransport) -> tuple[RecordingReceiver, client.Connection]:
-    """A connection on which a request was just sent."""
+    """Sends a request on a new connection."""
     pool = client.Pool(ImmediateReactor(), "h", 1, 100.0, 100.0, 4, 2000)  # type: ignore[arg-type]
     connection, receiver = client.Connection(pool), RecordingReceiver()
     pool.open[connection] = None
@@ -75,7 +75,7 @@
 def exchange(
     response: bytes, sizes: list[int] | None = None, closes: bool = False
 ) -> tuple[RecordingReceiver, client.Connection, WritingTransport]:
-    """One request whose response comes in pieces of the given sizes."""
+    """Sends a request whose response arrives in pieces of the given sizes."""
     transport = WritingTransport()
     receiver, connection = send_request(transport)
     unread = response
@@ -143,10 +143,10 @@
 
 
 def test_request_in_the_transport_buffer_is_not_sent() -> None:
-    """A connection ends right after a request was given to the transport.
+    """A connection ends right after a request was passed to the transport.
 
-    While bytes of the request lie in the buffer nobody can have executed it; once the last one has left,
-    somebody may have.
+    The engine cannot have executed a request with bytes left in the buffer; after the last byte has left the
+    buffer, the engine may have executed it.
     """
     receiver, connection = send_request(BufferingTransport())
     connection.connectionLost()
--- a/tests/test_node_ends.py
+++ b/tests/test_node_ends.py
@@ -324,7 +324,7 @@
     rig.run_until(lambda: rig.engines[1].requests)
     client.setblocking(False)
     sent = 0
-    while sent < 4 * channel.MAX_BYTES_BEHIND:
+    while sent < 4 * channel.MAX_PIPELINED_BYTES:
         try:
             sent += client.send(chat_request("a2") * 20)
         except BlockingIOError:
--- a/tests/test_response_parser.py
+++ b/tests/test_response_parser.py
@@ -1,4 +1,4 @@
-"""The parts of an HTTP/1.1 response, each parsed without a connection."""
+"""Parsing of status lines, headers, body framing and chunk sizes of HTTP/1.1 responses."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize("line", [b"no colon", b": no name", b" X-A: 1", b"X-A : 1", b"Content-Length: 5"])
 def test_bad_header_line_is_rejected(line: bytes) -> None:
-    """A second Content-Length would let two readers see two different ends of the body."""
+    """With a second Content-Length, two parsers could see two different ends of the body."""
     with pytest.raises(MalformedResponseError):
         add_header_line({"content-length": "4"}, line)
 
--- a/worksmux/admission/__init__.py
+++ b/worksmux/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Admission control under overload.  Free of I/O; time and random draws are passed in."""
+"""Admission control under overload.  Free of I/O; the time and the seed of random draws are passed in."""
--- a/worksmux/admission/controller.py
+++ b/worksmux/admission/controller.py
@@ -1,11 +1,11 @@
 """The admission controller: admits, queues or rejects each request of a single-stage request class.
 
-The checks in their order, each against a failure of its own: load shedding (the gateway itself is short),
-the retry budget (retry storms), a wait that would not end in time (early rejection: nothing is spent on what
-comes too late), and the bound of the queue (at the expense of the caller with the most waiting).  Queued
-requests are admitted by deficit round robin, first over request classes by weight, then over callers, as far
-as the concurrency limit of their engines allows.  One that has waited too long after all is rejected, never
-sent.
+A new request passes four checks in this order: load shedding (the gateway itself is overloaded), the retry
+budget (against retry storms), the expected wait (a request that could not be served in time is rejected
+early, so that no work is spent on it), and the limit of the queue (requests of the caller with the most
+queued cost are displaced).  Queued requests are admitted by deficit round robin, first over request classes
+by weight, then over callers, as far as the concurrency limit of their engines allows.  A queued request that
+has waited too long is rejected and never sent.
 
 Costs are in tokens, times in milliseconds.
 """
@@ -24,13 +24,13 @@
 from .overload import LoadShedder, Pressure
 from .retry_budget import RejectionHistory, RetryAfterSchedule, RetryBudget
 
-MAX_SHARE_OF_TIME_LEFT = 0.8  # a request expected to take more of it is rejected
-SMALL_ITEM_SHARE = 1 / 4  # of the largest part's cost
-MAX_REMEMBERED_REJECTIONS = 100_000  # in a generation
+MAX_SHARE_OF_TIME_LEFT = 0.8  # a request that is expected to take more of it is rejected
+SMALL_ITEM_SHARE = 1 / 4  # of the cost of the largest batch
+MAX_REMEMBERED_REJECTIONS = 100_000  # per generation of RejectionHistory
 
 
 class RejectReason(Enum):
-    """Why a request was rejected; the values stand in answers and metrics."""
+    """Why a request was rejected; the values are used in answers and metrics."""
 
     GATEWAY_OVERLOADED = "the front itself is short"
     RETRY_BUDGET_EMPTY = "too many repeats"
@@ -40,6 +40,8 @@
 
 
 class RequestState(Enum):
+    """Where a request stands in admission."""
+
     NEW = auto()
     QUEUED = auto()
     ADMITTED = auto()
@@ -48,11 +50,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassSettings:
-    """One request class, as far as admission goes."""
+    """The settings of a request class for admission."""
 
     name: str
-    value: float  # the credit for a request of usual size
-    weight: float  # its share of its pool
+    value: float  # the credit for a request of typical size
+    weight: float  # determines its share of its engine pool
     max_part_cost: float
     max_queued_cost: float
     max_queued_requests: int
@@ -62,18 +64,20 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionSettings:
+    """The settings of the controller."""
+
     request_classes: list[ClassSettings]
     retry_ratio: float  # retries per first attempt
-    retry_burst: float  # retries beyond the ratio
+    retry_burst: float  # retries allowed beyond the ratio
     min_retry_after_ms: float
     max_retry_after_ms: float
-    shed_rise_ms: float  # see LoadShedder
+    shed_rise_ms: float  # see `LoadShedder`
     shed_fall_ms: float
 
 
 @dataclass(eq=False, slots=True)
 class AdmissionRequest:
-    """One request; `item` is the caller's own and not looked at."""
+    """One request; `item` belongs to the user of the controller, which does not read it."""
 
     request_class: int
     caller: Hashable
@@ -89,12 +93,14 @@
 
     @property
     def serve_by(self) -> float:
-        """When it must be served, to be of use."""
+        """The time by which the request must be served."""
         return min(self.latency_target_at, self.deadline)
 
 
 @dataclass(frozen=True, eq=False, slots=True)
 class Rejection:
+    """A request to reject, with the wait that its client is told."""
+
     request: AdmissionRequest
     reason: RejectReason
     retry_after_ms: float
@@ -102,14 +108,14 @@
 
 @dataclass(slots=True)
 class AdmissionResult:
-    """What follows from an event: requests to send now, and requests to reject."""
+    """What the caller has to do after an event: requests to send now, and requests to reject."""
 
     admitted: list[AdmissionRequest] = field(default_factory=list)
     rejected: list[Rejection] = field(default_factory=list)
 
 
 class EnginePool:
-    """Request classes served by the same engines: one concurrency limit, shared among their queues."""
+    """Request classes that are served by the same engines: their queues share one concurrency limit."""
 
     def __init__(
         self,
@@ -117,53 +123,60 @@
         settings: list[ClassSettings],
         queues: list[FairQueue[AdmissionRequest]],
     ) -> None:
-        """`settings` and `queues` are those of all request classes, `request_classes` the pool's own."""
+        """`settings` and `queues` are of all request classes; `request_classes` numbers those of the pool."""
         self.request_classes = request_classes
-        own = [settings[request_class] for request_class in request_classes]
-        largest = max(one.max_part_cost for one in own)
+        pool_classes = [settings[request_class] for request_class in request_classes]
+        max_part_cost = max(each.max_part_cost for each in pool_classes)
         self.limit = ConcurrencyLimit(
-            SMALL_ITEM_SHARE * largest, 2 * largest, min(one.latency_target_ms for one in own)
+            SMALL_ITEM_SHARE * max_part_cost,
+            2 * max_part_cost,
+            min(each.latency_target_ms for each in pool_classes),
         )
         self._queue_of = {request_class: queues[request_class] for request_class in request_classes}
         self._weight_of = {request_class: settings[request_class].weight for request_class in request_classes}
         self._scheduler = DeficitRoundRobin(
             [queues[request_class] for request_class in request_classes],
-            [one.weight for one in own],
-            largest / min(one.weight for one in own),
+            [each.weight for each in pool_classes],
+            max_part_cost / min(each.weight for each in pool_classes),
         )
 
     def queued_cost(self) -> float:
+        """The cost of all queued requests of the pool."""
         return sum(queue.cost for queue in self._scheduler.queues)
 
     def is_idle_for(self, cost: float) -> bool:
-        """Whether nothing waits and a request of this cost could be sent at once."""
+        """Whether no request is queued and one of this cost could be sent at once."""
         return not self.queued_cost() and self.limit.allows(cost)
 
     def next_request(self) -> AdmissionRequest | None:
+        """Takes the next queued request; None if there is none or the concurrency limit is reached."""
         return self._scheduler.pop_if(self.limit.allows)
 
     def expected_wait_ms(self, now: float, request: AdmissionRequest) -> float:
-        """Time in the queue and at the engine, by recent throughput; 0 while that is unknown."""
+        """The expected time in the queue and at the engine, from recent throughput; 0 if it is unknown."""
         throughput = self.limit.throughput(now)
         if throughput <= 0 or not self.queued_cost():
             return 0.0
         return self._cost_ahead(request) / throughput + self.limit.expected_latency_ms(now, request.cost)
 
     def _cost_ahead(self, request: AdmissionRequest) -> float:
-        """About the cost served before it: its own queue's, in proportion to the weights of busy queues."""
+        """The approximate cost served until the request ends.
+
+        That is the cost ahead of it in its own queue, scaled by the weights of the queues that are not empty.
+        """
         own_queue = self._queue_of[request.request_class]
-        own_cost = own_queue.cost_ahead(request.caller, request.cost)
-        busy_weight = sum(
+        cost_in_queue = own_queue.cost_ahead(request.caller, request.cost)
+        total_weight = sum(
             self._weight_of[request_class]
             for request_class, queue in self._queue_of.items()
             if queue.count or queue is own_queue
         )
         own_weight = self._weight_of[request.request_class]
-        return min(self.queued_cost() + request.cost, own_cost * busy_weight / own_weight)
+        return min(self.queued_cost() + request.cost, cost_in_queue * total_weight / own_weight)
 
 
 class AdmissionController:
-    """Takes events with their time, and returns what follows.
+    """Admission control of one gateway.  Each method takes an event with its time and returns the result.
 
     Request classes are numbered in the order of the settings.
     """
@@ -172,7 +185,7 @@
         classes = settings.request_classes
         self._random = RandomSource(seed)
         self.queues: list[FairQueue[AdmissionRequest]] = [
-            FairQueue(one.max_part_cost, one.max_queued_cost, one.max_queued_requests) for one in classes
+            FairQueue(each.max_part_cost, each.max_queued_cost, each.max_queued_requests) for each in classes
         ]
         pools = self._make_pools(classes)
         self._pools = pools
@@ -184,22 +197,22 @@
         self._budgets = [RetryBudget(settings.retry_ratio, settings.retry_burst) for _ in classes]
         self.rejections = RejectionHistory(2 * settings.max_retry_after_ms, MAX_REMEMBERED_REJECTIONS)
         self.shedder = LoadShedder(
-            [one.value for one in classes], settings.shed_rise_ms, settings.shed_fall_ms
+            [each.value for each in classes], settings.shed_rise_ms, settings.shed_fall_ms
         )
         self._expiries: list[tuple[float, int, AdmissionRequest]] = []  # a heap by `serve_by`
         self._expiry_number = 0
 
     def _make_pools(self, classes: list[ClassSettings]) -> list[EnginePool]:
-        names = dict.fromkeys(one.pool for one in classes)
+        names = dict.fromkeys(each.pool for each in classes)
         return [
             EnginePool(
-                [number for number, one in enumerate(classes) if one.pool == name], classes, self.queues
+                [number for number, each in enumerate(classes) if each.pool == name], classes, self.queues
             )
             for name in names
         ]
 
     def arrived(self, now: float, request: AdmissionRequest) -> AdmissionResult:
-        """A request has come: it is admitted, queued or rejected, and may displace others."""
+        """A request has arrived: it is admitted, queued or rejected, and may displace others."""
         result = AdmissionResult()
         reason = self._reason_to_reject(now, request)
         if reason is not None:
@@ -223,7 +236,7 @@
     ) -> AdmissionResult:
         """An admitted request has its final answer, or its client has disconnected.
 
-        `elapsed_ms` is the time since its admission; `accepted` is false where the engines rejected it.
+        `elapsed_ms` is the time since its admission; `accepted` is false if the engines rejected it.
         """
         result = AdmissionResult()
         if request.state is RequestState.ADMITTED:
@@ -234,26 +247,26 @@
         return result
 
     def client_disconnected(self, request: AdmissionRequest) -> None:
-        """Removes a request from its queue, if it waits there."""
+        """Removes a queued request from its queue."""
         if request.state is RequestState.QUEUED:
             self._dequeue(request)
             request.state = RequestState.ENDED
 
     def may_retry(self, request_class: int) -> bool:
-        """Whether a failed part may be sent again: it takes from the retry budget like any other retry."""
+        """Whether a failed batch may be sent again; it takes from the retry budget like a client's retry."""
         is_idle = self._pool_of[request_class].is_idle_for(0.0)
         return is_idle or self._budgets[request_class].try_retry()
 
     def sheds(self, request_class: int) -> bool:
-        """Whether the gateway's own shortage rejects a request that is not queued here otherwise: chat."""
+        """Whether load shedding rejects a request; for chat, whose requests are not queued here."""
         return self.shedder.sheds(request_class, self._random.share())
 
     def update_pressure(self, now: float, pressure: Pressure) -> None:
-        """To be called regularly; see `LoadShedder.update`."""
+        """Must be called regularly; see `LoadShedder.update`."""
         self.shedder.update(now, pressure)
 
     def tick(self, now: float) -> AdmissionResult:
-        """Rejects what has waited too long, and admits what may go by now."""
+        """Rejects queued requests that have waited too long, and admits others."""
         result = AdmissionResult()
         while self._expiries and (self._expiries[0][0] <= now or not self._first_expiry_is_queued()):
             request = heapq.heappop(self._expiries)[2]
@@ -274,7 +287,7 @@
         return self._expiries[0][2].state is RequestState.QUEUED
 
     def _reason_to_reject(self, now: float, request: AdmissionRequest) -> RejectReason | None:
-        """The first check that a new request does not pass."""
+        """The reason of the first check that a new request fails; None if it passes all."""
         if self.sheds(request.request_class):
             return RejectReason.GATEWAY_OVERLOADED
         request.is_retry = request.is_retry or self.rejections.contains(now, request.content_hash)
@@ -286,10 +299,10 @@
         return None
 
     def _within_retry_budget(self, request: AdmissionRequest) -> bool:
-        """Whether a retry has a token, or needs none.
+        """Whether a request needs no token of the retry budget, or gets one.
 
-        Failure: engines stand idle while callers that were rejected once are rejected again and again.  A
-        retry does harm only where others wait, so one that could be sent at once needs no token.
+        Failure: engines are idle while callers that were rejected once are rejected again and again.  A retry
+        does harm only if other requests wait, so one that could be sent at once needs no token.
         """
         budget = self._budgets[request.request_class]
         if not request.is_retry:
@@ -298,7 +311,7 @@
         return self._pool_of[request.request_class].is_idle_for(request.cost) or budget.try_retry()
 
     def _admit(self, now: float, result: AdmissionResult, pool: EnginePool) -> None:
-        """Admits queued requests as far as the limit allows, and rejects those that would end too late."""
+        """Admits queued requests as far as the limit allows; rejects those that would end too late."""
         while (request := pool.next_request()) is not None:
             expected_ms = pool.limit.expected_latency_ms(now, request.cost)
             if now + expected_ms / MAX_SHARE_OF_TIME_LEFT > request.serve_by:
--- a/worksmux/admission/fair_queue.py
+++ b/worksmux/admission/fair_queue.py
@@ -1,12 +1,11 @@
 """Fair queues served by deficit round robin: each flow gets its share of the service by cost.
 
-Source: Shreedhar and Varghese, "Efficient Fair Queuing using Deficit Round Robin" (1995).  A flow with items
-gets a quantum in each round, times its weight, and is served while its deficit pays.  No flow's service falls
-behind its ideal share by more than one quantum and one largest item.  Taking the next item costs O(1), as the
-quantum is at least the largest item, so that each visit serves one.
+Source: Shreedhar and Varghese, "Efficient Fair Queuing using Deficit Round Robin" (1995).  In each round a
+flow with items gets a quantum times its weight, and is served while its deficit covers the next item.  No
+flow falls behind its ideal share by more than one quantum and one largest item.  Taking the next item costs
+O(1), because the quantum is at least the largest item, so each visit serves one.
 
-A full queue makes room at the expense of the flow with the most waiting, so a flood displaces its own items
-and nobody else's.
+A full queue displaces items of the flow with the most queued cost, so a flood displaces only its own items.
 """
 
 from __future__ import annotations
@@ -19,14 +18,14 @@
 
 T = TypeVar("T")
 
-MAX_HEAP_ENTRIES_PER_FLOW = 4  # beyond it, and the spare ones, the heap is built anew
+MAX_HEAP_ENTRIES_PER_FLOW = 4  # the heap is rebuilt beyond this and the spare ones
 SPARE_HEAP_ENTRIES = 64
-RELATIVE_TOLERANCE = 1e-9  # of sums of fractions
+RELATIVE_TOLERANCE = 1e-9  # for rounding errors in sums
 
 
 @dataclass(eq=False, slots=True)
 class QueuedItem(Generic[T]):
-    """An item and its cost; `removed` once it was taken or removed, and is to be passed over."""
+    """An item and its cost; `removed` items have left the queue and are skipped."""
 
     item: T
     cost: float
@@ -34,7 +33,7 @@
 
 
 class PutResult(NamedTuple, Generic[T]):
-    """`queued` is None where the item was rejected; `displaced` are items that were removed for it."""
+    """`queued` is None if the item was rejected; `displaced` are the items removed to make room for it."""
 
     queued: QueuedItem[T] | None
     displaced: list[T]
@@ -42,7 +41,7 @@
 
 @dataclass(eq=False, slots=True)
 class Flow(Generic[T]):
-    """The items of one key, in the order of their arrival."""
+    """The items of one key in order of arrival."""
 
     key: Hashable
     weight: float = 1.0
@@ -50,38 +49,39 @@
     items: deque[QueuedItem[T]] = field(default_factory=deque)
     cost: float = 0.0  # of the items that are not removed
     count: int = 0  # of the items that are not removed
-    gets_quantum: bool = True  # at its next visit: its last one is over
+    gets_quantum: bool = True  # at its next visit, since its last one is over
 
     @property
     def weighted_cost(self) -> float:
+        """The queued cost per weight."""
         return self.cost / self.weight
 
     def drop_removed_head(self) -> QueuedItem[T]:
-        """The first item that is not removed; there must be one."""
+        """Drops removed items at the head; returns the first other item, which must exist."""
         while self.items[0].removed:
             self.items.popleft()
         return self.items[0]
 
     def drop_removed_tail(self) -> QueuedItem[T]:
-        """The last item that is not removed; there must be one."""
+        """Drops removed items at the tail; returns the last other item, which must exist."""
         while self.items[-1].removed:
             self.items.pop()
         return self.items[-1]
 
 
 class FairQueue(Generic[T]):
-    """A queue of many flows, bounded by the cost and the count of what waits."""
+    """A queue of many flows with limits on the cost and the number of queued items."""
 
     def __init__(self, quantum: float, max_cost: float, max_items: int) -> None:
         self.quantum, self.max_cost, self.max_items = quantum, max_cost, max_items
         self.flows: dict[Hashable, Flow[T]] = {}  # those with items
         self.cost, self.count = 0.0, 0
-        self._round: OrderedDict[Hashable, None] = OrderedDict()  # the flow that is served comes first
-        self._heaviest_heap: list[tuple[float, int, Hashable]] = []  # entries are checked when used
+        self._round: OrderedDict[Hashable, None] = OrderedDict()  # the flow that is served next comes first
+        self._heaviest_heap: list[tuple[float, int, Hashable]] = []  # entries may be outdated
         self._heap_number = 0
 
     def put(self, key: Hashable, item: T, cost: float, weight: float = 1.0) -> PutResult[T]:
-        """Adds an item to the flow of `key`; rejects it where that flow itself has the most waiting."""
+        """Adds an item to the flow of `key`; rejects it if the queue is full and its flow is the heaviest."""
         displaced: list[T] = []
         own = self.flows.get(key)
         while self.cost + cost > self.max_cost or self.count >= self.max_items:
@@ -102,22 +102,22 @@
         return PutResult(queued, displaced)
 
     def remove(self, key: Hashable, queued: QueuedItem[T]) -> None:
-        """Removes an item, wherever it stands."""
+        """Removes an item at any position."""
         flow = self.flows.get(key)
         if flow is not None and not queued.removed:
             queued.removed = True
             self._add(flow, -queued.cost, -1)
 
     def pop_if(self, allows: Callable[[float], bool]) -> T | None:
-        """Takes the next item if `allows` its cost; None where nothing waits or it may not go yet.
+        """Takes the next item if `allows` accepts its cost; None if the queue is empty or the item must wait.
 
-        The next item keeps its turn where it may not go: else large items would starve behind small ones.
+        An item that must wait stays the next one; otherwise small items would starve large ones.
         """
         head = self.peek()
         return self.pop() if head is not None and allows(head.cost) else None
 
     def peek(self) -> QueuedItem[T] | None:
-        """The next item; it stays the next until it is taken or removed."""
+        """The next item; it stays the next one until it is taken or removed."""
         while self._round:
             key = next(iter(self._round))
             flow = self.flows[key]
@@ -144,14 +144,14 @@
         return head.item
 
     def cost_ahead(self, key: Hashable, cost: float, weight: float = 1.0) -> float:
-        """About the cost served until an item that is put now has gone, with its own."""
+        """The approximate cost that is served until an item put now has been served, its own included."""
         own = self.flows.get(key)
         own_cost = (own.cost if own else 0.0) + cost
         flow_count = max(1, len(self.flows) + (own is None))
         return min(self.cost + cost, own_cost / weight * flow_count)
 
     def _add(self, flow: Flow[T], cost: float, count: int) -> None:
-        """Adds to the sums of a flow and of the queue; negative for what leaves."""
+        """Adds to the sums of a flow and of the queue; the arguments are negative for a removed item."""
         flow.cost, flow.count = max(0.0, flow.cost + cost), flow.count + count
         self.cost, self.count = max(0.0, self.cost + cost), self.count + count
         if cost > 0:
@@ -163,7 +163,7 @@
         if not flow.count:
             self.flows.pop(flow.key, None)
             self._round.pop(flow.key, None)
-        if not self.count:  # no rounding error is carried on
+        if not self.count:  # drops accumulated rounding errors
             self.cost = 0.0
 
     def _push_heavy(self, flow: Flow[T]) -> None:
@@ -177,21 +177,23 @@
         heapq.heapify(self._heaviest_heap)
 
     def _heaviest_flow(self) -> Flow[T] | None:
-        """The flow with the most waiting for its weight; outdated heap entries are corrected on the way."""
+        """The flow with the most queued cost per weight; replaces outdated heap entries that it meets."""
         while self._heaviest_heap:
             negative_cost, _, key = self._heaviest_heap[0]
-            noted = -negative_cost
+            recorded_cost = -negative_cost
             flow = self.flows.get(key)
-            if flow is not None and abs(noted - flow.weighted_cost) <= RELATIVE_TOLERANCE * (1 + noted):
+            if flow is not None and abs(recorded_cost - flow.weighted_cost) <= RELATIVE_TOLERANCE * (
+                1 + recorded_cost
+            ):
                 return flow
             heapq.heappop(self._heaviest_heap)
-            if flow is not None and noted > flow.weighted_cost:
+            if flow is not None and recorded_cost > flow.weighted_cost:
                 self._push_heavy(flow)
         return None
 
 
 class DeficitRoundRobin(Generic[T]):
-    """Several fair queues served from one capacity, in shares by their weights; see `FairQueue`."""
+    """Fair queues that share one capacity in proportion to their weights; see `FairQueue`."""
 
     def __init__(self, queues: list[FairQueue[T]], weights: list[float], quantum: float) -> None:
         self.queues, self.weights, self.quantum = queues, weights, quantum
@@ -200,12 +202,12 @@
         self._gets_quantum = True
 
     def pop_if(self, allows: Callable[[float], bool]) -> T | None:
-        """Takes the next item of all queues; None where nothing waits or the next may not go yet."""
+        """Takes the next item of all queues; None if all are empty or the item must wait."""
         for _ in range(len(self.queues) * self._max_rounds()):
             queue, current = self.queues[self._current], self._current
             head = queue.peek()
             if head is None:
-                self._deficits[current] = 0.0  # an empty queue saves nothing
+                self._deficits[current] = 0.0  # an empty queue keeps no deficit
             else:
                 if self._gets_quantum:
                     self._deficits[current] += self.quantum * self.weights[current]
@@ -220,7 +222,7 @@
         return None
 
     def _max_rounds(self) -> int:
-        """Rounds after which even the queue of the least weight has saved up for its next item."""
+        """The number of rounds after which the deficit of each queue covers its next item."""
         heads = [
             head.cost / weight
             for queue, weight in zip(self.queues, self.weights, strict=True)
--- a/worksmux/admission/overload.py
+++ b/worksmux/admission/overload.py
@@ -1,9 +1,10 @@
-"""Load shedding by the gateway's own shortage: a lagging event loop, or too many sockets or too much memory.
+"""Load shedding by the gateway's own resources: event loop lag, sockets and memory.
 
-Pressure is the worst of three ratios to their bounds.  The shedding level rises while pressure is over 1
-and falls, more slowly, once it is well under it.  The level counts the request classes that are shed: those
-of the least value first, each by degrees, and the most valuable one never wholly.  It rises as fast as a
-lagging loop does harm, and falls so slowly that what was shed does not come back all at once.
+Pressure is the highest of three ratios to their limits.  The shedding level rises while pressure is above 1
+and falls, more slowly, when pressure is well below 1.  The level is the number of request classes that are
+shed, with fractions: the least valuable classes first, each one gradually, and the most valuable one never
+completely.  The level rises as fast as a lagging loop does harm, and falls so slowly that the shed load does
+not return all at once.
 """
 
 from __future__ import annotations
@@ -12,13 +13,13 @@
 
 RAISE_ABOVE = 1.0  # pressure
 LOWER_BELOW = 0.7  # pressure
-MAX_EXCESS = 4.0  # pressure above the bound that still speeds up the rise
+MAX_EXCESS = 4.0  # pressure above RAISE_ABOVE; more does not speed up the rise
 MAX_SHED_OF_MOST_VALUABLE = 0.5  # share of its requests
 
 
 @dataclass(frozen=True, slots=True)
 class Pressure:
-    """The gateway's use of its resources, each as a ratio to its bound."""
+    """The gateway's use of its resources, each as a ratio to its limit."""
 
     lag: float = 0.0
     sockets: float = 0.0
@@ -26,6 +27,7 @@
 
     @property
     def worst(self) -> float:
+        """The highest of the ratios."""
         return max(self.lag, self.sockets, self.memory)
 
 
@@ -33,9 +35,9 @@
     """Decides which share of each request class is shed.
 
     Args:
-        values: the credit for a unit of cost, by request class.
-        rise_ms: the time in which one class comes to be shed wholly, at twice the bound.
-        fall_ms: the time in which it is accepted again.
+        values: the credit per unit of cost, by request class.
+        rise_ms: the time in which one class is shed completely, at twice the limit.
+        fall_ms: the time in which one class is fully accepted again.
     """
 
     def __init__(self, values: list[float], rise_ms: float, fall_ms: float) -> None:
@@ -44,10 +46,10 @@
         self._max_level = len(values) - 1 + MAX_SHED_OF_MOST_VALUABLE
         self._rise_ms, self._fall_ms = rise_ms, fall_ms
         self._updated_at: float | None = None
-        self.level = 0.0  # request classes that are shed, with fractions
+        self.level = 0.0  # number of request classes that are shed, with fractions
 
     def update(self, now: float, pressure: Pressure) -> None:
-        """Moves the level by the time since the last call; to be called regularly."""
+        """Adjusts the level by the time since the last call; must be called regularly."""
         elapsed_ms = 0.0 if self._updated_at is None else max(0.0, now - self._updated_at)
         self._updated_at = now
         worst = pressure.worst
--- a/worksmux/net/__init__.py
+++ b/worksmux/net/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 on Twisted: a pooled client and a bounded server.  No decisions about requests are taken here."""
+"""HTTP/1.1 on Twisted: a client with connection pools and a server with limits.  Holds no routing logic."""
--- a/worksmux/net/buffered_response.py
+++ b/worksmux/net/buffered_response.py
@@ -1,4 +1,4 @@
-"""Gathers a whole response in memory, for callers that don't stream."""
+"""Collects a complete response in memory, for callers that do not stream."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class ResponseCallback(Protocol):
-    """Called once as a call ends; `trouble` is None after a complete response."""
+    """A function that is called once, when a call ends; `error` is None after a complete response."""
 
     def __call__(
-        self, status: int, headers: dict[str, str], body: bytes, trouble: CallError | None, /
+        self, status: int, headers: dict[str, str], body: bytes, error: CallError | None, /
     ) -> None: ...
 
 
 class BufferedResponse:
-    """A `ResponseReceiver` that keeps up to `max_body_bytes` and hands them to `on_end`.
+    """A `ResponseReceiver` that keeps a body of up to `max_body_bytes` and passes it to `on_end`.
 
-    A longer body is read to its end and discarded; the call then fails with `MalformedResponseError`.
+    A longer body is read to its end and discarded, and the call fails with `MalformedResponseError`.
     """
 
     def __init__(self, max_body_bytes: int, on_end: ResponseCallback) -> None:
@@ -30,19 +30,23 @@
         self.body = bytearray()
 
     def head_received(self, status: int, headers: dict[str, str]) -> None:
+        """See `ResponseReceiver`."""
         self._status, self._headers = status, headers
 
     def body_received(self, data: bytes) -> None:
+        """See `ResponseReceiver`."""
         if self._too_long or len(self.body) + len(data) > self._max_body_bytes:
             self._too_long = True
         else:
             self.body += data
 
     def done(self) -> None:
-        self._end(MalformedResponseError("the reply is too long") if self._too_long else None)
+        """See `ResponseReceiver`."""
+        self._end(MalformedResponseError("the response body is too long") if self._too_long else None)
 
-    def failed(self, trouble: CallError) -> None:
-        self._end(trouble)
+    def failed(self, error: CallError) -> None:
+        """See `ResponseReceiver`."""
+        self._end(error)
 
-    def _end(self, trouble: CallError | None) -> None:
-        self._on_end(self._status, self._headers, bytes(self.body), trouble)
+    def _end(self, error: CallError | None) -> None:
+        self._on_end(self._status, self._headers, bytes(self.body), error)
--- a/worksmux/net/channel.py
+++ b/worksmux/net/channel.py
@@ -1,4 +1,5 @@
-"""A client's connection at the server: Twisted's HTTPChannel with bounds, and an end that loses no answer."""
+"""The server side of a client's connection: Twisted's HTTPChannel with limits, closed without loss of an
+answer."""
 
 from __future__ import annotations
 
@@ -12,9 +13,9 @@
 from .exchange import MAX_BODY_OVERRUN
 
 MAX_HEADERS = 100
-MAX_BYTES_BEHIND = 2**16  # kept of what a client sends behind a request that waits for its answer
-FIRST_DATA_MS = 20.0  # after a connection's start: data read then may have come together with it
-CLOSE_TIMEOUT_MS = 1000.0  # for a client to end its side after the server has ended its own
+MAX_PIPELINED_BYTES = 2**16  # received after a request that waits for its answer
+FIRST_DATA_MS = 20.0  # data read so soon after the start of a connection may have arrived with it
+CLOSE_TIMEOUT_MS = 1000.0  # for a client to close its side after the server has closed its own
 
 # Eviction ranks: the highest is closed first.
 RANK_IN_USE = 0
@@ -25,23 +26,24 @@
 
 
 class Channel(http.HTTPChannel):
-    """One connection.  The head's bound counts all of its lines.
+    """One connection.  The limit of a request's head is on the sum of its lines.
 
-    Failure: after a fault within a head, Twisted's channel goes on with what follows in the same piece, and
-    takes it for the rest of a good request.  `discarding` is set with the refusal and checked at each entry.
+    Failure: after an error in a head, Twisted's channel goes on to parse the rest of the received data, and
+    takes it for the end of a valid request.  `discarding` is set with the error response, and each method
+    that Twisted calls with data checks it.
     """
 
     maxHeaders = MAX_HEADERS
-    # Failure: Twisted stops reading from a client that has sent this much behind its request, so that a close
-    # behind it would never be seen.  `MAX_BYTES_BEHIND` bounds the memory instead.
+    # Failure: Twisted stops reading from a client that has sent this much after its request, so the close of
+    # the connection is never seen.  `MAX_PIPELINED_BYTES` limits the memory instead.
     _optimisticEagerReadSize = 2**30
 
-    discarding = False  # refused or ended: what still comes is thrown away
-    closing = False  # this side has ended
-    truncated = False  # ended by `Exchange.truncate`: what was not sent need not be
-    bytes_behind = 0  # received behind the request that is open
-    busy = False  # a whole request waits for its answer
-    receiving = False  # a part of a request has come
+    discarding = False  # rejected or closed: data that still arrives is discarded
+    closing = False  # this side is closed
+    truncated = False  # closed by `Exchange.truncate`: data not yet sent need not be
+    pipelined_bytes = 0  # received after the open request
+    busy = False  # a complete request waits for its answer
+    receiving = False  # a part of a request has arrived
     has_answered = False  # a request was answered on this connection
 
     @property
@@ -49,25 +51,28 @@
         return self.transport
 
     def connectionMade(self) -> None:
+        """Sets the limits of the connection and registers it with the server."""
         super().connectionMade()
-        self.since_ms = clock.now()  # start of the present state: silent, receiving, idle or closing
+        self.since_ms = clock.now()  # start of the current state: silent, receiving, idle or closing
         self.earliest_arrival_ms = self.since_ms - self.factory.lateness_ms()
         self.totalHeadersSize = self.factory.max_head_bytes
         self.MAX_LENGTH = self.factory.max_head_bytes
         self.factory.connection_made(self)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """Removes the connection from the server."""
         self.factory.channels.pop(self, None)
         super().connectionLost(reason)
 
     def dataReceived(self, data: bytes) -> None:
+        """Passes data to Twisted, unless the connection is closing or the client pipelines too much."""
         now = clock.now()
         if self.has_answered or now - self.since_ms > FIRST_DATA_MS:
             self.earliest_arrival_ms = now - self.factory.lateness_ms()
         if self.busy or self.discarding:
-            self.bytes_behind += len(data)
-        if self.bytes_behind > MAX_BYTES_BEHIND:
-            self._discard_behind()
+            self.pipelined_bytes += len(data)
+        if self.pipelined_bytes > MAX_PIPELINED_BYTES:
+            self._limit_pipelining()
             return
         if self.discarding:
             return
@@ -75,34 +80,36 @@
             self._start_receiving()
         super().dataReceived(data)
 
-    def _discard_behind(self) -> None:
-        """Too much has come behind the open request: the connection ends with its answer, or at once."""
+    def _limit_pipelining(self) -> None:
+        """Closes the connection with the answer, or at once: the client sent too much after its request."""
         self.persistent = False
-        if self.bytes_behind > MAX_BODY_OVERRUN * self.factory.max_body_bytes:
+        if self.pipelined_bytes > MAX_BODY_OVERRUN * self.factory.max_body_bytes:
             self._tcp.abortConnection()
 
     def _start_receiving(self) -> None:
+        """The first data of a request has arrived."""
         self.receiving = True
-        if self.has_answered:  # the time for the first request runs from the connection's start
+        if self.has_answered:  # the first request's time limit runs from the start of the connection
             self.since_ms = clock.now()
         self.factory.evictions.update(self)
 
     def refuse(self, status: bytes = b"400 Bad Request") -> None:
-        """Answers a request that can't be read, and closes; nothing after it is read."""
+        """Answers a request that cannot be parsed, and closes; nothing after it is parsed."""
         if not self.discarding:
             self._tcp.write(b"HTTP/1.1 " + status + b"\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
             self.loseConnection()
 
     def loseConnection(self) -> None:
-        """Ends this side, and reads and discards until the client has ended its own.
+        """Closes this side, and reads and discards data until the client has closed its own.
 
-        Failure: closing a socket that holds unread bytes, such as a request that crosses the close, resets
-        the connection, and an answer on its way to the client is lost.  Reading on leaves none unread.
+        Failure: closing a socket with unread data, such as a request that was sent before the client saw the
+        close, resets the connection, and an answer on its way to the client is lost.  Reading on leaves no
+        data unread.
         """
         if self.closing:
             return
         self.discarding = self.closing = True
-        self.since_ms, self.bytes_behind = clock.now(), 0
+        self.since_ms, self.pipelined_bytes = clock.now(), 0
         self.factory.evictions.update(self)
         self.setTimeout(CLOSE_TIMEOUT_MS / 1000)
         self._tcp.unregisterProducer()
@@ -111,11 +118,12 @@
 
     @property
     def answer_unsent(self) -> bool:
-        """Whether this side has ended and an answer still waits for the client to read it."""
+        """Whether this side is closed and an answer still waits for the client to read it."""
         return self.closing and not self.truncated and not self._tcp._writeDisconnected
 
     def timeoutConnection(self) -> None:
-        if self.answer_unsent:  # a slow client would find its answer cut off
+        """Aborts a connection whose client does not close its side, unless an answer is unsent."""
+        if self.answer_unsent:  # a slow client would get a truncated answer
             self.setTimeout(CLOSE_TIMEOUT_MS / 1000)
         elif self.closing:
             self._tcp.abortConnection()
@@ -126,42 +134,50 @@
         self.refuse()
 
     def lineLengthExceeded(self, line: bytes) -> None:
+        """Rejects a request with a line that is too long."""
         self.refuse()
 
     def lineReceived(self, line: bytes) -> None:
+        """Ignores lines after an error."""
         if not self.discarding:
             super().lineReceived(line)
 
     def headerReceived(self, line: bytes) -> bool:
+        """Ignores headers after an error."""
         return not self.discarding and bool(super().headerReceived(line))
 
     def allHeadersReceived(self) -> None:
+        """Ignores the end of a head after an error."""
         if not self.discarding:
             super().allHeadersReceived()
 
     def rawDataReceived(self, data: bytes) -> None:
+        """Ignores body data after an error."""
         if not self.discarding:
             super().rawDataReceived(data)
 
     def allContentReceived(self) -> None:
+        """Marks the request as complete."""
         if not self.discarding:
             self.busy, self.receiving = True, False
             super().allContentReceived()
 
     def checkPersistence(self, request: http.Request, version: bytes) -> bool:
+        """Ends keep-alive while the server is closing."""
         if self.factory.closing:
             request.responseHeaders.setRawHeaders(b"Connection", [b"close"])
             return False
         return bool(super().checkPersistence(request, version))
 
     def requestDone(self, request: http.Request) -> None:
+        """Marks the request as answered."""
         self.busy, self.has_answered = False, True
-        self.since_ms, self.bytes_behind = clock.now(), 0
+        self.since_ms, self.pipelined_bytes = clock.now(), 0
         self.factory.evictions.update(self)
         super().requestDone(request)
 
     def eviction_rank(self) -> int:
-        """See `Evictable`: closing connections go first, then silent, idle and slow ones."""
+        """See `Evictable`: closing connections are evicted first, then silent, idle and receiving ones."""
         if self.closing:
             return RANK_IDLE if self.answer_unsent else RANK_CLOSING
         if self.busy:
--- a/worksmux/net/client.py
+++ b/worksmux/net/client.py
@@ -1,7 +1,7 @@
-"""The HTTP/1.1 client: a pool of connections to one address, and the calls that it makes.
+"""The HTTP/1.1 client: a pool of connections to one address, and the calls on them.
 
-A call that fails says whether its request may have been executed; see `errors`.  Bytes that still lie in the
-transport's buffer have not been sent.
+The error of a failed call tells whether its request may have been executed; see `errors`.  Bytes in the
+transport's buffer count as not sent.
 """
 
 from __future__ import annotations
@@ -49,10 +49,10 @@
 
 
 class Call:
-    """A request that waits for its connection or is out, as a `ResponseReceiver` in front of its own.
+    """One request and its response; passes the response to `receiver` until the call is over.
 
-    `on_connected` is called as the connection comes up, just before the request is written: the last moment
-    to abandon it, or to set `is_held_back`, after which it is written only by `send_held`.
+    `on_connected` is called when the connection is established, just before the request is written.  It may
+    abandon the call, or set `is_held_back`, after which only `send_held` writes the request.
     """
 
     def __init__(self, data: bytes, receiver: ResponseReceiver) -> None:
@@ -63,21 +63,21 @@
         self.is_held_back = False
         self.over = False
         self.started_ms = clock.now()
-        self._reserved: _NewConnection | None = None  # its connection, while it is held back
+        self._reserved: _NewConnection | None = None  # the connection of a call that is held back
         self._connect_timeout: TimeOut | None = None
 
     def connect(self, pool: Pool) -> None:
         """Opens a new connection for this call."""
         self._connect_timeout = TimeOut(pool.reactor, pool.connect_timeout_ms / 1000, self._connect_timed_out)
-        # Without Twisted's own timeout: it is called before the reactor reads that a connection is up.
+        # Not Twisted's own timeout, which a late reactor runs before it sees an established connection.
         self.connector = pool.reactor.connectTCP(pool.host, pool.port, _Connecting(pool, self), timeout=None)  # type: ignore[arg-type]
 
     def _connect_timed_out(self) -> None:
-        self.failed(NotSentError("no connection came up in time"))
+        self.failed(NotSentError("the connection was not established in time"))
         self.connector.disconnect()
 
     def connected(self, connection: _NewConnection) -> None:
-        """Writes the request, holds it back, or returns the connection where the call is over."""
+        """Writes the request, holds it back, or returns the connection to the pool if the call is over."""
         self._cancel_connect_timeout()
         if not self.over and self.on_connected is not None:
             self.on_connected()
@@ -89,13 +89,13 @@
             self.send_on(connection)
 
     def send_held(self) -> None:
-        """Writes a request that was held back."""
+        """Writes the request of a call that was held back."""
         connection, self._reserved, self.is_held_back = self._reserved, None, False
         if connection is not None and not self.over:
             self.send_on(connection)
 
     def send_on(self, connection: Connection) -> None:
-        """Writes the request on a connection that is up."""
+        """Writes the request on an established connection."""
         self.connection = connection
         connection.send(self.data, self)
 
@@ -105,16 +105,16 @@
 
     @property
     def is_connected(self) -> bool:
-        """Whether its connection is up: until then nothing of the request has arrived anywhere."""
+        """Whether the request has a connection: before that no byte of it can have arrived."""
         return self.connection is not None
 
     @property
     def written(self) -> bool:
-        """Whether its last byte has left: from then on the remote side may execute it."""
+        """Whether the request's last byte has left: from then on the remote side may execute it."""
         return self.connection is not None and self.connection.request_written
 
     def abandon(self) -> None:
-        """Ends the call at any moment, without a word to its receiver."""
+        """Ends the call at any time, without calling its receiver."""
         if self.over:
             return
         self.over = True
@@ -128,23 +128,27 @@
             self.connector.disconnect()
 
     def head_received(self, status: int, headers: dict[str, str]) -> None:
+        """See `ResponseReceiver`."""
         if not self.over:
             self.receiver.head_received(status, headers)
 
     def body_received(self, data: bytes) -> None:
+        """See `ResponseReceiver`."""
         if not self.over:
             self.receiver.body_received(data)
 
     def done(self) -> None:
+        """See `ResponseReceiver`."""
         if not self.over:
             self.over = True
             self.receiver.done()
 
-    def failed(self, trouble: CallError) -> None:
+    def failed(self, error: CallError) -> None:
+        """See `ResponseReceiver`."""
         if not self.over:
             self.over = True
             self._cancel_connect_timeout()
-            self.receiver.failed(trouble)
+            self.receiver.failed(error)
 
 
 class _Connecting(ClientFactory):
@@ -166,7 +170,7 @@
 
 
 class _NewConnection(Connection):
-    """A connection whose first call waits for it to come up."""
+    """A connection that is established for a call, its first one."""
 
     def __init__(self, pool: Pool, call: Call) -> None:
         super().__init__(pool)
@@ -180,19 +184,19 @@
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         super().connectionLost(reason)
         call, self._first_call = self._first_call, None
-        if call is not None and call.is_held_back:  # nothing of it was written
-            call.failed(NotSentError("the connection ended before the call was written"))
+        if call is not None and call.is_held_back:  # no byte of it was written
+            call.failed(NotSentError("the connection ended before the request was written"))
 
     def return_unused(self) -> None:
-        """Its call was abandoned before anything was written."""
+        """Returns the connection to the pool: its call was abandoned before anything was written."""
         self.pool.release(self)
 
 
 class Pool:
     """Connections to one address; an idle one is closed after `keep_alive_ms`.
 
-    The connection that was used last is used first, so that the others age and are closed.  The bounds may be
-    changed at any time and hold from the next use on.
+    The connection used last is used next, so that the others time out.  The limits may be changed at any
+    time and apply from the next use on.
     """
 
     def __init__(
@@ -207,13 +211,13 @@
         max_chunk_bytes: int = DEFAULT_MAX_CHUNK_BYTES,
         name: str = "",
     ) -> None:
-        """`max_idle`: connections, 0 for none; `name`: the Host header, in place of the address."""
+        """`max_idle` counts connections, 0 for none; `name` is the Host header, the address by default."""
         self.reactor, self.host, self.port = reactor, host, port
         self.connect_timeout_ms, self.keep_alive_ms = connect_timeout_ms, keep_alive_ms
         self.max_idle = max_idle
         self.max_head_bytes, self.max_chunk_bytes = max_head_bytes, max_chunk_bytes
         self.on_response: Callable[[], None] | None = None  # called with the head of each response
-        self.latest_answered_start_ms = 0.0  # start of the newest call that brought a response
+        self.latest_answered_start_ms = 0.0  # start of the latest call that got a response
         self.name = name or f"{host}:{port}"
         self.idle: deque[Connection] = deque()
         self.open: dict[Connection, None] = {}
@@ -221,12 +225,12 @@
     def call(
         self, method: str, path: str, receiver: ResponseReceiver, headers: Headers = (), body: bytes = b""
     ) -> Call:
-        """Sends one request; the response goes to `receiver`, never before this returns."""
+        """Sends one request; its response is passed to `receiver`, but not before this returns."""
         call = Call(encode_request(method, path, self.name, headers, body), receiver)
         self.sweep()
         while self.idle:
             connection = self.idle.pop()
-            if connection.is_quiet():
+            if connection.has_no_unread_data():
                 call.send_on(connection)
                 return call
             connection.drop()
@@ -234,13 +238,13 @@
         return call
 
     def sweep(self) -> None:
-        """Closes the connections that have been idle for too long."""
+        """Closes connections that have been idle for `keep_alive_ms`."""
         now = clock.now()
         while self.idle and now - self.idle[0].idle_since_ms > self.keep_alive_ms:
             self.idle.popleft().drop()
 
     def close(self) -> None:
-        """Closes the idle connections; those with a call out finish it."""
+        """Closes the idle connections; the others finish their calls."""
         while self.idle:
             self.idle.popleft().drop()
 
@@ -252,10 +256,10 @@
             self.latest_answered_start_ms = max(self.latest_answered_start_ms, receiver.started_ms)
 
     def release(self, connection: Connection) -> None:
-        """Makes a connection idle after the reactor has read it once more.
+        """Makes a connection idle after the reactor has read from it once more.
 
-        Failure: a second response right behind the first would be taken by the next call for its own, and a
-        client would read another client's answer.  One more read finds it, and the connection is closed.
+        Failure: an engine sends a second response right after the first; the next call takes it for its own,
+        and a client gets the answer of another.  One more read finds the data, and the connection is closed.
         """
         if not self.max_idle:
             return connection.drop()
--- a/worksmux/net/clock.py
+++ b/worksmux/net/clock.py
@@ -6,10 +6,10 @@
 
 
 def now() -> float:
-    """Monotonic milliseconds.  All processes of one machine share this clock, so their records compare."""
+    """Monotonic milliseconds.  All processes of a machine share this clock, so their records compare."""
     return time.monotonic() * 1000
 
 
 def wall() -> float:
-    """Milliseconds since 1970, for what is exchanged with other machines; it may be set back."""
+    """Milliseconds since 1970, for times that are sent to other machines; this clock may be set back."""
     return time.time() * 1000
--- a/worksmux/net/connection.py
+++ b/worksmux/net/connection.py
@@ -1,7 +1,7 @@
-"""One HTTP/1.1 client connection (RFC 9112) that carries one request at a time.
+"""One HTTP/1.1 client connection (RFC 9112) with one request at a time.
 
-Lines, the head, chunks and the time in which a connection comes up are bounded.  Bytes after the end of a
-response close the connection and harm no call.
+The lengths of lines, heads and chunks and the time to connect are limited.  Data after the end of a response
+closes the connection and affects no call.
 """
 
 from __future__ import annotations
@@ -19,40 +19,45 @@
 from .request_writer import RequestWriter
 from .response_parser import BodyEnd, add_header_line, body_framing, parse_chunk_size, parse_status_line
 
-FIRST_FINAL_STATUS = 200  # below it: 100 Continue and the like, and the response is still to come
+FIRST_FINAL_STATUS = 200  # lower ones, such as 100 Continue, come before the response
 SWITCHING_PROTOCOLS = 101
 
 
 class ResponseReceiver(Protocol):
-    """Takes a response: `head`, then any number of `piece`, then `done`; or `failed` at any moment."""
+    """Receives a response: `head_received`, any number of `body_received`, then `done`; or `failed` at any
+    time."""
 
-    def head_received(self, status: int, headers: dict[str, str]) -> None: ...
+    def head_received(self, status: int, headers: dict[str, str]) -> None:
+        """Takes the status and the headers, whose names are in lower case."""
 
-    def body_received(self, data: bytes) -> None: ...
+    def body_received(self, data: bytes) -> None:
+        """Takes the next bytes of the body."""
 
-    def done(self) -> None: ...
+    def done(self) -> None:
+        """The response is complete."""
 
-    def failed(self, trouble: CallError) -> None: ...
+    def failed(self, error: CallError) -> None:
+        """The call ends without a complete response."""
 
 
 class ConnectionOwner(Protocol):
-    """What a connection asks of the pool that it belongs to."""
+    """The pool of a connection, as far as the connection uses it."""
 
     max_head_bytes: int
     max_chunk_bytes: int
 
     def response_started(self, receiver: ResponseReceiver) -> None:
-        """The head of a final response has come."""
+        """The head of a final response has arrived."""
 
     def release(self, connection: Connection) -> None:
-        """The connection carries no call and may be used again."""
+        """The connection has no call and may be used again."""
 
     def forget(self, connection: Connection) -> None:
         """The connection ends."""
 
 
 class ReadState(Enum):
-    """What the next bytes are read as."""
+    """The part of a response that the next bytes belong to."""
 
     STATUS_LINE = auto()
     HEADERS = auto()
@@ -73,14 +78,14 @@
 
 
 class Connection(LineReceiver):
-    """Writes a request and hands its response, piece by piece, to the request's receiver."""
+    """Writes a request and passes its response to the receiver as it arrives."""
 
     delimiter = b"\r\n"
 
     def __init__(self, pool: ConnectionOwner) -> None:
         self.pool = pool
-        self.MAX_LENGTH = pool.max_head_bytes  # LineReceiver's bound of a line
-        self.receiver: ResponseReceiver | None = None  # None: no request is out
+        self.MAX_LENGTH = pool.max_head_bytes  # LineReceiver's limit of a line
+        self.receiver: ResponseReceiver | None = None  # None: no request is in flight
         self.idle_since_ms = 0.0
         self._head_bytes = 0
         self._writer: RequestWriter | None = None
@@ -100,15 +105,16 @@
     def send(self, data: bytes, receiver: ResponseReceiver) -> None:
         """Writes an encoded request."""
         self._expect_response()
-        self._head_bytes = 0  # of all heads of the response: those of 1xx could go on without end
+        self._head_bytes = 0  # of all heads of a response: the number of 1xx heads is not limited otherwise
         self.receiver = receiver
         self._writer = RequestWriter(self._tcp, data)
 
     def connectionMade(self) -> None:
+        """Disables the Nagle algorithm, so that short requests are sent at once."""
         self._tcp.setTcpNoDelay(True)
 
-    def is_quiet(self) -> bool:
-        """Whether the socket holds nothing that the reactor has not read yet: no close, no stray response."""
+    def has_no_unread_data(self) -> bool:
+        """Whether the socket has neither unread data nor a close that the reactor has not seen."""
         try:
             self._tcp.getHandle().recv(1, MSG_PEEK)
         except BlockingIOError:
@@ -123,13 +129,14 @@
         return self._writer is not None and self._writer.written
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """Ends the call: a body that ends with the connection is complete, any other is not."""
         self.pool.forget(self)
         if self.receiver and self._state is ReadState.BODY_UNTIL_CLOSE:
             self._finish()
         elif self.request_written:
-            self._fail(ConnectionBrokenError("the connection ended before the reply did"))
+            self._fail(ConnectionBrokenError("the connection ended before the response did"))
         else:
-            self._fail(NotSentError("the connection ended before the call was written"))
+            self._fail(NotSentError("the connection ended before the request was written"))
 
     def _fail(self, error: CallError) -> None:
         receiver, self.receiver = self.receiver, None
@@ -144,18 +151,20 @@
             self._tcp.abortConnection()
 
     def abandon(self) -> None:
-        """Ends the call without a word to its receiver: the remote side sees the connection close."""
+        """Ends the call without calling its receiver; the remote side sees the connection close."""
         self.receiver = None
         self.drop()
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        self._fail(MalformedResponseError("a line of the head is too long"))
+        """Fails the call."""
+        self._fail(MalformedResponseError("a line of the response is too long"))
 
     def lineReceived(self, line: bytes) -> None:
-        if self.receiver is None:  # bytes after the response's end, or without a request
+        """Parses a line of a head, a chunk size or a trailer."""
+        if self.receiver is None:  # data after the end of the response, or without a request
             return self.drop()
         if not self.request_written:
-            return self._fail(NotSentError("a reply came before the call was written"))
+            return self._fail(NotSentError("a response came before the request was written"))
         try:
             self._count_head_bytes(line)
             self._read_line(line)
@@ -167,7 +176,7 @@
             return
         self._head_bytes += len(line)
         if self._head_bytes > self.pool.max_head_bytes:
-            raise MalformedResponseError("the head is too long")
+            raise MalformedResponseError(f"the response head is longer than {self.pool.max_head_bytes} bytes")
 
     def _read_line(self, line: bytes) -> None:
         match self._state:
@@ -181,7 +190,7 @@
                 self._start_chunk(line)
             case ReadState.CHUNK_END:
                 if line:
-                    raise MalformedResponseError("a chunk is longer than it says")
+                    raise MalformedResponseError("a chunk is longer than its size line says")
                 self._state = ReadState.CHUNK_SIZE
             case ReadState.TRAILERS:
                 if not line:
@@ -196,7 +205,9 @@
     def _end_head(self) -> None:
         if self._status < FIRST_FINAL_STATUS:
             if self._status == SWITCHING_PROTOCOLS:
-                raise MalformedResponseError("an upgrade that was not asked for")
+                raise MalformedResponseError(
+                    f"unexpected status {SWITCHING_PROTOCOLS}: no upgrade was requested"
+                )
             return self._expect_response()
         assert self.receiver is not None
         self.pool.response_started(self.receiver)
@@ -206,7 +217,7 @@
         self._state = STATE_FOR_BODY[framing.end]
         self._bytes_left = framing.length
         self.receiver.head_received(self._status, self._headers)
-        if self.receiver is None:  # it abandoned the call
+        if self.receiver is None:  # the receiver abandoned the call
             return
         if self._state is ReadState.BODY and not self._bytes_left:
             self._finish()
@@ -216,7 +227,9 @@
     def _start_chunk(self, line: bytes) -> None:
         self._bytes_left = parse_chunk_size(line)
         if self._bytes_left > self.pool.max_chunk_bytes:
-            raise MalformedResponseError("a chunk is too long")
+            raise MalformedResponseError(
+                f"a chunk of {self._bytes_left} bytes exceeds the limit of {self.pool.max_chunk_bytes}"
+            )
         if self._bytes_left:
             self._state = ReadState.CHUNK_DATA
             self.setRawMode()
@@ -224,6 +237,7 @@
             self._state = ReadState.TRAILERS
 
     def rawDataReceived(self, data: bytes) -> None:
+        """Passes body data to the receiver until the body or the chunk ends."""
         if self.receiver is None:
             return self.drop()
         if self._state is ReadState.BODY_UNTIL_CLOSE:
@@ -239,7 +253,7 @@
             return
         self._finish()
         if rest:
-            self.drop()  # more than the response: no later response here could be trusted
+            self.drop()  # more than the response: no later response on this connection could be trusted
         else:
             self.setLineMode()
 
--- a/worksmux/net/errors.py
+++ b/worksmux/net/errors.py
@@ -1,4 +1,4 @@
-"""Errors of HTTP client calls: whose fault it was, and whether the request may have been executed."""
+"""Errors of HTTP client calls; they tell whether the request may have been executed."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 class CallError(WorksmuxError):
-    """A call that brought no complete response."""
+    """A call ended without a complete response."""
 
 
 class NotSentError(CallError):
-    """Nobody executed the request: no connection came up, or it ended before the last byte was written."""
+    """The request was not executed: the connection failed, or ended before the last byte was written."""
 
 
 class ConnectRefusedError(NotSentError):
-    """The remote host answered that nothing listens on the port."""
+    """The remote host refused the connection: nothing listens on the port."""
 
 
 class ConnectionBrokenError(CallError):
@@ -22,5 +22,4 @@
 
 
 class MalformedResponseError(CallError):
-    """The remote side's fault: the response breaks HTTP/1.1 or exceeds a bound.  It may have executed the
-    request."""
+    """The response violates HTTP/1.1 or exceeds a limit; the remote side may have executed the request."""
--- a/worksmux/net/eviction.py
+++ b/worksmux/net/eviction.py
@@ -1,4 +1,4 @@
-"""Finds the connection to close where there are too many, without a search through all of them."""
+"""Finds the connection to close when there are too many, without a search through all of them."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from itertools import count
 from typing import NamedTuple, Protocol
 
-MAX_ENTRIES_PER_CONNECTION = 4  # beyond it, and the spare ones, outdated entries are removed
+MAX_ENTRIES_PER_CONNECTION = 4  # outdated entries are removed beyond this and the spare ones
 SPARE_ENTRIES = 64
 
 
 class Evictable(Protocol):
-    """A connection; `since_ms` is when its present state began."""
+    """A connection; `since_ms` is when its current state began."""
 
     since_ms: float
 
     def eviction_rank(self) -> int:
-        """How well it can be spared; 0: not at all."""
+        """The connection with the highest rank is closed first; one with rank 0 never."""
 
 
 class _Entry(NamedTuple):
-    """Sorted by the highest rank, then by the longest time in it, then by age."""
+    """An entry of the heap: highest rank first, then the longest time in its state, then the oldest entry."""
 
     negative_rank: int
     since_ms: float
@@ -30,12 +30,13 @@
 
 
 class EvictionQueue:
-    """Connections by rank, the highest first, and within a rank by how long they have been in it.
+    """A priority queue of connections: highest rank first, then the longest time in the current state.
 
-    `members` are the open connections, as their owner keeps them.  `update` is called whenever the rank or
-    `since_ms` of one may have changed; its older entries are skipped, as are those of closed connections.
-    Failure: a search through all connections for each new one takes longer than the time between two new ones
-    in a burst of hundreds, so the server falls behind.
+    `members` are the open connections; the owner keeps the collection.  The owner calls `update` when the
+    rank or `since_ms` of a connection may have changed; older entries and closed connections are skipped.
+
+    Failure: in a burst of hundreds of connections, a search through all of them for each new one takes longer
+    than the time to the next one, and the server falls behind.
     """
 
     def __init__(self, members: Collection[Evictable]) -> None:
@@ -44,7 +45,7 @@
         self._numbers = count()
 
     def take(self, newest: Evictable) -> Evictable:
-        """The connection to close; `newest`, which had no time to send anything, only as the last resort."""
+        """The connection to close; `newest` only if there is no other, as it had no time to send anything."""
         passed_over = []
         chosen = newest
         while self._entries:
@@ -60,7 +61,7 @@
         return chosen
 
     def update(self, connection: Evictable) -> None:
-        """A connection is new, or its rank or `since_ms` may have changed."""
+        """Adds an entry for a connection that is new, or whose rank or `since_ms` may have changed."""
         rank = connection.eviction_rank()
         if rank <= 0 or connection not in self._members:
             return
@@ -69,7 +70,7 @@
             self._remove_outdated()
 
     def _is_current(self, entry: _Entry) -> bool:
-        """Whether an entry still holds; a connection whose rank changed without `update` is added anew."""
+        """Whether an entry is valid; a connection whose rank changed without `update` gets a new entry."""
         connection = entry.connection
         if connection not in self._members or connection.since_ms != entry.since_ms:
             return False
--- a/worksmux/net/exchange.py
+++ b/worksmux/net/exchange.py
@@ -1,4 +1,4 @@
-"""One request that the server has received whole, and the ways to answer it."""
+"""A request that the server has received completely, and the ways to answer it."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from twisted.web import http
 
 CONTENT_TOO_LARGE = 413
-MAX_BODY_OVERRUN = 4  # times the body's bound that are read and discarded before the connection is cut
+MAX_BODY_OVERRUN = 4  # times the body limit: more is not read, and the connection is aborted
 
 
 class Exchange(http.Request):
-    """A request with its whole body; bodies are bounded by the server's `max_body_bytes`.
+    """A request with its complete body of at most the server's `max_body_bytes`.
 
     `on_disconnect` is called once if the client disconnects before the answer has ended.
     """
@@ -24,24 +24,27 @@
     _body_too_long = False
 
     def gotLength(self, length: int | None) -> None:
+        """Checks the announced length of the body; a much too long body is rejected without reading it."""
         self._max_body_bytes = self.channel.factory.max_body_bytes
         self._body_bytes = 0
         self._body_too_long = length is not None and length > self._max_body_bytes
-        self._kept = self.content = BytesIO()  # bounded, so it need not spill to disk as Twisted's does
+        self._body_file = self.content = BytesIO()  # limited, so it needs no temporary file as Twisted's does
         if length is not None and length > MAX_BODY_OVERRUN * self._max_body_bytes:
             channel: Any = self.channel
             channel.refuse(b"413 Content Too Large")
 
     def handleContentChunk(self, data: bytes) -> None:
+        """Stores body data up to the limit, and discards the rest."""
         self._body_bytes += len(data)
         if self._body_bytes <= self._max_body_bytes and not self._body_too_long:
-            self._kept.write(data)
+            self._body_file.write(data)
             return
-        self._body_too_long = True  # read on and discard: a client reads no answer while it still sends
+        self._body_too_long = True  # read and discard the rest: a client reads no answer while it sends
         if self._body_bytes > MAX_BODY_OVERRUN * self._max_body_bytes:
             self.channel.forceAbortClient()
 
     def process(self) -> None:
+        """Passes the complete request to the answerer, or answers 413."""
         if self._body_too_long:
             self.setHeader("connection", "close")
             self.answer(
@@ -55,16 +58,16 @@
 
     def header(self, name: str) -> str | None:
         """The last value of a header."""
-        found = self.getHeader(name)
-        return found if found is None or isinstance(found, str) else found.decode("latin-1")
+        value = self.getHeader(name)
+        return value if value is None or isinstance(value, str) else value.decode("latin-1")
 
     def header_values(self, name: str) -> list[str]:
-        """All values of a header, in their order."""
-        found = self.requestHeaders.getRawHeaders(name.encode(), [])
-        return [value.decode("latin-1") for value in found]
+        """All values of a header, in order."""
+        values = self.requestHeaders.getRawHeaders(name.encode(), [])
+        return [value.decode("latin-1") for value in values]
 
     def header_fields(self) -> list[tuple[str, list[str]]]:
-        """All headers, each with its values in their order."""
+        """All headers, each with its values in order."""
         return [
             (name.decode("latin-1"), [value.decode("latin-1") for value in values])
             for name, values in self.requestHeaders.getAllRawHeaders()
@@ -79,10 +82,11 @@
         self.setHeader(name, value)
 
     def body(self) -> bytes:
-        return self._kept.getvalue()
+        """The body of the request."""
+        return self._body_file.getvalue()
 
     def client_is_gone(self) -> bool:
-        """Whether the client has disconnected, also where the reactor has not read that yet."""
+        """Whether the client has disconnected, even if the reactor has not read that yet."""
         if self.over:
             return True
         transport: Any = self.channel.transport
@@ -94,7 +98,7 @@
             return True
 
     def earliest_arrival_ms(self) -> float:
-        """The earliest time at which the request may have arrived whole; see `Lateness`."""
+        """The earliest time at which the complete request may have arrived; see `Lateness`."""
         channel: Any = self.channel
         return float(channel.earliest_arrival_ms)
 
@@ -110,7 +114,7 @@
         content_type: str = "application/json",
         headers: tuple[tuple[str, str], ...] = (),
     ) -> None:
-        """Sends the whole answer at once."""
+        """Sends a complete answer."""
         if self.over:
             return
         self.setResponseCode(status)
@@ -123,12 +127,12 @@
         self.finish()
 
     def close_after_answer(self) -> None:
-        """Ends the connection with this answer."""
+        """Makes the connection close after the answer."""
         self.channel.persistent = False
         self.setHeader("connection", "close")
 
     def begin(self, content_type: str, headers: tuple[tuple[str, str], ...] = ()) -> None:
-        """Sets the head of a 200 answer whose body is sent in pieces by `send_chunk` and ended by `end`."""
+        """Sets the head of a 200 answer whose body is sent by `send_chunk` and ended by `end`."""
         if self.over:
             return
         self.setResponseCode(http.OK)
@@ -138,6 +142,7 @@
             self.setHeader(name, value)
 
     def send_chunk(self, data: bytes) -> None:
+        """Sends a part of the body of an answer that `begin` began."""
         if not self.over:
             self.write(data)
 
@@ -148,7 +153,7 @@
             self.finish()
 
     def truncate(self, last: bytes = b"") -> None:
-        """Sends `last` and closes without the last chunk, so that no client takes the answer for complete."""
+        """Sends `last` and closes without the terminating chunk, so that clients see an incomplete answer."""
         if not self.over:
             self.on_disconnect = None
             if last:
@@ -158,12 +163,13 @@
             channel.loseConnection()
 
     def abort(self) -> None:
-        """Resets the connection at once; what was written may not arrive."""
+        """Resets the connection at once; data that was written may be lost."""
         if not self.over:
             self.on_disconnect = None
             self.channel.forceAbortClient()
 
     def connectionLost(self, reason: Failure) -> None:
+        """Calls `on_disconnect` if the answer has not ended."""
         on_disconnect, self.on_disconnect = self.on_disconnect, None
         super().connectionLost(reason)
         if on_disconnect is not None:
--- a/worksmux/net/lateness.py
+++ b/worksmux/net/lateness.py
@@ -1,4 +1,4 @@
-"""Measures by how much the reactor is late, and so how old the data may be that it reads now."""
+"""Measures how late the reactor is, and so how old the data that it reads now may be."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 LOG = structlog.get_logger()
 TICK_INTERVAL_MS = 40.0
 LOGGED_LATENESS_MS = 250.0
-USUAL_TIMER_DELAY_MS = 2.0  # by which a timer is late in a reactor that keeps up
+USUAL_TIMER_DELAY_MS = 2.0  # of a timer in a reactor that is not late
 
 
 class Lateness:
-    """Called, it returns the milliseconds by which data read now may be older; 0 in a reactor that keeps up.
+    """A function that returns how old data read now may be, in milliseconds; 0 if the reactor is not late.
 
-    Failure: a request waits in a socket while the reactor is busy.  If its deadline counted from when it is
-    read, it would be given that time twice, and its client would time out first.  A late timer proves that
-    nothing was read meanwhile, so what this iteration reads may have come at any moment of that time.
+    Failure: a request waits in a socket while the reactor is busy.  If its deadline were counted from when it
+    is read, its client would time out before the deadline.  A late timer proves that nothing was read in the
+    meantime, so the data that this iteration reads may have arrived at any moment of that time.
     """
 
     def __init__(self, reactor: Reactor) -> None:
@@ -28,9 +28,11 @@
         self._timer: Timer | None = None
 
     def start(self) -> None:
+        """Starts measuring."""
         self._schedule_tick()
 
     def stop(self) -> None:
+        """Stops the timer."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
@@ -46,10 +48,10 @@
         if late_ms > USUAL_TIMER_DELAY_MS:
             self._lateness_ms = late_ms
             if late_ms > LOGGED_LATENESS_MS:
-                LOG.warning("the reactor was late", ms=round(late_ms))
+                LOG.warning("event loop was late", ms=round(late_ms))
             self._reactor.callLater(0, self._sockets_read)
         self._schedule_tick()
 
     def _sockets_read(self) -> None:
-        """The next iteration: what was late has been read."""
+        """Resets the lateness in the next iteration: the late data has been read."""
         self._lateness_ms = 0.0
--- a/worksmux/net/loop.py
+++ b/worksmux/net/loop.py
@@ -1,5 +1,5 @@
-"""Types for the parts of Twisted's reactor and transports that are used, as its interfaces carry none; and
-guards around the reactor's clock and its accepting of connections."""
+"""Protocols for the methods of Twisted's reactor and transports in use, whose interfaces have no types; the
+reactor's clock, and a listening port that accepts few connections at a time."""
 
 from __future__ import annotations
 
@@ -10,17 +10,21 @@
 from twisted.internet.interfaces import IReactorFDSet
 from twisted.internet.tcp import Port
 
-LISTEN_BACKLOG = 1024  # connections that wait to be accepted
+LISTEN_BACKLOG = 1024  # connections waiting to be accepted
 MAX_ACCEPTS_PER_ITERATION = 16
 
 
 class Timer(Protocol):
+    """A delayed call."""
+
     def cancel(self) -> None: ...
 
     def active(self) -> bool: ...
 
 
 class Reactor(Protocol):
+    """Twisted's event loop."""
+
     def callLater(self, delay: float, call: Callable[..., Any], /, *args: Any) -> Timer: ...
 
     def connectTCP(self, host: str, port: int, factory: Any, /, timeout: float = 30) -> Any: ...
@@ -53,7 +57,7 @@
 
 
 def the_reactor() -> Reactor:
-    """The process's reactor, on the monotonic clock; imported here, as importing installs it."""
+    """The process's reactor, on the monotonic clock; the import is local because it installs the reactor."""
     from twisted.internet import reactor
 
     use_monotonic_clock(reactor)
@@ -61,19 +65,18 @@
 
 
 def use_monotonic_clock(reactor: Any) -> None:
-    """Makes the reactor's timers go by the monotonic clock.
+    """Makes the reactor's timers use the monotonic clock.
 
-    Failure: Twisted's timers go by the wall clock; where that is set back, every timer waits that much
-    longer.
+    Failure: Twisted's timers use the wall clock; when it is set back, every timer fires that much later.
     """
     reactor.seconds = time.monotonic
 
 
 class _FairPort(Port):
-    """A listening port that accepts few connections in an iteration of the reactor.
+    """A listening port that accepts few connections in each reactor iteration.
 
-    Failure: Twisted's port accepts a hundred at a time, and more after each full iteration.  In a burst of
-    connections everything else waits until all of them are made, and connects to engines time out.
+    Failure: Twisted's port accepts a hundred at a time, and more after each full iteration.  In a burst all
+    else waits until these connections are accepted, and connection attempts to engines time out.
     """
 
     @property
@@ -82,11 +85,11 @@
 
     @numberAccepts.setter
     def numberAccepts(self, number: int) -> None:
-        """Ignored: Twisted would adapt the number to the traffic."""
+        """Does nothing: Twisted would adapt the number to the traffic."""
 
 
 def listen(reactor: Reactor, address: tuple[str, int], factory: Any) -> tuple[Any, int]:
-    """Listens; returns the port object and its number, which the system chooses for port 0."""
+    """Listens; returns the port object and the port number, which the system chooses for port 0."""
     host, number = address
     port: Any
     if IReactorFDSet.providedBy(reactor):
--- a/worksmux/net/request_writer.py
+++ b/worksmux/net/request_writer.py
@@ -10,7 +10,7 @@
 
 
 def encode_request(method: str, path: str, host: str, headers: Headers = (), body: bytes = b"") -> bytes:
-    """Returns the head and the body; a POST always has a Content-Length."""
+    """Returns the head and the body; a POST always has a Content-Length header."""
     lines = [f"{method} {path} HTTP/1.1", f"Host: {host}", *(f"{name}: {value}" for name, value in headers)]
     if body or method == "POST":
         lines.append(f"Content-Length: {len(body)}")
@@ -20,8 +20,8 @@
 class RequestWriter:
     """A pull producer (`IPullProducer`) that writes one request.
 
-    `written` becomes true once the last byte has left the transport's buffer.  Until then nobody can have
-    executed the request, as its Content-Length is not reached.
+    `written` becomes true when the last byte has left the transport's buffer.  Before that the remote side
+    cannot have executed the request, since it has not received Content-Length bytes.
     """
 
     def __init__(self, transport: Transport, data: bytes) -> None:
@@ -31,7 +31,7 @@
         transport.registerProducer(self, False)
 
     def resumeProducing(self) -> None:
-        """Called by the transport whenever its buffer is empty."""
+        """Called by the transport when its buffer is empty."""
         data, self._data = self._data, b""
         if data:
             self._transport.write(data)
@@ -40,4 +40,4 @@
             self._transport.unregisterProducer()
 
     def stopProducing(self) -> None:
-        """The connection is lost; `Connection.connectionLost` handles it."""
+        """Does nothing: `Connection.connectionLost` handles the loss of the connection."""
--- a/worksmux/net/server.py
+++ b/worksmux/net/server.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 server on Twisted's HTTPFactory that bounds heads, bodies, times and connections."""
+"""An HTTP/1.1 server on Twisted's HTTPFactory with limits on heads, bodies, times and connections."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Server(http.HTTPFactory):
-    """Accepts connections and hands each whole request to `answerer`."""
+    """Accepts connections and passes each complete request to `answerer`."""
 
     noisy = False
 
@@ -36,12 +36,14 @@
         max_connections: int = 0,
         lateness_ms: Callable[[], float] = lambda: 0.0,
     ) -> None:
-        """Args:
-        keep_alive_ms: an idle connection is closed after it.
-        request_timeout_ms: a request must arrive whole within it; for the first one it runs from the
-            connection's start.  0: no bound.
-        max_connections: at once; 0: any number.
-        lateness_ms: by how much data read now may be older; see `lateness.Lateness`.
+        """Sets the limits.
+
+        Args:
+            keep_alive_ms: the time after which an idle connection is closed.
+            request_timeout_ms: the time in which a complete request must arrive, for the first request from
+                the start of the connection; 0: no limit.
+            max_connections: the number of open connections; 0: no limit.
+            lateness_ms: how old data read now may be; see `lateness.Lateness`.
         """
         super().__init__(timeout=keep_alive_ms / 1000, reactor=reactor)
         self.answerer = answerer
@@ -50,14 +52,14 @@
         self.max_connections = max_connections
         self.lateness_ms = lateness_ms
         self.closing = False  # each answer closes its connection
-        self.closes: Counter[str] = Counter()  # connections that the server ended, by reason
+        self.closes: Counter[str] = Counter()  # count of connections that the server closed, by reason
         self.channels: dict[Any, None] = {}
         self.evictions = EvictionQueue(self.channels)
         self.on_connection: Callable[[Any], None] | None = None  # called with each new channel
         self._sweep_timer: Any = None
 
     def connection_made(self, channel: Any) -> None:
-        """Takes a new connection; where they are too many, closes the one that is spared best."""
+        """Registers a new connection, and closes the one with the highest rank if there are too many."""
         self.channels[channel] = None
         self.evictions.update(channel)
         if self.on_connection:
@@ -69,10 +71,10 @@
             self._schedule_sweep()
 
     def _evict(self, channel: Any) -> None:
-        """Aborts a connection and forgets it at once.
+        """Aborts a connection and removes it at once.
 
-        Failure: its descriptor is freed only a moment later; if it still counted as open, each new connection
-        of a burst would choose it again, and the bound would be exceeded.
+        Failure: its descriptor is freed only a moment later; if it counted as open until then, each new
+        connection of a burst would choose it again, and the limit would be exceeded.
         """
         self.channels.pop(channel, None)
         channel.transport.abortConnection()
@@ -83,7 +85,7 @@
         self._sweep_timer = reactor.callLater(interval_ms / 1000, self._sweep)
 
     def _sweep(self) -> None:
-        """Closes idle connections, and those whose request does not arrive whole in time.
+        """Closes idle connections, and those whose request does not arrive completely in time.
 
         One pass over all connections costs less than a timer for each.
         """
@@ -97,7 +99,7 @@
 
     def _close_if_expired(self, channel: Any, state_age_ms: float) -> None:
         if channel.receiving:
-            # One sweep early, since the next would be too late.
+            # One sweep early, since the next sweep would be too late.
             if state_age_ms > self.request_timeout_ms * (1 - 1 / SWEEPS_PER_TIMEOUT):
                 self.closes["request not whole in time"] += 1
                 channel.refuse(b"408 Request Timeout")
@@ -106,14 +108,14 @@
             channel.loseConnection()
 
     def close_idle(self, unused_too: bool = True) -> None:
-        """Closes connections without a request now, and the others with their next answer.
+        """Closes connections without a request now, and the others after their next answer.
 
-        Failure: a connection is closed while its first request is on its way.  A client repeats a request
-        that crosses the end of a connection it has used before, but not on a new one; so without
-        `unused_too` those that never carried a request stay open.
+        Failure: a connection is closed while its first request is on its way.  A client retries a request
+        that it sent while the connection was being closed, but only on a connection that it has used before.
+        Therefore connections that never had a request stay open unless `unused_too` is set.
 
-        A channel that is not persistent discards the request it begins to receive, so only channels whose
-        request is whole are made so here; for the others `Channel.checkPersistence` does it.
+        A channel that is not persistent discards the request that it is receiving, so only channels with a
+        complete request are made non-persistent here; `Channel.checkPersistence` does it for the others.
         """
         self.closing = True
         for channel in list(self.channels):
@@ -124,12 +126,13 @@
                 channel.loseConnection()
 
     def stop(self) -> None:
-        """Stops the timer; open connections stay."""
+        """Stops the timer; connections stay open."""
         if self._sweep_timer is not None and self._sweep_timer.active():
             self._sweep_timer.cancel()
 
     def buildProtocol(self, addr: IAddress | None) -> Any:
-        channel: Any = Channel()  # Any: Twisted's channel is untyped where these are set
+        """Creates the channel of a new connection."""
+        channel: Any = Channel()  # Any: Twisted's channel has no types for these attributes
         channel.factory = channel.site = self
         channel.requestFactory = Exchange
         channel.timeOut = None if self.request_timeout_ms else self.timeOut
@@ -137,4 +140,4 @@
         return channel
 
     def log(self, request: http.Request) -> None:
-        """No access log: the answerer logs one event per request."""
+        """Writes no access log, since the answerer logs one event per request."""
--- a/worksmux/net/time_out.py
+++ b/worksmux/net/time_out.py
@@ -1,4 +1,4 @@
-"""A timeout that does not fire before a late reactor has read what has come meanwhile."""
+"""A timeout that does not fire before a late reactor has read the data that arrived in the meantime."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class TimeOut:
-    """Calls `call` after `seconds` and `iterations` more reactor iterations; has a `Timer`'s methods.
+    """A `Timer` that calls `call` after `seconds` and then `iterations` more reactor iterations.
 
-    Failure: a reactor that is late runs its timers before it reads, so a connection that has come up
-    meanwhile is taken for missing.  Where each iteration takes longer than the connect timeout, none would
-    ever come up.  One more iteration reads the sockets first.
+    Failure: a late reactor runs its timers before it reads, so a connection that was established in the
+    meantime is taken for failed.  If each iteration takes longer than the connect timeout, no connection is
+    ever established.  One more iteration reads the sockets first.
     """
 
     def __init__(
@@ -22,9 +22,11 @@
         self._timer = reactor.callLater(seconds, self._elapsed)
 
     def active(self) -> bool:
+        """Whether the call is still to be made."""
         return self._timer.active()
 
     def cancel(self) -> None:
+        """Prevents the call."""
         self._timer.cancel()
 
     def _elapsed(self) -> None:
