--- a/worksmux/simulation/__init__.py
+++ b/worksmux/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""A model of a whole fleet in simulated time: the very modules of the front decide, no socket is opened."""
+"""Simulates a whole fleet in simulated time with the gateway's own decision code and without sockets."""
--- a/worksmux/simulation/sim.py
+++ b/worksmux/simulation/sim.py
@@ -1,4 +1,4 @@
-"""Simulated time: what is to happen, in order.  Milliseconds; the same seed gives the same day."""
+"""Event loop in simulated time. Times are in milliseconds, and the same seed gives the same run."""
 
 from __future__ import annotations
 
@@ -8,20 +8,22 @@
 
 
 class Timer:
-    """Something that is to happen; `cancel` keeps it from happening."""
+    """A scheduled callback; `cancel` prevents it from running."""
 
-    __slots__ = ("call", "args")
+    __slots__ = ("callback", "arguments")
 
-    def __init__(self, call: Callable[..., object], args: tuple[Any, ...]) -> None:
-        self.call: Callable[..., object] | None = call
-        self.args = args
+    def __init__(self, callback: Callable[..., object], args: tuple[Any, ...]) -> None:
+        self.callback: Callable[..., object] | None = callback
+        self.arguments = args
 
     def cancel(self) -> None:
-        self.call, self.args = None, ()
+        """Prevents the callback from running."""
+        self.callback, self.arguments = None, ()
 
 
 class Sim:
-    """
+    """Event loop in simulated time.
+
     >>> sim, seen = Sim(), []
     >>> timer = sim.after(5.0, seen.append, "late"); _ = sim.after(1.0, seen.append, "soon")
     >>> timer.cancel(); sim.run(10.0); seen, sim.now
@@ -30,20 +32,22 @@
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.heap: list[tuple[float, int, Timer]] = []
-        self.number = self.steps = 0
-
-    def after(self, delay: float, call: Callable[..., object], *args: Any) -> Timer:
-        timer = Timer(call, args)
-        self.number += 1
-        heapq.heappush(self.heap, (self.now + max(0.0, delay), self.number, timer))
+        self.timers: list[tuple[float, int, Timer]] = []
+        self.sequence = self.steps = 0
+
+    def after(self, delay: float, callback: Callable[..., object], *args: Any) -> Timer:
+        """Schedules a callback after a delay in milliseconds; a negative delay counts as 0."""
+        timer = Timer(callback, args)
+        self.sequence += 1
+        heapq.heappush(self.timers, (self.now + max(0.0, delay), self.sequence, timer))
         return timer
 
     def run(self, until: float) -> None:
-        heap = self.heap
-        while heap and heap[0][0] <= until:
-            self.now, _, timer = heapq.heappop(heap)
-            if timer.call is not None:
+        """Runs all callbacks that are due up to a time, and sets the current time to it."""
+        timers = self.timers
+        while timers and timers[0][0] <= until:
+            self.now, _, timer = heapq.heappop(timers)
+            if timer.callback is not None:
                 self.steps += 1
-                timer.call(*timer.args)
+                timer.callback(*timer.arguments)
         self.now = until
--- a/worksmux/simulation/wire.py
+++ b/worksmux/simulation/wire.py
@@ -1,8 +1,8 @@
-"""A network between parts without I/O, in simulated time: delays, losses, repeats, cuts of any pairs, one
-way too.
+"""Network between components without I/O, in simulated time.
 
-Whoever listens at an address is given each message that arrives there.  Messages overtake one another by
-their delays, as calls on several connections do.
+The network delays, loses and duplicates messages, and cuts any pair of addresses, also in one direction only.
+A receiver that listens at an address gets each message that arrives there. Messages overtake one another
+according to their delays, as calls on several connections do.
 """
 
 from __future__ import annotations
@@ -17,61 +17,73 @@
 from ..policy.random_source import RandomSource
 from .sim import Sim
 
-Take = Callable[[str, Any], object]
+Receiver = Callable[[str, Any], object]
 
 
 @dataclass
 class NetworkConditions:
-    """How the network is; milliseconds and shares."""
+    """Delay, loss and duplication of messages; times are in milliseconds, the others are shares."""
 
-    delay: tuple[float, float] = (0.3, 2.0)
+    delay_ms: tuple[float, float] = (0.3, 2.0)
     loss: float = 0.0
     duplicates: float = 0.0
 
 
 class SimulatedNetwork:
+    """Network that delivers messages between addresses under given conditions."""
+
     def __init__(self, sim: Sim, seed: int, conditions: NetworkConditions | None = None) -> None:
-        self.sim, self.chance, self.conditions = sim, RandomSource(seed), conditions or NetworkConditions()
-        self.at: dict[str, Take] = {}
+        self.sim, self.random, self.conditions = sim, RandomSource(seed), conditions or NetworkConditions()
+        self.receivers: dict[str, Receiver] = {}
         self.cuts: set[tuple[str, str]] = set()  # directed pairs of addresses
-        self.extra_delay_ms: dict[str, float] = {}  # milliseconds more, for all that comes from an address
+        self.extra_delay_ms: dict[str, float] = {}  # added to all messages from an address
         self.sent: Counter[str] = Counter()
         self.bytes: Counter[str] = Counter()
-        self.counts_bytes = False  # count bytes, which costs time
+        self.counts_bytes = False  # counting encodes each message, which takes time
+
+    def listen(self, address: str, receiver: Receiver) -> None:
+        """Registers `receiver(sender, message)` for the messages to an address."""
+        self.receivers[address] = receiver
 
-    def listen(self, address: str, take: Take) -> None:
-        """`take(sender, message)`."""
-        self.at[address] = take
+    def stop_listening(self, address: str) -> None:
+        """Discards the messages that arrive at an address from now on."""
+        self.receivers.pop(address, None)
 
-    def leave(self, address: str) -> None:
-        self.at.pop(address, None)
+    def cut(self, group: list[str], others: list[str], direction: str = "both") -> None:
+        """Cuts the links between two groups of addresses.
 
-    def cut(self, some: list[str], others: list[str], how: str = "both") -> None:
-        """`how`: both, out (nothing from `some` arrives at `others`) or in."""
-        for one in some:
+        `direction` is "both", "out" (nothing from `group` arrives at `others`) or "in".
+        """
+        for address in group:
             for other in others:
-                if one != other:
-                    if how in ("both", "out"):
-                        self.cuts.add((one, other))
-                    if how in ("both", "in"):
-                        self.cuts.add((other, one))
+                if address != other:
+                    if direction in ("both", "out"):
+                        self.cuts.add((address, other))
+                    if direction in ("both", "in"):
+                        self.cuts.add((other, address))
 
     def remove_partitions(self) -> None:
+        """Removes all cuts of links."""
         self.cuts.clear()
 
-    def send(self, sender: str, to: str, message: Any) -> None:
+    def send(self, sender: str, receiver_address: str, message: Any) -> None:
+        """Sends a message; the conditions decide whether, when and how often it arrives."""
         self.sent[sender] += 1
         if self.counts_bytes:
             self.bytes[sender] += len(msgspec.msgpack.encode(message))
-        if (sender, to) in self.cuts or self.chance.share() < self.conditions.loss:
+        if (sender, receiver_address) in self.cuts or self.random.share() < self.conditions.loss:
             return
-        copies = 1 + (self.chance.share() < self.conditions.duplicates)
+        copies = 1 + (self.random.share() < self.conditions.duplicates)
         for _ in range(copies):
-            least, most = self.conditions.delay
-            delay = least + (most - least) * self.chance.share() + self.extra_delay_ms.get(sender, 0.0)
-            self.sim.after(delay, self._arrive, sender, to, message)
-
-    def _arrive(self, sender: str, to: str, message: Any) -> None:
-        take = self.at.get(to)
-        if take is not None and (sender, to) not in self.cuts:
-            take(sender, message)
+            min_delay, max_delay = self.conditions.delay_ms
+            delay = (
+                min_delay
+                + (max_delay - min_delay) * self.random.share()
+                + self.extra_delay_ms.get(sender, 0.0)
+            )
+            self.sim.after(delay, self._arrive, sender, receiver_address, message)
+
+    def _arrive(self, sender: str, receiver_address: str, message: Any) -> None:
+        receiver = self.receivers.get(receiver_address)
+        if receiver is not None and (sender, receiver_address) not in self.cuts:
+            receiver(sender, message)
