--- a/benchmarks/counting.py
+++ b/benchmarks/counting.py
@@ -116,7 +116,7 @@
     if variant.endswith("giants"):
         reactor.callLater(2.0, giant)
     if variant == "version change":
-        reactor.callLater(1.5 + seconds / 2, service.use, [second])
+        reactor.callLater(1.5 + seconds / 2, service.switch_vocabularies, [second])
     service.start()
     reactor.callLater(0, look)
     reactor.callLater(1.5, send)
--- a/benchmarks/failover.py
+++ b/benchmarks/failover.py
@@ -13,7 +13,7 @@
 from worksmux.checker.report import summary
 from worksmux.scenarios.figures import rule_parameters
 from worksmux.scenarios.scenario import Scenario, ScenarioFault, load_scenario
-from worksmux.simulation.conductor import MODES, Conductor
+from worksmux.simulation.conductor import MODES, FailoverSimulation
 from worksmux.simulation.day import Model
 
 LOST = ScenarioFault("zone-loss", 10_000.0, 12_000.0, 0.0, "", "south", -1, (), 1.0, 1.0, "", "", 1000.0, 0)
@@ -32,7 +32,7 @@
     mode, rate, seed, loss = task
     day = day_of(rate, seed, loss)
     model = Model(day)
-    conductor = Conductor(model, mode, carries=CARRIES)
+    conductor = FailoverSimulation(model, mode, zone_capacities=CARRIES)
     records = model.run()
     assert records is not None
     told = summary(records, rule_parameters(day))
--- a/benchmarks/mass_restart.py
+++ b/benchmarks/mass_restart.py
@@ -17,7 +17,7 @@
 from worksmux.policy.events import EndpointListUpdate
 from worksmux.scenarios.scenario import Scenario, read_scenario
 from worksmux.settings.document import parse
-from worksmux.simulation.day import EPOCH_MS, Model, Remembered
+from worksmux.simulation.day import EPOCH_MS, CachedState, Model
 
 AGES = {"1 s": 1e3, "1 min": 6e4, "1 h": 3.6e6, "1 day": 8.64e7, "3 weeks": 1.8e9}
 PARTS = {"none": 0.0, "a tenth": 0.1, "half": 0.5, "all": 1.0}
@@ -117,13 +117,15 @@
             if (at * 11) % len(places) < COLD * len(places):
                 model.engines[place.id].started = EPOCH_MS - 500.0
                 model.registry.lines[place.id].started = EPOCH_MS - 500.0
-        model.registry.lost = how != "live"
-        model.registry.last_up = EPOCH_MS - age
+        model.registry.is_disconnected = how != "live"
+        model.registry.last_connected_at = EPOCH_MS - age
 
-    def remembered(_: int) -> Remembered:
-        return Remembered(lines, Turnover(), 3.6e6, 20.0)
+    def remembered(_: int) -> CachedState:
+        return CachedState(lines, Turnover(), 3.6e6, 20.0)
 
-    model = Model(scenario, journal=False, built=built, remembered=remembered if how == "weighed" else None)
+    model = Model(
+        scenario, journal=False, on_built=built, cached_state=remembered if how == "weighed" else None
+    )
     if how == "wholly":
         for at in range(scenario.fronts):
             model.sim.after(150.0, trust_wholly, model, at, lines)
@@ -137,10 +139,19 @@
         min(ends) - start if ends else None,
         model.clients.totals.ends.get("delivered", 0),
         sum(front.counts.unreachable for front in fronts),
-        max([0.0, *(front.counts.stale_last - start for front in fronts if front.counts.stale_last)]),
+        max(
+            [
+                0.0,
+                *(
+                    front.counts.last_unreachable_at - start
+                    for front in fronts
+                    if front.counts.last_unreachable_at
+                ),
+            ]
+        ),
         max(one.cold_peak for one in counts),
         sum(one.falls for one in counts),
-        max(one.probe_peak for one in counts),
+        max(one.max_probes_per_second for one in counts),
     )
 
 
@@ -151,12 +162,12 @@
             entry
             for saved in lines
             if (
-                entry := front.roster.reader.add_cached(
+                entry := front.endpoint_list.reader.add_cached(
                     front.sim.now, front.sim.now, saved.line, "ready", as_just_started=False
                 )
             )
         ]
-        front.tell(EndpointListUpdate("cached", entries))
+        front.add_event(EndpointListUpdate("cached", entries))
 
 
 def row(name: str, found: Found, live: Found) -> None:
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -1,4 +1,4 @@
-"""The model of the fleet: the same day twice is the same, and the audit finds what a bad module breaks."""
+"""Tests that a simulation is deterministic and that the audit finds what a broken policy violates."""
 
 from __future__ import annotations
 
@@ -22,48 +22,50 @@
 EXAMPLES = Path(__file__).parent.parent / "examples"
 
 
-def day(name: str = "no-discovery-day", **changed: str) -> Scenario:
+def example_scenario(name: str = "no-discovery-day", **replacements: str) -> Scenario:
+    """Returns an example scenario; `replacements` maps texts of the file to new texts."""
     text = (EXAMPLES / f"{name}.kdl").read_text()
-    for old, new in changed.items():
+    for old, new in replacements.items():
         text = text.replace(old, new)
     return read_scenario(parse(text))
 
 
-def test_same_seed_gives_the_same_day_to_the_last_line() -> None:
-    one, two = Model(day()), Model(day())
-    one.run()
-    two.run()
-    assert one.lines == two.lines and one.lines
+def test_same_seed_gives_the_same_journal() -> None:
+    first, second = Model(example_scenario()), Model(example_scenario())
+    first.run()
+    second.run()
+    assert first.lines == second.lines and first.lines
 
 
-def test_day_of_troubles_keeps_all_rules_and_answers_every_request() -> None:
-    model = Model(day())
+def test_scenario_with_faults_keeps_all_rules_and_answers_every_request() -> None:
+    model = Model(example_scenario())
     records = model.run()
     assert records is not None
-    told = summary(records, rule_parameters(model.day))
-    assert told["kept"] and told["unanswered"] == 0 and told["delivered_share"] > 0.7
+    figures = summary(records, rule_parameters(model.scenario))
+    assert figures["kept"] and figures["unanswered"] == 0 and figures["delivered_share"] > 0.7
 
 
 def test_totals_without_a_journal_are_those_of_the_records() -> None:
-    with_journal, without = Model(day()), Model(day(), journal=False)
+    with_journal, without_journal = Model(example_scenario()), Model(example_scenario(), journal=False)
     records = with_journal.run()
-    assert records is not None and without.run() is None
-    totals = without.clients.totals
+    assert records is not None and without_journal.run() is None
+    totals = without_journal.clients.totals
     assert totals.requests == len(records.requests)
     assert abs(totals.credit - sum(request["credit"] for request in records.requests)) < 1e-9
 
 
-class Careless:
-    """Sends each job to the first engine that writes or does both, whatever it was told of it, twice."""
+class CarelessPolicy:
+    """Sends each request twice to the first combined engine, whatever it was told of that engine."""
 
     def __init__(self, settings: PolicySettings, seed: int) -> None:
         self.engines: list[Engine] = []
 
     def decide(self, now: float, events: list[Event]) -> list[Action]:
+        """Starts two attempts for each request that arrives."""
         actions: list[Action] = []
         for event in events:
             if isinstance(event, EndpointListUpdate):
-                self.engines += [one.engine for one in event.entries if b"mixed" in one.engine.id]
+                self.engines += [entry.engine for entry in event.entries if b"mixed" in entry.engine.id]
             if isinstance(event, RequestArrived) and self.engines:
                 for number in range(2):
                     attempt = Attempt(event.request, self.engines[0], number, now)
@@ -72,33 +74,38 @@
         return actions
 
 
-def test_audit_finds_what_a_careless_module_breaks() -> None:
-    model = Model(day(), Careless)
+def test_audit_finds_the_rule_that_a_careless_policy_breaks() -> None:
+    model = Model(example_scenario(), CarelessPolicy)
     records = model.run()
     assert records is not None
-    broken = {verdict.rule for verdict in check(records, rule_parameters(model.day)) if not verdict.kept}
-    assert 2 in broken
+    broken_rules = {
+        verdict.rule for verdict in check(records, rule_parameters(model.scenario)) if not verdict.kept
+    }
+    assert 2 in broken_rules
 
 
-def test_trouble_of_sockets_alone_is_refused_by_name() -> None:
+def test_unsupported_fault_is_refused_by_name() -> None:
     with pytest.raises(UnsupportedScenarioError, match="slow-links"):
         Model(load_scenario(EXAMPLES / "bad-day.kdl"))
 
 
-def test_fleet_of_engines_with_like_names_shares_the_reads() -> None:
-    """Guards against names that end alike, such as n1-prefill-1 and s1-prefill-1, counting as one."""
-    scenario = replace(day(), faults=[])
+def test_engines_with_similar_names_share_the_prefills() -> None:
+    """Names that end alike, such as n1-prefill-1 and s1-prefill-1, must not count as one engine.
+
+    That would skew their shares of the prefills.
+    """
+    scenario = replace(example_scenario(), faults=[])
     model = Model(scenario)
     model.run()
-    reads = [engine.counts.attempts for name, engine in model.engines.items() if "prefill" in name]
-    assert min(reads) > max(reads) / 4
+    prefills = [engine.counts.attempts for name, engine in model.engines.items() if "prefill" in name]
+    assert min(prefills) > max(prefills) / 4
 
 
-def test_cancelled_timer_never_rings() -> None:
-    sim, rung = Sim(), []
-    for at in range(5):
-        timer = sim.after(float(at), rung.append, at)
-        if at % 2:
+def test_cancelled_timer_never_fires() -> None:
+    sim, fired = Sim(), []
+    for index in range(5):
+        timer = sim.after(float(index), fired.append, index)
+        if index % 2:
             timer.cancel()
     sim.run(10.0)
-    assert rung == [0, 2, 4] and sim.steps == 3
+    assert fired == [0, 2, 4] and sim.steps == 3
--- a/worksmux/simulation/conductor.py
+++ b/worksmux/simulation/conductor.py
@@ -1,9 +1,12 @@
-"""Failover in the model: the very planner of the front, with what it hears and how fast it is heard told by
-its mode, so that plans made in common can be laid beside plans made alone and by one that sees all.
+"""Failover in simulated time, with the gateway's own planner.
 
-`today`: no plan.  `static`: a lost zone's jobs are moved once it is delisted, by size, and nothing is shed.
-`alone`: each front plans by its own reports.  `common`: one plan from all reports, heard and told late as a
-council and its followers are.  `ceiling`: a planner that sees the engines themselves, at once.
+The mode sets which reports a planner gets and how fast. Plans made in common can thus be compared with plans
+made by single gateways and by a planner that sees everything.
+
+`today`: no plan. `static`: the requests of a lost zone are moved by size once the zone is delisted, and
+nothing is shed. `alone`: each gateway plans from its own reports. `common`: one plan from all reports, which
+arrive and are distributed with the delays of consensus and replication. `ceiling`: a planner that sees the
+engines themselves, at once.
 """
 
 from __future__ import annotations
@@ -19,127 +22,162 @@
 from ..policy.events import FailoverPlan
 from ..scenarios.scenario import Scenario
 from .day import Model
-from .front import ModelFront
+from .front import ModelGateway
 
 MODES = ("today", "static", "alone", "common", "ceiling")
-CEILING_EVERY = 50.0
-RAMP = (1.0, 1000.0, 8000.0)  # of a lost zone's jobs, held back; for how long; until all are let in
+CEILING_INTERVAL_MS = 50.0
+# Share of a lost zone's requests that is shed; for how many ms; over how many further ms it falls to 0.
+SHED_RAMP = (1.0, 1000.0, 8000.0)
 
 
 @dataclass(frozen=True)
-class Ways:
-    """Milliseconds: between two looks, until reports have come up, until a plan is agreed and has spread."""
+class PlanDelays:
+    """Delays between two rounds, until reports arrive, and until a plan is committed and distributed."""
+
+    interval_ms: float = 250.0
+    report_ms: float = 150.0
+    distribution_ms: float = 150.0
 
-    every: float = 250.0
-    up: float = 150.0
-    down: float = 150.0
 
+class FailoverSimulation:
+    """Failover of one simulated fleet in one mode."""
 
-class Conductor:
     def __init__(
-        self, model: Model, mode: str, ways: Ways | None = None, carries: dict[str, float] | None = None
+        self,
+        model: Model,
+        mode: str,
+        delays: PlanDelays | None = None,
+        zone_capacities: dict[str, float] | None = None,
     ) -> None:
-        self.model, self.day, self.mode, self.ways = model, model.day, mode, ways or Ways()
-        day = self.day
-        self.map = PlannerSettings(
-            {zone: day.regions.get(zone, "") for zone in day.zones},
-            {one.name: one.credit for one in day.request_classes},
-            day.rules["cold_share"],
-            CEILING_EVERY if mode == "ceiling" else self.ways.every,
-            carries or {},
+        self.model, self.scenario, self.mode, self.delays = (
+            model,
+            model.scenario,
+            mode,
+            delays or PlanDelays(),
+        )
+        scenario = self.scenario
+        self.planner_settings = PlannerSettings(
+            {zone: scenario.regions.get(zone, "") for zone in scenario.zones},
+            {request_class.name: request_class.credit for request_class in scenario.request_classes},
+            scenario.rules["cold_share"],
+            CEILING_INTERVAL_MS if mode == "ceiling" else self.delays.interval_ms,
+            zone_capacities or {},
         )
-        self.planner = Planner(self.map, Plan())
-        self.alone: dict[int, Planner] = {}
+        self.planner = Planner(self.planner_settings, Plan())
+        self.local_planners: dict[int, Planner] = {}
         self.plans: list[tuple[float, Plan]] = []
-        self.told: dict[int, tuple[ModelFront, int]] = {}
+        self.delivered_plans: dict[int, tuple[ModelGateway, int]] = {}
         self.plan = Plan()
-        self.sizes = dict.fromkeys(day.zones, 0.0)
-        self.since: dict[str, float] = {}  # when a zone was found lost
+        self.max_zone_sizes = dict.fromkeys(scenario.zones, 0.0)
+        self.lost_since: dict[str, float] = {}  # time at which each zone was found lost
         if mode != "today":
-            model.sim.after(self.map.interval_ms, self.look)
+            model.sim.after(self.planner_settings.interval_ms, self.run_round)
 
-    def look(self) -> None:
+    def run_round(self) -> None:
+        """Collects the reports of all gateways and updates the plans."""
         model, now = self.model, self.model.sim.now
-        model.sim.after(self.map.interval_ms, self.look)
+        model.sim.after(self.planner_settings.interval_ms, self.run_round)
         reports: dict[int, FleetReport] = {}
-        for at, front in enumerate(model.gateways):
-            if front is None:
+        for index, gateway in enumerate(model.gateways):
+            if gateway is None:
                 continue
-            if front.watcher is None:
-                front.watcher = watcher_of(self.day)
-                for known in front.roster.reader.known.values():
-                    front.watcher.engines[known.engine] = ListedEngine(
+            if gateway.watcher is None:
+                gateway.watcher = watcher_of(self.scenario)
+                for known in gateway.endpoint_list.reader.known.values():
+                    gateway.watcher.engines[known.engine] = ListedEngine(
                         known.line.state,
-                        self.day.zones.index(known.line.zone),
+                        self.scenario.zones.index(known.line.zone),
                         known.line.size,
                         known.line.started,
                     )
-            reports[at] = front.watcher.report(now)
+            reports[index] = gateway.watcher.report(now)
         if self.mode == "alone":
-            for at, own in reports.items():
-                planner = self.alone.setdefault(at, Planner(self.map, Plan()))
-                plan = planner.update(own)
-                front = model.gateways[at]
-                if plan is not None and front is not None:
-                    self.tell(at, front, plan)
+            for index, report in reports.items():
+                planner = self.local_planners.setdefault(index, Planner(self.planner_settings, Plan()))
+                plan = planner.update(report)
+                gateway = model.gateways[index]
+                if plan is not None and gateway is not None:
+                    self.deliver(index, gateway, plan)
         elif self.mode == "ceiling":
-            self.see_all(sum_reports(reports.values()))
+            self.update_ceiling_plan(sum_reports(reports.values()))
         else:
-            model.sim.after(self.ways.up, self.plan_for_all, sum_reports(reports.values()))
+            model.sim.after(self.delays.report_ms, self.update_common_plan, sum_reports(reports.values()))
         if self.mode != "alone":
-            for at, front in enumerate(model.gateways):  # those that were started since
-                if front is not None and self.told.get(at, (front, 0))[0] is not front:
-                    self.tell(at, front, self.plan)
+            for index, gateway in enumerate(model.gateways):  # gateways that have started since
+                if gateway is not None and self.delivered_plans.get(index, (gateway, 0))[0] is not gateway:
+                    self.deliver(index, gateway, self.plan)
 
-    def plan_for_all(self, fleet_report: FleetReport) -> None:
+    def update_common_plan(self, fleet_report: FleetReport) -> None:
+        """Updates the common plan from the fleet's report, and distributes a changed plan."""
         plan = self.planner.update(fleet_report)
         if plan is not None and self.mode == "static":
             plan = Plan(plan.number, plan.routes, {}, 0.0, plan.reason)
         if plan is not None:
             self.plans.append((self.model.sim.now, plan))
-            self.model.sim.after(self.ways.down, self.spread, plan)
+            self.model.sim.after(self.delays.distribution_ms, self.distribute, plan)
 
-    def spread(self, plan: Plan) -> None:
+    def distribute(self, plan: Plan) -> None:
+        """Delivers a plan to all gateways."""
         self.plan = plan
-        for at, front in enumerate(self.model.gateways):
-            if front is not None:
-                self.tell(at, front, plan)
-
-    def tell(self, at: int, front: ModelFront, plan: Plan) -> None:
-        self.told[at] = front, plan.number
-        event = plan_event(plan, self.day.zones, [one.name for one in self.day.request_classes], alone=False)
-        front.tell(event or FailoverPlan({}, {}, 0.0))
-
-    def see_all(self, asked: FleetReport) -> None:
-        """Zones by the engines that live; what is let in by a ramp that was the best of many in hindsight."""
-        now, day = self.model.sim.now, self.day
-        up = dict.fromkeys(day.zones, 0.0)
-        for place in day.engines:
-            engine = self.model.engines[place.id]
+        for index, gateway in enumerate(self.model.gateways):
+            if gateway is not None:
+                self.deliver(index, gateway, plan)
+
+    def deliver(self, index: int, gateway: ModelGateway, plan: Plan) -> None:
+        """Delivers a plan to one gateway."""
+        self.delivered_plans[index] = gateway, plan.number
+        event = plan_event(
+            plan,
+            self.scenario.zones,
+            [request_class.name for request_class in self.scenario.request_classes],
+            alone=False,
+        )
+        gateway.add_event(event or FailoverPlan({}, {}, 0.0))
+
+    def update_ceiling_plan(self, report: FleetReport) -> None:
+        """Plans from the state of the engines themselves.
+
+        What is admitted follows the ramp that was the best of many in hindsight.
+        """
+        now, scenario = self.model.sim.now, self.scenario
+        running_sizes = dict.fromkeys(scenario.zones, 0.0)
+        for scenario_engine in scenario.engines:
+            engine = self.model.engines[scenario_engine.id]
             if engine.alive and not engine.hanging:
-                up[place.zone] += engine.warmth()
-        rows: dict[str, dict[str, float]] = {}
+                running_sizes[scenario_engine.zone] += engine.warmth()
+        routes: dict[str, dict[str, float]] = {}
         shed: dict[str, dict[str, float]] = {}
-        self.planner.load.demand = dict(asked.demand)
-        for zone in day.zones:
-            self.sizes[zone] = max(self.sizes[zone], up[zone])
-            part = up[zone] / self.sizes[zone] if self.sizes[zone] else 1.0
-            if part >= 0.99:
-                self.since.pop(zone, None)
+        self.planner.load.demand = dict(report.demand)
+        for zone in scenario.zones:
+            self.max_zone_sizes[zone] = max(self.max_zone_sizes[zone], running_sizes[zone])
+            remaining_share = (
+                running_sizes[zone] / self.max_zone_sizes[zone] if self.max_zone_sizes[zone] else 1.0
+            )
+            if remaining_share >= 0.99:
+                self.lost_since.pop(zone, None)
                 continue
-            past = now - self.since.setdefault(zone, now)
-            rest = {other: size for other, size in up.items() if other != zone and size}
-            whole = sum(rest.values())
-            rows[zone] = {other: (1 - part) * size / whole for other, size in rest.items()}
-            if part:
-                rows[zone][zone] = part
-            held = min(1.0, 1 - (past - RAMP[1]) / RAMP[2])
-            if held > 0 and not part:
-                shed[zone] = hold_by_rank(RAMP[0] * held, self.planner.load.demand, self.map.credits)
-        if rows != self.plan.routes or shed != self.plan.shed:
-            self.plan = Plan(self.plan.number + 1, rows, shed, 500.0 if shed else 0.0)
-            self.spread(self.plan)
-
-
-def watcher_of(day: Scenario) -> Watcher:
-    return Watcher(day.zones, [one.name for one in day.request_classes], day.module_settings(0, day.zones[0]))
+            lost_ms = now - self.lost_since.setdefault(zone, now)
+            other_sizes = {other: size for other, size in running_sizes.items() if other != zone and size}
+            total_size = sum(other_sizes.values())
+            routes[zone] = {
+                other: (1 - remaining_share) * size / total_size for other, size in other_sizes.items()
+            }
+            if remaining_share:
+                routes[zone][zone] = remaining_share
+            held_share = min(1.0, 1 - (lost_ms - SHED_RAMP[1]) / SHED_RAMP[2])
+            if held_share > 0 and not remaining_share:
+                shed[zone] = hold_by_rank(
+                    SHED_RAMP[0] * held_share, self.planner.load.demand, self.planner_settings.credits
+                )
+        if routes != self.plan.routes or shed != self.plan.shed:
+            self.plan = Plan(self.plan.number + 1, routes, shed, 500.0 if shed else 0.0)
+            self.distribute(self.plan)
+
+
+def watcher_of(scenario: Scenario) -> Watcher:
+    """Returns a watcher of the zones and request classes of a scenario."""
+    return Watcher(
+        scenario.zones,
+        [request_class.name for request_class in scenario.request_classes],
+        scenario.module_settings(0, scenario.zones[0]),
+    )
--- a/worksmux/simulation/engine.py
+++ b/worksmux/simulation/engine.py
@@ -1,9 +1,10 @@
-"""An engine in simulated time: a line, slots, memory, reads in turn, answers that share the machine, state
-that is held and pulled, warm-up and falling over.
+"""Engine in simulated time.
 
-It follows `standins/model.py`, which works by ticks; here nothing happens between events.  Answers share the
-machine evenly, so one virtual clock counts the tokens that each of them has made since it began, and a heap
-over it gives who is next (the usual device of processor sharing).  Speed is taken as it is at each event.
+The engine has a queue, slots, memory, sequential prefills, decodes that share the machine, KV cache that is
+held and transferred, a warm-up, and failure under overload while it is cold. It follows `fakes/generator.py`,
+which works by ticks; here nothing happens between events. Decodes share the machine evenly, so one virtual
+clock counts the tokens that each of them has made since it began, and a heap over it gives the next one (the
+usual method for processor sharing). The speed is sampled at each event.
 """
 
 from __future__ import annotations
@@ -20,447 +21,477 @@
 from .sim import Sim, Timer
 
 Note = Callable[..., None]
-WHILE_COLD = 1 / 20  # of the warm-up, between two looks at the speed
+COLD_UPDATE_SHARE = 1 / 20  # interval between two updates of the speed, as a share of the warm-up
 
 
 @dataclass(eq=False, slots=True)
 class Call:
-    """One trip on its way; `began(elapsed)` and `ended(outcome, note)` are called at the front."""
+    """One attempt at an engine; `on_first_token()` and `on_end(outcome, note)` are called at the gateway."""
 
     request: str
-    key: str
-    front: str
+    attempt_id: str
+    gateway: str
     request_class: str
-    prompt: float
-    answer: int
-    reading: bool
-    holder: ModelEngine | None  # where its read state waits
-    beginnings: tuple[tuple[int, float], ...]
-    began: Callable[[], None]
-    ended: Callable[[Outcome, int], None]
-    facts: dict[str, Any]
-    memory: float = 0.0
-    cached: float = 0.0
-    over: bool = False
-    ahead: ModelEngine | None = None  # holds a place for it
+    prompt_tokens: float
+    answer_tokens: int
+    is_prefill: bool
+    kv_holder: ModelEngine | None  # engine that holds the KV cache of the prefill
+    prefixes: tuple[tuple[int, float], ...]
+    on_first_token: Callable[[], None]
+    on_end: Callable[[Outcome, int], None]
+    journal_fields: dict[str, Any]
+    reserved_tokens: float = 0.0
+    cached_tokens: float = 0.0
+    is_over: bool = False
+    reserved_engine: ModelEngine | None = None  # decode engine with a slot reserved for the request
 
 
 @dataclass(eq=False, slots=True)
-class Place:
+class ReservedSlot:
+    """Decode slot and memory reserved for a request whose prefill runs on another engine."""
+
     tokens: float
-    since: float
-    reader: ModelEngine | None
-    here: bool = False
-    pulling: bool = False
+    reserved_at: float
+    prefill_engine: ModelEngine | None
+    kv_arrived: bool = False
+    is_transferring: bool = False
 
 
 @dataclass(eq=False, slots=True)
-class State:
+class HeldKvCache:
+    """KV cache of a finished prefill, held until it is transferred or released."""
+
     tokens: float
-    front: str
-    asked: bool = False
+    gateway: str
+    transfer_requested: bool = False
 
 
 @dataclass(slots=True)
-class Counts:
-    """What reached this engine."""
+class EngineCounts:
+    """Counters of what reached one engine."""
 
     attempts: int = 0
     probes: int = 0
-    cold_peak: float = 0.0  # the most that reached it cold, against what it can stand
-    probe_peak: int = 0  # probes within one second
+    cold_peak: float = 0.0  # highest ratio of arrivals to those that the cold engine can bear
+    max_probes_per_second: int = 0
     falls: int = 0
 
 
 class ModelEngine:
-    """`hop` is the way of a message, milliseconds; `note` writes a line of the journal."""
+    """Simulated engine. `hop_ms` is the delay of a message, and `note` writes a line of the journal."""
 
-    def __init__(self, sim: Sim, spec: Spec, note: Note, hop: float, started: float | None = None) -> None:
-        self.sim, self.spec, self.note, self.hop = sim, spec, note, hop
+    def __init__(self, sim: Sim, spec: Spec, note: Note, hop_ms: float, started: float | None = None) -> None:
+        self.sim, self.spec, self.note, self.hop_ms = sim, spec, note, hop_ms
         self.alive, self.hanging, self.draining = True, False, False
-        self.started = started  # None: long ago
-        self.slow = 1.0
-        self.line: deque[Call] = deque()
-        self.fetching: dict[Call, None] = {}
-        self.reads: deque[Call] = deque()
-        self.answering: dict[Call, None] = {}
-        self.states: dict[str, State] = {}
-        self.places: dict[str, Place] = {}
-        self.attached: dict[str, Call] = {}
-        self.texts: OrderedDict[int, float] = OrderedDict()
-        self.used = 0.0
-        self.at, self.virtual, self.number = sim.now, 0.0, 0
-        self.marks: list[tuple[float, int, Call, bool]] = []  # virtual time, order, call, whether its end
-        self.next: Timer | None = None
-        self.read_timer: Timer | None = None
-        self.link_free = {"near": 0.0, "far": 0.0}
-        self.pressure: deque[float] = deque()
-        self.probed: deque[float] = deque()
-        self.hung: dict[Call, None] = {}
-        self.failing: dict[str, float] = {}  # share of quick errors by offering; "" for all
-        self.chance = random.Random(spec.seed)
-        self.counts = Counts()
+        self.started = started  # None: started long ago and warm
+        self.slowdown = 1.0
+        self.queue: deque[Call] = deque()
+        self.transferring: dict[Call, None] = {}
+        self.prefills: deque[Call] = deque()
+        self.decoding: dict[Call, None] = {}
+        self.kv_caches: dict[str, HeldKvCache] = {}
+        self.reserved_slots: dict[str, ReservedSlot] = {}
+        self.waiting_calls: dict[str, Call] = {}
+        self.prefix_cache: OrderedDict[int, float] = OrderedDict()
+        self.used_tokens = 0.0
+        self.advanced_at, self.virtual_tokens, self.sequence = sim.now, 0.0, 0
+        # (virtual time, sequence, call, whether the call ends then)
+        self.milestones: list[tuple[float, int, Call, bool]] = []
+        self.milestone_timer: Timer | None = None
+        self.prefill_timer: Timer | None = None
+        self.link_free_at = {"near": 0.0, "far": 0.0}
+        self.cold_arrivals: deque[float] = deque()
+        self.probe_times: deque[float] = deque()
+        self.hung_calls: dict[Call, None] = {}
+        self.error_shares: dict[str, float] = {}  # share of immediate errors by request class; "" for all
+        self.random = random.Random(spec.seed)
+        self.counts = EngineCounts()
         note(spec.id, "start", role=spec.role, zone=spec.zone, cell=spec.cell, cold=started is not None)
 
     # Speed.
 
     def warmth(self) -> float:
+        """Returns the speed as a share of that of a warm engine."""
         if self.started is None:
             return 1.0
         age = (self.sim.now - self.started) / self.spec.warm_up
         return min(1.0, self.spec.cold_from + (1 - self.spec.cold_from) * max(0.0, age))
 
     def _speed(self) -> float:
-        return self.warmth() / self.slow
+        return self.warmth() / self.slowdown
 
-    def _pressed(self) -> bool:
-        """Counts what reaches a cold engine; true when it falls over."""
-        warm = self.warmth()
-        if warm >= 1.0:
+    def _is_overloaded(self) -> bool:
+        """Counts an arrival at a cold engine; true when the engine fails under the arrivals."""
+        warmth = self.warmth()
+        if warmth >= 1.0:
             return False
         now = self.sim.now
-        self.pressure.append(now)
-        while self.pressure[0] < now - self.spec.fall_time:
-            self.pressure.popleft()
-        room = self.spec.fall_multiple * warm * self.spec.capacity * self.spec.fall_time / 1000
-        room += 3 * float(room**0.5)
-        self.counts.cold_peak = max(self.counts.cold_peak, len(self.pressure) / room)
-        return len(self.pressure) > room
+        self.cold_arrivals.append(now)
+        while self.cold_arrivals[0] < now - self.spec.fall_time:
+            self.cold_arrivals.popleft()
+        max_arrivals = self.spec.fall_multiple * warmth * self.spec.capacity * self.spec.fall_time / 1000
+        max_arrivals += 3 * float(max_arrivals**0.5)
+        self.counts.cold_peak = max(self.counts.cold_peak, len(self.cold_arrivals) / max_arrivals)
+        return len(self.cold_arrivals) > max_arrivals
 
     # Calls.
 
-    def got(self, call: Call) -> None:
+    def receive(self, call: Call) -> None:
+        """Takes a call: rejects it, queues it, or fails under it."""
         if not self.alive:
             return self._reply(call, Outcome.UNREACHABLE)
         self.counts.attempts += 1
-        self.note(self.spec.id, "got", **call.facts)
-        if self._pressed():
+        self.note(self.spec.id, "got", **call.journal_fields)
+        if self._is_overloaded():
             self.counts.falls += 1
-            self.note(self.spec.id, "fell", front=call.front)
+            self.note(self.spec.id, "fell", front=call.gateway)
             self._end(call, "fell", Outcome.RESET)
-            return self.die()
+            return self.kill()
         share = (
-            max(self.failing.get("", 0.0), self.failing.get(call.request_class, 0.0)) if self.failing else 0.0
+            max(self.error_shares.get("", 0.0), self.error_shares.get(call.request_class, 0.0))
+            if self.error_shares
+            else 0.0
         )
         if self.hanging:
-            self.hung[call] = None
-        elif share and self.chance.random() < share:
+            self.hung_calls[call] = None
+        elif share and self.random.random() < share:
             self._end(call, "error", Outcome.ERROR)
         elif self.draining:
             self._end(call, "draining", Outcome.FULL)
-        elif self.spec.role == "write" and call.holder is None and call.request not in self.places:
+        elif self.spec.role == "write" and call.kv_holder is None and call.request not in self.reserved_slots:
             self._end(call, "state_lost", Outcome.FULL, 1)
-        elif len(self.line) >= self.spec.line and not self._fits(call):
+        elif len(self.queue) >= self.spec.line and not self._fits(call):
             self._end(call, "full", Outcome.FULL)
         else:
-            self.line.append(call)
+            self.queue.append(call)
             self._admit()
 
     def _reply(self, call: Call, outcome: Outcome, note: int = 0) -> None:
-        if not call.over:
-            call.over = True
-            self.sim.after(self.hop, call.ended, outcome, note)
+        if not call.is_over:
+            call.is_over = True
+            self.sim.after(self.hop_ms, call.on_end, outcome, note)
 
-    def _end(self, call: Call, how: str, outcome: Outcome, note: int = 0, made: int = 0) -> None:
-        if not call.over:
-            self.note(self.spec.id, "end", how=how, made=made, **call.facts)
+    def _end(self, call: Call, reason: str, outcome: Outcome, note: int = 0, made: int = 0) -> None:
+        if not call.is_over:
+            self.note(self.spec.id, "end", how=reason, made=made, **call.journal_fields)
         self._reply(call, outcome, note)
 
     def cancel(self, call: Call) -> None:
-        """The front has closed the connection."""
-        if call.over or not self.alive:
+        """Ends a call whose connection the gateway has closed."""
+        if call.is_over or not self.alive:
             return
-        made = 1 if call in self.answering else 0
-        self._drop(call)
-        self.note(self.spec.id, "end", how="cut", made=made, **call.facts)
-        call.over = True
+        made = 1 if call in self.decoding else 0
+        self._remove(call)
+        self.note(self.spec.id, "end", how="cut", made=made, **call.journal_fields)
+        call.is_over = True
         self._admit()
 
     def probe(self, reply: Callable[[bool, ModelEngine], None]) -> None:
-        """`reply(answered, engine)`; a hung engine never answers."""
+        """Calls `reply(answered, engine)`; a hung engine never replies."""
         if self.alive and not self.hanging:
             self.counts.probes += 1
-            self.probed.append(self.sim.now)
-            while self.probed[0] < self.sim.now - 1000.0:
-                self.probed.popleft()
-            self.counts.probe_peak = max(self.counts.probe_peak, len(self.probed))
-            self.sim.after(self.hop, reply, True, self)
+            self.probe_times.append(self.sim.now)
+            while self.probe_times[0] < self.sim.now - 1000.0:
+                self.probe_times.popleft()
+            self.counts.max_probes_per_second = max(self.counts.max_probes_per_second, len(self.probe_times))
+            self.sim.after(self.hop_ms, reply, True, self)
         elif not self.alive:
-            self.sim.after(self.hop, reply, False, self)
+            self.sim.after(self.hop_ms, reply, False, self)
+
+    def hang(self, is_hanging: bool) -> None:
+        """Makes the engine stop working and replying, or continue.
 
-    def hang(self, on: bool) -> None:
-        """Stops working and answering; once it goes on, the connections of that time are gone."""
+        The connections that arrived meanwhile are reset when it continues.
+        """
         self._advance()
-        self.hanging = on
-        if not on:
-            for call in [*self.hung]:
-                del self.hung[call]
+        self.hanging = is_hanging
+        if not is_hanging:
+            for call in [*self.hung_calls]:
+                del self.hung_calls[call]
                 self._end(call, "hung", Outcome.RESET)
-            self._read_next()
+            self._prefill_next()
         self._schedule()
 
-    def change_speed(self, slow: float) -> None:
+    def change_speed(self, slowdown: float) -> None:
+        """Sets the factor by which the engine is slowed down."""
         self._advance()
-        self.slow = slow
+        self.slowdown = slowdown
         self._schedule()
 
-    def die(self) -> None:
-        """The process ends; what it had is lost."""
+    def kill(self) -> None:
+        """Ends the process; its calls and KV cache are lost."""
         self.alive = False
-        for call in [*self.line, *self.fetching, *self.reads, *self.answering, *self.hung]:
+        for call in [*self.queue, *self.transferring, *self.prefills, *self.decoding, *self.hung_calls]:
             self._reply(call, Outcome.RESET)
-        for timer in (self.next, self.read_timer):
+        for timer in (self.milestone_timer, self.prefill_timer):
             if timer is not None:
                 timer.cancel()
         self.note("runner", "engine killed", engine=self.spec.id)
 
-    # The line, slots and memory.
+    # Queue, slots and memory.
 
-    def _taken(self) -> int:
-        return len(self.fetching) + len(self.reads) + len(self.answering) + len(self.places)
+    def _used_slots(self) -> int:
+        return len(self.transferring) + len(self.prefills) + len(self.decoding) + len(self.reserved_slots)
 
     def _fits(self, call: Call) -> bool:
-        return call.request in self.places or (
-            self._taken() < self.spec.slots and self.used + call.prompt + call.answer <= self.spec.memory
+        return call.request in self.reserved_slots or (
+            self._used_slots() < self.spec.slots
+            and self.used_tokens + call.prompt_tokens + call.answer_tokens <= self.spec.memory
         )
 
     def _admit(self) -> None:
-        while self.line and self._fits(self.line[0]):
-            call = self.line.popleft()
-            place = self.places.pop(call.request, None)
-            call.memory = place.tokens if place else call.prompt + call.answer
-            self.used += 0.0 if place else call.memory
-            if place and place.here:
-                self._answer(call)
-            elif place and place.pulling and call.holder is not None:
-                self.fetching[call] = None
-                self.attached[call.request] = call
-            elif call.holder is not None:
-                self.fetching[call] = None
-                self._pull(call)
+        while self.queue and self._fits(self.queue[0]):
+            call = self.queue.popleft()
+            slot = self.reserved_slots.pop(call.request, None)
+            call.reserved_tokens = slot.tokens if slot else call.prompt_tokens + call.answer_tokens
+            self.used_tokens += 0.0 if slot else call.reserved_tokens
+            if slot and slot.kv_arrived:
+                self._start_decode(call)
+            elif slot and slot.is_transferring and call.kv_holder is not None:
+                self.transferring[call] = None
+                self.waiting_calls[call.request] = call
+            elif call.kv_holder is not None:
+                self.transferring[call] = None
+                self._request_transfer(call)
             else:
-                kept = max(
+                cached_tokens = max(
                     [
                         0.0,
                         *(
-                            min(length, self.texts[key])
-                            for key, length in call.beginnings
-                            if key in self.texts
+                            min(length, self.prefix_cache[key])
+                            for key, length in call.prefixes
+                            if key in self.prefix_cache
                         ),
                     ]
                 )
-                call.cached = min(kept, call.prompt - 1.0)
-                self.reads.append(call)
-                if len(self.reads) == 1:
-                    self._read_next()
-
-    def _drop(self, call: Call) -> None:
-        if call in self.hung:
-            del self.hung[call]
-        elif call in self.line:
-            self.line.remove(call)
-        elif call in self.fetching or call in self.answering or call in self.reads:
+                call.cached_tokens = min(cached_tokens, call.prompt_tokens - 1.0)
+                self.prefills.append(call)
+                if len(self.prefills) == 1:
+                    self._prefill_next()
+
+    def _remove(self, call: Call) -> None:
+        if call in self.hung_calls:
+            del self.hung_calls[call]
+        elif call in self.queue:
+            self.queue.remove(call)
+        elif call in self.transferring or call in self.decoding or call in self.prefills:
             self._advance()
-            self.fetching.pop(call, None)
-            self.answering.pop(call, None)
-            if call in self.reads:
-                first = self.reads[0] is call
-                self.reads.remove(call)
-                if first and self.read_timer is not None:
-                    self.read_timer.cancel()
-                    self._read_next()
-            self.used -= call.memory
+            self.transferring.pop(call, None)
+            self.decoding.pop(call, None)
+            if call in self.prefills:
+                first = self.prefills[0] is call
+                self.prefills.remove(call)
+                if first and self.prefill_timer is not None:
+                    self.prefill_timer.cancel()
+                    self._prefill_next()
+            self.used_tokens -= call.reserved_tokens
             self._schedule()
 
-    # Reading: one after the other.
+    # Prefill: one call after the other.
 
-    def _read_next(self) -> None:
-        if self.reads:
-            call = self.reads[0]
+    def _prefill_next(self) -> None:
+        if self.prefills:
+            call = self.prefills[0]
             rate = self.spec.read_speed * self._speed() / 1000
-            if self.spec.role == "both" and self.answering:
+            if self.spec.role == "both" and self.decoding:
                 rate /= 2
-            self.read_timer = self.sim.after((call.prompt - call.cached) / rate, self._read, call)
+            self.prefill_timer = self.sim.after(
+                (call.prompt_tokens - call.cached_tokens) / rate, self._on_prefilled, call
+            )
 
-    def _read(self, call: Call) -> None:
+    def _on_prefilled(self, call: Call) -> None:
         if self.hanging:
             return
-        self.reads.popleft()
-        for key, length in call.beginnings:
-            self.texts[key] = max(length, self.texts.get(key, 0.0))
-            self.texts.move_to_end(key)
-        while len(self.texts) > self.spec.kept:
-            self.texts.popitem(last=False)
-        self._read_next()
+        self.prefills.popleft()
+        for key, length in call.prefixes:
+            self.prefix_cache[key] = max(length, self.prefix_cache.get(key, 0.0))
+            self.prefix_cache.move_to_end(key)
+        while len(self.prefix_cache) > self.spec.kept:
+            self.prefix_cache.popitem(last=False)
+        self._prefill_next()
         if self.spec.role == "both":
-            return self._answer(call)
-        self.used -= call.memory - call.prompt
-        self.states[call.request] = State(call.prompt, call.front)
-        self.note(self.spec.id, "held", job=call.request, tokens=call.prompt, front=call.front)
-        self._end(call, "read", Outcome.PREFILLED, int(call.cached))
-        self.sim.after(self.spec.lease, self._lease, call.request)
-        if call.ahead is not None:
-            call.ahead.read_ahead(call.request, self)
+            return self._start_decode(call)
+        self.used_tokens -= call.reserved_tokens - call.prompt_tokens
+        self.kv_caches[call.request] = HeldKvCache(call.prompt_tokens, call.gateway)
+        self.note(self.spec.id, "held", job=call.request, tokens=call.prompt_tokens, front=call.gateway)
+        self._end(call, "read", Outcome.PREFILLED, int(call.cached_tokens))
+        self.sim.after(self.spec.lease, self._on_lease_expired, call.request)
+        if call.reserved_engine is not None:
+            call.reserved_engine.start_transfer(call.request, self)
         self._admit()
 
-    def _lease(self, request: str) -> None:
-        state = self.states.get(request)
-        if state and not state.asked:
-            self._free_state(request, "lease")
+    def _on_lease_expired(self, request: str) -> None:
+        kv_cache = self.kv_caches.get(request)
+        if kv_cache and not kv_cache.transfer_requested:
+            self._free_kv_cache(request, "lease")
 
-    def _free_state(self, request: str, why: str) -> None:
-        state = self.states.pop(request, None)
-        if state and self.alive:
-            self.used -= state.tokens
-            self.note(self.spec.id, "pulled" if why == "pulled" else "freed", job=request, why=why)
+    def _free_kv_cache(self, request: str, reason: str) -> None:
+        kv_cache = self.kv_caches.pop(request, None)
+        if kv_cache and self.alive:
+            self.used_tokens -= kv_cache.tokens
+            self.note(self.spec.id, "pulled" if reason == "pulled" else "freed", job=request, why=reason)
             self._admit()
 
-    # Answering: all at once, by a virtual clock of tokens.
+    # Decode: all calls at once, by a virtual clock in tokens.
 
-    def _pace(self) -> float:
-        return (self.spec.step + self.spec.per_stream * len(self.answering)) / self._speed()
+    def _step_ms(self) -> float:
+        return (self.spec.step + self.spec.per_stream * len(self.decoding)) / self._speed()
 
     def _advance(self) -> None:
-        if self.answering and not self.hanging:
-            self.virtual += (self.sim.now - self.at) / self._pace()
-        self.at = self.sim.now
+        if self.decoding and not self.hanging:
+            self.virtual_tokens += (self.sim.now - self.advanced_at) / self._step_ms()
+        self.advanced_at = self.sim.now
 
-    def _answer(self, call: Call) -> None:
+    def _start_decode(self, call: Call) -> None:
         self._advance()
-        self.answering[call] = None
-        for tokens, end in ((1, False), (max(1, call.answer), True)):
-            self.number += 1
-            heapq.heappush(self.marks, (self.virtual + tokens, self.number, call, end))
+        self.decoding[call] = None
+        for tokens, is_end in ((1, False), (max(1, call.answer_tokens), True)):
+            self.sequence += 1
+            heapq.heappush(self.milestones, (self.virtual_tokens + tokens, self.sequence, call, is_end))
         self._schedule()
 
     def _schedule(self) -> None:
-        if self.next is not None:
-            self.next.cancel()
-            self.next = None
-        while self.marks and self.marks[0][2] not in self.answering:
-            heapq.heappop(self.marks)
-        if self.marks and not self.hanging:
-            wait = (self.marks[0][0] - self.virtual) * self._pace()
-            if self.started is not None:  # it grows faster meanwhile
-                wait = min(wait, self.spec.warm_up * WHILE_COLD) if self.warmth() < 1.0 else wait
-            self.next = self.sim.after(wait, self._due)
-
-    def _due(self) -> None:
+        if self.milestone_timer is not None:
+            self.milestone_timer.cancel()
+            self.milestone_timer = None
+        while self.milestones and self.milestones[0][2] not in self.decoding:
+            heapq.heappop(self.milestones)
+        if self.milestones and not self.hanging:
+            wait = (self.milestones[0][0] - self.virtual_tokens) * self._step_ms()
+            if self.started is not None:  # the speed rises during the warm-up
+                wait = min(wait, self.spec.warm_up * COLD_UPDATE_SHARE) if self.warmth() < 1.0 else wait
+            self.milestone_timer = self.sim.after(wait, self._on_milestone)
+
+    def _on_milestone(self) -> None:
         self._advance()
         freed = False
-        while self.marks and (
-            self.marks[0][2] not in self.answering or self.marks[0][0] <= self.virtual + 1e-6
+        while self.milestones and (
+            self.milestones[0][2] not in self.decoding or self.milestones[0][0] <= self.virtual_tokens + 1e-6
         ):
-            _, _, call, end = heapq.heappop(self.marks)
-            if call not in self.answering:
+            _, _, call, is_end = heapq.heappop(self.milestones)
+            if call not in self.decoding:
                 continue
-            if end:
-                del self.answering[call]
-                self.used -= call.memory
-                self._end(call, "done", Outcome.SERVED, int(call.cached), made=call.answer)
+            if is_end:
+                del self.decoding[call]
+                self.used_tokens -= call.reserved_tokens
+                self._end(call, "done", Outcome.SERVED, int(call.cached_tokens), made=call.answer_tokens)
                 freed = True
             else:
-                self.note(self.spec.id, "first", job=call.request, trip=call.key, front=call.front)
-                self.sim.after(self.hop, call.began)
+                self.note(self.spec.id, "first", job=call.request, trip=call.attempt_id, front=call.gateway)
+                self.sim.after(self.hop_ms, call.on_first_token)
         if freed:
             self._admit()
         self._schedule()
 
-    # State on its way.
+    # Transfer of KV cache.
 
-    def _pull(self, call: Call) -> None:
-        holder = call.holder
+    def _request_transfer(self, call: Call) -> None:
+        holder = call.kv_holder
         assert holder is not None
-        self.sim.after(self.hop, holder.give, call.request, self, lambda here: self._pulled(call, here))
+        self.sim.after(
+            self.hop_ms,
+            holder.transfer,
+            call.request,
+            self,
+            lambda arrived: self._on_transferred(call, arrived),
+        )
 
-    def _pulled(self, call: Call, here: bool) -> None:
-        if call not in self.fetching or not self.alive:
+    def _on_transferred(self, call: Call, arrived: bool) -> None:
+        if call not in self.transferring or not self.alive:
             return
-        if here:
-            del self.fetching[call]
-            self._answer(call)
+        if arrived:
+            del self.transferring[call]
+            self._start_decode(call)
         else:
-            self._drop(call)
+            self._remove(call)
             self._end(call, "state_lost", Outcome.FULL, 1)
             self._admit()
 
-    def give(self, request: str, writer: ModelEngine, moved: Callable[[bool], None]) -> None:
-        """Sends a state over the port, or over this engine's part of its cell's link, one after the other."""
-        state = self.states.get(request)
-        if state is None or not self.alive or self.hanging:
-            if not (self.alive and self.hanging):  # a hung one never answers
-                self.sim.after(self.hop, moved, False)
+    def transfer(
+        self, request: str, decode_engine: ModelEngine, on_transferred: Callable[[bool], None]
+    ) -> None:
+        """Sends a KV cache to a decode engine over this engine's port or its share of the link of its cell.
+
+        Transfers over one link run one after the other.
+        """
+        kv_cache = self.kv_caches.get(request)
+        if kv_cache is None or not self.alive or self.hanging:
+            if not (self.alive and self.hanging):  # a hung engine never replies
+                self.sim.after(self.hop_ms, on_transferred, False)
             return
-        state.asked = True
-        spec, near = self.spec, writer.spec.cell == self.spec.cell
-        slower = 1.0 if writer.spec.zone == spec.zone else spec.zone_slower
-        rate, way = (spec.near, "near") if near else (spec.far / slower, "far")
-        self.link_free[way] = max(self.sim.now, self.link_free[way]) + 1000 * state.tokens / rate
+        kv_cache.transfer_requested = True
+        spec, same_cell = self.spec, decode_engine.spec.cell == self.spec.cell
+        slower = 1.0 if decode_engine.spec.zone == spec.zone else spec.zone_slower
+        rate, link = (spec.near, "near") if same_cell else (spec.far / slower, "far")
+        self.link_free_at[link] = max(self.sim.now, self.link_free_at[link]) + 1000 * kv_cache.tokens / rate
 
-        def over() -> None:
-            here = self.alive and request in self.states
-            if here:
-                self._free_state(request, "pulled")
-            moved(here)
+        def finish() -> None:
+            arrived = self.alive and request in self.kv_caches
+            if arrived:
+                self._free_kv_cache(request, "pulled")
+            on_transferred(arrived)
 
-        self.sim.after(self.link_free[way] - self.sim.now, over)
+        self.sim.after(self.link_free_at[link] - self.sim.now, finish)
 
-    def place(
+    def reserve_slot(
         self,
         request: str,
         tokens: float,
-        reader: ModelEngine | None,
-        front: str,
+        prefill_engine: ModelEngine | None,
+        gateway: str,
         reply: Callable[[bool], None],
     ) -> None:
-        """Holds a slot and memory for a job that is being read, if they are free at once."""
+        """Reserves a slot and memory for a request in prefill, if they are free at once."""
         if not self.alive or self.hanging:
             return
-        self.note(self.spec.id, "place asked", job=request, front=front)
-        held = not (
+        self.note(self.spec.id, "place asked", job=request, front=gateway)
+        is_reserved = not (
             self.draining
-            or self.line
+            or self.queue
             or self.spec.role == "read"
-            or self._taken() >= self.spec.slots
-            or self.used + tokens > self.spec.memory
-            or request in self.places
-            or any(call.request == request for call in (*self.fetching, *self.answering))
+            or self._used_slots() >= self.spec.slots
+            or self.used_tokens + tokens > self.spec.memory
+            or request in self.reserved_slots
+            or any(call.request == request for call in (*self.transferring, *self.decoding))
         )
-        if held:
-            self.used += tokens
-            self.places[request] = Place(tokens, self.sim.now, reader, pulling=reader is not None)
-            self.note(self.spec.id, "placed", job=request, front=front)
-            self.sim.after(self.spec.lease, self._unplace, request, "lease")
-            if reader is not None and request in reader.states:
-                self.read_ahead(request, reader)
-        self.sim.after(self.hop, reply, held)
-
-    def read_ahead(self, request: str, reader: ModelEngine) -> None:
-        """The state for a place is read: it comes at once."""
-        if request not in self.places and request not in self.attached:
+        if is_reserved:
+            self.used_tokens += tokens
+            self.reserved_slots[request] = ReservedSlot(
+                tokens, self.sim.now, prefill_engine, is_transferring=prefill_engine is not None
+            )
+            self.note(self.spec.id, "placed", job=request, front=gateway)
+            self.sim.after(self.spec.lease, self._free_slot, request, "lease")
+            if prefill_engine is not None and request in prefill_engine.kv_caches:
+                self.start_transfer(request, prefill_engine)
+        self.sim.after(self.hop_ms, reply, is_reserved)
+
+    def start_transfer(self, request: str, prefill_engine: ModelEngine) -> None:
+        """Transfers the KV cache for a reserved slot as soon as the prefill is done."""
+        if request not in self.reserved_slots and request not in self.waiting_calls:
             return
 
-        def moved(here: bool) -> None:
-            place, call = self.places.get(request), self.attached.pop(request, None)
-            if place is not None:
-                place.pulling, place.here = False, here
-            elif call is not None and call in self.fetching:
-                self._pulled(call, here)
+        def on_transferred(arrived: bool) -> None:
+            slot, call = self.reserved_slots.get(request), self.waiting_calls.pop(request, None)
+            if slot is not None:
+                slot.is_transferring, slot.kv_arrived = False, arrived
+            elif call is not None and call in self.transferring:
+                self._on_transferred(call, arrived)
 
-        self.sim.after(self.hop, reader.give, request, self, moved)
+        self.sim.after(self.hop_ms, prefill_engine.transfer, request, self, on_transferred)
 
-    def _unplace(self, request: str, why: str) -> None:
-        place = self.places.pop(request, None)
-        if place and self.alive:
-            self.used -= place.tokens
-            self.note(self.spec.id, "unplaced", job=request, why=why)
+    def _free_slot(self, request: str, reason: str) -> None:
+        slot = self.reserved_slots.pop(request, None)
+        if slot and self.alive:
+            self.used_tokens -= slot.tokens
+            self.note(self.spec.id, "unplaced", job=request, why=reason)
             self._admit()
 
     def release(self, request: str) -> None:
+        """Releases the KV cache and the reserved slot of a request."""
         if not self.alive:
             return
         self.note(self.spec.id, "release", job=request)
-        state = self.states.get(request)
-        if state and not state.asked:
-            self._free_state(request, "release")
-        self._unplace(request, "release")
+        kv_cache = self.kv_caches.get(request)
+        if kv_cache and not kv_cache.transfer_requested:
+            self._free_kv_cache(request, "release")
+        self._free_slot(request, "release")
