--- a/benchmarks/council_storms.py
+++ b/benchmarks/council_storms.py
@@ -1,8 +1,7 @@
-"""Thousands of runs of consensus with random faults, on all cores: `python -m benchmarks.council_storms
-20000`.
+"""Consensus under random faults, on all cores: `python -m benchmarks.council_storms 20000`.
 
-Prints how many runs violated an invariant, the numbers of acknowledged entries, reads and terms with a
-leader, and the time taken.
+Prints how many of thousands of runs violated an invariant, the numbers of acknowledged entries, reads and
+terms with a leader, and the time taken.
 """
 
 from __future__ import annotations
--- a/benchmarks/mass_restart.py
+++ b/benchmarks/mass_restart.py
@@ -1,11 +1,10 @@
-"""Hundreds of nodes that restart at once on one old list while discovery is down, in simulated time: `python
--m benchmarks.mass_restart [NODES] [ENGINES]`.
-
-The lists have several ages and several shares of replaced engines (none, a tenth, half, all). A quarter of
-the engines that remain have just restarted and are cold. The policy, the trust in the cached list and the
-endpoint list are the code of the real gateway; engines, sockets and clients are the model's. The same run
-also has nodes with live discovery, and nodes that trust the list fully. Nodes that refuse to serve would
-serve nothing.
+"""Mass restart on an old list in simulated time: `python -m benchmarks.mass_restart [NODES] [ENGINES]`.
+
+Hundreds of nodes restart at once while discovery is down. The lists have several ages and several shares of
+replaced engines (none, a tenth, half, all). A quarter of the engines that remain have just restarted and are
+cold. The policy, the trust in the cached list and the endpoint list are the code of the real gateway;
+engines, sockets and clients are the model's. The same run also has nodes with live discovery, and nodes that
+trust the list fully. Nodes that refuse to serve would serve nothing.
 """
 
 from __future__ import annotations
--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -1,4 +1,4 @@
-"""A timer wheel with ticks against a heap: `python -m benchmarks.timers`.
+"""The timer queue by ticks against a heap: `python -m benchmarks.timers`.
 
 Timers of 0 to 60 s are added, a share of them is cancelled before they fire (as timeouts are), and the rest
 fire in steps of 1 ms. Printed are microseconds for each timer, beside a heap with lazy deletion in the same
@@ -14,8 +14,8 @@
 from worksmux.load.timer_queue import TimerQueue
 
 
-def run_wheel(due_times: list[float], cancelled: set[int]) -> float:
-    """Returns the seconds that the wheel takes for all timers."""
+def run_timer_queue(due_times: list[float], cancelled: set[int]) -> float:
+    """Returns the seconds that the timer queue takes for all timers."""
     start = time.perf_counter()
     pending = TimerQueue[int]()
     timers = [pending.put(due_at, number) for number, due_at in enumerate(due_times)]
@@ -51,11 +51,11 @@
             random_source = random.Random(1)
             due_times = [random_source.uniform(0, 60_000) for _ in range(timer_count)]
             cancelled = set(random_source.sample(range(timer_count), int(cancelled_share * timer_count)))
-            wheel_s, heap_s = run_wheel(due_times, cancelled), run_heap(due_times, cancelled)
+            queue_s, heap_s = run_timer_queue(due_times, cancelled), run_heap(due_times, cancelled)
             print(
                 f"{timer_count:7} timers, {cancelled_share:.0%} cancelled: "
-                f"wheel {wheel_s / timer_count * 1e6:.2f} us, heap "
-                f"{heap_s / timer_count * 1e6:.2f} us, ratio {wheel_s / heap_s:.2f}",
+                f"timer queue {queue_s / timer_count * 1e6:.2f} us, heap "
+                f"{heap_s / timer_count * 1e6:.2f} us, ratio {queue_s / heap_s:.2f}",
                 flush=True,
             )
 
