--- a/tests/node_rig.py
+++ b/tests/node_rig.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import json
+import os
 import socket
 from collections.abc import Callable
 from time import monotonic
@@ -16,6 +17,10 @@
 from worksmux.node.config import Config, parse_config
 from worksmux.node.serve import Node
 
+# Loopback address of this process's engines.  Where an engine stops listening, a process that is given its
+# port on another address does not answer in its place: connections to the engine are refused.
+ENGINE_HOST = f"127.{1 + os.getpid() // 250 % 250}.{1 + os.getpid() % 250}.1"
+
 SETTINGS = {
     "me": 0,
     "balancers": 1,
@@ -112,7 +117,7 @@
         self.on_release: Callable[[], Any] = lambda: None
         self.peers: list[Peer] = []
         factory: Any = Factory.forProtocol(self._peer)  # type: ignore[arg-type]
-        self.port, self.port_number = listen(rig.reactor, ("127.0.0.1", 0), factory)
+        self.port, self.port_number = listen(rig.reactor, (ENGINE_HOST, 0), factory)
 
     def _peer(self) -> Peer:
         self.peers.append(Peer(self._data))
@@ -134,7 +139,7 @@
     def entry(self, status: str = "SERVING") -> dict[str, Any]:
         return {
             "name": self.name,
-            "address": f"127.0.0.1:{self.port_number}",
+            "address": f"{ENGINE_HOST}:{self.port_number}",
             "zone": "a",
             "type": self.kind,
             "group": 1,
@@ -149,13 +154,13 @@
 
     def __init__(self) -> None:
         self.sockets = [socket.socket()]
-        self.sockets[0].bind(("127.0.0.1", 0))
+        self.sockets[0].bind((ENGINE_HOST, 0))
         self.sockets[0].listen(0)
         self.port = self.sockets[0].getsockname()[1]
         for _ in range(3):
             filling = socket.socket()
             filling.setblocking(False)
-            filling.connect_ex(("127.0.0.1", self.port))
+            filling.connect_ex((ENGINE_HOST, self.port))
             self.sockets.append(filling)
 
     def close(self) -> None:
--- a/tests/test_node_releases.py
+++ b/tests/test_node_releases.py
@@ -2,8 +2,18 @@
 
 from __future__ import annotations
 
-from node_rig import ANSWER, PREFILL_REPLY, Rig, UnacceptingListener, chat_request, start_two_engine_rig
-
+from node_rig import (
+    ANSWER,
+    PREFILL_REPLY,
+    Peer,
+    Rig,
+    UnacceptingListener,
+    chat_request,
+    start_two_engine_rig,
+)
+from twisted.internet.protocol import Factory
+
+from worksmux.net.loop import listen
 from worksmux.policy.state import Engine
 
 
@@ -47,6 +57,28 @@
     rig.wait_until_idle()  # one acknowledgement is enough
 
 
+def test_release_ends_although_the_port_of_a_dead_engine_is_reused() -> None:
+    """A prefill engine dies, and another process is given its port on the usual loopback address.
+
+    The listener of that process accepts connections and never answers.  Calls to the dead engine must still
+    be refused, so that its claim ends.
+    """
+    rig = Rig()
+
+    def die(_: bytes) -> None:
+        engine, factory = rig.engines[0], Factory.forProtocol(Peer)  # type: ignore[arg-type]
+        stopped = engine.port.stopListening()
+        stopped.addCallback(lambda _: listen(rig.reactor, ("127.0.0.1", engine.port_number), factory))
+
+    rig.engine("prefill", die)
+    rig.engine("decode")
+    rig.start()
+    peer = rig.client(chat_request(time_left="600"))
+    rig.wait_for_status(peer)
+    rig.run_until(lambda: b"DELETE" in rig.engines[1].methods())
+    rig.wait_until_idle()
+
+
 def test_release_prefers_zones_not_tried_and_its_own() -> None:
     rig = start_two_engine_rig()
     core = rig.node.core
