--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -59,12 +59,12 @@
         ('most-pause "200ms"', 'most-pause "2ms"', "swap them"),
         ("hold true", "hold 1", "expected true or false"),
         ('offering "mark"', 'offering "hint"', "is given twice"),
-        ('kind "prefill" role="read" memory=100000', "", "no job could be carried"),
+        ('kind "prefill" role="read" memory=100000', "", "no request could be served"),
     ],
 )
 def test_contradictory_and_missing_figures_are_refused(old: str, new: str, words: str) -> None:
     text = SETTINGS.replace(old, new)
-    if "could be carried" in words:
+    if "could be served" in words:
         text = text.replace('kind "mixed" role="both" memory=100000', "")
     assert any(words in one for one in faults(text))
 
--- a/worksmux/__init__.py
+++ b/worksmux/__init__.py
@@ -1,1 +1,1 @@
-"""worksmux: routes language-model jobs whose prompts are read on one engine and answered on another."""
+"""worksmux: routes language-model requests to engines that run prefill and decode separately."""
--- a/worksmux/__main__.py
+++ b/worksmux/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m worksmux`: the command line."""
+"""Runs the command line: `python -m worksmux`."""
 
 from .commands import main
 
--- a/worksmux/errors.py
+++ b/worksmux/errors.py
@@ -1,11 +1,11 @@
-"""The root of all errors that this program raises for what lies outside it: files, peers, settings.
+"""The base class of the errors that the program raises for faults outside it: in files, peers and settings.
 
-Each package derives its own from it; a name ends in `Error`, and a message says what went wrong, where, and
-what was expected.
+Each package derives its own errors from this class.  Their names end in `Error`.  A message states what went
+wrong, where, and what was expected.
 """
 
 from __future__ import annotations
 
 
 class WorksmuxError(Exception):
-    """Base of the program's own errors."""
+    """The base class of all errors that the program defines."""
--- a/worksmux/settings/__init__.py
+++ b/worksmux/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings in KDL: reading with lines, checks, and the plain map that the module is given.  No decision."""
+"""Reads and checks settings: KDL files of the gateway, and the JSON of an operator's platform."""
--- a/worksmux/settings/document.py
+++ b/worksmux/settings/document.py
@@ -1,9 +1,8 @@
-"""KDL documents whose nodes know their line, read key by key; all complaints are gathered, then raised at
-once.
+"""Reads KDL documents key by key, and collects all complaints before raising them together.
 
-A section is asked for each key it may hold.  What was never asked for is unknown, and is reported with the
-nearest known name.  A reader that meets a complaint goes on with a harmless stand-in value, so that one run
-shows all.
+Each node records its line.  The reader of a section requests each key that the section may hold; any other
+key is unknown and is reported with the closest known name.  After a complaint the reader continues with a
+harmless placeholder value, so that one run reports every fault.
 """
 
 from __future__ import annotations
@@ -25,7 +24,7 @@
 
 @dataclass(frozen=True, order=True)
 class Complaint:
-    """One fault of a settings file: where it stands, what was expected and how to mend it."""
+    """One fault of a settings file: its place, what was expected and how to fix it."""
 
     file: str
     line: int
@@ -45,7 +44,7 @@
 
 @dataclass
 class Section:
-    """A node: its name, arguments, properties and children, and the line it stands on."""
+    """A KDL node: its name, arguments, properties, children and line."""
 
     name: str
     line: int
@@ -54,18 +53,19 @@
     nodes: list[Section] = field(default_factory=list)
     file: str = ""
     complaints: list[Complaint] = field(default_factory=list)
-    known: set[str] = field(default_factory=set)
+    known_keys: set[str] = field(default_factory=set)
 
     def complain(self, text: str, line: int = 0) -> None:
+        """Adds a complaint at `line`, or at the section's own line."""
         self.complaints.append(Complaint(self.file, line or self.line, text))
 
-    def _adopt(self, node: Section) -> Section:
+    def _attach(self, node: Section) -> Section:
         node.file, node.complaints = self.file, self.complaints
         return node
 
     def _raw(self, key: str) -> tuple[Any, int] | None:
-        """The value of a key given as a property or as a child with one argument."""
-        self.known.add(key)
+        """The value and line of a key, given as a property or as a child with one argument."""
+        self.known_keys.add(key)
         found = [(self.props[key], self.line)] if key in self.props else []
         for node in self.nodes:
             if node.name == key:
@@ -77,8 +77,11 @@
             self.complain(f"{key}: given {len(found)} times; keep one", found[-1][1])
         return found[0] if found else None
 
-    def value(self, key: str, make: Callable[[Any], T], placeholder: T, default: T | None = None) -> T:
-        """A key's value through `make`, which raises ValueError with what was expected."""
+    def value(self, key: str, convert: Callable[[Any], T], placeholder: T, default: T | None = None) -> T:
+        """The value of a key, converted by `convert`, which raises ValueError with what was expected.
+
+        After a complaint the result is `placeholder`.
+        """
         raw = self._raw(key)
         if raw is None:
             if default is not None:
@@ -87,30 +90,36 @@
                 self.complain(f"{self.name}: {key} is missing; add it inside {self.name}")
             return placeholder
         try:
-            return make(raw[0])
+            return convert(raw[0])
         except ValueError as error:
             self.complain(f"{key}: {error}, not {raw[0]!r}", raw[1])
             return placeholder
 
     def duration_ms(self, key: str, default: float | None = None, min_value: float = 0.0) -> float:
-        def make(raw: object) -> float:
-            found = units.milliseconds(raw)
-            if found < min_value:
+        """A duration with a unit, in milliseconds."""
+
+        def convert(raw: object) -> float:
+            duration_ms = units.milliseconds(raw)
+            if duration_ms < min_value:
                 raise ValueError(f"expected at least {min_value:g}ms")
-            return found
+            return duration_ms
 
-        return self.value(key, make, max(1.0, min_value), default)
+        return self.value(key, convert, max(1.0, min_value), default)
 
     def size(self, key: str, default: int | None = None) -> int:
+        """A size with a unit, in bytes."""
         return self.value(key, units.size, 1, default)
 
     def address(self, key: str, default: tuple[str, int] | None = None) -> tuple[str, int]:
+        """A host and port."""
         return self.value(key, units.address, ("127.0.0.1", 0), default)
 
     def number(
         self, key: str, default: float | None = None, min_value: float = 0.0, max_value: float = 1e15
     ) -> float:
-        def make(raw: object) -> float:
+        """A number from `min_value` to `max_value`."""
+
+        def convert(raw: object) -> float:
             if (
                 isinstance(raw, bool)
                 or not isinstance(raw, (int, float))
@@ -120,12 +129,14 @@
                 raise ValueError(f"expected a number {span}")
             return float(raw)
 
-        return self.value(key, make, min_value, default)
+        return self.value(key, convert, min_value, default)
 
     def integer(
         self, key: str, default: int | None = None, min_value: int = 0, max_value: int = 10**9
     ) -> int:
-        def make(raw: object) -> int:
+        """A whole number from `min_value` to `max_value`."""
+
+        def convert(raw: object) -> int:
             if (
                 isinstance(raw, bool)
                 or not isinstance(raw, (int, float))
@@ -135,43 +146,50 @@
                 raise ValueError(f"expected a whole number from {min_value} to {max_value}")
             return int(raw)
 
-        return self.value(key, make, min_value, default)
+        return self.value(key, convert, min_value, default)
 
     def flag(self, key: str, default: bool | None = None) -> bool:
-        def make(raw: object) -> bool:
+        """A value that is true or false."""
+
+        def convert(raw: object) -> bool:
             if not isinstance(raw, bool):
                 raise ValueError("expected true or false")
             return raw
 
-        return self.value(key, make, False, default)
+        return self.value(key, convert, False, default)
 
     def text(self, key: str, default: str | None = None) -> str:
-        def make(raw: object) -> str:
+        """A text that is not empty."""
+
+        def convert(raw: object) -> str:
             if not isinstance(raw, str) or not raw:
                 raise ValueError("expected a text in quotes")
             return raw
 
-        return self.value(key, make, "", default)
+        return self.value(key, convert, "", default)
 
     def choice(self, key: str, choices: list[str], default: str | None = None) -> str:
-        def make(raw: object) -> str:
+        """A text that is one of `choices`."""
+
+        def convert(raw: object) -> str:
             if not isinstance(raw, str) or raw not in choices:
                 raise ValueError(f"expected one of {', '.join(choices)}")
             return raw
 
-        return self.value(key, make, choices[0] if choices else "", default)
+        return self.value(key, convert, choices[0] if choices else "", default)
 
     def number_range(self, key: str, default: tuple[float, float] | None = None) -> tuple[float, float]:
-        """A child with two numbers, the lower first, or one that stands for both."""
+        """Two numbers, the lower first; a single number is both limits."""
         return self._pair(key, lambda raw: raw, "numbers, such as 40 120", default)
 
     def duration_range(self, key: str, default: tuple[float, float] | None = None) -> tuple[float, float]:
+        """Two durations in milliseconds, the lower first; a single duration is both limits."""
         return self._pair(key, units.milliseconds, 'times, such as "1s" "4s"', default)
 
     def _pair(
-        self, key: str, make: Callable[[Any], float], wanted: str, default: tuple[float, float] | None
+        self, key: str, convert: Callable[[Any], float], expected: str, default: tuple[float, float] | None
     ) -> tuple[float, float]:
-        self.known.add(key)
+        self.known_keys.add(key)
         node = next((node for node in self.nodes if node.name == key), None)
         if node is None and key in self.props:
             node = Section(key, self.line, [self.props[key]])
@@ -180,58 +198,63 @@
                 self.complain(f"{self.name}: {key} is missing; add it inside {self.name}")
             return default or (1.0, 1.0)
         try:
-            figures = [float(make(raw)) for raw in node.args if not isinstance(raw, bool)]
+            numbers = [float(convert(raw)) for raw in node.args if not isinstance(raw, bool)]
         except (ValueError, TypeError):
-            figures = []
-        if len(figures) not in (1, 2) or len(figures) != len(node.args) or figures[0] > figures[-1]:
-            self.complain(f"{key}: expected one or two {wanted}, the lower first", node.line)
+            numbers = []
+        if len(numbers) not in (1, 2) or len(numbers) != len(node.args) or numbers[0] > numbers[-1]:
+            self.complain(f"{key}: expected one or two {expected}, the lower first", node.line)
             return default or (1.0, 1.0)
-        return figures[0], figures[-1]
+        return numbers[0], numbers[-1]
 
     def title(self) -> str:
-        """The node's one text argument, its name."""
+        """The name of the section: its one argument, a text."""
         if len(self.args) != 1 or not isinstance(self.args[0], str) or not self.args[0]:
             self.complain(f'{self.name}: expected one name in quotes, such as {self.name} "one"')
             return ""
         return self.args[0]
 
     def texts(self, key: str) -> list[str]:
-        """One or more names, given as a child or, if it is one, as a property."""
+        """One or more names, given as a child or, for a single name, as a property."""
         node = Section(key, self.line, [self.props[key]]) if key in self.props else self.required(key)
-        self.known.add(key)
+        self.known_keys.add(key)
         if not node.args or not all(isinstance(arg, str) and arg for arg in node.args):
             self.complain(f"{key}: expected one or more names in quotes", node.line)
             return [""]
         return [str(arg) for arg in node.args]
 
     def all(self, key: str) -> list[Section]:
-        self.known.add(key)
-        return [self._adopt(node) for node in self.nodes if node.name == key]
+        """Every child section with this name."""
+        self.known_keys.add(key)
+        return [self._attach(node) for node in self.nodes if node.name == key]
 
     def optional(self, key: str) -> Section | None:
+        """The only child section with this name; None if there is none."""
         found = self.all(key)
         if len(found) > 1:
             self.complain(f"{key}: given {len(found)} times; keep one", found[-1].line)
         return found[0] if found else None
 
     def required(self, key: str) -> Section:
+        """The only child section with this name; an empty one and a complaint if there is none."""
         found = self.optional(key)
         if found is None:
             self.complain(f"{self.name}: {key} is missing; add a section {key}")
-            return self._adopt(Section(key, self.line, complaints=self.complaints))
+            return self._attach(Section(key, self.line, complaints=self.complaints))
         return found
 
     def end(self) -> None:
-        """Reports every key that nothing asked for."""
-        for key, line in self._given():
-            if key not in self.known:
-                near = get_close_matches(key, self.known, 1)
+        """Reports every key that the reader did not request."""
+        for key, line in self._keys():
+            if key not in self.known_keys:
+                closest = get_close_matches(key, self.known_keys, 1)
                 hint = (
-                    f"; did you mean {near[0]}?" if near else f"; known here: {', '.join(sorted(self.known))}"
+                    f"; did you mean {closest[0]}?"
+                    if closest
+                    else f"; known here: {', '.join(sorted(self.known_keys))}"
                 )
                 self.complain(f"{self.name}: unknown key {key}{hint}", line)
 
-    def _given(self) -> Iterator[tuple[str, int]]:
+    def _keys(self) -> Iterator[tuple[str, int]]:
         for key in self.props:
             yield key, self.line
         for node in self.nodes:
@@ -243,7 +266,7 @@
 
 
 def parse(text: str, file: str = "settings") -> Section:
-    """The document as one section.
+    """Parses a document into one section.
 
     Raises SettingsError where the text is not KDL (version 1, https://kdl.dev/spec-v1/).
 
@@ -253,15 +276,15 @@
     try:
         document = Parser().parse(text, ParseConfig(nodeConverters={(..., ...): _section}))
     except ParseError as error:
-        words = " ".join(str(error.msg).split("parse error:")[-1].split())
-        raise SettingsError([Complaint(file, error.line, f"not KDL: {words}")]) from error
+        reason = " ".join(str(error.msg).split("parse error:")[-1].split())
+        raise SettingsError([Complaint(file, error.line, f"not KDL: {reason}")]) from error
     except (ValueError, RecursionError) as error:
         raise SettingsError([Complaint(file, 1, f"not KDL: {type(error).__name__}")]) from error
     return Section("file", 1, nodes=list(document.nodes), file=file)
 
 
 def load(path: str | Path) -> Section:
-    """Reads and parses a file; one that cannot be read is a complaint like any other."""
+    """Reads and parses a file.  Raises SettingsError also for a file that cannot be read."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
--- a/worksmux/settings/front.py
+++ b/worksmux/settings/front.py
@@ -1,4 +1,4 @@
-"""The settings of one front: `worksmux serve` and `worksmux check` read them."""
+"""The settings of one gateway, which `worksmux serve` and `worksmux check` read."""
 
 from __future__ import annotations
 
@@ -17,82 +17,84 @@
 
 @dataclass(frozen=True)
 class Transport:
-    """Bounds of the front's own sockets; milliseconds and bytes."""
+    """Limits of the gateway's connections; durations in milliseconds, sizes in bytes."""
 
     connect_time_out: float  # a connection to an engine
     keep_alive: float  # an idle connection, to a client or an engine
     idle_connections: int  # kept open to each engine
-    stream_silence: float  # between two pieces of a begun stream
-    call_time_out: float  # a probe, a place or a release
+    stream_silence: float  # longest pause between two pieces of a stream that has begun
+    call_time_out: float  # of a health check, a reservation of a decode slot, or a release
     release_tries: int
-    answer_margin: float  # taken off the time a client names, for the way back
-    body: int  # a client's job
-    head: int  # a message's head, from clients and engines
-    reply: int  # an engine's answer, and one event of a stream
-    open_requests: int  # taken and not yet answered
-    drain_time: float  # at a stop: for the jobs still out
+    answer_margin: float  # subtracted from the client's time limit, for the way of the answer
+    body: int  # of a client's request
+    head: int  # of the head of a message, from clients and engines
+    reply: int  # of an engine's answer, and of one event of a stream
+    open_requests: int  # accepted and not yet answered
+    drain_time: float  # at a stop, for the requests still open
 
 
 @dataclass(frozen=True)
 class EndpointListSource:
-    """Where the list of engines comes from."""
+    """The registry that the endpoint list comes from, and the limits of its connection."""
 
     address: Address
-    polls: bool  # changes come only after they were asked for
-    min_pause_ms: float  # before the next attempt to connect
+    polls: bool  # the registry sends changes only on request
+    min_pause_ms: float  # before the next attempt to connect; doubled after each failure
     max_pause_ms: float
     max_line_bytes: int
-    max_silence_ms: float  # without any line: the connection is given up
+    max_silence_ms: float  # without any line; then the connection is closed
 
 
 @dataclass(frozen=True)
 class Counting:
-    """Bounds of counting prompts; bytes, characters, tokens and milliseconds."""
+    """Limits of counting the tokens of prompts."""
 
-    cache: int
+    cache: int  # bytes of the cached token ids
     workers: int
     long_workers: int
-    long: int  # bytes from which a prompt is long
-    line: int  # bytes that may wait
-    piece: int  # characters of a piece, about
-    block: int  # tokens
-    shared_blocks: int
-    shared_sessions: int
-    time_limit: float
+    long: int  # bytes; a longer prompt goes to the workers for long prompts
+    line: int  # bytes that may wait to be counted
+    piece: int  # approximate characters of a piece
+    block: int  # tokens of a prefix block
+    shared_blocks: int  # prefix blocks to remember
+    shared_sessions: int  # different sessions after which a block is shared
+    time_limit: float  # milliseconds, of one count
 
 
 @dataclass(frozen=True)
 class EndpointCacheSettings:
-    """What is kept on disk of the list of engines; milliseconds."""
+    """Settings of the endpoint cache on disk."""
 
     file: str
-    expected_lifetime_ms: float  # before this front has seen any turnover: a line's mean life
-    max_probes_per_s: float  # probes a second that all fronts together may send to one engine
-    min_write_interval_ms: float  # between two writes
-    seeds: list[Line]  # engines to ask where nothing is remembered
+    expected_lifetime_ms: float  # mean lifetime of an endpoint, before any turnover was observed
+    max_probes_per_s: float  # that all gateways together may send to one engine
+    min_write_interval_ms: float
+    seeds: list[Line]  # engines to probe first if the cache is empty
 
 
 @dataclass(frozen=True)
 class Admission:
-    """Bounds of calls of one stage (embeddings and rerank) and of the front itself; see
-    `admission/gate.py`."""
+    """Limits of requests with one stage (embeddings and rerank) and of the gateway itself.
 
-    load_tokens: int  # that one engine is asked at once
+    The package `worksmux.admission` applies them.
+    """
+
+    load_tokens: int  # in flight at one engine
     load_inputs: int
-    line_tokens: int  # that may wait, for each offering
+    line_tokens: int  # that may wait, for each request class
     line_calls: int
-    open_calls: int  # taken and not yet answered
-    repeat_ratio: float  # of first attempts
+    open_calls: int  # accepted and not yet answered
+    repeat_ratio: float  # retries of clients per first attempt
     repeat_burst: float
-    stay_away: tuple[float, float]
-    loop_lag: float  # milliseconds: what the front's own loop may be late
+    stay_away: tuple[float, float]  # milliseconds: the shortest and the longest retry-after
+    loop_lag: float  # milliseconds that the event loop may lag
     sockets: int
     memory: int  # bytes
 
 
 @dataclass(frozen=True)
 class StageSettings:
-    """What carries one call of one stage: its offerings, and what its decision module is given."""
+    """Settings of one API with a single stage: its request classes and the settings of its policy."""
 
     call: str
     request_classes: list[shared.RequestClass]
@@ -101,10 +103,12 @@
 
 @dataclass(frozen=True)
 class GatewaySettings:
+    """All settings of one gateway."""
+
     name: str
     listen: Address
     watch: Address  # health and metrics
-    tick_ms: float  # the shortest time between two turns
+    tick_ms: float  # the shortest time between two decision rounds
     seed: int | None
     policy: str
     zones: list[str]
@@ -117,16 +121,17 @@
     endpoint_cache: EndpointCacheSettings | None
     log_format: str
     log_level: str
-    policy_settings: PolicySettings  # what the decision module is given
+    policy_settings: PolicySettings  # of the chat requests
     stages: list[StageSettings]
     admission: Admission | None
-    regions: dict[str, str]  # by zone; empty where none are told
-    fleet: FleetSettings | None  # other fronts, and what is decided in common; none: alone as ever
+    regions: dict[str, str]  # by zone; empty if the file names none
+    fleet: FleetSettings | None  # None: the gateway runs without a fleet
 
 
 def read_transport(section: Section) -> Transport:
+    """Reads the section `transport`."""
     node = section.required("transport")
-    found = Transport(
+    settings = Transport(
         node.duration_ms("connect-time-out", min_value=1),
         node.duration_ms("keep-alive", min_value=1),
         node.integer("idle-connections", 32),
@@ -141,12 +146,12 @@
         node.duration_ms("drain-time"),
     )
     node.end()
-    return found
+    return settings
 
 
 def _source(section: Section) -> EndpointListSource:
     node = section.required("registry")
-    found = EndpointListSource(
+    settings = EndpointListSource(
         node.address("address"),
         node.choice("changes", ["pushed", "asked-for"], "pushed") == "asked-for",
         node.duration_ms("least-pause", min_value=1),
@@ -154,30 +159,32 @@
         node.size("longest-line"),
         node.duration_ms("silence", min_value=1),
     )
-    if found.max_pause_ms < found.min_pause_ms:
+    if settings.max_pause_ms < settings.min_pause_ms:
         node.complain("registry: most-pause is shorter than least-pause; swap them")
     node.end()
-    return found
+    return settings
 
 
 def read_counting(
-    root: Section, offered: list[shared.RequestClass]
+    root: Section, request_classes: list[shared.RequestClass]
 ) -> tuple[dict[str, str], Counting | None]:
-    """The tokenizers by name, and how prompts are counted; none where no tokenizer is given."""
+    """Reads the tokenizers by name, and the limits of counting; None without a tokenizer."""
     files = {}
     for node in root.all("tokenizer"):
         files[node.title()] = node.text("file")
         node.end()
-    for one in offered:
-        if (one.tokenizer or files and one.call == "chat") and one.tokenizer not in files:
+    for request_class in request_classes:
+        if (
+            request_class.tokenizer or files and request_class.call == "chat"
+        ) and request_class.tokenizer not in files:
             root.complain(
-                f'offering "{one.name}": tokenizer "{one.tokenizer}" is not given; name one of '
+                f'offering "{request_class.name}": tokenizer "{request_class.tokenizer}" is not given; name one of '
                 f"{', '.join(files) or 'none, add a section tokenizer'}"
             )
     if not files:
         return {}, None
     node = root.required("counting")
-    found = Counting(
+    settings = Counting(
         node.size("cache"),
         node.integer("workers", min_value=1, max_value=64),
         node.integer("long-workers", min_value=1, max_value=64),
@@ -189,10 +196,10 @@
         node.integer("shared-sessions", min_value=2),
         node.duration_ms("time-limit", min_value=1),
     )
-    if found.line < found.long:
+    if settings.line < settings.long:
         node.complain("counting: line is shorter than long-from; no long prompt would ever be counted")
     node.end()
-    return files, found
+    return files, settings
 
 
 def _endpoint_cache(
@@ -216,7 +223,7 @@
             )
         )
         seed.end()
-    found = EndpointCacheSettings(
+    settings = EndpointCacheSettings(
         node.text("file"),
         node.duration_ms("believed-for", min_value=1),
         node.number("probe-rate", min_value=0.001),
@@ -224,16 +231,17 @@
         seeds,
     )
     node.end()
-    return found
+    return settings
 
 
-def read_admission(root: Section, wanted: bool) -> Admission | None:
+def read_admission(root: Section, required: bool) -> Admission | None:
+    """Reads the section `admission`; without one the result is None, and a complaint if it is required."""
     node = root.optional("admission")
     if node is None:
-        if wanted:
+        if required:
             root.complain("admission is missing; offerings of embeddings or rerank need that section")
         return None
-    found = Admission(
+    settings = Admission(
         node.integer("load-tokens", min_value=1),
         node.integer("load-inputs", min_value=1),
         node.integer("line-tokens", min_value=1),
@@ -246,14 +254,14 @@
         node.integer("sockets", 10_000, min_value=1),
         node.size("memory", 4 * 2**30),
     )
-    if found.line_tokens < found.load_tokens:
+    if settings.line_tokens < settings.load_tokens:
         node.complain("line-tokens is less than load-tokens; no full load could ever wait")
     node.end()
-    return found
+    return settings
 
 
 def read_gateway_settings(root: Section) -> GatewaySettings:
-    """All settings of a front; raises SettingsError with every complaint at once."""
+    """Reads all settings of a gateway.  Raises SettingsError with every complaint."""
     node = root.required("front")
     name = node.title()
     listen, watch = node.address("listen"), node.address("watch", ("127.0.0.1", 0))
@@ -267,35 +275,35 @@
         node.complain(f'zone "{zone}" is not among the zones {", ".join(zones)}')
     if number >= fronts:
         node.complain(f"number counts from 0: it must be below fronts ({fronts})")
-    offered, kinds = shared.request_classes(root), shared.kinds(root)
-    figures, allowed, priced = shared.rules(root), shared.limits(root), shared.prices(root)
+    request_classes, kinds = shared.request_classes(root), shared.kinds(root)
+    rules, limits, prices = shared.rules(root), shared.limits(root), shared.prices(root)
     transport, source = read_transport(root), _source(root)
-    tokenizers, counting = read_counting(root, offered)
+    tokenizers, counting = read_counting(root, request_classes)
     endpoint_cache = _endpoint_cache(root, kinds, zones)
-    one_stage = [one for one in offered if one.call != "chat"]
-    admission = read_admission(root, bool(one_stage))
+    single_stage = [one for one in request_classes if one.call != "chat"]
+    admission = read_admission(root, bool(single_stage))
     regions, fleet = shared.regions(root, zones), read_fleet(root, zones)
     log = root.optional("log") or Section("log", root.line, complaints=root.complaints)
-    log_format, level = (
+    log_format, log_level = (
         log.choice("format", ["json", "console"], "json"),
         log.choice("level", ["debug", "info", "warning", "error"], "info"),
     )
     log.end()
     root.end()
-    for one in one_stage:
+    for one in single_stage:
         if not any(kind.call == one.call for kind in kinds):
             root.complain(
                 f'offering "{one.name}": no kind of engine carries {one.call}; add one with '
                 f'call="{one.call}" role="both"'
             )
-    chat = [one for one in offered if one.call == "chat"]
+    chat = [one for one in request_classes if one.call == "chat"]
     if chat and not any(kind.call == "chat" for kind in kinds):
         root.complain("no kind of engine carries chat; add one")
-    if allowed["may_hold"] and not any(kind.role == "write" for kind in kinds):
-        root.complain("limits: hold is on, yet no kind of engine writes only; set hold false")
+    if limits["may_hold"] and not any(kind.role == "write" for kind in kinds):
+        root.complain("limits: hold is on, but no kind of engine has role write; set hold false")
     if root.complaints:
         raise SettingsError(root.complaints)
-    place = {
+    placement = {
         "node_index": number,
         "node_count": fronts,
         "zone": zones.index(zone),
@@ -303,11 +311,11 @@
         "connect_timeout_ms": transport.connect_time_out,
     }
     policy_settings = shared.policy_settings(
-        chat or offered, kinds, figures, allowed, priced, **place, polls_endpoint_list=source.polls
+        chat or request_classes, kinds, rules, limits, prices, **placement, polls_endpoint_list=source.polls
     )
     stages = []
-    for call in dict.fromkeys(one.call for one in one_stage):
-        own = [one for one in one_stage if one.call == call]
+    for call in dict.fromkeys(one.call for one in single_stage):
+        own = [one for one in single_stage if one.call == call]
         stages.append(
             StageSettings(
                 call,
@@ -315,10 +323,10 @@
                 shared.policy_settings(
                     own,
                     kinds,
-                    figures,
-                    {**allowed, "may_hold": False},
-                    priced,
-                    **place,
+                    rules,
+                    {**limits, "may_hold": False},
+                    prices,
+                    **placement,
                     polls_endpoint_list=False,
                 ),
             )
@@ -339,7 +347,7 @@
         counting,
         endpoint_cache,
         log_format,
-        level,
+        log_level,
         policy_settings,
         stages,
         admission,
@@ -349,4 +357,5 @@
 
 
 def load_gateway_settings(path: str | Path) -> GatewaySettings:
+    """Reads the settings of a gateway from a file.  Raises SettingsError."""
     return read_gateway_settings(load(path))
--- a/worksmux/settings/shared.py
+++ b/worksmux/settings/shared.py
@@ -1,5 +1,7 @@
-"""Sections that the front's settings and a trial's file have in common: offerings, kinds, rules, limits,
-prices."""
+"""Reads the sections that the settings of a gateway and the file of a scenario have in common.
+
+They are the request classes (`offering`), the kinds of engine, and the sections `rules`, `limits` and `prices`.
+"""
 
 from __future__ import annotations
 
@@ -17,34 +19,37 @@
 
 @dataclass(frozen=True)
 class RequestClass:
-    """One offering; times in milliseconds, tokens as whole numbers."""
+    """One request class; durations in milliseconds.
+
+    The fault trial passes the fields by name to the settings of the clients in worksmux.fakes.
+    """
 
     name: str
-    promised_time: float
-    promised_per_k: float  # added for each 1,000 tokens of the prompt
-    outer_limit: float
-    token_time: float  # the mean time wanted between tokens
-    most_answer: int  # tokens, where the client names no figure
+    promised_time: float  # the latency target
+    promised_per_k: float  # added to the latency target for each 1,000 tokens of the prompt
+    outer_limit: float  # the deadline
+    token_time: float  # target of the mean time between tokens
+    most_answer: int  # tokens, if the client names no limit
     credit: float
     late_credit: float
     effect: str
-    group: str
-    remembered: float
-    tokenizer: str = ""  # its name; none: lengths are guessed from bytes
-    max_prompt_tokens: int = 10**9  # tokens
-    call: str = "chat"  # what clients ask it by
-    share: float = 1.0  # of the engines, among offerings of its call that wait
+    group: str  # the deduplication scope
+    remembered: float  # the deduplication window
+    tokenizer: str = ""  # its name; empty: prompt lengths are estimated from bytes
+    max_prompt_tokens: int = 10**9
+    call: str = "chat"  # the API, one of CALLS
+    share: float = 1.0  # weight among the waiting request classes of the same API
 
 
 def request_classes(section: Section) -> list[RequestClass]:
-    """All offerings of a file, in their order; names are unique."""
-    found: list[RequestClass] = []
+    """Reads all request classes of a file, in order.  Their names must be unique."""
+    classes: list[RequestClass] = []
     for node in section.all("offering"):
         effect = node.choice("effect", EFFECTS)
         labelled = effect == "labelled"
         call = node.choice("call", CALLS, "chat")
-        chat = call == "chat"  # only an answer of tokens has a pace and a length
-        one = RequestClass(
+        chat = call == "chat"  # only chat answers consist of tokens, with an interval and a length
+        request_class = RequestClass(
             node.title(),
             node.duration_ms("promised-time", min_value=1),
             node.duration_ms("promised-per-1000-tokens", 0.0),
@@ -62,75 +67,81 @@
             node.number("share", 1.0, min_value=0.001),
         )
         if not chat and effect != "redoable":
-            node.complain(f'offering "{one.name}": {call} has no effect; set effect "redoable"')
-        if one.outer_limit < one.promised_time:
+            node.complain(f'offering "{request_class.name}": {call} has no effect; set effect "redoable"')
+        if request_class.outer_limit < request_class.promised_time:
             node.complain(
-                f'offering "{one.name}": outer-limit is shorter than promised-time; '
+                f'offering "{request_class.name}": outer-limit is shorter than promised-time; '
                 "a client does not leave before its answer is due"
             )
-        if any(other.name == one.name for other in found):
-            node.complain(f'offering "{one.name}" is given twice; rename one')
+        if any(other.name == request_class.name for other in classes):
+            node.complain(f'offering "{request_class.name}" is given twice; rename one')
         node.end()
-        found.append(one)
-    if not found:
+        classes.append(request_class)
+    if not classes:
         section.complain("no offering; add at least one section offering")
-    return found
+    return classes
 
 
 @dataclass(frozen=True)
 class Kind:
-    """A kind of engine; memory in tokens."""
+    """A kind of engine."""
 
     name: str
     role: str
-    memory: float
-    call: str = "chat"  # what its engines carry
+    memory: float  # tokens of KV cache
+    call: str = "chat"  # the API that its engines serve
 
 
 def kinds(section: Section) -> list[Kind]:
-    found = []
+    """Reads all kinds of engine."""
+    engine_kinds = []
     for node in section.all("kind"):
-        one = Kind(
+        engine_kind = Kind(
             node.title(),
             node.choice("role", ROLES),
             node.number("memory", min_value=1),
             node.choice("call", CALLS, "chat"),
         )
-        if one.call != "chat" and one.role != "both":
-            node.complain(f'kind "{one.name}": {one.call} is one stage; set role "both"')
+        if engine_kind.call != "chat" and engine_kind.role != "both":
+            node.complain(f'kind "{engine_kind.name}": {engine_kind.call} is one stage; set role "both"')
         node.end()
-        found.append(one)
-    if not found:
+        engine_kinds.append(engine_kind)
+    if not engine_kinds:
         section.complain("no kind of engine; add at least one section kind")
-    elif not any(kind.role == "both" for kind in found) and len({kind.role for kind in found}) < 2:
+    elif (
+        not any(kind.role == "both" for kind in engine_kinds)
+        and len({kind.role for kind in engine_kinds}) < 2
+    ):
         section.complain(
-            "no job could be carried: there must be kinds that read and write, or one that does both"
+            "no request could be served: there must be kinds with role read and write, or one with role both"
         )
-    return found
+    return engine_kinds
 
 
 def regions(section: Section, zones: list[str]) -> dict[str, str]:
-    """The region of each zone, by sections `region "west" { zones "north" "south" }`; empty where none are
-    given.  A zone lies in one region."""
-    found: dict[str, str] = {}
+    """Reads the region of each zone from sections `region "west" { zones "north" "south" }`.
+
+    A zone lies in one region.  The result is empty if the file has no such section.
+    """
+    region_by_zone: dict[str, str] = {}
     for node in section.all("region"):
         name = node.title()
         for zone in node.texts("zones"):
             if zone not in zones:
                 node.complain(f'region "{name}": zone "{zone}" is not among the zones {", ".join(zones)}')
-            elif zone in found:
-                node.complain(f'region "{name}": zone "{zone}" lies in "{found[zone]}" already')
-            found[zone] = name
+            elif zone in region_by_zone:
+                node.complain(f'region "{name}": zone "{zone}" is already in "{region_by_zone[zone]}"')
+            region_by_zone[zone] = name
         node.end()
-    if found and (left := [zone for zone in zones if zone not in found]):
-        section.complain(f"no region has the zones {', '.join(left)}; put each zone in one")
-    return found
+    if region_by_zone and (missing := [zone for zone in zones if zone not in region_by_zone]):
+        section.complain(f"no region has the zones {', '.join(missing)}; put each zone in one")
+    return region_by_zone
 
 
 def rules(section: Section) -> dict[str, float]:
-    """The figures of the five rules, named as the module names them."""
+    """Reads the parameters of the five rules of routing."""
     node = section.required("rules")
-    found = {
+    values = {
         "answer_slack": node.duration_ms("answer-slack"),
         "drain_grace": node.duration_ms("drain-grace"),
         "release_within": node.duration_ms("release-within", min_value=1),
@@ -140,13 +151,13 @@
         "fall_time": node.duration_ms("fall-time"),
     }
     node.end()
-    return found
+    return values
 
 
 def limits(section: Section) -> dict[str, Any]:
-    """What the module is told it may do."""
+    """Reads what the policy may do."""
     node = section.required("limits")
-    found = {
+    values = {
         "most_trips": node.integer("trips", min_value=2, max_value=100),
         "may_cancel": node.flag("cancel", True),
         "may_probe": node.flag("probe", True),
@@ -156,58 +167,59 @@
         "stay_away": node.duration_ms("stay-away", 0.0),
     }
     node.end()
-    return found
+    return values
 
 
 def prices(section: Section) -> dict[str, float]:
+    """Reads the prices that the policy may weigh; all are 0 if the section is missing."""
     node = section.optional("prices")
     names = ("far", "late", "cross", "waste", "probe")
     if node is None:
         return {f"{name}_price": 0.0 for name in names}
-    found = {f"{name}_price": node.number(name, 0.0) for name in names}
+    values = {f"{name}_price": node.number(name, 0.0) for name in names}
     node.end()
-    return found
+    return values
 
 
 def policy_settings(
-    offered: list[RequestClass],
-    kinds_of: list[Kind],
-    figures: dict[str, float],
-    allowed: dict[str, Any],
-    priced: dict[str, float],
-    **place: Any,
+    classes: list[RequestClass],
+    engine_kinds: list[Kind],
+    rule_values: dict[str, float],
+    limit_values: dict[str, Any],
+    price_values: dict[str, float],
+    **placement: Any,
 ) -> PolicySettings:
-    """The policy's settings from the sections of a file, and this node's place in the fleet."""
+    """The policy's settings, from the sections of a file and this node's place in the fleet."""
     return PolicySettings(
         request_classes=tuple(
             RequestClassSettings(
-                latency_target_ms=one.promised_time,
-                deadline_ms=one.outer_limit,
-                value=one.credit,
-                late_value=one.late_credit,
-                effect=one.effect,
-                deduplication_scope=one.group,
-                deduplication_window_ms=one.remembered,
-                latency_target_per_1000_tokens_ms=one.promised_per_k,
-                token_interval_ms=one.token_time,
+                latency_target_ms=request_class.promised_time,
+                deadline_ms=request_class.outer_limit,
+                value=request_class.credit,
+                late_value=request_class.late_credit,
+                effect=request_class.effect,
+                deduplication_scope=request_class.group,
+                deduplication_window_ms=request_class.remembered,
+                latency_target_per_1000_tokens_ms=request_class.promised_per_k,
+                token_interval_ms=request_class.token_time,
             )
-            for one in offered
+            for request_class in classes
         ),
-        engine_roles=tuple(kind.role for kind in kinds_of),
-        kind_memory_tokens=tuple(kind.memory for kind in kinds_of),
+        engine_roles=tuple(kind.role for kind in engine_kinds),
+        kind_memory_tokens=tuple(kind.memory for kind in engine_kinds),
         load_reports="inline",
-        migration_price=priced["far_price"],
-        max_attempts=allowed["most_trips"],
-        may_cancel=allowed["may_cancel"],
-        may_check_health=allowed["may_probe"],
-        may_reserve=allowed["may_hold"],
-        decode_engines_may_prefill=allowed["writers_read"],
-        max_retry_after_ms=allowed["stay_away"],
-        answer_slack_ms=figures["answer_slack"],
-        release_within_ms=figures["release_within"],
-        slow_start_share=figures["cold_share"],
-        slow_start_ms=figures["warm_up"],
-        overload_multiple=figures["fall_multiple"],
-        overload_window_ms=figures["fall_time"],
-        **place,
+        migration_price=price_values["far_price"],
+        max_attempts=limit_values["most_trips"],
+        may_cancel=limit_values["may_cancel"],
+        may_check_health=limit_values["may_probe"],
+        may_reserve=limit_values["may_hold"],
+        decode_engines_may_prefill=limit_values["writers_read"],
+        max_retry_after_ms=limit_values["stay_away"],
+        answer_slack_ms=rule_values["answer_slack"],
+        release_within_ms=rule_values["release_within"],
+        slow_start_share=rule_values["cold_share"],
+        slow_start_ms=rule_values["warm_up"],
+        overload_multiple=rule_values["fall_multiple"],
+        overload_window_ms=rule_values["fall_time"],
+        **placement,
     )
