--- a/tests/test_golden_commands.py
+++ b/tests/test_golden_commands.py
@@ -1,7 +1,7 @@
-"""Commands, their options and the names of metrics are those of the text before any rename.
+"""Commands, their options and the names of metrics equal the pinned ones.
 
-Operators call them from scripts and dashboards.  A command that registers itself when its module is imported
-is lost without an error once nothing imports that module any more.
+Scripts and dashboards of operators use them.  Some commands are registered when their module is imported, and
+would disappear without an error if no module imported it any more.
 """
 
 from __future__ import annotations
@@ -37,11 +37,11 @@
     return dict(line.split()[2:4] for line in lines if line.startswith("# TYPE "))
 
 
-def test_commands_and_options_are_those_of_before() -> None:
+def test_commands_and_options_equal_the_pinned_ones() -> None:
     pinned = json.loads((GOLDEN / "commands.json").read_text())
     assert command_tree(typer.main.get_command(app)) == pinned
 
 
-def test_metrics_have_the_names_of_before() -> None:
+def test_metrics_equal_the_pinned_ones() -> None:
     pinned = json.loads((GOLDEN / "metrics.json").read_text())
     assert metric_types(Metrics()) == pinned
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: every fault is named with its line, all at once."""
+"""Settings: all faults of a file are reported together, each with its line."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 def faults(text: str) -> list[str]:
     with pytest.raises(SettingsError) as caught:
         read_gateway_settings(parse(text, "f.kdl"))
-    return [str(one) for one in caught.value.complaints]
+    return [str(complaint) for complaint in caught.value.complaints]
 
 
 def line_of(part: str, text: str = SETTINGS) -> int:
@@ -27,25 +27,25 @@
 
 
 def test_policy_gets_the_sections_of_a_file() -> None:
-    module = read_gateway_settings(parse(SETTINGS)).policy_settings
-    assert isinstance(module, PolicySettings)
-    assert module.request_classes[1].effect == NON_IDEMPOTENT
-    assert module.engine_roles == (ROLE_PREFILL, ROLE_DECODE, ROLE_COMBINED)
+    settings = read_gateway_settings(parse(SETTINGS)).policy_settings
+    assert isinstance(settings, PolicySettings)
+    assert settings.request_classes[1].effect == NON_IDEMPOTENT
+    assert settings.engine_roles == (ROLE_PREFILL, ROLE_DECODE, ROLE_COMBINED)
 
 
-def test_all_faults_are_told_at_once_with_line_and_remedy() -> None:
+def test_all_faults_are_reported_at_once_with_line_and_fix() -> None:
     text = SETTINGS.replace('outer-limit "3s"', 'outer-limit "0.5s"', 1).replace("trips 5", "tripps 5")
     text = text.replace('effect "irreversible"', 'effect "once"').replace('keep-alive "5s"', "keep-alive 5")
-    told = faults(text)
-    request_class, effect, kept = (
+    complaints = faults(text)
+    request_class, effect, keep_alive = (
         line_of(part, text) for part in ('offering "hint"', 'effect "once"', "keep-alive 5")
     )
-    assert any(one.startswith(f"f.kdl:{request_class}: ") and "outer-limit" in one for one in told)
-    assert any("unknown key tripps; did you mean trips?" in one for one in told)
-    assert any("trips is missing" in one for one in told)
-    assert any(one.startswith(f"f.kdl:{effect}: ") and "redoable, labelled" in one for one in told)
-    assert any(one.startswith(f"f.kdl:{kept}: ") and 'such as "250ms"' in one for one in told)
-    assert told == sorted(told, key=lambda one: int(one.split(":")[1]))
+    assert any(text.startswith(f"f.kdl:{request_class}: ") and "outer-limit" in text for text in complaints)
+    assert any("unknown key tripps; did you mean trips?" in text for text in complaints)
+    assert any("trips is missing" in text for text in complaints)
+    assert any(text.startswith(f"f.kdl:{effect}: ") and "redoable, labelled" in text for text in complaints)
+    assert any(text.startswith(f"f.kdl:{keep_alive}: ") and 'such as "250ms"' in text for text in complaints)
+    assert complaints == sorted(complaints, key=lambda text: int(text.split(":")[1]))
 
 
 @pytest.mark.parametrize(
@@ -62,11 +62,11 @@
         ('kind "prefill" role="read" memory=100000', "", "no request could be served"),
     ],
 )
-def test_contradictory_and_missing_figures_are_refused(old: str, new: str, words: str) -> None:
+def test_contradictory_and_missing_values_are_refused(old: str, new: str, words: str) -> None:
     text = SETTINGS.replace(old, new)
     if "could be served" in words:
         text = text.replace('kind "mixed" role="both" memory=100000', "")
-    assert any(words in one for one in faults(text))
+    assert any(words in complaint for complaint in faults(text))
 
 
 @pytest.mark.parametrize("text", ["a {", 'a "', "a }", "{", "a 1 2 ]", "\x00", "front {}{"])
@@ -75,7 +75,7 @@
 
 
 @given(st.integers(0, len(SETTINGS)))
-def test_half_a_file_is_refused_or_whole(cut: int) -> None:
+def test_truncated_file_is_refused_or_complete(cut: int) -> None:
     text = SETTINGS[:cut]
     try:
         read_gateway_settings(parse(text))
@@ -90,12 +90,12 @@
         load(f"{tmp_path}/none.kdl")
 
 
-def test_example_days_can_be_read() -> None:
+def test_example_scenarios_can_be_read() -> None:
     assert load_scenario("examples/bad-day.kdl").fronts == 3
     assert load_scenario("examples/short-day.kdl").faults
 
 
-def test_day_with_an_unknown_trouble_lists_the_known() -> None:
+def test_scenario_with_an_unknown_fault_is_refused() -> None:
     with open("examples/short-day.kdl", encoding="utf-8") as file:
         text = file.read().replace('trouble "crash"', 'trouble "krash"')
     with pytest.raises(SettingsError, match="unknown trouble"):
@@ -117,12 +117,12 @@
 """
 
 
-def test_section_fleet_is_read_and_without_it_a_front_is_alone() -> None:
-    plain, told = read_gateway_settings(parse(SETTINGS)), read_gateway_settings(parse(SETTINGS + FLEET))
+def test_section_fleet_is_read_and_is_optional() -> None:
+    plain, with_fleet = read_gateway_settings(parse(SETTINGS)), read_gateway_settings(parse(SETTINGS + FLEET))
     assert plain.fleet is None and plain.regions == {}
-    assert told.fleet is not None and told.fleet.zone_capacity == {"north": 65.0}
-    assert told.fleet.address_overrides == {"b": "127.0.0.1:9002"}
-    assert told.regions == {"north": "west", "south": "west"}
+    assert with_fleet.fleet is not None and with_fleet.fleet.zone_capacity == {"north": 65.0}
+    assert with_fleet.fleet.address_overrides == {"b": "127.0.0.1:9002"}
+    assert with_fleet.regions == {"north": "west", "south": "west"}
 
 
 @pytest.mark.parametrize(
@@ -144,13 +144,13 @@
 
 
 @pytest.mark.parametrize("module", ["worksmux.node.serve", "worksmux.bench_adapter.__main__"])
-def test_node_and_adapter_load_nothing_of_the_fleet_of_fronts(module: str) -> None:
-    """There it is refused: no code, and so no socket, thread or file of it."""
+def test_node_and_adapter_import_nothing_of_the_gateway_fleet(module: str) -> None:
+    """Without its code the node and the adapter cannot open a socket, thread or file of the gateway fleet."""
     code = (
         f"import sys, {module}\n"
         "print([name for name in sys.modules if name.startswith(('worksmux.gossip', 'worksmux.consensus', "
         "'worksmux.failover', 'worksmux.config_audit', "
         "'worksmux.storage', 'worksmux.gateway.fleet.peering'))])"
     )
-    told = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-    assert told.stdout.strip() == "[]"
+    process = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
+    assert process.stdout.strip() == "[]"
--- a/worksmux/commands/__init__.py
+++ b/worksmux/commands/__init__.py
@@ -1,5 +1,7 @@
-"""The command line.  Exit codes: 0 all is well, 1 it ran and something failed, 2 the call or its file is
-wrong."""
+"""The command line of worksmux.
+
+Exit codes: 0 success; 1 the command ran and something failed; 2 the call or its file is invalid.
+"""
 
 from __future__ import annotations
 
@@ -8,15 +10,18 @@
 
 
 def main() -> None:
-    """Guards against a node that starts late and large: it has part of a core, and needs none of what the
-    other commands import."""
+    """Runs a command.
+
+    `node` runs without the imports of the other commands: it has only part of a core, and these imports would
+    delay its start and enlarge its memory.
+    """
     if sys.argv[1:] == ["node"]:
         from ..node.serve import run
 
         sys.exit(run(os.environ))
-    from .main import main as others
+    from .main import main as run_command
 
-    others()
+    run_command()
 
 
 __all__ = ["main"]
--- a/worksmux/commands/accounts.py
+++ b/worksmux/commands/accounts.py
@@ -1,4 +1,4 @@
-"""`worksmux fleet audit` and `job`: who acted on which version, from the accounts of all fronts."""
+"""Defines `worksmux fleet audit` and `fleet job`: the versions that gateways acted on."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 import typer
 
-from .fleet import AsJson, Watch, ask, fleet, show
+from .fleet import AsJson, Watch, fetch, fleet, show
 from .refusals import BAD_CALL
 
-Time = Annotated[str, typer.Option(help="as 2026-12-02T01:30:00, of this machine's zone")]
+Time = Annotated[str, typer.Option(help="such as 2026-12-02T01:30:00, in this machine's time zone")]
 
 
 def _ms(text: str, name: str) -> float | None:
@@ -33,19 +33,21 @@
     if versions is None:
         return "not known"
     return ", ".join(
-        f"{name} {one['number'] or ''}".strip() + f" {one['mark'][:8]}{one['mark'][16:]}"
-        for name, one in versions.items()
+        f"{name} {version['number'] or ''}".strip() + f" {version['mark'][:8]}{version['mark'][16:]}"
+        for name, version in versions.items()
     )
 
 
-def _wanted(span: dict[str, Any], since: float | None, until: float | None, version: str, front: str) -> bool:
+def _matches(
+    span: dict[str, Any], since: float | None, until: float | None, version: str, front: str
+) -> bool:
     name, _, number = version.partition(":")
-    held = (span["versions"] or {}).get(name)
+    acted_on = (span["versions"] or {}).get(name)
     return (
         (since is None or span["until"] >= since)
         and (until is None or span["since"] <= until)
         and (not front or span["front"] == front)
-        and (not version or held is not None and (not number or str(held["number"]) == number))
+        and (not version or acted_on is not None and (not number or str(acted_on["number"]) == number))
     )
 
 
@@ -56,54 +58,54 @@
     since: Annotated[str, typer.Option("--from", help="a time")] = "",
     to: Annotated[str, typer.Option(help="a time")] = "",
     version: Annotated[str, typer.Option(help="a name, or name:number, such as plan:7")] = "",
-    front: Annotated[str, typer.Option(help="one front alone")] = "",
+    front: Annotated[str, typer.Option(help="only this gateway")] = "",
     as_json: AsJson = False,
 ) -> None:
-    """Show what fronts acted on, and when; what nobody recorded is `not known`.
+    """Show which versions the gateways acted on, and when; `not known` if nothing was recorded.
 
-    Exit code 1 where a chain is broken, a piece is missing, a clock stepped or contents differ.
+    Exit code 1 if a hash chain is broken, records are missing, a clock was stepped or contents differ.
     """
-    moment, begin, end = _ms(at, "at"), _ms(since, "from"), _ms(to, "to")
-    told = ask(watch, "/fleet/audit" + (f"?at={moment}" if moment is not None else ""))
-    told["spans"] = [span for span in told["spans"] if _wanted(span, begin, end, version, front)]
+    at_ms, since_ms, until_ms = _ms(at, "at"), _ms(since, "from"), _ms(to, "to")
+    report = fetch(watch, "/fleet/audit" + (f"?at={at_ms}" if at_ms is not None else ""))
+    report["spans"] = [span for span in report["spans"] if _matches(span, since_ms, until_ms, version, front)]
     if as_json:
-        typer.echo(json.dumps(told))
+        typer.echo(json.dumps(report))
     else:
         show(
-            f"{len(told['fronts'])} fronts",
-            ["front", "from", "until", "acted on"],
+            f"{len(report['fronts'])} gateways",
+            ["gateway", "from", "until", "acted on"],
             [
                 [span["front"], _clock(span["since"]), _clock(span["until"]), _versions(span["versions"])]
-                for span in told["spans"]
+                for span in report["spans"]
             ],
         )
-        for one in told["findings"]:
-            typer.echo(f"{one['front']}, after record {one['index']}: {one['text']}")
-    raise typer.Exit(1 if told["findings"] else 0)
+        for finding in report["findings"]:
+            typer.echo(f"{finding['front']}, after record {finding['index']}: {finding['text']}")
+    raise typer.Exit(1 if report["findings"] else 0)
 
 
 @fleet.command()
 def job(
     watch: Watch,
-    name: Annotated[str, typer.Argument(help="as in the log's line `job`", metavar="JOB")],
+    name: Annotated[str, typer.Argument(help="the request's number, as in the log", metavar="JOB")],
     as_json: AsJson = False,
 ) -> None:
-    """Show each decision on a job, with the versions that its front acted on."""
-    told = ask(watch, f"/fleet/audit?job={name}")
+    """Show each decision on a request, with the versions that its gateway acted on."""
+    report = fetch(watch, f"/fleet/audit?job={name}")
     if as_json:
-        typer.echo(json.dumps(told))
+        typer.echo(json.dumps(report))
     else:
         show(
-            f"job {name}",
-            ["when", "front", "decision", "acted on"],
+            f"request {name}",
+            ["when", "gateway", "decision", "acted on"],
             [
                 [
-                    _clock(one["at"]),
-                    one["front"],
-                    "final answer" if one["trip"] < 0 else f"trip {one['trip']}",
-                    _versions(one["versions"]),
+                    _clock(decision["at"]),
+                    decision["front"],
+                    "final answer" if decision["trip"] < 0 else f"attempt {decision['trip']}",
+                    _versions(decision["versions"]),
                 ]
-                for one in told["decisions"]
+                for decision in report["decisions"]
             ],
         )
-    raise typer.Exit(0 if told["decisions"] else 1)
+    raise typer.Exit(0 if report["decisions"] else 1)
--- a/worksmux/commands/experiments.py
+++ b/worksmux/commands/experiments.py
@@ -1,4 +1,4 @@
-"""`worksmux experiment`: run, report and compare."""
+"""Defines `worksmux experiment`: runs, reports and compares sweeps over simulated scenarios."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     from ..experiment.book import RunStore
     from ..experiment.plan import Experiment
 
-experiments = typer.Typer(no_args_is_help=True, help="Sweeps over days in the model of the fleet.")
+experiments = typer.Typer(no_args_is_help=True, help="Sweeps over scenarios in the simulated fleet.")
 File = Annotated[
     Path, typer.Argument(help="an experiment in KDL, such as examples/growth.kdl", metavar="EXPERIMENT.kdl")
 ]
 BookFile = Annotated[
-    Path | None, typer.Option("--book", help="where the runs are kept; default: beside the file")
+    Path | None, typer.Option("--book", help="where the runs are stored; default: beside the file")
 ]
 
 
@@ -43,7 +43,7 @@
     book: BookFile = None,
     workers: Annotated[int, typer.Option(help="runs at once; default: half of the processors")] = 0,
 ) -> None:
-    """Play the runs that are not in the book yet.  Stop it when you like: what ended is kept."""
+    """Simulate the runs that are not stored yet.  It can be stopped at any time: completed runs are kept."""
     from ..experiment.runner import run_all
 
     plan, runs = _open(file, book)
@@ -55,22 +55,22 @@
 def report(
     file: File,
     book: BookFile = None,
-    out: Annotated[Path | None, typer.Option(help="a folder for plots and runs.parquet")] = None,
+    out: Annotated[Path | None, typer.Option(help="a directory for plots and runs.parquet")] = None,
 ) -> None:
-    """Means with their intervals, and differences paired by seed."""
+    """Print means with their confidence intervals, and differences paired by seed."""
     from rich.console import Console
 
     from ..experiment.book import to_parquet
     from ..experiment.report import differences, plots, table
 
     plan, runs = _open(file, book)
-    keys = [one.key for one in plan.runs()]
+    keys = [planned.key for planned in plan.runs()]
     rows = runs.rows(keys)
     if not rows:
-        typer.echo("no run of this experiment is in the book; run it first", err=True)
+        typer.echo("no run of this experiment is stored; run it first", err=True)
         raise typer.Exit(1)
     if len(rows) < len(keys):
-        typer.echo(f"{len(rows)} of {len(keys)} runs are done")
+        typer.echo(f"{len(rows)} of {len(keys)} runs are complete")
     table(plan, rows, Console(width=200, highlight=False))
     for line in differences(plan, rows):
         typer.echo(line)
@@ -84,32 +84,32 @@
 @experiments.command()
 def compare(
     file: File,
-    one: Annotated[Path, typer.Argument(help="a book of runs")],
-    other: Annotated[Path, typer.Argument(help="another, such as an earlier version's")],
-    figure: Annotated[str, typer.Option(help="what is compared")] = "credit",
+    one: Annotated[Path, typer.Argument(help="a store of runs")],
+    other: Annotated[Path, typer.Argument(help="another store, such as that of an earlier version")],
+    figure: Annotated[str, typer.Option(help="the value to compare")] = "credit",
 ) -> None:
-    """The same runs in two books: the difference of the second from the first, paired by seed."""
+    """Compare the same runs in two stores: the second minus the first, paired by seed."""
     from ..experiment.stats import group, paired
 
     plan, first = _open(file, one)
     _, second = _open(file, other)
-    axes, keys = list(plan.axes), [one.key for one in plan.runs()]
+    axes, keys = list(plan.axes), [planned.key for planned in plan.runs()]
     before, after = group(first.rows(keys), axes), group(second.rows(keys), axes)
     for values in before.keys() & after.keys():
-        where = ", ".join(f"{name} {value}" for name, value in zip(axes, values, strict=True))
-        typer.echo(f"{where}: {figure} {paired(after[values], before[values], figure)}")
+        point = ", ".join(f"{name} {value}" for name, value in zip(axes, values, strict=True))
+        typer.echo(f"{point}: {figure} {paired(after[values], before[values], figure)}")
 
 
 @experiments.command()
 def search(
-    day: Annotated[Path, typer.Argument(help="a day in KDL that is changed", metavar="DAY.kdl")],
-    out: Annotated[Path, typer.Option(help="where the worst day, made small, is written")],
-    rounds: Annotated[int, typer.Option(help="batches of days")] = 10,
-    size: Annotated[int, typer.Option(help="days in a batch")] = 12,
-    seed: Annotated[int, typer.Option(help="of the search")] = 1,
-    workers: Annotated[int, typer.Option(help="days at once; default: half of the processors")] = 0,
+    day: Annotated[Path, typer.Argument(help="the scenario in KDL to start from", metavar="DAY.kdl")],
+    out: Annotated[Path, typer.Option(help="where the worst scenario is written, after it was reduced")],
+    rounds: Annotated[int, typer.Option(help="batches of scenarios")] = 10,
+    size: Annotated[int, typer.Option(help="scenarios in a batch")] = 12,
+    seed: Annotated[int, typer.Option(help="seed of the search")] = 1,
+    workers: Annotated[int, typer.Option(help="scenarios at once; default: half of the processors")] = 0,
 ) -> None:
-    """Look for a day on which the decisions do worst against plain policies, and make it small."""
+    """Search for a scenario in which the policy does worst against baseline policies, and reduce it."""
     from ..experiment.search import Search, scenario_file_text
     from ..experiment.worst import EvaluationPool
     from ..scenarios.scenario import load_scenario
@@ -118,20 +118,20 @@
         base = load_scenario(day)
     except SettingsError as error:
         raise refuse(error) from error
-    found = Search(base, seed)
-    with EvaluationPool(base, workers or max(1, (os.cpu_count() or 2) // 2)) as field:
+    scenario_search = Search(base, seed)
+    with EvaluationPool(base, workers or max(1, (os.cpu_count() or 2) // 2)) as pool:
         for number in range(rounds):
-            days = found.batch(size)
-            found.add_results(days, field.evaluate(days))
-            worst = found.highest_regret[0]
+            scenarios = scenario_search.batch(size)
+            scenario_search.add_results(scenarios, pool.evaluate(scenarios))
+            worst = scenario_search.highest_regret[0]
             typer.echo(
-                f"{number + 1} of {rounds}: {found.evaluated_count} days, "
-                f"the worst regret {worst.regret:.3f} "
-                f"(credit {worst.credit:.3f}, {len(worst.faults)} troubles)"
+                f"{number + 1} of {rounds}: {scenario_search.evaluated_count} scenarios, "
+                f"worst regret {worst.regret:.3f} "
+                f"(credit {worst.credit:.3f}, {len(worst.faults)} faults)"
             )
-        small = found.shrink(found.highest_regret[0], field.evaluate)
-    out.write_text(scenario_file_text(day.read_text(encoding="utf-8"), base, small), encoding="utf-8")
+        reduced = scenario_search.shrink(scenario_search.highest_regret[0], pool.evaluate)
+    out.write_text(scenario_file_text(day.read_text(encoding="utf-8"), base, reduced), encoding="utf-8")
     typer.echo(
-        f"{out}: regret {small.regret:.3f} with {len(small.faults)} troubles, "
-        f"after {found.evaluated_count} days"
+        f"{out}: regret {reduced.regret:.3f} with {len(reduced.faults)} faults, "
+        f"after {scenario_search.evaluated_count} scenarios"
     )
--- a/worksmux/commands/fleet.py
+++ b/worksmux/commands/fleet.py
@@ -1,4 +1,4 @@
-"""`worksmux fleet`: how the fleet of fronts stands, asked of any of them at its watch port."""
+"""Defines `worksmux fleet`: the state of the fleet, fetched from the watch port of any gateway."""
 
 from __future__ import annotations
 
@@ -14,31 +14,35 @@
 
 from .refusals import BAD_CALL
 
-fleet = typer.Typer(no_args_is_help=True, help="The fronts, what they decide in common, and why.")
-Watch = Annotated[str, typer.Argument(help="a front's watch address, as 127.0.0.1:9001", metavar="HOST:PORT")]
+fleet = typer.Typer(no_args_is_help=True, help="The gateways, what they decide together, and why.")
+Watch = Annotated[
+    str, typer.Argument(help="a gateway's watch address, such as 127.0.0.1:9001", metavar="HOST:PORT")
+]
 AsJson = Annotated[bool, typer.Option("--json", help="print as JSON")]
 
 
-def ask(watch: str, path: str = "/fleet") -> dict[str, Any]:
+def fetch(watch: str, path: str = "/fleet") -> dict[str, Any]:
+    """Fetches a status page of a gateway; ends the command with BAD_CALL if that fails."""
     opener = build_opener(ProxyHandler({}))
     try:
         with opener.open(f"http://{watch}{path}", timeout=5) as reply:
-            found: dict[str, Any] = json.load(reply)
-            return found
+            page: dict[str, Any] = json.load(reply)
+            return page
     except HTTPError as error:
-        why = "this front's settings have no section fleet" if error.code == 404 else str(error)
+        reason = "the settings of this gateway have no section fleet" if error.code == 404 else str(error)
     except (URLError, OSError, ValueError) as error:
-        why = str(getattr(error, "reason", error))
-    typer.echo(f"{watch}: {why}", err=True)
+        reason = str(getattr(error, "reason", error))
+    typer.echo(f"{watch}: {reason}", err=True)
     raise typer.Exit(BAD_CALL)
 
 
 def show(title: str, names: list[str], rows: list[list[Any]]) -> None:
+    """Prints a table."""
     table = Table(title=title, title_justify="left")
     for name in names:
         table.add_column(name)
     for row in rows:
-        table.add_row(*[str(one) for one in row])
+        table.add_row(*[str(cell) for cell in row])
     Console(highlight=False, width=120).print(table)
 
 
@@ -48,55 +52,57 @@
 
 @fleet.command()
 def status(watch: Watch, as_json: AsJson = False) -> None:
-    """Show the fronts, the council and the plan in force.  Exit code 1 while that front is alone."""
-    told = ask(watch)
+    """Show the gateways, the consensus group and the plan.  Exit code 1 while the gateway is isolated."""
+    page = fetch(watch)
     if as_json:
-        typer.echo(json.dumps(told))
+        typer.echo(json.dumps(page))
     else:
-        council, plan = told["council"], told["plan"]
+        consensus, plan = page["council"], page["plan"]
         show(
-            f"fleet {told['fleet']}, as {told['front']} sees it",
-            ["front", "state", "zone", "region", "seat", "life"],
+            f"fleet {page['fleet']}, as {page['front']} sees it",
+            ["gateway", "state", "zone", "region", "voter", "generation"],
             [
                 [
-                    one["name"],
-                    one["state"],
-                    one["zone"],
-                    one["region"] or "-",
-                    "yes" if one["seat"] else "",
-                    one["life"],
+                    gateway["name"],
+                    gateway["state"],
+                    gateway["zone"],
+                    gateway["region"] or "-",
+                    "yes" if gateway["seat"] else "",
+                    gateway["life"],
                 ]
-                for one in told["fronts"]
+                for gateway in page["fronts"]
             ],
         )
         typer.echo(
-            f"council: term {council['term']}, led by {council['leader'] or 'nobody known'}, seats "
-            + (", ".join(council["voters"]) or "not of this front")
+            f"consensus: term {consensus['term']}, leader {consensus['leader'] or 'unknown'}, voters "
+            + (", ".join(consensus["voters"]) or "not known to this gateway")
         )
-        typer.echo(f"plan {plan['number']}: {plan['why'] or 'none was ever needed'}")
+        typer.echo(f"plan {plan['number']}: {plan['why'] or 'no failover yet'}")
         typer.echo(
-            "this front is ALONE: nothing newer than its last plan is known"
-            if told["alone"]
-            else f"lease: {told['lease_ms']} ms left"
+            "this gateway is ISOLATED: it acts on the last plan that it received"
+            if page["alone"]
+            else f"lease: {page['lease_ms']} ms left"
         )
-        if told["contradictions"]:
-            typer.echo(f"fronts told unlike things as agreed: {told['contradictions']} times; see the log")
-    raise typer.Exit(1 if told["alone"] else 0)
+        if page["contradictions"]:
+            typer.echo(
+                f"gateways reported conflicting replicated values {page['contradictions']} times; see the log"
+            )
+    raise typer.Exit(1 if page["alone"] else 0)
 
 
 @fleet.command()
 def plan(watch: Watch, as_json: AsJson = False) -> None:
-    """Show the plan that the front acts on: where each zone's jobs go, and what is deferred at once."""
-    told = ask(watch)["plan"]
+    """Show the plan that the gateway acts on: where the requests of each zone go, and which are shed."""
+    shown = fetch(watch)["plan"]
     if as_json:
-        typer.echo(json.dumps(told))
+        typer.echo(json.dumps(shown))
         return
-    zones = sorted({*told["rows"], *told["shed"]})
+    zones = sorted({*shown["rows"], *shown["shed"]})
     show(
-        f"plan {told['number']}, event {told['event']}: {told['why'] or 'none was ever needed'}",
-        ["zone", "its jobs go to", "deferred at once"],
+        f"plan {shown['number']}, event {shown['event']}: {shown['why'] or 'no failover yet'}",
+        ["zone", "requests go to", "shed"],
         [
-            [zone, _shares(told["rows"].get(zone, {zone: 1.0})), _shares(told["shed"].get(zone, {}))]
+            [zone, _shares(shown["rows"].get(zone, {zone: 1.0})), _shares(shown["shed"].get(zone, {}))]
             for zone in zones
         ],
     )
@@ -104,23 +110,24 @@
 
 @fleet.command()
 def history(watch: Watch, as_json: AsJson = False) -> None:
-    """Show the plans that the front has acted on, since its start and 200 at the most."""
-    told = ask(watch)["history"]
+    """Show the plans that the gateway has acted on since its start, at most the last 200."""
+    plans = fetch(watch)["history"]
     if as_json:
-        typer.echo(json.dumps(told))
+        typer.echo(json.dumps(plans))
         return
     show(
-        f"{len(told)} plans",
+        f"{len(plans)} plans",
         ["when", "plan", "event", "why", "rows"],
         [
             [
-                time.strftime("%H:%M:%S", time.localtime(one["at"] / 1000)) + f".{int(one['at']) % 1000:03d}",
-                one["number"],
-                one["event"],
-                one["why"],
-                "; ".join(f"{zone}: {_shares(row)}" for zone, row in one["rows"].items()),
+                time.strftime("%H:%M:%S", time.localtime(plan["at"] / 1000))
+                + f".{int(plan['at']) % 1000:03d}",
+                plan["number"],
+                plan["event"],
+                plan["why"],
+                "; ".join(f"{zone}: {_shares(row)}" for zone, row in plan["rows"].items()),
             ]
-            for one in told
+            for plan in plans
         ],
     )
 
@@ -129,41 +136,50 @@
 def explain(
     watch: Watch, zone: Annotated[str, typer.Argument(help="a zone's name")], as_json: AsJson = False
 ) -> None:
-    """Show why the plan treats a zone as it does: what this front sees of it, and, at the front that leads,
-    how it is judged."""
-    told = ask(watch)
-    if zone not in told["zones"] and zone not in told["plan"]["rows"]:
-        typer.echo(f"{watch}: no zone {zone}; known are {', '.join(sorted(told['zones']))}", err=True)
+    """Show the reasons behind the plan for a zone.
+
+    They are the observations of this gateway and, if it is the leader, its assessment of the zone.
+    """
+    page = fetch(watch)
+    if zone not in page["zones"] and zone not in page["plan"]["rows"]:
+        typer.echo(f"{watch}: no zone {zone}; known zones: {', '.join(sorted(page['zones']))}", err=True)
         raise typer.Exit(BAD_CALL)
-    own, judged = told["zones"].get(zone, {}), told["seen_by_leader"].get(zone)
-    found = {
+    observed, assessed = page["zones"].get(zone, {}), page["seen_by_leader"].get(zone)
+    explanation = {
         "zone": zone,
-        "seen_here": own,
-        "judged": judged,
-        "leader": told["council"]["leader"],
-        "row": told["plan"]["rows"].get(zone, {zone: 1.0}),
-        "shed": told["plan"]["shed"].get(zone, {}),
-        "plans": [one for one in told["history"] if zone in one["rows"]][-5:],
+        "seen_here": observed,
+        "judged": assessed,
+        "leader": page["council"]["leader"],
+        "row": page["plan"]["rows"].get(zone, {zone: 1.0}),
+        "shed": page["plan"]["shed"].get(zone, {}),
+        "plans": [plan for plan in page["history"] if zone in plan["rows"]][-5:],
     }
     if as_json:
-        typer.echo(json.dumps(found))
+        typer.echo(json.dumps(explanation))
         return
-    typer.echo(f"{zone}: its jobs go to {_shares(found['row'])}; deferred at once: {_shares(found['shed'])}")
-    if own:
+    typer.echo(f"{zone}: requests go to {_shares(explanation['row'])}; shed: {_shares(explanation['shed'])}")
+    if observed:
         vote = (
-            "lost" if own["lost"] else "grey" if own["grey"] else "well" if own["spoke"] else "nothing to say"
+            "lost"
+            if observed["lost"]
+            else "grey"
+            if observed["grey"]
+            else "well"
+            if observed["spoke"]
+            else "none"
         )
         typer.echo(
-            f"{told['front']} sees: {own['ready']:g} ready of {own['had']:.3g}, {own['begun']:g} "
-            f"answers begun a second, {own['vain']:g} trips in vain; its vote: {vote}"
+            f"{page['front']} observes: {observed['ready']:g} ready of {observed['had']:.3g}, "
+            f"{observed['begun']:g} answers begun a second, {observed['vain']:g} failed attempts; "
+            f"its vote: {vote}"
         )
-    if judged:
+    if assessed:
         typer.echo(
-            f"judged here, where the council leads: {judged['phase']}, keeps {judged['keeps']:.0%}, "
-            f"{judged['ready']:g} ready of {judged['of']:g} ({judged['warm']:.0%} warm), waits "
-            f"{judged['waits']:.0%} of what was promised, {judged['relapses']} relapses"
+            f"assessed here, by the leader: {assessed['phase']}, keeps {assessed['keeps']:.0%}, "
+            f"{assessed['ready']:g} ready of {assessed['of']:g} ({assessed['warm']:.0%} warm), waits "
+            f"{assessed['waits']:.0%} of the latency target, {assessed['relapses']} relapses"
         )
     else:
-        typer.echo(f"judged by {found['leader'] or 'nobody known'}: ask its watch port for the judgement")
-    for one in found["plans"]:
-        typer.echo(f"plan {one['number']}: {one['why']}")
+        typer.echo(f"assessed by the leader, {explanation['leader'] or 'unknown'}: see its watch port")
+    for plan in explanation["plans"]:
+        typer.echo(f"plan {plan['number']}: {plan['why']}")
--- a/worksmux/commands/lists.py
+++ b/worksmux/commands/lists.py
@@ -1,5 +1,4 @@
-"""`worksmux list`: what a front remembers of its engines, whether they still hold, and how to make it
-forget."""
+"""Defines `worksmux list`: shows, verifies and clears the endpoint cache of a gateway."""
 
 from __future__ import annotations
 
@@ -21,13 +20,13 @@
 from ..storage.database import Store, open_store
 from ..storage.errors import StoreUnusableError
 
-lists = typer.Typer(no_args_is_help=True, help="What a front remembers of its engines.")
-File = Annotated[Path, typer.Argument(help="the file of the front's memory")]
+lists = typer.Typer(no_args_is_help=True, help="The endpoint cache of a gateway.")
+File = Annotated[Path, typer.Argument(help="the file of the endpoint cache")]
 
 
 def _open(path: Path) -> Store:
     if not path.exists():
-        typer.echo(f"{path}: there is no such file", err=True)
+        typer.echo(f"{path}: the file does not exist", err=True)
         raise typer.Exit(2)
     try:
         store = open_store(path)
@@ -40,15 +39,15 @@
 
 
 def _saved(store: Store) -> tuple[list[StoredEndpoint], ListMetadata, bool]:
-    lines, facts = store.read(LINES), ListMetadata()
+    lines, metadata = store.read(LINES), ListMetadata()
     try:
-        facts = msgspec.msgpack.decode(store.read(FACTS).values.get("list", b""), type=ListMetadata)
+        metadata = msgspec.msgpack.decode(store.read(FACTS).values.get("list", b""), type=ListMetadata)
     except msgspec.DecodeError:
         pass
-    found = [msgspec.msgpack.decode(data, type=StoredEndpoint) for data in lines.values.values()]
-    for one in found:
-        one.confirmed_at_ms = max(one.confirmed_at_ms, facts.registry_heard_at_ms)
-    return sorted(found, key=lambda one: one.line.id), facts, lines.is_complete
+    endpoints = [msgspec.msgpack.decode(data, type=StoredEndpoint) for data in lines.values.values()]
+    for endpoint in endpoints:
+        endpoint.confirmed_at_ms = max(endpoint.confirmed_at_ms, metadata.registry_heard_at_ms)
+    return sorted(endpoints, key=lambda endpoint: endpoint.line.id), metadata, lines.is_complete
 
 
 def _table(title: str, names: list[str], rows: list[list[str]]) -> None:
@@ -66,32 +65,33 @@
     believed_for: Annotated[float, typer.Option(help="hours, as in the settings")] = 1.0,
     as_json: Annotated[bool, typer.Option("--json", help="print as JSON")] = False,
 ) -> None:
-    """Show the remembered list, each line's age, and how far a front starting now would trust it."""
+    """Show the cached endpoints, their age, and how much a gateway that starts now would trust them."""
     store = _open(file)
-    saved, facts, whole = _saved(store)
-    wall = time.time() * 1000
-    told: list[dict[str, Any]] = [
+    saved, metadata, is_complete = _saved(store)
+    wall_ms = time.time() * 1000
+    rows: list[dict[str, Any]] = [
         {
-            "id": one.line.id,
-            "address": f"{one.line.host}:{one.line.port}",
-            "kind": one.line.kind,
-            "zone": one.line.zone,
-            "state": one.line.state,
-            "age_s": round((wall - one.confirmed_at_ms) / 1000, 1),
-            "trust": round(confidence(one, wall, facts.turnover, believed_for * 3.6e6), 3),
+            "id": endpoint.line.id,
+            "address": f"{endpoint.line.host}:{endpoint.line.port}",
+            "kind": endpoint.line.kind,
+            "zone": endpoint.line.zone,
+            "state": endpoint.line.state,
+            "age_s": round((wall_ms - endpoint.confirmed_at_ms) / 1000, 1),
+            "trust": round(confidence(endpoint, wall_ms, metadata.turnover, believed_for * 3.6e6), 3),
         }
-        for one in saved
+        for endpoint in saved
     ]
     store.close()
     if as_json:
-        typer.echo(json.dumps({"whole": whole, "serial": facts.serial, "lines": told}))
+        typer.echo(json.dumps({"whole": is_complete, "serial": metadata.serial, "lines": rows}))
         return
-    seen = facts.turnover
+    turnover = metadata.turnover
     _table(
-        f"{file}: {len(told)} engines, serial {facts.serial}, {'whole' if whole else 'NOT whole'}; "
-        f"{seen.departures} left in {seen.watched_ms / 3.6e6:.1f} hours of lines",
+        f"{file}: {len(rows)} engines, serial {metadata.serial}, "
+        f"{'complete' if is_complete else 'INCOMPLETE'}; {turnover.departures} left in "
+        f"{turnover.watched_ms / 3.6e6:.1f} engine hours",
         ["engine", "address", "kind", "zone", "state", "age, s", "trust"],
-        [[str(value) for value in one.values()] for one in told],
+        [[str(value) for value in row.values()] for row in rows],
     )
 
 
@@ -99,56 +99,56 @@
 def verify(
     file: File, time_out: Annotated[float, typer.Option(help="seconds for each engine")] = 1.0
 ) -> None:
-    """Ask each remembered engine who it is; exit code 1 if any line no longer holds.
+    """Check each cached endpoint against its engine; exit code 1 if any endpoint is out of date.
 
-    It asks one after the other, so that the fleet is not probed at once.
+    The engines are contacted one after the other, so that the fleet does not get all probes at once.
     """
     store = _open(file)
-    saved, _, whole = _saved(store)
+    saved, _, is_complete = _saved(store)
     store.close()
-    opener, rows, wrong = build_opener(ProxyHandler({})), [], 0
-    for one in saved:
-        line = one.line
+    opener, rows, outdated = build_opener(ProxyHandler({})), [], 0
+    for endpoint in saved:
+        line = endpoint.line
         try:
             with opener.open(f"http://{line.host}:{line.port}{calls.PROBE}", timeout=time_out) as reply:
-                told = msgspec.json.decode(reply.read(65_536), type=calls.ProbeReply)
-            found = (
-                "another engine: " + told.id
-                if told.id != line.id
+                reply_body = msgspec.json.decode(reply.read(65_536), type=calls.ProbeReply)
+            result = (
+                "another engine: " + reply_body.id
+                if reply_body.id != line.id
                 else "another kind"
-                if told.kind != line.kind
+                if reply_body.kind != line.kind
                 else "draining"
-                if told.draining and line.state == "ready"
-                else "started anew"
-                if told.started > line.started
-                else "holds"
+                if reply_body.draining and line.state == "ready"
+                else "restarted"
+                if reply_body.started > line.started
+                else "unchanged"
             )
         except (URLError, OSError, msgspec.DecodeError) as error:
-            found = f"no answer: {getattr(error, 'reason', error)}"
-        wrong += found != "holds"
-        rows.append([line.id, f"{line.host}:{line.port}", line.state, found])
+            result = f"no answer: {getattr(error, 'reason', error)}"
+        outdated += result != "unchanged"
+        rows.append([line.id, f"{line.host}:{line.port}", line.state, result])
     _table(
-        f"{file}: {len(rows)} engines, {wrong} lines no longer hold",
+        f"{file}: {len(rows)} engines, {outdated} endpoints out of date",
         ["engine", "address", "state", "now"],
         rows,
     )
-    raise typer.Exit(0 if whole and not wrong else 1)
+    raise typer.Exit(0 if is_complete and not outdated else 1)
 
 
 @lists.command()
 def forget(
     file: File, engines: Annotated[list[str] | None, typer.Argument(help="ids; all if absent")] = None
 ) -> None:
-    """Forget engines, or the whole list.  Stop the front first: it writes what it knows."""
+    """Remove engines from the cache, or all of them.  Stop the gateway first: it writes the cache."""
     store = _open(file)
     known = store.read(LINES).values
     unknown = [name for name in engines or [] if name not in known]
     if unknown:
-        typer.echo(f"not remembered: {', '.join(unknown)}", err=True)
+        typer.echo(f"not in the cache: {', '.join(unknown)}", err=True)
         raise typer.Exit(2)
     if engines:
         store.write({LINES: dict.fromkeys(engines)}, time.time() * 1000)
     else:
         store.replace(LINES, [], time.time() * 1000)
     store.close()
-    typer.echo(f"forgotten: {', '.join(engines) if engines else f'all {len(known)}'}")
+    typer.echo(f"removed: {', '.join(engines) if engines else f'all {len(known)}'}")
--- a/worksmux/commands/main.py
+++ b/worksmux/commands/main.py
@@ -1,4 +1,4 @@
-"""`worksmux`: serve, check, trial, audit, version."""
+"""Defines the commands of `worksmux` and adds the groups of the other modules."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
     no_args_is_help=True,
     add_completion=False,
     pretty_exceptions_enable=False,
-    help="A router for language-model jobs, read on one engine and answered on another.",
+    help="A router for language-model requests with prefill and decode on separate engines.",
 )
 File = Annotated[str, typer.Argument(help="a settings file in KDL", metavar="FILE.kdl")]
 
 
 @app.command()
 def serve(file: File) -> None:
-    """Run one front until SIGTERM; SIGHUP reloads its settings."""
+    """Run one gateway until SIGTERM; SIGHUP reloads its settings."""
     from ..gateway.serve import run
     from ..tokenization.vocabulary import TokenizerFormatError
 
@@ -45,7 +45,7 @@
 
 @app.command()
 def node() -> None:
-    """Run one front node on an operator's platform, by the configuration that LB_CONFIG names."""
+    """Run one node on an operator's platform, with the configuration file that LB_CONFIG names."""
     from ..node.serve import run
 
     sys.exit(run(os.environ))
@@ -53,7 +53,7 @@
 
 @app.command()
 def check(file: File) -> None:
-    """Check a front's settings and name every fault, with line and remedy."""
+    """Check the settings of a gateway and print every fault, with its line and how to fix it."""
     from ..gateway.serve import vocabularies
     from ..settings.front import load_gateway_settings
     from ..tokenization.vocabulary import TokenizerFormatError
@@ -68,62 +68,69 @@
         raise typer.Exit(BAD_CALL) from error
     host, port = settings.source.address
     typer.echo(
-        f"{file}: front {settings.name}, {len(settings.request_classes)} offerings, {len(settings.kinds)} "
-        f"kinds of engine, list from {host}:{port}: no fault"
+        f"{file}: gateway {settings.name}, {len(settings.request_classes)} request classes, "
+        f"{len(settings.kinds)} kinds of engine, endpoint list from {host}:{port}: no fault"
     )
 
 
 @app.command()
 def trial(
     file: Annotated[
-        str, typer.Argument(help="a day in KDL, such as examples/bad-day.kdl", metavar="DAY.kdl")
+        str, typer.Argument(help="a scenario in KDL, such as examples/bad-day.kdl", metavar="DAY.kdl")
     ],
     policy: Annotated[
         list[str] | None,
-        typer.Option(help="worksmux, random, round-robin or least-of-our-own; several play the same day"),
+        typer.Option(help="worksmux, random, round-robin or least-of-our-own; several run the same scenario"),
     ] = None,
     as_json: Annotated[bool, typer.Option("--json", help="print the report as JSON")] = False,
-    keep: Annotated[Path | None, typer.Option(help="an empty folder for all records")] = None,
+    keep: Annotated[Path | None, typer.Option(help="an empty directory for all records")] = None,
     guess: Annotated[
         bool,
-        typer.Option("--guess-lengths", help="fronts guess lengths from bytes, whatever the day's file says"),
+        typer.Option(
+            "--guess-lengths", help="gateways estimate prompt lengths from bytes, whatever the file says"
+        ),
     ] = False,
 ) -> None:
-    """Play a scripted day: fronts, engines, registry and clients on loopback sockets, and check the five
-    rules.
+    """Run a scenario with real gateways and fake engines, registry and clients, and check the five rules.
 
-    Exit codes: 0 all rules kept, 1 a rule was broken or the day could not be run, 2 the file is wrong.
+    All of them communicate over loopback sockets.
+
+    Exit codes: 0 all rules kept, 1 a rule was broken or the scenario could not run, 2 the file is invalid.
     """
     from ..fault_trial.runner import FaultTrialError, play
     from ..scenarios.scenario import load_scenario
     from .trials import finish, run_all
 
     try:
-        day = load_scenario(file)
+        scenario = load_scenario(file)
     except SettingsError as error:
         raise refuse(error) from error
     if policy and len(policy) > 1:
         raise typer.Exit(run_all(file, policy, as_json, keep))
     try:
-        told = play(
-            day, policy[0] if policy else day.policy, lambda text: typer.echo(text, err=True), keep, not guess
+        outcome = play(
+            scenario,
+            policy[0] if policy else scenario.policy,
+            lambda text: typer.echo(text, err=True),
+            keep,
+            not guess,
         )
     except FaultTrialError as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(1) from error
-    raise finish(told, as_json)
+    raise finish(outcome, as_json)
 
 
 @app.command()
 def model(
-    file: Annotated[str, typer.Argument(help="a day in KDL, as for `trial`", metavar="DAY.kdl")],
-    policy: Annotated[str, typer.Option(help="in place of the day's")] = "",
-    seed: Annotated[int, typer.Option(help="in place of the day's")] = -1,
+    file: Annotated[str, typer.Argument(help="a scenario in KDL, as for `trial`", metavar="DAY.kdl")],
+    policy: Annotated[str, typer.Option(help="in place of that of the scenario")] = "",
+    seed: Annotated[int, typer.Option(help="in place of that of the scenario")] = -1,
     as_json: Annotated[bool, typer.Option("--json", help="print the report as JSON")] = False,
 ) -> None:
-    """Play a scripted day in simulated time, without sockets, and check the five rules.
+    """Run a scenario in simulated time, without sockets, and check the five rules.
 
-    Exit codes as those of `trial`.
+    The exit codes are those of `trial`.
     """
     from dataclasses import replace
 
@@ -135,28 +142,32 @@
     from .trials import finish
 
     try:
-        day = load_scenario(file)
+        scenario = load_scenario(file)
         if policy and policy not in POLICIES:
             raise UnsupportedScenarioError(f"there is no policy {policy}; name one of {', '.join(POLICIES)}")
-        day = replace(day, policy=policy or day.policy, seed=day.seed if seed < 0 else seed)
-        records = Model(day).run()
+        scenario = replace(
+            scenario, policy=policy or scenario.policy, seed=scenario.seed if seed < 0 else seed
+        )
+        records = Model(scenario).run()
     except SettingsError as error:
         raise refuse(error) from error
     except UnsupportedScenarioError as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(BAD_CALL) from error
     assert records is not None
-    told = {"day": day.name, "policy": day.policy, **summary(records, rule_parameters(day))}
-    raise finish(told, as_json)
+    report = {"day": scenario.name, "policy": scenario.policy, **summary(records, rule_parameters(scenario))}
+    raise finish(report, as_json)
 
 
 @app.command()
 def audit(
-    folder: Annotated[Path, typer.Argument(help="a folder of records, as `trial --keep` leaves it")],
-    file: Annotated[str, typer.Argument(help="the day's file, for the rules' figures", metavar="DAY.kdl")],
+    folder: Annotated[Path, typer.Argument(help="a directory of records from `trial --keep`")],
+    file: Annotated[
+        str, typer.Argument(help="the scenario, for the parameters of the rules", metavar="DAY.kdl")
+    ],
     as_json: Annotated[bool, typer.Option("--json", help="print the report as JSON")] = False,
 ) -> None:
-    """Check the five rules again from the records of a day."""
+    """Check the five rules again from the records of a scenario."""
     from ..checker.records import load
     from ..checker.report import summary
     from ..scenarios.figures import rule_parameters
@@ -164,13 +175,13 @@
     from .trials import finish
 
     try:
-        told = summary(load(folder), rule_parameters(load_scenario(file)))
+        report = summary(load(folder), rule_parameters(load_scenario(file)))
     except SettingsError as error:
         raise refuse(error) from error
     except FileNotFoundError as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(BAD_CALL) from error
-    raise finish(told, as_json)
+    raise finish(report, as_json)
 
 
 app.add_typer(tokens, name="tokens")
@@ -187,4 +198,5 @@
 
 
 def main() -> None:
+    """Runs the command line."""
     app()
--- a/worksmux/commands/refusals.py
+++ b/worksmux/commands/refusals.py
@@ -1,4 +1,4 @@
-"""How the commands refuse a file: every fault by its line, and exit code 2."""
+"""Rejects an invalid file: prints every fault with its line, and ends with exit code 2."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def refuse(error: SettingsError) -> typer.Exit:
-    """What to raise after telling all complaints."""
+    """Prints all complaints; returns the exit to raise."""
     for complaint in error.complaints:
         typer.echo(str(complaint), err=True)
     count = len(error.complaints)
--- a/worksmux/settings/front.py
+++ b/worksmux/settings/front.py
@@ -178,8 +178,8 @@
             request_class.tokenizer or files and request_class.call == "chat"
         ) and request_class.tokenizer not in files:
             root.complain(
-                f'offering "{request_class.name}": tokenizer "{request_class.tokenizer}" is not given; name one of '
-                f"{', '.join(files) or 'none, add a section tokenizer'}"
+                f'offering "{request_class.name}": tokenizer "{request_class.tokenizer}" is not given; '
+                f"name one of {', '.join(files) or 'none, add a section tokenizer'}"
             )
     if not files:
         return {}, None
--- a/worksmux/settings/shared.py
+++ b/worksmux/settings/shared.py
@@ -1,6 +1,6 @@
 """Reads the sections that the settings of a gateway and the file of a scenario have in common.
 
-They are the request classes (`offering`), the kinds of engine, and the sections `rules`, `limits` and `prices`.
+They are the request classes (`offering`), the kinds of engine, `rules`, `limits` and `prices`.
 """
 
 from __future__ import annotations
--- a/worksmux/tokenization/__init__.py
+++ b/worksmux/tokenization/__init__.py
@@ -1,1 +1,1 @@
-"""Counting prompts in tokens, and the identity of what they begin with."""
+"""Counts the tokens of prompts and identifies the prefixes that sessions share."""
--- a/worksmux/tokenization/blocks.py
+++ b/worksmux/tokenization/blocks.py
@@ -1,8 +1,7 @@
-"""Identity of beginnings: chained hashes over fixed-size blocks of token ids, and which of them sessions
-share.
+"""Identifies prompt prefixes by chained hashes over blocks of token ids, and finds the shared prefixes.
 
-The chain is the usual one of engines that keep text by blocks: a block's hash covers its ids and the hash
-before it, so that equal hashes mean equal beginnings.  Version and block size seed the chain.
+The chain is the usual one of engines with a paged KV cache: the hash of a block covers its ids and the
+previous hash, so that equal hashes mean equal prefixes.  The version of the tokenizer seeds the chain.
 """
 
 from __future__ import annotations
@@ -16,46 +15,46 @@
 WIDTH = array("I").itemsize
 
 
-def chain(ids: bytes, block: int, seed: int) -> list[int]:
-    """The hash of each whole block of `block` ids, packed as native unsigned ints.
+def block_hashes(ids: bytes, block: int, seed: int) -> list[int]:
+    """The hash of each complete block of `block` ids; ids are packed as native unsigned ints.
 
-    >>> a, b = (chain(array("I", [1, 2, 3, 4, last]).tobytes(), 2, 7) for last in (5, 6))
-    >>> a == b, len(a), chain(array("I", [1, 2, 3, 9]).tobytes(), 2, 7)[0] == a[0]
+    >>> a, b = (block_hashes(array("I", [1, 2, 3, 4, last]).tobytes(), 2, 7) for last in (5, 6))
+    >>> a == b, len(a), block_hashes(array("I", [1, 2, 3, 9]).tobytes(), 2, 7)[0] == a[0]
     (True, 2, True)
     """
-    step, found, last = block * WIDTH, [], seed & 0xFFFFFFFFFFFFFFFF
+    step, hashes, last = block * WIDTH, [], seed & 0xFFFFFFFFFFFFFFFF
     for start in range(0, len(ids) - step + 1, step):
         last = xxhash.xxh3_64_intdigest(ids[start : start + step], last)
-        found.append(last)
-    return found
+        hashes.append(last)
+    return hashes
 
 
-class Shared:
-    """Tells how much of a prompt several sessions begin with, from the block hashes that it has been shown.
+class SharedPrefixes:
+    """Finds how much of a prompt is a prefix that several sessions share.
 
-    Keeps at most `bound` blocks, the longest unseen given up first; a block is shared once `sessions`
-    different sessions have shown it.  Two hash bits of a block's first session and a count are kept, not the
-    sessions.
+    At most `bound` blocks are remembered; the least recently used block is forgotten first.  A block is
+    shared after `sessions` different sessions.  For each block only its last session and the number of
+    changes of session are kept, not the set of sessions.
     """
 
     def __init__(self, bound: int, sessions: int = 2) -> None:
         self.bound, self.sessions = bound, sessions
-        self.seen: OrderedDict[int, tuple[int, int]] = (
-            OrderedDict()
-        )  # block: its last session, how many changes
-
-    def show(self, hashes: Sequence[int], session: int) -> int:
-        """How many blocks at the front are shared, after `session` has shown these; 0 for a job without
-        session counts as a session of its own only through its caller, who passes a number that is never used
-        again."""
+        # By block hash: the last session, and the number of changes of session plus one.
+        self.seen: OrderedDict[int, tuple[int, int]] = OrderedDict()
+
+    def observe(self, hashes: Sequence[int], session: int) -> int:
+        """Records the blocks of one prompt of `session`; returns how many of its first blocks are shared.
+
+        For a request without a session the caller passes a number that it never uses again.
+        """
         depth = 0
-        for at, block in enumerate(hashes):
+        for index, block in enumerate(hashes):
             last, count = self.seen.pop(block, (session, 1))
             if last != session:
                 last, count = session, count + 1
             self.seen[block] = (last, count)
-            if count >= self.sessions and depth == at:
-                depth = at + 1
+            if count >= self.sessions and depth == index:
+                depth = index + 1
         while len(self.seen) > self.bound:
             self.seen.popitem(last=False)
         return depth
--- a/worksmux/tokenization/cache.py
+++ b/worksmux/tokenization/cache.py
@@ -13,28 +13,38 @@
 
 from .sketch import Sketch
 
-KEY, SLOT = 44, 160  # bytes: a 128-bit key; two dictionary slots with links, measured once
-WINDOW, PROTECTED = 0.05, 0.8  # of the bound; of what is not the window
+KEY_BYTES, SLOT_BYTES = 44, 160  # a 128-bit integer; two dictionary slots with links, as measured
+WINDOW_SHARE, PROTECTED_SHARE = 0.05, 0.8  # of the bound; of the bytes outside the window
 
 
 def entry_bytes(ids: bytes) -> int:
-    """Bytes that an entry takes with its key and its place in the tables."""
-    return sys.getsizeof(ids) + KEY + SLOT
+    """The bytes of an entry with its key and its slots in the dictionaries."""
+    return sys.getsizeof(ids) + KEY_BYTES + SLOT_BYTES
 
 
 class Cache(Protocol):
+    """A cache of packed token ids by the key of their piece."""
+
     @property
-    def used(self) -> int: ...
+    def used(self) -> int:
+        """Bytes in use."""
+        ...
 
-    def get(self, key: int) -> bytes | None: ...
+    def get(self, key: int) -> bytes | None:
+        """The ids of a piece; None if they are not cached."""
+        ...
 
-    def put(self, key: int, ids: bytes) -> None: ...
+    def put(self, key: int, ids: bytes) -> None:
+        """Caches the ids of a piece if there is space for them."""
+        ...
 
-    def clear(self) -> None: ...
+    def clear(self) -> None:
+        """Removes all entries."""
+        ...
 
 
 class LruCache:
-    """Least recently used goes first."""
+    """Evicts the least recently used entry first."""
 
     def __init__(self, bound: int) -> None:
         self.bound, self.used = bound, 0
@@ -60,8 +70,8 @@
         self.used = 0
 
 
-class _Part:
-    """One part of the cache: entries in order of use, and their bytes."""
+class _Segment:
+    """One segment of the cache: entries in order of use, and their bytes."""
 
     def __init__(self) -> None:
         self.entries: OrderedDict[int, bytes] = OrderedDict()
@@ -81,16 +91,16 @@
 
 
 class TinyLfuCache:
-    """Window, probation and protected parts; the sketch decides who is admitted (W-TinyLFU)."""
+    """A W-TinyLFU cache: window, probation and protected segments; a sketch decides on admission."""
 
     def __init__(self, bound: int, mean: int = 2048) -> None:
-        """`mean` is the size of a usual entry in bytes; the sketch's own bytes come off the bound."""
+        """`mean` is the usual size of an entry in bytes.  The bytes of the sketch count against the bound."""
         self.bound = bound
         self.sketch = Sketch(max(64, bound // mean))
-        room = max(0, bound - self.sketch.bytes)
-        self.window_room = int(WINDOW * room)
-        self.main_room = room - self.window_room
-        self.window, self.probation, self.protected = _Part(), _Part(), _Part()
+        entries_bound = max(0, bound - self.sketch.bytes)
+        self.window_bound = int(WINDOW_SHARE * entries_bound)
+        self.main_bound = entries_bound - self.window_bound
+        self.window, self.probation, self.protected = _Segment(), _Segment(), _Segment()
 
     @property
     def used(self) -> int:
@@ -98,14 +108,14 @@
 
     def get(self, key: int) -> bytes | None:
         self.sketch.add(key)
-        for part in (self.protected, self.window):
-            if key in part.entries:
-                part.entries.move_to_end(key)
-                return part.entries[key]
-        if key in self.probation.entries:  # used again: it is worth protecting
+        for segment in (self.protected, self.window):
+            if key in segment.entries:
+                segment.entries.move_to_end(key)
+                return segment.entries[key]
+        if key in self.probation.entries:  # used again: move it to the protected segment
             ids = self.probation.take(key)
             self.protected.add(key, ids)
-            while self.protected.used > PROTECTED * self.main_room:
+            while self.protected.used > PROTECTED_SHARE * self.main_bound:
                 old = self.protected.oldest()
                 self.probation.add(old, self.protected.take(old))
             return ids
@@ -113,33 +123,33 @@
 
     def put(self, key: int, ids: bytes) -> None:
         size = entry_bytes(ids)
-        if size > self.main_room or any(
-            key in part.entries for part in (self.window, self.probation, self.protected)
+        if size > self.main_bound or any(
+            key in segment.entries for segment in (self.window, self.probation, self.protected)
         ):
             return
         self.window.add(key, ids)
-        while self.window.used > self.window_room:
+        while self.window.used > self.window_bound:
             old = self.window.oldest()
             self._admit(old, self.window.take(old))
 
     def _admit(self, key: int, ids: bytes) -> None:
-        """A candidate goes in if it is seen more often than each of those that it would push out."""
+        """Admits a candidate if it is used more often than each entry that it would evict."""
         size = entry_bytes(ids)
-        if size > self.main_room:
+        if size > self.main_bound:
             return
-        often = self.sketch.count(key)
-        victims, room = [], self.main_room - self.probation.used - self.protected.used
-        for part in (self.probation, self.protected):
-            for old, kept in part.entries.items():
-                if room >= size:
+        frequency = self.sketch.count(key)
+        victims, free_bytes = [], self.main_bound - self.probation.used - self.protected.used
+        for segment in (self.probation, self.protected):
+            for old, kept in segment.entries.items():
+                if free_bytes >= size:
                     break
-                if self.sketch.count(old) >= often:
+                if self.sketch.count(old) >= frequency:
                     return
-                victims.append((part, old))
-                room += entry_bytes(kept)
-        for part, old in victims:
-            part.take(old)
+                victims.append((segment, old))
+                free_bytes += entry_bytes(kept)
+        for segment, old in victims:
+            segment.take(old)
         self.probation.add(key, ids)
 
     def clear(self) -> None:
-        self.window, self.probation, self.protected = _Part(), _Part(), _Part()
+        self.window, self.probation, self.protected = _Segment(), _Segment(), _Segment()
--- a/worksmux/tokenization/samples.py
+++ b/worksmux/tokenization/samples.py
@@ -1,5 +1,7 @@
-"""Texts in the languages and forms that users write, made for this project: to train small vocabularies and
-to test."""
+"""Sample texts in languages and formats that users write, made for this project.
+
+The project's small vocabularies are trained on them, and the tests use them.
+"""
 
 from __future__ import annotations
 
@@ -79,5 +81,9 @@
 
 
 def corpus(rounds: int = 6) -> list[str]:
-    """Lines to train on: every sample, some of them more often than others, so that versions differ."""
-    return [text for at, text in enumerate(SAMPLES.values()) for _ in range(1 + (at * rounds) % (rounds + 1))]
+    """Texts to train on: every sample, some of them repeated more often, so that versions differ."""
+    return [
+        text
+        for index, text in enumerate(SAMPLES.values())
+        for _ in range(1 + (index * rounds) % (rounds + 1))
+    ]
--- a/worksmux/tokenization/scheduler.py
+++ b/worksmux/tokenization/scheduler.py
@@ -1,12 +1,18 @@
-"""Decides what is counted when, what is bounded and what is turned away.  Free of I/O; time is passed in.
-
-A prompt whose pieces are all kept is counted at once.  Else its missing bytes wait in one of two lanes: short
-ones must not stand behind a pasted log, so long ones have workers of their own.  Within a queue the earliest
-promised time is next.  A prompt may wait for its count for a part of its promised time; after that it goes on
-with a bound that no count exceeds (a byte-level token covers a byte at least), and is corrected if the count
-comes before its first trip has ended.  A prompt that may be over its offering's limit is never let through on
-a bound.  The line is bounded in bytes: what does not fit goes on by its bound where that is within its limit,
-and is deferred where it is not.
+"""Schedules the counting of prompts: which prompt is counted next, and which proceeds without a count.
+
+The scheduler does no I/O; callers pass the time in.
+
+A prompt whose pieces are all cached is counted at once.  Otherwise its missing bytes wait in one of two
+queues.  Long prompts have their own queue and workers, so that short prompts do not wait behind a pasted log
+file.  Within a queue the prompt with the earliest latency target is next.
+
+A prompt waits for its count for a part of its latency target.  After that it proceeds with an upper bound
+that no count exceeds (a token of a byte-level tokenizer covers at least one byte), and is corrected if the
+count arrives before its first attempt ends.  A prompt that may exceed the limit of its request class never
+proceeds with a bound.
+
+The queues are bounded in bytes: a prompt that does not fit proceeds with its upper bound if that is within
+its limit, and is rejected otherwise.
 """
 
 from __future__ import annotations
@@ -18,161 +24,172 @@
 
 from ..policy.sliding_window import SlidingWindow
 
-WAIT = 0.15  # of the promised time: a count is waited for that long
-PATIENCE = 20.0  # times the usual time for its bytes, before a worker counts as hung
-LEAST_PATIENCE = 0.5  # of the time limit given in the settings: no worker is suspected sooner
-RATE_MEMORY = 10_000.0  # milliseconds
-POISON = 2  # workers that one prompt may cost
+WAIT_SHARE = 0.15  # of the latency target: how long a request waits for its count
+HANG_MULTIPLE = 20.0  # of the usual time for the bytes; a worker that takes longer counts as hung
+MIN_HANG_SHARE = 0.5  # of the time limit in the settings: no worker counts as hung earlier
+RATE_WINDOW_MS = 10_000.0
+MAX_WORKERS_LOST = 2  # workers that one prompt may kill or hang
 
 
 class Verdict(Enum):
+    """What happens to a prompt: it is counted, waits, proceeds with a bound, or is rejected."""
+
     COUNTED = "counted"  # the exact count is known
-    WAIT = "wait"  # in the line; its job waits for it, for a time
-    BOUND = "bound"  # go on with the bound
-    TOO_LONG = "too long"  # over the offering's limit: refused before any trip
+    WAIT = "wait"  # queued; its request waits for the count, for a limited time
+    UPPER_BOUND = "bound"  # the request proceeds with the upper bound
+    TOO_LONG = "too long"  # over the limit of its request class: rejected before any attempt
     REJECT = "defer"  # may be too long and cannot be counted in time
 
 
 @dataclass(eq=False, slots=True)
-class Ask:
-    """A prompt to be counted; lengths in bytes and tokens, times in milliseconds."""
+class CountRequest:
+    """A prompt to be counted."""
 
-    known: int  # tokens of the pieces that are kept
-    missing: int  # bytes of those that are not
-    limit: int  # tokens that its offering allows
+    known: int  # tokens of the cached pieces
+    missing: int  # bytes of the other pieces
+    limit: int  # tokens that its request class allows
     longest_token: int  # bytes
-    promised_time: float
-    now: float
+    latency_target_ms: float
+    arrived_at: float
     version: int = 0
     wait_until: float = 0.0
-    waits: bool = False  # its job waits for the count
+    waits: bool = False  # its request waits for the count
     long: bool = False
     workers_lost: int = 0
-    begun: float = 0.0
-    over: bool = False
+    started_at: float = 0.0
+    finished: bool = False
 
     @property
-    def most(self) -> int:
-        """No count is higher: a token covers at least one byte."""
+    def max_tokens(self) -> int:
+        """The upper bound of the count: a token covers at least one byte."""
         return self.known + self.missing
 
     @property
-    def least(self) -> int:
-        """No count is lower: no token covers more bytes than the longest."""
+    def min_tokens(self) -> int:
+        """The lower bound of the count: no token covers more bytes than the longest token."""
         return self.known + -(-self.missing // max(1, self.longest_token))
 
 
 @dataclass
 class CountQueue:
-    """The line of one size of prompt."""
+    """The waiting prompts of one size class, long or short."""
 
     workers: int
-    waiting: list[tuple[float, int, Ask]] = field(default_factory=list)
+    waiting: list[tuple[float, int, CountRequest]] = field(default_factory=list)
     bytes: int = 0  # waiting and being counted
 
 
 class CountScheduler:
-    """One for each front.  `long` is the size from which a prompt is long; `bound` the bytes that may
-    wait."""
+    """Schedules the counts of one gateway.
+
+    `long` is the size in bytes above which a prompt is long.  `bound` limits the bytes in both queues.
+    """
 
     def __init__(
         self, long: int, bound: int, short_workers: int, long_workers: int, time_limit: float
     ) -> None:
         self.long, self.bound, self.time_limit = long, bound, time_limit
         self.queues = {False: CountQueue(short_workers), True: CountQueue(long_workers)}
-        self.rate = SlidingWindow(RATE_MEMORY, 10)  # milliseconds for a byte
+        self.ms_per_byte = SlidingWindow(RATE_WINDOW_MS, 10)
         self.order = count()
-        self.deadlines: list[tuple[float, int, Ask]] = []
+        self.deadlines: list[tuple[float, int, CountRequest]] = []
         self.refused = 0
 
-    def arrive(self, ask: Ask) -> Verdict:
-        """What becomes of a prompt that has come; WAIT puts it into the line."""
-        if ask.least > ask.limit:
+    def arrive(self, request: CountRequest) -> Verdict:
+        """Decides about a new prompt, and queues it if it is to be counted."""
+        if request.min_tokens > request.limit:
             self.refused += 1
             return Verdict.TOO_LONG
-        if not ask.missing:
+        if not request.missing:
             return Verdict.COUNTED
-        ask.long = ask.missing > self.long
-        queue = self.queues[ask.long]
-        if sum(one.bytes for one in self.queues.values()) + ask.missing > self.bound:
-            return self._without(ask)
-        wait = self._wait(queue, ask)
-        ask.wait_until = ask.now + WAIT * ask.promised_time
-        safe = ask.most <= ask.limit
-        if not safe and ask.now + wait > ask.now + ask.promised_time:
-            return self._without(ask)  # its count would come after its promised time
-        if not safe:
-            ask.wait_until = ask.now + ask.promised_time / 2
-        ask.waits = not (safe and ask.now + wait > ask.wait_until)
-        queue.bytes += ask.missing
-        heapq.heappush(queue.waiting, (ask.now + ask.promised_time, next(self.order), ask))
-        if not ask.waits:
-            return Verdict.BOUND  # counted all the same, to correct it and to keep its pieces
-        heapq.heappush(self.deadlines, (ask.wait_until, next(self.order), ask))
+        request.long = request.missing > self.long
+        queue = self.queues[request.long]
+        if sum(each.bytes for each in self.queues.values()) + request.missing > self.bound:
+            return self._without_count(request)
+        wait_ms = self._expected_wait_ms(queue, request)
+        request.wait_until = request.arrived_at + WAIT_SHARE * request.latency_target_ms
+        surely_fits = request.max_tokens <= request.limit
+        if not surely_fits and request.arrived_at + wait_ms > request.arrived_at + request.latency_target_ms:
+            return self._without_count(request)  # its count would arrive after its latency target
+        if not surely_fits:
+            request.wait_until = request.arrived_at + request.latency_target_ms / 2
+        request.waits = not (surely_fits and request.arrived_at + wait_ms > request.wait_until)
+        queue.bytes += request.missing
+        heapq.heappush(
+            queue.waiting, (request.arrived_at + request.latency_target_ms, next(self.order), request)
+        )
+        if not request.waits:
+            return Verdict.UPPER_BOUND  # still counted, to correct the bound and to cache its pieces
+        heapq.heappush(self.deadlines, (request.wait_until, next(self.order), request))
         return Verdict.WAIT
 
-    def _without(self, ask: Ask) -> Verdict:
-        """A prompt that is not going to be counted in time."""
-        if ask.most <= ask.limit:
-            return Verdict.BOUND
+    def _without_count(self, request: CountRequest) -> Verdict:
+        """The verdict on a prompt that will not be counted in time."""
+        if request.max_tokens <= request.limit:
+            return Verdict.UPPER_BOUND
         return Verdict.REJECT
 
-    def _wait(self, queue: CountQueue, ask: Ask) -> float:
-        per_byte = self.rate.mean(ask.now)
-        return per_byte * (queue.bytes / queue.workers + ask.missing)
+    def _expected_wait_ms(self, queue: CountQueue, request: CountRequest) -> float:
+        ms_per_byte = self.ms_per_byte.mean(request.arrived_at)
+        return ms_per_byte * (queue.bytes / queue.workers + request.missing)
 
-    def next(self, long: bool) -> Ask | None:
-        """The prompt that a free worker of this queue should count now."""
+    def next(self, long: bool) -> CountRequest | None:
+        """Takes the prompt that an idle worker of this queue counts next; None if the queue is empty."""
         waiting = self.queues[long].waiting
         while waiting:
-            ask = heapq.heappop(waiting)[2]
-            if not ask.over:
-                return ask
+            request = heapq.heappop(waiting)[2]
+            if not request.finished:
+                return request
         return None
 
-    def begin(self, ask: Ask, now: float) -> float:
-        """A worker starts on it; returns the time until that worker counts as hung."""
-        ask.begun = now
-        usual = self.rate.mean(now) * ask.missing
-        return max(LEAST_PATIENCE * self.time_limit, min(self.time_limit, PATIENCE * usual))
-
-    def done(self, ask: Ask, now: float) -> None:
-        """Its missing pieces are counted."""
-        self._out(ask)
-        self.rate.add(now, now - ask.begun, max(1, ask.missing))
-
-    def lost(self, ask: Ask, now: float) -> Verdict:
-        """Its worker has died or hung.  Back to the line, unless it has cost too many: then by its bound."""
-        ask.workers_lost += 1
-        if ask.workers_lost < POISON:
+    def begin(self, request: CountRequest, now: float) -> float:
+        """Records that a worker starts a count; returns the time after which that worker counts as hung."""
+        request.started_at = now
+        usual_ms = self.ms_per_byte.mean(now) * request.missing
+        return max(MIN_HANG_SHARE * self.time_limit, min(self.time_limit, HANG_MULTIPLE * usual_ms))
+
+    def done(self, request: CountRequest, now: float) -> None:
+        """Records that the missing pieces of a prompt are counted."""
+        self._finish(request)
+        self.ms_per_byte.add(now, now - request.started_at, max(1, request.missing))
+
+    def lost(self, request: CountRequest, now: float) -> Verdict:
+        """Records that the worker of a count died or hung.
+
+        The prompt is queued again.  After MAX_WORKERS_LOST lost workers it proceeds without a count.
+        """
+        request.workers_lost += 1
+        if request.workers_lost < MAX_WORKERS_LOST:
             heapq.heappush(
-                self.queues[ask.long].waiting, (ask.now + ask.promised_time, next(self.order), ask)
+                self.queues[request.long].waiting,
+                (request.arrived_at + request.latency_target_ms, next(self.order), request),
             )
             return Verdict.WAIT
-        self._out(ask)
-        return self._without(ask)
-
-    def gone(self, ask: Ask) -> None:
-        """Nobody needs it any more."""
-        if not ask.over:
-            self._out(ask)
-
-    def _out(self, ask: Ask) -> None:
-        if not ask.over:
-            ask.over = True
-            self.queues[ask.long].bytes -= ask.missing
-
-    def late(self, now: float) -> list[tuple[Ask, Verdict]]:
-        """Those that have waited long enough, and what becomes of them; their counts may still come."""
-        found = []
+        self._finish(request)
+        return self._without_count(request)
+
+    def cancel(self, request: CountRequest) -> None:
+        """Drops a prompt whose count is not needed any more."""
+        if not request.finished:
+            self._finish(request)
+
+    def _finish(self, request: CountRequest) -> None:
+        if not request.finished:
+            request.finished = True
+            self.queues[request.long].bytes -= request.missing
+
+    def expire(self, now: float) -> list[tuple[CountRequest, Verdict]]:
+        """The prompts whose wait is over, with their verdicts; their counts may still arrive."""
+        expired = []
         while self.deadlines and self.deadlines[0][0] <= now:
-            ask = heapq.heappop(self.deadlines)[2]
-            if ask.waits and not ask.over:
-                ask.waits = False
-                found.append((ask, self._without(ask)))
-        return found
+            request = heapq.heappop(self.deadlines)[2]
+            if request.waits and not request.finished:
+                request.waits = False
+                expired.append((request, self._without_count(request)))
+        return expired
 
     def next_deadline(self) -> float | None:
-        while self.deadlines and (self.deadlines[0][2].over or not self.deadlines[0][2].waits):
+        """The time at which the next wait ends; None if no request waits."""
+        while self.deadlines and (self.deadlines[0][2].finished or not self.deadlines[0][2].waits):
             heapq.heappop(self.deadlines)
         return self.deadlines[0][0] if self.deadlines else None
--- a/worksmux/tokenization/service.py
+++ b/worksmux/tokenization/service.py
@@ -1,5 +1,8 @@
-"""Counts prompts for one front: cuts them, looks kept pieces up, and has workers count the rest as the desk
-decides."""
+"""Counts the tokens of prompts for one gateway.
+
+A prompt is cut into pieces.  Token ids of pieces come from the cache or from worker processes, in the order
+that the scheduler decides.
+"""
 
 from __future__ import annotations
 
@@ -12,28 +15,28 @@
 from ..net import clock
 from ..net.loop import Reactor
 from ..settings.front import Counting
-from .blocks import WIDTH, Shared, chain
+from .blocks import WIDTH, SharedPrefixes, block_hashes
 from .cache import Cache, TinyLfuCache
-from .pieces import Parts, Piece, cut
+from .pieces import Messages, Piece, cut
 from .pool import Worker, Workers
-from .scheduler import Ask, CountScheduler, Verdict
+from .scheduler import CountRequest, CountScheduler, Verdict
 from .vocabulary import Vocabulary
 from .worker import Counted
 
 LOG = structlog.get_logger()
-DEEPEST = 1 / 256  # of the blocks kept: how many of one prompt are followed as its beginning
-ODD = 0x9E3779B97F4A7C15F39CC0605CEDC835
+PREFIX_SHARE = 1 / 256  # of the remembered blocks: the longest prefix of one prompt
+VERSION_MULTIPLIER = 0x9E3779B97F4A7C15F39CC0605CEDC835
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """What is known of a prompt; tokens."""
+    """What is known of a prompt; `prompt` is its count, or an upper bound if `exact` is false."""
 
     verdict: Verdict
     prompt: float
     exact: bool
     version: int
-    prefix: int = 0
+    prefix: int = 0  # the hash of the shared prefix
     prefix_tokens: float = 0.0
     min_tokens: int = 0
 
@@ -42,56 +45,63 @@
 
 
 class Prompt:
-    """One prompt on its way; its `on_result` is called once, and once more if a bound is corrected."""
+    """One prompt that is being counted.
+
+    `on_result` is called once, and a second time if an upper bound is corrected.
+    """
 
     def __init__(
         self,
-        messages: Parts,
+        messages: Messages,
         request_class: int,
         limit: int,
-        promised_time: float,
+        latency_target_ms: float,
         session: int,
         on_result: OnResult,
     ) -> None:
         self.messages, self.request_class, self.limit = messages, request_class, limit
-        self.promised_time, self.session, self.on_result = promised_time, session, on_result
-        self.arrived = clock.now()
+        self.latency_target_ms, self.session, self.on_result = latency_target_ms, session, on_result
+        self.arrived_at = clock.now()
         self.vocabulary: Vocabulary | None = None
         self.pieces: list[Piece] = []
         self.ids: list[bytes | None] = []
-        self.more: dict[int, int] = {}  # tokens of a piece beyond its ids
-        self.ask: Ask | None = None
-        self.told = self.over = False
+        self.more: dict[int, int] = {}  # tokens of a piece beyond its transferred ids, by index
+        self.request: CountRequest | None = None
+        self.reported = self.finished = False
 
 
 class TokenService:
-    """`vocabularies` gives each offering's, in their order."""
+    """Counts prompts, with one vocabulary for each request class in `vocabularies`."""
 
     def __init__(
         self,
         reactor: Reactor,
         bounds: Counting,
         vocabularies: list[Vocabulary],
-        make: Callable[[int], Cache] = TinyLfuCache,
+        make_cache: Callable[[int], Cache] = TinyLfuCache,
     ) -> None:
         self.reactor, self.bounds = reactor, bounds
         self.vocabularies = vocabularies
-        self.cache = make(bounds.cache)
-        self.shared = Shared(bounds.shared_blocks, bounds.shared_sessions)
-        self.deepest = max(1, round(DEEPEST * bounds.shared_blocks))
+        self.cache = make_cache(bounds.cache)
+        self.shared_prefixes = SharedPrefixes(bounds.shared_blocks, bounds.shared_sessions)
+        self.max_prefix_blocks = max(1, round(PREFIX_SHARE * bounds.shared_blocks))
         self.scheduler = CountScheduler(
             bounds.long, bounds.line, bounds.workers, bounds.long_workers, bounds.time_limit
         )
-        self.workers = Workers(reactor, bounds.workers, bounds.long_workers, bounds.time_limit, self._feed)
-        self.open: dict[Ask, Prompt] = {}  # counted or waiting
-        self.strangers = 0  # jobs without a session: each is one of its own
+        self.workers = Workers(
+            reactor, bounds.workers, bounds.long_workers, bounds.time_limit, self._dispatch
+        )
+        self.open: dict[CountRequest, Prompt] = {}  # waiting or being counted
+        self.sessionless_count = 0  # each prompt without a session counts as a session of its own
         self.hits = self.misses = self.bytes_counted = self.recounted = 0
         self.timer: Any = None
 
     def start(self) -> None:
+        """Starts the worker processes."""
         self.workers.start(self.vocabularies)
 
     def stop(self) -> None:
+        """Stops the worker processes and the timer."""
         self.workers.stop()
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
@@ -100,29 +110,29 @@
 
     def count(
         self,
-        messages: Parts,
+        messages: Messages,
         request_class: int,
         limit: int,
-        promised_time: float,
+        latency_target_ms: float,
         session: int,
         on_result: OnResult,
     ) -> Prompt:
-        """Counts a prompt; where nothing has to be waited for, `on_result` is called before this returns."""
+        """Counts a prompt; if nothing has to be waited for, `on_result` is called before this returns."""
         if not session:
-            self.strangers += 1
-            session = -self.strangers
-        prompt = Prompt(messages, request_class, limit, promised_time, session, on_result)
+            self.sessionless_count += 1
+            session = -self.sessionless_count
+        prompt = Prompt(messages, request_class, limit, latency_target_ms, session, on_result)
         self._begin(prompt)
         return prompt
 
     def _key(self, vocabulary: Vocabulary, piece: Piece) -> int:
-        return piece.key ^ (vocabulary.version * ODD & (2**128 - 1))
+        return piece.key ^ (vocabulary.version * VERSION_MULTIPLIER & (2**128 - 1))
 
     def _look_up(self, prompt: Prompt) -> None:
         assert prompt.vocabulary
-        for at, piece in enumerate(prompt.pieces):
-            if prompt.ids[at] is None:
-                prompt.ids[at] = self.cache.get(self._key(prompt.vocabulary, piece))
+        for index, piece in enumerate(prompt.pieces):
+            if prompt.ids[index] is None:
+                prompt.ids[index] = self.cache.get(self._key(prompt.vocabulary, piece))
 
     def _begin(self, prompt: Prompt) -> None:
         vocabulary = prompt.vocabulary = self.vocabularies[prompt.request_class]
@@ -133,56 +143,63 @@
         missing = sum(piece.size for piece, ids in zip(prompt.pieces, prompt.ids, strict=True) if ids is None)
         self.hits += sum(ids is not None for ids in prompt.ids)
         self.misses += sum(ids is None for ids in prompt.ids)
-        ask = prompt.ask = Ask(
+        request = prompt.request = CountRequest(
             known,
             missing,
             prompt.limit,
             vocabulary.longest_token,
-            prompt.promised_time,
-            prompt.arrived,
+            prompt.latency_target_ms,
+            prompt.arrived_at,
             vocabulary.version,
         )
-        verdict = self.scheduler.arrive(ask)
+        verdict = self.scheduler.arrive(request)
         if verdict is Verdict.COUNTED:
             return self._counted(prompt)
-        if verdict in (Verdict.WAIT, Verdict.BOUND) and not ask.over and ask.wait_until:
-            self.open[ask] = prompt
-            self._feed(ask.long)
-            self._watch()
+        if verdict in (Verdict.WAIT, Verdict.UPPER_BOUND) and not request.finished and request.wait_until:
+            self.open[request] = prompt
+            self._dispatch(request.long)
+            self._set_timer()
         if verdict is not Verdict.WAIT:
-            self._tell(prompt, verdict)
+            self._report(prompt, verdict)
 
     def cancel(self, prompt: Prompt) -> None:
-        """Nobody waits for it any more."""
-        prompt.over = True
-        if prompt.ask in self.open:
-            del self.open[prompt.ask]
-            self.scheduler.gone(prompt.ask)
-
-    def _tell(self, prompt: Prompt, verdict: Verdict) -> None:
-        if prompt.told or prompt.over or not prompt.ask or not prompt.vocabulary:
+        """Drops a prompt whose client does not wait any more."""
+        prompt.finished = True
+        if prompt.request in self.open:
+            del self.open[prompt.request]
+            self.scheduler.cancel(prompt.request)
+
+    def _report(self, prompt: Prompt, verdict: Verdict) -> None:
+        if prompt.reported or prompt.finished or not prompt.request or not prompt.vocabulary:
             return
-        prompt.told = True
+        prompt.reported = True
         prompt.on_result(
             Result(
-                verdict, float(prompt.ask.most), False, prompt.vocabulary.version, min_tokens=prompt.ask.least
+                verdict,
+                float(prompt.request.max_tokens),
+                False,
+                prompt.vocabulary.version,
+                min_tokens=prompt.request.min_tokens,
             )
         )
 
     def _counted(self, prompt: Prompt) -> None:
-        """All pieces are known; a count over the limit is refused, also where a bound went before it."""
+        """Reports an exact count.
+
+        A count over the limit is TOO_LONG, also after the prompt has proceeded with an upper bound.
+        """
         assert prompt.vocabulary
-        if prompt.over:
+        if prompt.finished:
             return
-        prompt.told = prompt.over = True
-        total = sum(len(one) for one in prompt.ids if one is not None) // WIDTH + sum(prompt.more.values())
+        prompt.reported = prompt.finished = True
+        total = sum(len(ids) for ids in prompt.ids if ids is not None) // WIDTH + sum(prompt.more.values())
         if total > prompt.limit:
             prompt.on_result(
                 Result(Verdict.TOO_LONG, total, True, prompt.vocabulary.version, min_tokens=total)
             )
             return
-        hashes = chain(self._beginning(prompt), self.bounds.block, prompt.vocabulary.version)
-        depth = self.shared.show(hashes, prompt.session)
+        hashes = block_hashes(self._prefix_ids(prompt), self.bounds.block, prompt.vocabulary.version)
+        depth = self.shared_prefixes.observe(hashes, prompt.session)
         prompt.on_result(
             Result(
                 Verdict.COUNTED,
@@ -195,91 +212,96 @@
             )
         )
 
-    def _beginning(self, prompt: Prompt) -> bytes:
-        """The ids from the front, as far as a beginning is followed."""
-        found, most = bytearray(), self.deepest * self.bounds.block * WIDTH
-        for at, ids in enumerate(prompt.ids):
-            found += ids or b""
-            if len(found) >= most or prompt.more.get(at):
+    def _prefix_ids(self, prompt: Prompt) -> bytes:
+        """The first ids of a prompt, up to the longest prefix that is followed."""
+        prefix, max_bytes = bytearray(), self.max_prefix_blocks * self.bounds.block * WIDTH
+        for index, ids in enumerate(prompt.ids):
+            prefix += ids or b""
+            if len(prefix) >= max_bytes or prompt.more.get(index):
                 break
-        return bytes(found[:most])
+        return bytes(prefix[:max_bytes])
 
     # Workers.
 
-    def _feed(self, long: bool) -> None:
-        """Gives idle workers of a queue what is next."""
+    def _dispatch(self, long: bool) -> None:
+        """Gives the next prompts of a queue to its idle workers."""
         while worker := self.workers.take(long):
-            ask = self.scheduler.next(long)
-            if ask is None:
-                return self.workers.back(worker)
-            prompt = self.open[ask]
+            request = self.scheduler.next(long)
+            if request is None:
+                return self.workers.put_back(worker)
+            prompt = self.open[request]
             self._look_up(prompt)  # another prompt may have had the same pieces counted
-            missing = [at for at, ids in enumerate(prompt.ids) if ids is None]
+            missing = [index for index, ids in enumerate(prompt.ids) if ids is None]
             if missing:
-                self._send(worker, prompt, ask, missing)
+                self._send(worker, prompt, request, missing)
             else:
-                self.workers.back(worker)
-                ask.begun = clock.now()
-                self._finish(prompt, ask)
+                self.workers.put_back(worker)
+                request.started_at = clock.now()
+                self._finish(prompt, request)
 
-    def _send(self, worker: Worker, prompt: Prompt, ask: Ask, missing: list[int]) -> None:
-        def counted(told: Counted | None) -> None:
-            if ask not in self.open:  # cancelled, or begun anew under another version
+    def _send(self, worker: Worker, prompt: Prompt, request: CountRequest, missing: list[int]) -> None:
+        def counted(reply: Counted | None) -> None:
+            if request not in self.open:  # cancelled, or restarted with another version
                 return
-            if told is None or told.error:
-                if told:
-                    LOG.error("a prompt cannot be counted", why=told.error)
-                return self._lost(prompt, ask)
+            if reply is None or reply.error:
+                if reply:
+                    LOG.error(
+                        "prompt not counted; it is tried once more or continues without a count",
+                        why=reply.error,
+                    )
+                return self._lost(prompt, request)
             assert prompt.vocabulary
-            for at, ids, more in zip(missing, told.ids, told.more, strict=True):
-                prompt.ids[at], prompt.more[at] = ids, more
+            for index, ids, more in zip(missing, reply.ids, reply.more, strict=True):
+                prompt.ids[index], prompt.more[index] = ids, more
                 if not more:
-                    self.cache.put(self._key(prompt.vocabulary, prompt.pieces[at]), ids)
-            self._finish(prompt, ask)
-
-        patience = self.scheduler.begin(ask, clock.now())
-        texts = [prompt.pieces[at].text for at in missing]
-        self.bytes_counted += sum(prompt.pieces[at].size for at in missing)
-        worker.count(ask.version, texts, self.deepest * self.bounds.block, patience, counted)
+                    self.cache.put(self._key(prompt.vocabulary, prompt.pieces[index]), ids)
+            self._finish(prompt, request)
+
+        hang_timeout_ms = self.scheduler.begin(request, clock.now())
+        texts = [prompt.pieces[index].text for index in missing]
+        self.bytes_counted += sum(prompt.pieces[index].size for index in missing)
+        worker.count(
+            request.version, texts, self.max_prefix_blocks * self.bounds.block, hang_timeout_ms, counted
+        )
 
-    def _finish(self, prompt: Prompt, ask: Ask) -> None:
-        self.open.pop(ask, None)
-        self.scheduler.done(ask, clock.now())
+    def _finish(self, prompt: Prompt, request: CountRequest) -> None:
+        self.open.pop(request, None)
+        self.scheduler.done(request, clock.now())
         self._counted(prompt)
 
-    def _lost(self, prompt: Prompt, ask: Ask) -> None:
-        verdict = self.scheduler.lost(ask, clock.now())
+    def _lost(self, prompt: Prompt, request: CountRequest) -> None:
+        verdict = self.scheduler.lost(request, clock.now())
         if verdict is not Verdict.WAIT:
-            self.open.pop(ask, None)
-            self._tell(prompt, verdict)
-        self._feed(ask.long)
-
-    def _watch(self) -> None:
-        at = self.scheduler.next_deadline()
-        if at is not None and (self.timer is None or not self.timer.active()):
-            self.timer = self.reactor.callLater(max(0.0, at - clock.now()) / 1000, self._late)
-
-    def _late(self) -> None:
-        for ask, verdict in self.scheduler.late(clock.now()):
-            if ask in self.open:
-                self._tell(self.open[ask], verdict)
+            self.open.pop(request, None)
+            self._report(prompt, verdict)
+        self._dispatch(request.long)
+
+    def _set_timer(self) -> None:
+        deadline = self.scheduler.next_deadline()
+        if deadline is not None and (self.timer is None or not self.timer.active()):
+            self.timer = self.reactor.callLater(max(0.0, deadline - clock.now()) / 1000, self._expire)
+
+    def _expire(self) -> None:
+        for request, verdict in self.scheduler.expire(clock.now()):
+            if request in self.open:
+                self._report(self.open[request], verdict)
                 if verdict is Verdict.REJECT:
-                    self.cancel(self.open[ask])
-        self._watch()
+                    self.cancel(self.open[request])
+        self._set_timer()
 
     # Versions.
 
     def switch_vocabularies(self, vocabularies: list[Vocabulary]) -> None:
-        """A change of versions in service: what is waiting or half counted begins anew under the new ones.
+        """Replaces the vocabularies; open prompts whose version changed are counted again from the start.
 
-        No result under an old version is given after this returns.
+        After this returns, no result of an old version is reported.
         """
         self.vocabularies = vocabularies
         self.workers.switch_vocabularies(vocabularies)
-        for ask, prompt in list(self.open.items()):
-            if vocabularies[prompt.request_class].version != ask.version:
-                del self.open[ask]
-                self.scheduler.gone(ask)
+        for request, prompt in list(self.open.items()):
+            if vocabularies[prompt.request_class].version != request.version:
+                del self.open[request]
+                self.scheduler.cancel(request)
                 self.recounted += 1
-                if not prompt.over:
+                if not prompt.finished:
                     self._begin(prompt)
--- a/worksmux/tokenization/train.py
+++ b/worksmux/tokenization/train.py
@@ -1,7 +1,7 @@
 """Trains the project's own small byte-level BPE vocabularies: `python -m worksmux.tokenization.train FOLDER`.
 
-They stand in for a model's published `tokenizer.json` in tests and scripted days; two versions, so that a
-change of version can be tried.  Training is deterministic for one version of the library.
+Tests and scenarios use them in place of a model's published `tokenizer.json`.  There are two, so that a
+change of version can be tested.  Training is deterministic for one version of the library.
 """
 
 from __future__ import annotations
@@ -18,6 +18,7 @@
 
 
 def train(size: int, rounds: int) -> Tokenizer:
+    """Trains a vocabulary of `size` tokens on the samples."""
     tokenizer = Tokenizer(models.BPE())
     tokenizer.pre_tokenizer = pre_tokenizers.ByteLevel(add_prefix_space=False)
     tokenizer.decoder = decoders.ByteLevel()
@@ -32,6 +33,7 @@
 
 
 def main(folder: Path) -> None:
+    """Trains each version and saves it in `folder`."""
     folder.mkdir(parents=True, exist_ok=True)
     for name, (size, rounds) in VERSIONS.items():
         train(size, rounds).save(str(folder / f"{name}.json"))
--- a/worksmux/tokenization/worker.py
+++ b/worksmux/tokenization/worker.py
@@ -1,7 +1,8 @@
-"""A worker process that tokenises: frames on standard input, frames on standard output, until its input ends.
+"""A worker process that tokenises texts until its standard input ends.
 
-A frame is its length in four bytes, then a message in MessagePack.  A worker keeps every version it was
-given; the front tells it which to forget.
+It reads frames from standard input and writes frames to standard output.  A frame is its length in four
+bytes, then a message in MessagePack.  A worker keeps every version of a tokenizer that it has received, until
+the gateway tells it to forget the version.
 """
 
 from __future__ import annotations
@@ -12,32 +13,36 @@
 
 import msgspec
 
-HEAD = 4
+HEADER_BYTES = 4
 
 
 class Load(msgspec.Struct, tag="load"):
-    """A version of a tokenizer, to be used from now on."""
+    """Adds a version of a tokenizer."""
 
     version: int
     text: str
 
 
 class Forget(msgspec.Struct, tag="forget"):
+    """Removes a version of a tokenizer."""
+
     version: int
 
 
 class Count(msgspec.Struct, tag="count"):
-    """Texts to tokenise."""
+    """Requests the token ids of texts."""
 
     number: int
     version: int
     texts: list[str]
-    most: int  # ids of one text that are wanted back; a giant's are not worth moving
+    most: int  # ids of one text to return; those of a very long text are not worth transferring
 
 
 class Counted(msgspec.Struct):
-    """The packed ids of each text, and how many more it has than were wanted; empty with an error.  Number 0
-    says that a version is loaded."""
+    """The packed ids of each text, and how many more ids it has than are returned.
+
+    Both lists are empty with an error.  Number 0 confirms that a version is loaded.
+    """
 
     number: int
     version: int
@@ -47,17 +52,18 @@
 
 
 ENCODE = msgspec.msgpack.Encoder()
-READ_ORDER = msgspec.msgpack.Decoder(Load | Forget | Count)
-READ_COUNTED = msgspec.msgpack.Decoder(Counted)
+DECODE_REQUEST = msgspec.msgpack.Decoder(Load | Forget | Count)
+DECODE_COUNTED = msgspec.msgpack.Decoder(Counted)
 
 
 def frame(message: Any) -> bytes:
+    """Encodes a message as a frame."""
     data = ENCODE.encode(message)
-    return len(data).to_bytes(HEAD, "little") + data
+    return len(data).to_bytes(HEADER_BYTES, "little") + data
 
 
 class Frames:
-    """Gathers frames from pieces cut anywhere.
+    """Collects frames from data that arrives in arbitrary pieces.
 
     >>> frames = Frames()
     >>> frames.feed(b"\\x02\\0\\0"), frames.feed(b"\\0ab\\x01\\0\\0\\0c")
@@ -68,28 +74,30 @@
         self._rest = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
+        """Takes received data; returns the messages of the frames that are complete now."""
         self._rest += data
-        found, at = [], 0
-        while len(self._rest) - at >= HEAD:
-            size = int.from_bytes(self._rest[at : at + HEAD], "little")
-            if len(self._rest) - at - HEAD < size:
+        messages, offset = [], 0
+        while len(self._rest) - offset >= HEADER_BYTES:
+            size = int.from_bytes(self._rest[offset : offset + HEADER_BYTES], "little")
+            if len(self._rest) - offset - HEADER_BYTES < size:
                 break
-            found.append(bytes(self._rest[at + HEAD : at + HEAD + size]))
-            at += HEAD + size
-        del self._rest[:at]
-        return found
+            messages.append(bytes(self._rest[offset + HEADER_BYTES : offset + HEADER_BYTES + size]))
+            offset += HEADER_BYTES + size
+        del self._rest[:offset]
+        return messages
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
+    """Answers the messages from `source` on `sink` until `source` ends."""
     from tokenizers import Tokenizer
 
     from .blocks import WIDTH
     from .vocabulary import tokens
 
     loaded: dict[int, Tokenizer] = {}
-    while len(head := source.read(HEAD)) == HEAD:
+    while len(head := source.read(HEADER_BYTES)) == HEADER_BYTES:
         data = source.read(int.from_bytes(head, "little"))
-        match READ_ORDER.decode(data):
+        match DECODE_REQUEST.decode(data):
             case Load(version, text):
                 loaded[version] = Tokenizer.from_str(text)
                 sink.write(frame(Counted(0, version)))
@@ -99,11 +107,11 @@
             case Count(number, version, texts, most):
                 try:
                     ids = [tokens(loaded[version], text) for text in texts]
-                    more = [max(0, len(one) // WIDTH - most) for one in ids]
-                    told = Counted(number, version, [one[: most * WIDTH] for one in ids], more)
+                    more = [max(0, len(packed) // WIDTH - most) for packed in ids]
+                    reply = Counted(number, version, [packed[: most * WIDTH] for packed in ids], more)
                 except Exception as error:  # the library raises bare exceptions
-                    told = Counted(number, version, error=f"{type(error).__name__}: {error}")
-                sink.write(frame(told))
+                    reply = Counted(number, version, error=f"{type(error).__name__}: {error}")
+                sink.write(frame(reply))
                 sink.flush()
 
 
