--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -129,7 +129,7 @@
     "old, new, wanted",
     [
         ('carries "north" 65', 'carries "nowhere" 65', 'zone "nowhere" is not among the zones'),
-        ('carries "north" 65', 'carries "north" 0', "expected jobs a second above 0"),
+        ('carries "north" 65', 'carries "north" 0', "expected requests a second above 0"),
         ('reach "b" "127.0.0.1:9002"', 'reach "b" "nonsense"', "reach: "),
         ('founders "a" "b" "c"', 'founders "a" "b" "c"\n    seats 2', "expected 1, 3 or 5"),
         ('founders "a" "b" "c"', 'founders "a"\n    lease "500ms"', "lease is under twice patience"),
--- a/worksmux/commands/trials.py
+++ b/worksmux/commands/trials.py
@@ -16,7 +16,7 @@
 def show(reports: list[dict[str, Any]]) -> None:
     """Prints a table with one column for each run, and the first violation of each broken rule."""
     console = Console(width=110, highlight=False)
-    table = Table(title=f"Day: {reports[0].get('day', 'records')}")
+    table = Table(title=f"Scenario: {reports[0].get('day', 'records')}")
     table.add_column("")
     for run in reports:
         table.add_column(str(run.get("policy", "figures")), justify="right")
@@ -48,7 +48,7 @@
             [f"{run['drain_last_send_ms']:.1f}" for run in reports],
         ),
         ("prompts counted, of them wrongly", [f"{run['counts']}, {run['counts_wrong']}" for run in reports]),
-        ("engines overloaded", [str(run["engines_fallen"]) for run in reports]),
+        ("engines that failed under overload", [str(run["engines_fallen"]) for run in reports]),
         ("gateways killed or stopped", [str(run["fronts_killed"]) for run in reports]),
     ]
     for name, cells in rows:
--- a/worksmux/settings/fleet.py
+++ b/worksmux/settings/fleet.py
@@ -75,17 +75,19 @@
     )
     announced = node.address("address", ("", 0))
     zone_capacity = {}
-    for zone, value, child in _pairs(node, "carries", 'a zone and jobs a second, such as carries "north" 65'):
+    for zone, value, child in _pairs(
+        node, "carries", 'a zone and requests a second, such as carries "north" 65'
+    ):
         if zone not in zones:
             child.complain(f'carries: zone "{zone}" is not among the zones {", ".join(zones)}')
         elif isinstance(value, bool) or not isinstance(value, (int, float)) or value <= 0:
-            child.complain(f"carries: expected jobs a second above 0, not {value!r}")
+            child.complain(f"carries: expected requests a second above 0, not {value!r}")
         else:
             zone_capacity[zone] = float(value)
     address_overrides = {
         name: _address(value, "reach", child)
         for name, value, child in _pairs(
-            node, "reach", 'a front and an address, such as reach "front-2" "127.0.0.1:9002"'
+            node, "reach", 'a gateway and an address, such as reach "front-2" "127.0.0.1:9002"'
         )
     }
     settings = FleetSettings(
--- a/worksmux/settings/front.py
+++ b/worksmux/settings/front.py
@@ -265,7 +265,11 @@
     node = root.required("front")
     name = node.title()
     listen, watch = node.address("listen"), node.address("watch", ("127.0.0.1", 0))
-    zone, number, fronts = node.text("zone"), node.integer("number", 0), node.integer("fronts", min_value=1)
+    zone, number, gateway_count = (
+        node.text("zone"),
+        node.integer("number", 0),
+        node.integer("fronts", min_value=1),
+    )
     tick_ms = node.duration_ms("turn", min_value=0.1)
     seed = node.integer("seed", -1, min_value=-1, max_value=2**53)
     policy = node.choice("policy", POLICIES, "worksmux")
@@ -273,14 +277,14 @@
     zones = root.texts("zones")
     if zone and zone not in zones:
         node.complain(f'zone "{zone}" is not among the zones {", ".join(zones)}')
-    if number >= fronts:
-        node.complain(f"number counts from 0: it must be below fronts ({fronts})")
+    if number >= gateway_count:
+        node.complain(f"number counts from 0: it must be below fronts ({gateway_count})")
     request_classes, kinds = shared.request_classes(root), shared.kinds(root)
     rules, limits, prices = shared.rules(root), shared.limits(root), shared.prices(root)
     transport, source = read_transport(root), _source(root)
     tokenizers, counting = read_counting(root, request_classes)
     endpoint_cache = _endpoint_cache(root, kinds, zones)
-    single_stage = [one for one in request_classes if one.call != "chat"]
+    single_stage = [request_class for request_class in request_classes if request_class.call != "chat"]
     admission = read_admission(root, bool(single_stage))
     regions, fleet = shared.regions(root, zones), read_fleet(root, zones)
     log = root.optional("log") or Section("log", root.line, complaints=root.complaints)
@@ -290,13 +294,13 @@
     )
     log.end()
     root.end()
-    for one in single_stage:
-        if not any(kind.call == one.call for kind in kinds):
+    for request_class in single_stage:
+        if not any(kind.call == request_class.call for kind in kinds):
             root.complain(
-                f'offering "{one.name}": no kind of engine carries {one.call}; add one with '
-                f'call="{one.call}" role="both"'
+                f'offering "{request_class.name}": no kind of engine carries {request_class.call}; '
+                f'add one with call="{request_class.call}" role="both"'
             )
-    chat = [one for one in request_classes if one.call == "chat"]
+    chat = [request_class for request_class in request_classes if request_class.call == "chat"]
     if chat and not any(kind.call == "chat" for kind in kinds):
         root.complain("no kind of engine carries chat; add one")
     if limits["may_hold"] and not any(kind.role == "write" for kind in kinds):
@@ -305,7 +309,7 @@
         raise SettingsError(root.complaints)
     placement = {
         "node_index": number,
-        "node_count": fronts,
+        "node_count": gateway_count,
         "zone": zones.index(zone),
         "tick_ms": tick_ms,
         "connect_timeout_ms": transport.connect_time_out,
@@ -314,14 +318,14 @@
         chat or request_classes, kinds, rules, limits, prices, **placement, polls_endpoint_list=source.polls
     )
     stages = []
-    for call in dict.fromkeys(one.call for one in single_stage):
-        own = [one for one in single_stage if one.call == call]
+    for call in dict.fromkeys(request_class.call for request_class in single_stage):
+        classes = [request_class for request_class in single_stage if request_class.call == call]
         stages.append(
             StageSettings(
                 call,
-                own,
+                classes,
                 shared.policy_settings(
-                    own,
+                    classes,
                     kinds,
                     rules,
                     {**limits, "may_hold": False},
--- a/worksmux/settings/units.py
+++ b/worksmux/settings/units.py
@@ -12,7 +12,7 @@
 def _parse_unit(text: object, units: dict[str, float] | dict[str, int], example: str) -> float:
     match = NUMBER_WITH_UNIT.fullmatch(text) if isinstance(text, str) else None
     if match is None or match[2] not in units:
-        raise ValueError(f'expected a figure with one of {", ".join(units)}, such as "{example}"')
+        raise ValueError(f'expected a number with one of the units {", ".join(units)}, such as "{example}"')
     return float(match[1]) * units[match[2]]
 
 
@@ -23,7 +23,7 @@
     (1500.0, 120000.0)
     >>> milliseconds(250)
     Traceback (most recent call last):
-    ValueError: expected a figure with one of us, ms, s, min, h, d, such as "250ms"
+    ValueError: expected a number with one of the units us, ms, s, min, h, d, such as "250ms"
     """
     return _parse_unit(text, MS_BY_UNIT, "250ms")
 
--- a/worksmux/tokenization/cache.py
+++ b/worksmux/tokenization/cache.py
@@ -140,13 +140,13 @@
         frequency = self.sketch.count(key)
         victims, free_bytes = [], self.main_bound - self.probation.used - self.protected.used
         for segment in (self.probation, self.protected):
-            for old, kept in segment.entries.items():
+            for old, old_ids in segment.entries.items():
                 if free_bytes >= size:
                     break
                 if self.sketch.count(old) >= frequency:
                     return
                 victims.append((segment, old))
-                free_bytes += entry_bytes(kept)
+                free_bytes += entry_bytes(old_ids)
         for segment, old in victims:
             segment.take(old)
         self.probation.add(key, ids)
