--- a/worksmux/settings/platform.py
+++ b/worksmux/settings/platform.py
@@ -63,29 +63,35 @@
         return PlatformSettingsError(f"{self.place}.{key}: {expected} was expected, {found}")
 
     def number(self, key: str, default: Any = REQUIRED) -> Any:
+        """A number."""
         return self._get(key, (int, float), "a number", default)
 
     def text(self, key: str, default: Any = REQUIRED) -> Any:
+        """A text."""
         return self._get(key, (str,), "a text", default)
 
     def flag(self, key: str, default: Any = False) -> Any:
+        """A value that is true or false."""
         return self._get(key, (bool,), "true or false", default)
 
     def part(self, key: str, default: Any = REQUIRED) -> JsonObject:
+        """An object inside this object."""
         return JsonObject(self._get(key, (dict,), "an object", default), f"{self.place}.{key}")
 
     def list(self, key: str, kinds: tuple[type, ...], expected: str, default: Any = REQUIRED) -> Any:
         """A list whose items are of `kinds`, which `expected` names in the singular."""
         found = self._get(key, (list,), f"a list of {expected}s", default)
-        for at, item in enumerate(found):
+        for index, item in enumerate(found):
             if not isinstance(item, kinds):
-                raise self._error(f"{key}[{at}]", f"a {expected}", f"found {_shown(item)}")
+                raise self._error(f"{key}[{index}]", f"a {expected}", f"found {_shown(item)}")
         return found
 
     def numbers(self, key: str, default: Any = REQUIRED) -> Any:
+        """A list of numbers."""
         return self.list(key, (int, float), "number", default)
 
     def texts(self, key: str, default: Any = REQUIRED) -> Any:
+        """A list of texts."""
         return self.list(key, (str,), "text", default)
 
     def choice(self, key: str, choices: dict[str, str]) -> str:
@@ -108,10 +114,13 @@
     root = JsonObject(value, place)
     limits, extra, rules = root.part("limits"), root.part("extra"), root.part("rules")
     stats = root.part("stats", {})
-    per_k, paces = extra.numbers("aim_us_per_1000_prompt_tokens", []), extra.numbers("token_aim", [])
+    target_us_per_1000_tokens, token_intervals_ms = (
+        extra.numbers("aim_us_per_1000_prompt_tokens", []),
+        extra.numbers("token_aim", []),
+    )
     request_classes = [
-        JsonObject(one, f"{place}.services[{at}]")
-        for at, one in enumerate(root.list("services", (dict,), "object"))
+        JsonObject(item, f"{place}.services[{index}]")
+        for index, item in enumerate(root.list("services", (dict,), "object"))
     ]
     if not request_classes:
         raise PlatformSettingsError(f"{place}.services: at least one class was expected, there is none")
@@ -125,17 +134,19 @@
         tick_ms=root.number("tick"),
         request_classes=tuple(
             RequestClassSettings(
-                latency_target_ms=one.number("aim"),
-                deadline_ms=one.number("deadline"),
-                value=one.number("worth", 1.0),
-                late_value=one.number("late_worth", 0.0),
-                effect=one.choice("repeat", EFFECTS),
-                deduplication_scope=one.text("group", SCOPE_ALL),
-                deduplication_window_ms=one.number("window", 0.0),
-                latency_target_per_1000_tokens_ms=per_k[at] / 1000 if at < len(per_k) else 0.0,
-                token_interval_ms=paces[at] if at < len(paces) else 0.0,
+                latency_target_ms=request_class.number("aim"),
+                deadline_ms=request_class.number("deadline"),
+                value=request_class.number("worth", 1.0),
+                late_value=request_class.number("late_worth", 0.0),
+                effect=request_class.choice("repeat", EFFECTS),
+                deduplication_scope=request_class.text("group", SCOPE_ALL),
+                deduplication_window_ms=request_class.number("window", 0.0),
+                latency_target_per_1000_tokens_ms=target_us_per_1000_tokens[index] / 1000
+                if index < len(target_us_per_1000_tokens)
+                else 0.0,
+                token_interval_ms=token_intervals_ms[index] if index < len(token_intervals_ms) else 0.0,
             )
-            for at, one in enumerate(request_classes)
+            for index, request_class in enumerate(request_classes)
         ),
         engine_roles=tuple(extra.texts("duty_by_kind")),
         kind_memory_tokens=tuple(extra.numbers("kind_memory_tokens", [])),
--- a/worksmux/tokenization/cache.py
+++ b/worksmux/tokenization/cache.py
@@ -51,12 +51,14 @@
         self.entries: OrderedDict[int, bytes] = OrderedDict()
 
     def get(self, key: int) -> bytes | None:
+        """The ids of a piece, which becomes the most recently used; None if they are not cached."""
         ids = self.entries.get(key)
         if ids is not None:
             self.entries.move_to_end(key)
         return ids
 
     def put(self, key: int, ids: bytes) -> None:
+        """Caches the ids of a piece and evicts the least recently used ones."""
         if entry_bytes(ids) > self.bound:
             return
         self.used -= entry_bytes(self.entries.pop(key)) if key in self.entries else 0
@@ -66,6 +68,7 @@
             self.used -= entry_bytes(self.entries.popitem(last=False)[1])
 
     def clear(self) -> None:
+        """Removes all entries."""
         self.entries.clear()
         self.used = 0
 
@@ -78,15 +81,18 @@
         self.used = 0
 
     def add(self, key: int, ids: bytes) -> None:
+        """Adds an entry as the most recently used."""
         self.entries[key] = ids
         self.used += entry_bytes(ids)
 
     def take(self, key: int) -> bytes:
+        """Removes an entry and returns its ids."""
         ids = self.entries.pop(key)
         self.used -= entry_bytes(ids)
         return ids
 
     def oldest(self) -> int:
+        """The key of the least recently used entry."""
         return next(iter(self.entries))
 
 
@@ -104,9 +110,11 @@
 
     @property
     def used(self) -> int:
+        """Bytes in use, including those of the sketch."""
         return self.sketch.bytes + self.window.used + self.probation.used + self.protected.used
 
     def get(self, key: int) -> bytes | None:
+        """The ids of a piece, after recording its use; None if they are not cached."""
         self.sketch.add(key)
         for segment in (self.protected, self.window):
             if key in segment.entries:
@@ -122,6 +130,7 @@
         return None
 
     def put(self, key: int, ids: bytes) -> None:
+        """Caches the ids of a piece in the window; what the window evicts may be admitted to probation."""
         size = entry_bytes(ids)
         if size > self.main_bound or any(
             key in segment.entries for segment in (self.window, self.probation, self.protected)
@@ -152,4 +161,5 @@
         self.probation.add(key, ids)
 
     def clear(self) -> None:
+        """Removes all entries; the sketch keeps its counts."""
         self.window, self.probation, self.protected = _Segment(), _Segment(), _Segment()
