--- a/worksmux/fault_trial/fronts.py
+++ b/worksmux/fault_trial/fronts.py
@@ -33,7 +33,7 @@
     group "{request_class.group}"
     remembered {_ms(request_class.remembered)}
     tokenizer {json.dumps(request_class.tokenizer)}
-    most-prompt {request_class.max_prompt_tokens}
+    most-prompt {request_class.most_prompt}
     call "{request_class.call}"
     share {request_class.share:g}
 }}
@@ -154,7 +154,7 @@
     """
     if not counting:
         request_classes = [
-            replace(request_class, tokenizer="", max_prompt_tokens=10**9)
+            replace(request_class, tokenizer="", most_prompt=10**9)
             for request_class in scenario.request_classes
         ]
         scenario = replace(scenario, tokenizers={}, counting=None, request_classes=request_classes)
--- a/worksmux/gateway/clients.py
+++ b/worksmux/gateway/clients.py
@@ -225,7 +225,7 @@
         self._prompt = self._tokens.count(
             chat_request.parts,
             chat_request.request_class,
-            request_class.max_prompt_tokens,
+            request_class.most_prompt,
             time_left_ms,
             chat_request.session,
             self._on_count,
@@ -262,9 +262,7 @@
         self._stop_counting()
 
     def _reject_length(self, result: Result) -> None:
-        max_prompt_tokens = self._core.settings.request_classes[
-            self._chat_request.request_class
-        ].max_prompt_tokens
+        max_prompt_tokens = self._core.settings.request_classes[self._chat_request.request_class].most_prompt
         count = f"{result.min_tokens}" if result.exact else f"at least {result.min_tokens}"
         message = (
             f"the prompt has {count} tokens; "
--- a/worksmux/gateway/vector_requests.py
+++ b/worksmux/gateway/vector_requests.py
@@ -232,10 +232,10 @@
         client_request: embeddings.EmbeddingsRequest | rerank.RerankRequest, settings: RequestClass
     ) -> None:
         max_input_tokens = max(client_request.costs)
-        if max_input_tokens > settings.max_prompt_tokens:
+        if max_input_tokens > settings.most_prompt:
             raise errors.InvalidRequestError(
                 f"an input has about {max_input_tokens:.0f} tokens; {client_request.model} takes "
-                f"{settings.max_prompt_tokens} at most; shorten it",
+                f"{settings.most_prompt} at most; shorten it",
                 "input",
                 "context_length_exceeded",
             )
--- a/worksmux/settings/front.py
+++ b/worksmux/settings/front.py
@@ -100,6 +100,14 @@
     request_classes: list[shared.RequestClass]
     policy_settings: PolicySettings
 
+    def __repr__(self) -> str:
+        """Returns the form that the audit log's digest of settings is computed from.
+
+        It keeps its first names, so that nodes of different program versions have equal digests.
+        """
+        policy_settings = f"module={self.policy_settings!r}"
+        return f"Lane(call={self.call!r}, request_classes={self.request_classes!r}, {policy_settings})"
+
 
 @dataclass(frozen=True)
 class GatewaySettings:
--- a/worksmux/settings/shared.py
+++ b/worksmux/settings/shared.py
@@ -21,7 +21,8 @@
 class RequestClass:
     """One request class; durations in milliseconds.
 
-    The fault trial passes the fields by name to the settings of the clients in worksmux.fakes.
+    Field names are part of stored data: the fault trial passes them by name to the clients in worksmux.fakes,
+    and the audit log holds a digest of their repr().
     """
 
     name: str
@@ -36,7 +37,7 @@
     group: str  # the deduplication scope
     remembered: float  # the deduplication window
     tokenizer: str = ""  # its name; empty: prompt lengths are estimated from bytes
-    max_prompt_tokens: int = 10**9
+    most_prompt: int = 10**9  # tokens
     call: str = "chat"  # the API, one of CALLS
     share: float = 1.0  # weight among the waiting request classes of the same API
 
