--- a/tests/fault_injection/__init__.py
+++ b/tests/fault_injection/__init__.py
@@ -1,6 +1,7 @@
-"""Randomized fault injection: real node processes on a simulated clock and network, judged at the engines.
+"""Randomized fault injection: real node processes on a simulated clock and network, checked at the engines.
 
-`schedule` says what happens in one run, `draw` makes schedules from seeds, `world` plays them, and `ledger`
-judges.  Nothing in the verdict is taken from the program under test.  `python -m fault_injection --help`
-(with `tests` on the path) runs new seeds, replays one, and shrinks a failing schedule.
+`schedule` defines the events of one run as data, `draw` generates schedules from seeds, `world` plays them,
+and `ledger` checks the rules.  The verdict uses no data from the program under test.
+`python -m fault_injection --help` (with `tests` on the path) plays new seeds, replays one, and shrinks a
+failing schedule.
 """
--- a/tests/fault_injection/outside.py
+++ b/tests/fault_injection/outside.py
@@ -1,4 +1,4 @@
-"""What else is outside a node: its clients, and discovery's agent."""
+"""Fakes of the clients and of the discovery agent of a node."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 
 from .engine import RequestParser
 from .ledger import Ledger, Rule
-from .network import End, Host, Network
+from .network import ConnectionEnd, Host, Network
 from .schedule import RequestClass, RequestSpec
 
-TOKEN = 4  # bytes
-LATE_ANSWER = 0.5  # seconds after its time at which a final answer only earns nothing
-BEAT = 2.0  # seconds between two empty lines of a watch
+TOKEN_BYTES = 4
+LATE_RESPONSE_S = 0.5  # after the client's time limit, in which a final response is no violation
+HEARTBEAT_S = 2.0  # between two empty lines of a watch
 BODY_HEAD, BODY_TAIL = b'{"model":"chat","stream":true,"messages":[{"role":"user","content":"', b'"}]}'
 
 
 class Answer(Enum):
-    """What a client got."""
+    """The outcome that a client sees."""
 
     NONE = "none"
     SERVED = "served"
-    BROKEN = "a stream without its end"
+    TRUNCATED = "a stream without its end"
     STATUS = "a status"
-    CLOSED = "closed without an answer"
-    LEFT = "the client left"
+    CLOSED = "closed without a response"
+    DISCONNECTED = "the client disconnected"
     REFUSED = "no connection"
 
 
 class Client:
-    """One request of one client, on a connection of its own."""
+    """One client, which sends one request on its own connection."""
 
     def __init__(
         self,
@@ -45,26 +45,27 @@
     ) -> None:
         self.key, self.spec, self.request_class = key, spec, request_class
         self.network, self.host, self.node, self.ledger = network, host, node, ledger
-        self.end: End | None = None
-        self.got = b""
+        self.end: ConnectionEnd | None = None
+        self.received_bytes = b""
         self.answer = Answer.NONE
         self.status = 0
-        self.left_at: float | None = None
+        self.disconnected_at: float | None = None
         self.sent_at = 0.0
         self.answered_at = 0.0
         self._unsent = b""
 
     def start(self) -> None:
+        """Connects to the node."""
         self.network.connect(self.host, self.node.name, self._connected, self._refused)
 
     def _refused(self, reason: str) -> None:
         self.answer = Answer.REFUSED
 
-    def _connected(self, end: End) -> None:
+    def _connected(self, end: ConnectionEnd) -> None:
         self.end, end.handler = end, self
         simulation = self.network.simulation
         self.sent_at = simulation.now
-        body = BODY_HEAD + b"x" * max(0, TOKEN * self.spec.prompt - 80) + BODY_TAIL
+        body = BODY_HEAD + b"x" * max(0, TOKEN_BYTES * self.spec.prompt - 80) + BODY_TAIL
         head = (
             f"POST /v1/chat/completions HTTP/1.1\r\nHost: app.svc\r\nX-Request-ID: {self.key}\r\n"
             f"X-Priority-Class: {self.request_class.name}\r\nX-Route-Key: {self.spec.session:016x}\r\n"
@@ -74,101 +75,122 @@
         self._unsent = head.encode() + body
         self.writable()
         if self.spec.leaves_at is not None:
-            simulation.call_at(simulation.now + self.spec.leaves_at / 1000, self._leave)
+            simulation.call_at(simulation.now + self.spec.leaves_at / 1000, self._disconnect)
 
     def writable(self) -> None:
+        """Sends more of the request."""
         if self.end is not None and self._unsent:
             self._unsent = self._unsent[self.end.send(self._unsent) :]
 
-    def _leave(self) -> None:
+    def _disconnect(self) -> None:
+        """Closes the connection before a response is complete."""
         if self.answer is Answer.NONE and self.end is not None:
-            self.answer, self.left_at = Answer.LEFT, self.network.simulation.now
+            self.answer, self.disconnected_at = Answer.DISCONNECTED, self.network.simulation.now
             self.end.close()
 
     def received(self, data: bytes) -> None:
-        if self.answer not in (Answer.NONE, Answer.LEFT):
+        """Parses the response."""
+        if self.answer not in (Answer.NONE, Answer.DISCONNECTED):
             self.ledger.break_rule(Rule.ANSWERED_TWICE, self.key, f"{data[:40]!r}")
-        self.got += data
-        head, end, rest = self.got.partition(b"\r\n\r\n")
+        self.received_bytes += data
+        head, end, rest = self.received_bytes.partition(b"\r\n\r\n")
         if not end or self.answer is not Answer.NONE:
             return
         self.status = int(head[9:12])
         if self.status == 200:
             if rest.endswith(b"0\r\n\r\n"):
-                self._final(Answer.SERVED)
+                self._set_final(Answer.SERVED)
             return
         lines = head.lower().split(b"\r\n")
         length = next((int(line[15:]) for line in lines if line.startswith(b"content-length:")), 0)
         if len(rest) >= length:
-            self._final(Answer.STATUS)
+            self._set_final(Answer.STATUS)
 
     def ended(self, reset: bool) -> None:
+        """Handles the end of the connection."""
         if self.answer is Answer.NONE:
-            self._final(Answer.BROKEN if self.got else Answer.CLOSED)
+            self._set_final(Answer.TRUNCATED if self.received_bytes else Answer.CLOSED)
         if self.end is not None:
             self.end.close()
 
-    def _final(self, answer: Answer) -> None:
+    def _set_final(self, answer: Answer) -> None:
+        """Records the final outcome."""
         self.answer, self.answered_at = answer, self.network.simulation.now
         self.ledger.note(self.key, f"client: {answer.value} {self.status or ''}")
 
     @property
     def gives_up_at(self) -> float:
+        """Returns the time (seconds) up to which the client waits."""
         return self.sent_at + self.spec.timeout / 1000
 
-    def judge(self, excused: Callable[[Client], bool]) -> None:
-        """At the end of the run."""
-        if self.answer in (Answer.LEFT, Answer.REFUSED) or excused(self):
+    def check(self, excused: Callable[[Client], bool]) -> None:
+        """Checks at the end of the run that the request got a final response in time."""
+        if self.answer in (Answer.DISCONNECTED, Answer.REFUSED) or excused(self):
             return
         if self.answer in (Answer.NONE, Answer.CLOSED):
             self.ledger.break_rule(Rule.UNANSWERED, self.key, self.answer.value)
-        elif self.answer is Answer.STATUS and self.answered_at > self.gives_up_at + LATE_ANSWER:
-            late = 1000 * (self.answered_at - self.gives_up_at)
-            self.ledger.break_rule(Rule.UNANSWERED, self.key, f"answered {late:.0f} ms after its time")
+        elif self.answer is Answer.STATUS and self.answered_at > self.gives_up_at + LATE_RESPONSE_S:
+            late_ms = 1000 * (self.answered_at - self.gives_up_at)
+            self.ledger.break_rule(
+                Rule.UNANSWERED, self.key, f"answered {late_ms:.0f} ms after the client's time limit"
+            )
 
 
-class Agent:
-    """Discovery's agent on one process's machine: watches, each with what it has and then the changes."""
+class DiscoveryAgent:
+    """The discovery agent on the machine of one process; a watch gets the whole list, then its changes."""
 
     def __init__(
-        self, network: Network, host: Host, whole: Callable[[], bytes], down: list[tuple[float, float]]
+        self,
+        network: Network,
+        host: Host,
+        snapshot: Callable[[], bytes],
+        silent_times: list[tuple[float, float]],
     ) -> None:
-        """`down`: times in seconds at which it says nothing."""
-        self.network, self.host, self.whole, self.down = network, host, whole, down
+        """Takes the intervals (seconds) in which the agent sends nothing."""
+        self.network, self.host, self.snapshot, self.silent_times = network, host, snapshot, silent_times
         self.watches: dict[Watch, None] = {}
         host.accept = lambda end: Watch(self, end)
-        self._beat()
+        self._heartbeat()
 
     @property
     def silent(self) -> bool:
-        return any(start <= self.network.simulation.now < end for start, end in self.down)
+        """Returns whether the agent sends nothing now."""
+        return any(start <= self.network.simulation.now < end for start, end in self.silent_times)
 
-    def tell(self, line: bytes) -> None:
+    def broadcast(self, line: bytes) -> None:
+        """Sends a line to all watches."""
         if not self.silent:
             for watch in self.watches:
-                watch.say(line)
+                watch.send_line(line)
 
-    def _beat(self) -> None:
-        self.tell(b"\n")
-        self.network.simulation.call_at(self.network.simulation.now + BEAT, self._beat)
+    def _heartbeat(self) -> None:
+        """Sends an empty line to all watches, again and again."""
+        self.broadcast(b"\n")
+        self.network.simulation.call_at(self.network.simulation.now + HEARTBEAT_S, self._heartbeat)
 
 
 class Watch:
-    def __init__(self, agent: Agent, end: End) -> None:
+    """A connection on which a node watches the endpoint list."""
+
+    def __init__(self, agent: DiscoveryAgent, end: ConnectionEnd) -> None:
         self.agent, self.end = agent, end
         self._requests = RequestParser()
 
     def received(self, data: bytes) -> None:
+        """Replies to the request for a watch with the whole list."""
         if self._requests.feed(data) and not self.agent.silent:
             self.end.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            self.say(self.agent.whole())
+            self.send_line(self.agent.snapshot())
             self.agent.watches[self] = None
 
-    def say(self, line: bytes) -> None:
+    def send_line(self, line: bytes) -> None:
+        """Sends a line."""
         self.end.send(chunk(line))
 
     def ended(self, reset: bool) -> None:
+        """Removes the watch after its connection has ended."""
         self.agent.watches.pop(self, None)
         self.end.close()
 
-    def writable(self) -> None: ...
+    def writable(self) -> None:
+        """Does nothing: a line that the send buffer cannot take is cut off."""
--- a/tests/fault_injection/schedule.py
+++ b/tests/fault_injection/schedule.py
@@ -1,7 +1,7 @@
-"""What happens in one run: processes, engines, requests and faults, as data that can be kept in a file.
+"""The schedule of one run: processes, engines, requests and faults, as data that can be stored in a file.
 
-Times are milliseconds from the start of the run.  Names of hosts: processes `n0`, `n1`, ..., engines `e0`,
-`e1`, ...
+Times are milliseconds from the start of the run.  Hosts are named `n0`, `n1`, ... (processes) and `e0`, `e1`,
+... (engines).  Names of fields and types are keys and tags of the stored files.
 """
 
 from __future__ import annotations
@@ -16,40 +16,46 @@
 Message = Literal["read", "write", "release"]
 
 
-class BadSchedule(Exception):
-    """A file or seed that makes no sense: which, where, and what was expected."""
+class ScheduleError(Exception):
+    """A file or seed is invalid; the message names it, the position and what was expected."""
 
 
 class RequestClass(msgspec.Struct, frozen=True):
+    """A request class: its idempotence, latency target and deadline."""
+
     name: str
     effect: Effect
-    target: float  # latency target of the first token
+    target: float  # latency target of the first token, in milliseconds
     deadline: float
 
 
 class EngineSpec(msgspec.Struct, frozen=True):
+    """An engine: its role, location, capacity and speed."""
+
     role: Role
     zone: str
     cell: int
     slots: int
     queue: int
-    pace: float  # prompt tokens a millisecond
-    base: float  # milliseconds of any read, or before a first token
-    listed: bool = True  # from the start; else it joins the list later
+    pace: float  # prompt tokens per millisecond
+    base: float  # milliseconds of each prefill, or before the first token of a decode
+    listed: bool = True  # in the endpoint list from the start; otherwise added later by Join
 
 
 class RequestSpec(msgspec.Struct, frozen=True):
+    """A request of one client."""
+
     at: float
     process: int
     request_class: int
     prompt: int  # tokens; the body has four bytes for each
-    timeout: int  # what the client says it waits
+    timeout: int  # milliseconds that the client waits, as it states in its request
     session: int
-    leaves_at: float | None = None  # after its last byte: the client closes its connection
+    leaves_at: float | None = None  # milliseconds from its last byte until the client disconnects
 
 
 class Cut(msgspec.Struct, frozen=True, tag=True):
-    """Nothing gets across between `inside` and all others: out of it, into it, or both."""
+    """A network partition between `inside` and all other hosts: outwards, inwards, or both."""
 
     start: float
     end: float
@@ -59,7 +65,7 @@
 
 
 class Hang(msgspec.Struct, frozen=True, tag=True):
-    """A process stands still; its machine goes on accepting connections and bytes."""
+    """A process hangs; its kernel still accepts connections and bytes."""
 
     start: float
     end: float
@@ -67,7 +73,7 @@
 
 
 class Vanish(msgspec.Struct, frozen=True, tag=True):
-    """A machine is gone at once, and comes back cold at the same address."""
+    """A machine disappears without closing connections; it returns cold at the same address."""
 
     start: float
     end: float
@@ -75,7 +81,7 @@
 
 
 class Drain(msgspec.Struct, frozen=True, tag=True):
-    """An engine is told draining, then gone; it runs until `end`, when its machine goes away."""
+    """An engine is listed as draining, then removed from the list; its machine disappears at `end`."""
 
     start: float
     gone: float
@@ -84,12 +90,17 @@
 
 
 class Join(msgspec.Struct, frozen=True, tag=True):
+    """An engine is added to the endpoint list."""
+
     start: float
     host: str
 
 
 class BadConnections(msgspec.Struct, frozen=True, tag=True):
-    """New connections to engines: a part never comes up, is refused, or comes up late."""
+    """Faults of new connections to engines: some are never established, are refused, or are late.
+
+    `never`, `refused` and `late` are probabilities; a late connection takes up to `delay` longer.
+    """
 
     start: float
     end: float
@@ -100,10 +111,11 @@
 
 
 class BadAnswers(msgspec.Struct, frozen=True, tag=True):
-    """What becomes of a part of one kind of message at the engines.
+    """Faults of engines on one kind of message, each with its probability.
 
-    `lost`: no answer; `reset`: the connection breaks some time later; `error`: status 500; `turned_away`:
-    503; `spoilt`: noise in place of the answer; `late`: it is heard later by up to `delay`.
+    `lost`: no response; `reset`: the connection is reset some time later; `error`: status 500;
+    `turned_away`: 503; `spoilt`: invalid bytes in place of the response; `late`: the engine handles the
+    message later by up to `delay`.
     """
 
     start: float
@@ -119,23 +131,29 @@
 
 
 class Terminate(msgspec.Struct, frozen=True, tag=True):
-    """SIGTERM; SIGKILL follows after the longest deadline and 0.7 s."""
+    """A process gets SIGTERM, and SIGKILL after the longest deadline (3 s at most) and 0.7 s."""
 
     start: float
     host: str
 
 
 class Kill(msgspec.Struct, frozen=True, tag=True):
+    """A process gets SIGKILL."""
+
     start: float
     host: str
 
 
 class Reload(msgspec.Struct, frozen=True, tag=True):
+    """A process connects to discovery again, as after a reload of its configuration."""
+
     start: float
     host: str
 
 
 class DiscoveryDown(msgspec.Struct, frozen=True, tag=True):
+    """All discovery agents are silent."""
+
     start: float
     end: float
 
@@ -156,26 +174,26 @@
 
 
 class Behaviour(msgspec.Struct, frozen=True):
-    """What the protocol's page leaves open, or a deployment may choose."""
+    """Settings of the deployment, and engine behaviour that the protocol leaves open."""
 
     release_within: float
     connect_timeout: float
     try_limit: int
     may_cancel: bool
     may_probe: bool
-    cancel_drops_queued: bool  # work that waits at an engine ends with its connection
-    closed_reads_leave_state: (
-        bool  # a read goes on to its end, and leaves state, though its connection closed
-    )
-    drops_expired: bool  # an engine turns away what waited past the time it was told
-    release_ends_reads: bool  # a release takes also what a read that is out will bring
-    resets_are_lost: bool  # a reset sent into a cut never arrives
+    cancel_drops_queued: bool  # the end of a connection removes its attempt from the engine's queue
+    closed_reads_leave_state: bool  # a prefill whose connection closed still completes and leaves KV cache
+    drops_expired: bool  # an engine rejects attempts that were queued beyond their time limit
+    release_ends_reads: bool  # a release also covers the KV cache of a prefill that is still running
+    resets_are_lost: bool  # a TCP reset sent into a network partition never arrives
 
 
 class Schedule(msgspec.Struct, frozen=True):
+    """All inputs of one run."""
+
     seed: int
     zones: list[str]
-    processes: list[str]  # the zone of each
+    processes: list[str]  # the zone of each process
     engines: list[EngineSpec]
     classes: list[RequestClass]
     behaviour: Behaviour
@@ -184,48 +202,50 @@
 
     @property
     def longest_deadline(self) -> float:
-        return max(one.deadline for one in self.classes)
+        """Returns the longest deadline of the request classes."""
+        return max(request_class.deadline for request_class in self.classes)
 
     @property
     def end(self) -> float:
-        """When all requests and faults are over."""
+        """Returns the time at which all requests and faults are over."""
         ends = [request.at + request.timeout for request in self.requests]
         return max([0.0, *ends, *(getattr(fault, "end", fault.start) for fault in self.faults)])
 
 
 def load(path: Path) -> Schedule:
-    """Raises BadSchedule."""
+    """Reads a schedule file.  Raises ScheduleError."""
     try:
         schedule = msgspec.json.decode(path.read_bytes(), type=Schedule)
-    except OSError as fault:
-        raise BadSchedule(f"{path}: a schedule in JSON was expected: {fault.strerror}") from None
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
-        raise BadSchedule(f"{path}: a schedule in JSON was expected: {fault}") from None
+    except OSError as error:
+        raise ScheduleError(f"{path}: a schedule in JSON was expected: {error.strerror}") from None
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise ScheduleError(f"{path}: a schedule in JSON was expected: {error}") from None
     check(schedule, str(path))
     return schedule
 
 
 def save(schedule: Schedule, path: Path) -> None:
+    """Writes a schedule file."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(schedule), indent=1))
 
 
-def check(schedule: Schedule, place: str) -> None:
-    """Raises BadSchedule where names or numbers point nowhere."""
-    hosts = {f"n{at}" for at in range(len(schedule.processes))}
-    hosts |= {f"e{at}" for at in range(len(schedule.engines))}
+def check(schedule: Schedule, source: str) -> None:
+    """Raises ScheduleError where the schedule refers to hosts or classes that it does not define."""
+    hosts = {f"n{number}" for number in range(len(schedule.processes))}
+    hosts |= {f"e{number}" for number in range(len(schedule.engines))}
     if not (schedule.processes and schedule.engines and schedule.classes):
-        raise BadSchedule(f"{place}: at least one process, engine and class was expected")
-    for at, request in enumerate(schedule.requests):
+        raise ScheduleError(f"{source}: at least one process, engine and class was expected")
+    for number, request in enumerate(schedule.requests):
         if not (
             0 <= request.process < len(schedule.processes)
             and 0 <= request.request_class < len(schedule.classes)
         ):
-            raise BadSchedule(
-                f"{place}: requests[{at}]: a process and a class of this schedule were expected"
+            raise ScheduleError(
+                f"{source}: requests[{number}]: a process and a class of this schedule were expected"
             )
-    for at, fault in enumerate(schedule.faults):
-        named = [getattr(fault, "host", None) or "n0", *getattr(fault, "inside", [])]
-        if unknown := [name for name in named if name not in hosts]:
-            raise BadSchedule(
-                f"{place}: faults[{at}]: a host of this schedule was expected, not {unknown[0]}"
+    for number, fault in enumerate(schedule.faults):
+        host_names = [getattr(fault, "host", None) or "n0", *getattr(fault, "inside", [])]
+        if unknown := [name for name in host_names if name not in hosts]:
+            raise ScheduleError(
+                f"{source}: faults[{number}]: a host of this schedule was expected, found {unknown[0]}"
             )
--- a/tests/fault_injection/shrink.py
+++ b/tests/fault_injection/shrink.py
@@ -1,4 +1,4 @@
-"""Makes a failing schedule small: what can be left out while the same rule is still broken is left out."""
+"""Reduces a failing schedule: leaves out all that is not needed to break the same rule."""
 
 from __future__ import annotations
 
@@ -8,18 +8,20 @@
 import msgspec
 
 from .ledger import Rule
-from .schedule import BadSchedule, Schedule
+from .schedule import Schedule, ScheduleError
 from .world import play
 
 Item = TypeVar("Item")
 
 
 def shrink(schedule: Schedule) -> Schedule:
-    """Raises BadSchedule where nothing is broken."""
+    """Returns a smaller schedule that breaks the same rule.  Raises ScheduleError where no rule is broken."""
     broken = {violation.rule for violation in play(schedule).violations}
     if not broken:
-        raise BadSchedule(f"seed {schedule.seed}: it breaks no rule")
-    rule = next(iter(sorted(broken, key=lambda one: one.name)))
+        raise ScheduleError(
+            f"seed {schedule.seed}: a schedule that breaks a rule was expected, it breaks none"
+        )
+    rule = next(iter(sorted(broken, key=lambda broken_rule: broken_rule.name)))
     size = -1
     while size != len(schedule.requests) + len(schedule.faults):
         size = len(schedule.requests) + len(schedule.faults)
@@ -29,17 +31,17 @@
 
 
 def _without(schedule: Schedule, field: str, items: Sequence[Item], rule: Rule) -> Schedule:
-    """Leaves out runs of items, halves first."""
+    """Leaves out runs of items that the violation does not need; the runs are half of all items at first."""
     kept, step = list(items), max(1, len(items) // 2)
     while True:
-        at = 0
-        while at < len(kept):
-            fewer = kept[:at] + kept[at + step :]
+        position = 0
+        while position < len(kept):
+            fewer = kept[:position] + kept[position + step :]
             smaller = msgspec.structs.replace(schedule, **{field: fewer})
             if any(violation.rule is rule for violation in play(smaller).violations):
                 kept, schedule = fewer, smaller
             else:
-                at += step
+                position += step
         if step == 1:
             return schedule
         step = max(1, step // 2)
--- a/tests/fault_injection/world.py
+++ b/tests/fault_injection/world.py
@@ -1,4 +1,4 @@
-"""Plays one schedule: real nodes between modelled engines, clients and discovery."""
+"""Plays one schedule: real nodes between fake engines, clients and discovery agents."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 from worksmux.node.config import Config, parse_config
 from worksmux.node.serve import Node
 
-from . import schedule as s
-from .engine import ClientView, Connection, Engine, Faults, endpoint, listing
+from . import schedule as schedules
+from .engine import ClientTimes, Connection, Engine, MessageFaults, endpoint, watch_event
 from .ledger import Ledger, Rule, Violation
-from .network import Block, End, Host, Network
-from .outside import Agent, Client
+from .network import Block, ConnectionEnd, Host, Network
+from .outside import Client, DiscoveryAgent
 from .reactor import Reactor, port_of
-from .simulation import START, EventLoop, Simulation
+from .simulation import START_S, EventLoop, Simulation
 
-SETTLE = 6.0  # seconds after the last fault and request until all has to be let go
-LIST_DELAY = 0.3  # seconds until processes hear of a change
-TAKES_MORE = 0.7  # seconds after SIGTERM that connections may still come
-KILL_AFTER = 0.7  # seconds beyond the longest deadline (3 s at most) from SIGTERM to SIGKILL
-LONGEST_COUNTED = 3000.0
+SETTLE_S = 6.0  # after the last fault and request, until all KV cache has to be released
+LIST_DELAY_S = 0.3  # until processes learn of a change of the endpoint list
+DRAIN_ACCEPT_S = 0.7  # after SIGTERM, in which a process still accepts connections
+KILL_MARGIN_S = 0.7  # beyond the longest deadline (3 s at most), from SIGTERM to SIGKILL
+MAX_KILL_DEADLINE_MS = 3000.0
 
 
 @dataclass
@@ -43,13 +43,15 @@
     host: Host
     reactor: Reactor
     node: Node
-    stopped_at: float | None = None
-    killed_at: float | None = None
-    ended_at: float | None = None
+    stopped_at: float | None = None  # SIGTERM; times are in seconds
+    killed_at: float | None = None  # SIGKILL
+    ended_at: float | None = None  # the process has exited
 
 
 @dataclass(frozen=True)
 class Result:
+    """The violations, traces and counts of one run."""
+
     violations: list[Violation]
     trace: dict[str, list[tuple[float, str]]]
     requests: int
@@ -58,24 +60,24 @@
 
 
 class World:
-    """One run; `play` gives its result."""
+    """All hosts and clients of one run; `play` returns its result."""
 
-    def __init__(self, schedule: s.Schedule, simulation: Simulation) -> None:
+    def __init__(self, schedule: schedules.Schedule, simulation: Simulation) -> None:
         self.schedule, self.simulation = schedule, simulation
         behaviour = schedule.behaviour
         self.network = Network(self.simulation, Random(schedule.seed + 1), behaviour.resets_are_lost)
         self.network.side_ended = self._side_ended
         self.network.connect_fault = self._connect_fault
         self.ledger = Ledger(self.simulation, behaviour.release_within, behaviour.release_ends_reads)
-        bad = [fault for fault in schedule.faults if isinstance(fault, s.BadAnswers)]
-        self.faults = Faults(schedule.seed, bad)
+        bad_answers = [fault for fault in schedule.faults if isinstance(fault, schedules.BadAnswers)]
+        self.faults = MessageFaults(schedule.seed, bad_answers)
         self.clients: dict[str, Client] = {}
-        self.views: dict[str, ClientView] = {}
+        self.client_times: dict[str, ClientTimes] = {}
         self.engines: dict[str, Engine] = {}
-        self.status = {f"e{at}": "SERVING" for at, spec in enumerate(schedule.engines) if spec.listed}
+        self.status = {f"e{number}": "SERVING" for number, spec in enumerate(schedule.engines) if spec.listed}
         self.started: dict[str, float] = {}  # Unix milliseconds of the latest start
         self.index = 1
-        self.agents: dict[str, Agent] = {}
+        self.agents: dict[str, DiscoveryAgent] = {}
         self.processes: dict[str, Process] = {}
         self._numbers: dict[str, int] = {}
         self._build()
@@ -83,47 +85,51 @@
     # Building.
 
     def _host(self, name: str, zone: str) -> Host:
+        """Adds a machine to the network."""
         self._numbers[name] = len(self._numbers)
         loop = EventLoop(self.simulation)
         host = self.network.host(f"h{self._numbers[name]}", zone, loop)
         return host
 
     def _build(self) -> None:
-        for at, spec in enumerate(self.schedule.engines):
-            self._start_engine(f"e{at}", self._host(f"e{at}", spec.zone))
-        down = [
-            (START + fault.start / 1000, START + fault.end / 1000)
+        """Starts engines, agents and processes, and schedules requests and faults."""
+        for host_number, spec in enumerate(self.schedule.engines):
+            self._start_engine(f"e{host_number}", self._host(f"e{host_number}", spec.zone))
+        silent_times = [
+            (START_S + fault.start / 1000, START_S + fault.end / 1000)
             for fault in self.schedule.faults
-            if isinstance(fault, s.DiscoveryDown)
+            if isinstance(fault, schedules.DiscoveryDown)
         ]
-        for at, zone in enumerate(self.schedule.processes):
-            name = f"n{at}"
+        for host_number, zone in enumerate(self.schedule.processes):
+            name = f"n{host_number}"
             agent_host = self._host(f"agent-{name}", zone)
-            self.agents[name] = Agent(self.network, agent_host, self._whole_list, down)
+            self.agents[name] = DiscoveryAgent(self.network, agent_host, self._snapshot, silent_times)
             self._start_process(name, zone)
         self.client_host = self._host("clients", self.schedule.zones[0] if self.schedule.zones else "")
         for number, request in enumerate(self.schedule.requests):
-            self._plan_request(number, request)
+            self._schedule_request(number, request)
         for fault in self.schedule.faults:
-            self._plan_fault(fault)
+            self._schedule_fault(fault)
         self.ledger.isolated = self._isolation()
 
     def _start_engine(self, name: str, host: Host) -> None:
-        at = int(name[1:])
+        """Starts an engine process on a machine."""
+        number = int(name[1:])
         self.engines[name] = Engine(
             name,
-            self.schedule.engines[at],
+            self.schedule.engines[number],
             self.schedule.behaviour,
             host,
             self.network,
             self.ledger,
             self.faults,
-            self.views,
+            self.client_times,
             self.engines,
             self.schedule.seed,
         )
 
     def _start_process(self, name: str, zone: str) -> None:
+        """Starts a node process on a machine of its own."""
         host = self._host(name, zone)
         reactor = Reactor(self.network, host)
         node = Node(self._config(name, zone), reactor)  # type: ignore[arg-type]
@@ -132,6 +138,7 @@
         node.start()
 
     def _config(self, name: str, zone: str) -> Config:
+        """Returns the configuration of a node process."""
         schedule, behaviour = self.schedule, self.schedule.behaviour
         settings: dict[str, Any] = {
             "me": int(name[1:]),
@@ -142,14 +149,14 @@
             "zones": schedule.zones,
             "services": [
                 {
-                    "name": one.name,
-                    "aim": one.target,
-                    "deadline": one.deadline,
+                    "name": request_class.name,
+                    "aim": request_class.target,
+                    "deadline": request_class.deadline,
                     "worth": 1.0,
-                    "repeat": one.effect,
+                    "repeat": request_class.effect,
                     "window": 5000.0,
                 }
-                for one in schedule.classes
+                for request_class in schedule.classes
             ],
             "limits": {
                 "cancel": behaviour.may_cancel,
@@ -160,40 +167,44 @@
             "extra": {"duty_by_kind": ["read", "write", "both"], "release_within": behaviour.release_within},
             "rules": SETTINGS["rules"],
         }
-        told = {
+        config = {
             "name": name,
             "listen": f"127.0.0.1:{port_of(0)}",
             "seed": f"{schedule.seed % 2**32:x}",
             "discovery": f"127.0.0.1:{port_of(self._numbers[f'agent-{name}'])}",
             "limits": {"sockets": 512},
             "settings": settings,
-            "known": json.loads(self._whole_list()),
+            "known": json.loads(self._snapshot()),
         }
-        return parse_config(json.dumps(told).encode(), "config.json", {})
+        return parse_config(json.dumps(config).encode(), "config.json", {})
 
-    # The list of engines.
+    # The endpoint list.
 
     def _endpoint(self, name: str, status: str) -> dict[str, object]:
+        """Returns the list entry of an engine."""
         spec = self.schedule.engines[int(name[1:])]
         return endpoint(name, spec, port_of(self._numbers[name]), status, self.started.get(name, 0.0))
 
-    def _whole_list(self) -> bytes:
-        return listing(
+    def _snapshot(self) -> bytes:
+        """Returns the whole endpoint list as a watch event."""
+        return watch_event(
             self.index,
             True,
             [self._endpoint(name, status) for name, status in self.status.items() if status != "DELETED"],
         )
 
-    def _tell(self, name: str, status: str) -> None:
+    def _set_status(self, name: str, status: str) -> None:
+        """Changes the status of an engine in the endpoint list and sends the watch event."""
         self.status[name] = status
         self.index += 1
-        line = listing(self.index, False, [self._endpoint(name, status)])
+        event = watch_event(self.index, False, [self._endpoint(name, status)])
         for agent in self.agents.values():
-            agent.tell(line)
+            agent.broadcast(event)
 
     # Requests.
 
-    def _plan_request(self, number: int, request: s.RequestSpec) -> None:
+    def _schedule_request(self, number: int, request: schedules.RequestSpec) -> None:
+        """Schedules the start of a client."""
         key = f"r{number}"
         process = self.processes[f"n{request.process}"]
         request_class = self.schedule.classes[request.request_class]
@@ -201,72 +212,79 @@
             key, request, request_class, self.network, self.client_host, process.host, self.ledger
         )
         self.ledger.add_request(key, process.name)
-        self.views[key] = ClientView(
-            lambda: client.left_at,
-            START + (request.at + request.timeout) / 1000 + 0.01,
+        self.client_times[key] = ClientTimes(
+            lambda: client.disconnected_at,
+            START_S + (request.at + request.timeout) / 1000 + 0.01,
         )
-        self.simulation.call_at(START + request.at / 1000, client.start)
+        self.simulation.call_at(START_S + request.at / 1000, client.start)
 
     # Faults.
 
-    def _plan_fault(self, fault: s.Fault) -> None:
-        def at(time: float, call: Any, *arguments: Any) -> None:
-            self.simulation.call_at(START + time / 1000, call, *arguments)
+    def _schedule_fault(self, fault: schedules.Fault) -> None:
+        """Schedules the beginning and end of a fault."""
+
+        def schedule_call(time_ms: float, call: Any, *arguments: Any) -> None:
+            self.simulation.call_at(START_S + time_ms / 1000, call, *arguments)
 
         match fault:
-            case s.Cut():
+            case schedules.Cut():
                 self._cut(fault)
-            case s.Hang(start, end, host):
-                at(start, self._hang, host, (end - start) / 1000)
-            case s.Vanish(start, end, host):
-                at(start, self._vanish, host)
-                at(end, self._return, host)
-                at(end + 1000 * LIST_DELAY, self._tell, host, "SERVING")
-            case s.Drain(start, gone, end, host):
-                at(start, self._tell, host, "DRAINING")
-                at(start, self._set_draining, host)
-                at(gone, self._tell, host, "DELETED")
-                at(end, self._vanish, host)
-            case s.Join(start, host):
-                at(start, self._join, host)
-            case s.Terminate(start, host):
-                at(start, self._terminate, host)
-            case s.Kill(start, host):
-                at(start, self._kill, host)
-            case s.Reload(start, host):
-                at(start, self._reload, host)
-            case s.BadConnections() | s.BadAnswers() | s.DiscoveryDown():
-                pass  # looked at as things happen
+            case schedules.Hang(start, end, host):
+                schedule_call(start, self._hang, host, (end - start) / 1000)
+            case schedules.Vanish(start, end, host):
+                schedule_call(start, self._vanish, host)
+                schedule_call(end, self._return, host)
+                schedule_call(end + 1000 * LIST_DELAY_S, self._set_status, host, "SERVING")
+            case schedules.Drain(start, gone, end, host):
+                schedule_call(start, self._set_status, host, "DRAINING")
+                schedule_call(start, self._set_draining, host)
+                schedule_call(gone, self._set_status, host, "DELETED")
+                schedule_call(end, self._vanish, host)
+            case schedules.Join(start, host):
+                schedule_call(start, self._join, host)
+            case schedules.Terminate(start, host):
+                schedule_call(start, self._terminate, host)
+            case schedules.Kill(start, host):
+                schedule_call(start, self._kill, host)
+            case schedules.Reload(start, host):
+                schedule_call(start, self._reload, host)
+            case schedules.BadConnections() | schedules.BadAnswers() | schedules.DiscoveryDown():
+                pass  # applied to each connection, message or watch event
             case _:
                 assert_never(fault)
 
-    def _cut(self, cut: s.Cut) -> None:
+    def _cut(self, cut: schedules.Cut) -> None:
+        """Blocks the network between the hosts of a cut and all others."""
         inside = frozenset(f"h{self._numbers[name]}" for name in cut.inside)
-        apart = ("agent-", "clients")  # clients and agents are beside their nodes
+        not_cut = ("agent-", "clients")  # clients and agents stay connected to their nodes
         outside = frozenset(
             f"h{number}"
             for name, number in self._numbers.items()
-            if name not in cut.inside and not name.startswith(apart)
+            if name not in cut.inside and not name.startswith(not_cut)
         )
-        start, end = START + cut.start / 1000, START + cut.end / 1000
+        start, end = START_S + cut.start / 1000, START_S + cut.end / 1000
         if cut.outwards:
             self.network.blocks.append(Block(start, end, inside, outside))
         if cut.inwards:
             self.network.blocks.append(Block(start, end, outside, inside))
 
     def _machine(self, name: str) -> Host:
+        """Returns the machine of an engine or process."""
         return self.network.hosts[f"h{self._numbers[name]}"]
 
     def _hang(self, name: str, seconds: float) -> None:
+        """Stalls the event loop of an engine or process."""
         self._machine(name).loop.stall(seconds)
 
     def _vanish(self, name: str) -> None:
+        """Removes the machine of an engine from the network."""
         host = self._machine(name)
         if host.up:
             self.network.machine_vanishes(host)
             self.engines[name].machine_gone()
 
     def _return(self, name: str) -> None:
+        """Starts a new engine process on a machine that had disappeared."""
         host = self._machine(name)
         if not host.up:
             host.up, host.loop = True, EventLoop(self.simulation)
@@ -274,23 +292,27 @@
             self._start_engine(name, host)
 
     def _set_draining(self, name: str) -> None:
+        """Makes an engine reject new attempts."""
         self.engines[name].draining = True
 
     def _join(self, name: str) -> None:
-        if name in self.status:  # it has vanished and come back meanwhile, and was listed with its start
+        """Adds an engine to the endpoint list."""
+        if name in self.status:  # its machine has disappeared and returned: the engine was listed then
             return
         self.started[name] = 1000 * self.simulation.now
-        self._tell(name, "SERVING")
+        self._set_status(name, "SERVING")
 
     def _terminate(self, name: str) -> None:
+        """Stops a process with SIGTERM, and SIGKILL if it does not exit in time."""
         process = self.processes[name]
         if process.killed_at is None and process.stopped_at is None:
             process.stopped_at = self.simulation.now
             process.host.loop.deliver(process.node.stop)
-            wait = min(self.schedule.longest_deadline, LONGEST_COUNTED) / 1000 + KILL_AFTER
-            self.simulation.call_at(self.simulation.now + wait, self._kill, name)
+            wait_s = min(self.schedule.longest_deadline, MAX_KILL_DEADLINE_MS) / 1000 + KILL_MARGIN_S
+            self.simulation.call_at(self.simulation.now + wait_s, self._kill, name)
 
     def _kill(self, name: str) -> None:
+        """Kills a process that still runs."""
         process = self.processes[name]
         if process.killed_at is None and process.ended_at is None:
             process.killed_at = self.simulation.now
@@ -298,91 +320,100 @@
             self.network.process_dies(process.host)
 
     def _process_ended(self, process: Process) -> None:
+        """Handles the exit of a process."""
         process.ended_at = self.simulation.now
         self.network.process_dies(process.host)
 
     def _reload(self, name: str) -> None:
+        """Makes a process connect to its discovery agent again."""
         process = self.processes[name]
         discovery = process.node.discovery
         process.host.loop.deliver(discovery.move, discovery.address)
 
     def _connect_fault(self, source: Host, target: Host) -> float | None:
-        now = 1000 * (self.simulation.now - START)
+        """Returns the fault of a new connection, as `Network.connect_fault` defines it."""
+        now = 1000 * (self.simulation.now - START_S)
         for fault in self.schedule.faults:
-            if not (isinstance(fault, s.BadConnections) and fault.start <= now < fault.end):
+            if not (isinstance(fault, schedules.BadConnections) and fault.start <= now < fault.end):
                 continue
             if not any(engine.host is target for engine in self.engines.values()):
                 continue
-            luck = Random(crc32(f"{self.schedule.seed} {source.name} {target.name} {now:.2f}".encode()))
-            draw = luck.random()
+            random = Random(crc32(f"{self.schedule.seed} {source.name} {target.name} {now:.2f}".encode()))
+            draw = random.random()
             if draw < fault.never:
                 return None
             if draw < fault.never + fault.refused:
                 return -1.0
             if draw < fault.never + fault.refused + fault.late:
-                return luck.uniform(0, fault.delay) / 1000
+                return random.uniform(0, fault.delay) / 1000
         return 0.0
 
-    def _side_ended(self, end: End) -> None:
+    def _side_ended(self, end: ConnectionEnd) -> None:
+        """Notifies the engine's side that either side has ended a connection."""
         for side in (end, end.peer):
             if isinstance(side.handler, Connection):
                 side.handler.side_ended()
 
-    # Judging.
+    # Checks.
 
     def _isolation(self) -> list[tuple[str, float, float]]:
-        """When a process can reach no engine that runs, in seconds."""
-        changes = {0.0, self.schedule.end + 1000 * SETTLE}
+        """Returns process, start and end (seconds) of each interval without a reachable running engine."""
+        changes = {0.0, self.schedule.end + 1000 * SETTLE_S}
         for fault in self.schedule.faults:
-            if isinstance(fault, (s.Cut, s.Hang, s.Vanish, s.Drain)):
+            if isinstance(fault, (schedules.Cut, schedules.Hang, schedules.Vanish, schedules.Drain)):
                 changes |= {fault.start, fault.end}
         times = sorted(changes)
-        found = []
+        intervals = []
         for start, end in zip(times, times[1:], strict=False):
             for name in self.processes:
                 if not any(self._reaches(name, engine, (start + end) / 2) for engine in self.engines):
-                    found.append((name, START + start / 1000, START + end / 1000))
-        return found
-
-    def _reaches(self, process: str, engine: str, time: float) -> bool:
-        here, there = f"h{self._numbers[process]}", f"h{self._numbers[engine]}"
-        seconds = START + time / 1000
-        if self.network.open_at(here, there, seconds) > seconds or (
-            self.network.open_at(there, here, seconds) > seconds
+                    intervals.append((name, START_S + start / 1000, START_S + end / 1000))
+        return intervals
+
+    def _reaches(self, process: str, engine: str, time_ms: float) -> bool:
+        """Returns whether a process can reach an engine that runs and is listed."""
+        process_host, engine_host = f"h{self._numbers[process]}", f"h{self._numbers[engine]}"
+        time_s = START_S + time_ms / 1000
+        if self.network.open_at(process_host, engine_host, time_s) > time_s or (
+            self.network.open_at(engine_host, process_host, time_s) > time_s
         ):
             return False
         for fault in self.schedule.faults:
             if getattr(fault, "host", None) != engine:
                 continue
-            if isinstance(fault, (s.Hang, s.Vanish)) and fault.start <= time < fault.end:
+            if isinstance(fault, (schedules.Hang, schedules.Vanish)) and fault.start <= time_ms < fault.end:
                 return False
-            if isinstance(fault, s.Drain) and time >= fault.gone:
+            if isinstance(fault, schedules.Drain) and time_ms >= fault.gone:
                 return False
-            if isinstance(fault, s.Join) and time < fault.start + 1000 * LIST_DELAY:
+            if isinstance(fault, schedules.Join) and time_ms < fault.start + 1000 * LIST_DELAY_S:
                 return False
         return True
 
     def _excused(self, client: Client) -> bool:
+        """Returns whether the end of its process excuses a request without a response."""
         process = self.processes[f"n{client.spec.process}"]
         if process.killed_at is not None and process.stopped_at is None:
             return True
         if process.stopped_at is not None:
             return (
-                client.sent_at > process.stopped_at + TAKES_MORE - 0.01
+                client.sent_at > process.stopped_at + DRAIN_ACCEPT_S - 0.01
                 or process.killed_at is not None
                 and (client.gives_up_at > process.killed_at - 0.01)
             )
         return False
 
     def play(self) -> Result:
-        self.simulation.run_until(START + self.schedule.end / 1000 + SETTLE)
+        """Plays the run to its end and checks all rules."""
+        self.simulation.run_until(START_S + self.schedule.end / 1000 + SETTLE_S)
         self.ledger.finish()
         for client in self.clients.values():
-            client.judge(self._excused)
+            client.check(self._excused)
         for key, record in self.ledger.records.items():
             effect = self.clients[key].request_class.effect
-            if effect == "single_shot" and len(record.ran) > 1:
-                self.ledger.break_rule(Rule.TWICE, key, f"ran at {', '.join(record.ran)}")
+            if effect == "single_shot" and len(record.executed_at) > 1:
+                self.ledger.break_rule(
+                    Rule.TWICE_EXECUTED, key, f"executed at {', '.join(record.executed_at)}"
+                )
         served = sum(client.answer.value == "served" for client in self.clients.values())
         return Result(
             self.ledger.violations,
@@ -395,7 +426,7 @@
 
 @contextmanager
 def simulated_clock(simulation: Simulation) -> Iterator[None]:
-    """The program's clock is the run's."""
+    """Replaces the clock of the program with that of the run."""
     before = clock.now, clock.wall
     clock.now = clock.wall = lambda: 1000 * simulation.now  # type: ignore[assignment]
     try:
@@ -404,8 +435,11 @@
         clock.now, clock.wall = before  # type: ignore[assignment]
 
 
-def play(schedule: s.Schedule, logs: bool = False) -> Result:
-    """Plays a schedule; the same one gives the same result each time."""
+def play(schedule: schedules.Schedule, logs: bool = False) -> Result:
+    """Plays a schedule; the same schedule gives the same result each time.
+
+    `logs` keeps the log lines of the nodes.
+    """
     global_random.seed(schedule.seed)
     if not logs:
         structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
