--- a/tests/golden/decision_trace.py
+++ b/tests/golden/decision_trace.py
@@ -1,7 +1,7 @@
-"""A seeded play of the decision module over the bench's wire: bytes in, bytes out, and their digest.
+"""A seeded scenario for the routing policy over the simulator's wire protocol, and the digest of all replies.
 
-The play knows nothing of the module's types. It packs events and reads actions by the layouts of the wire,
-so its digest changes only where a decision, or the form of a message, changes.
+The scenario does not use the types of the policy. It packs events and unpacks actions by the layouts of the
+wire protocol, so its digest changes only if a decision or the layout of a message changes.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 STEP_MS = 2.0
 REQUESTS = 900
 MEAN_GAP_MS = 7.0
-AFTERMATH_MS = 8000.0  # played after the last request; some attempts never end
+DRAIN_MS = 8000.0  # played after the last request; some attempts never end
 RECORD_BYTES, ACTION_BYTES = 64, 24
 BATCH_HEADER, REPLY_HEADER, ENTRY = struct.Struct("<IIdI"), struct.Struct("<III"), struct.Struct("<fBBBdH6s")
 EVENT_LAYOUTS = {
@@ -62,8 +62,8 @@
 
 
 def settings(**changes: Any) -> dict[str, Any]:
-    """The platform's settings, by its own names."""
-    plain: dict[str, Any] = {
+    """Returns the platform's settings, with its own keys."""
+    values: dict[str, Any] = {
         "me": 0,
         "balancers": 2,
         "zone": 0,
@@ -104,8 +104,8 @@
         "stats": {"via": "inline", "fields": ["inflight", "queue"]},
     }
     for key, value in changes.items():
-        plain[key] = {**plain[key], **value} if isinstance(value, dict) else value
-    return plain
+        values[key] = {**values[key], **value} if isinstance(value, dict) else value
+    return values
 
 
 VARIANTS: dict[str, dict[str, Any]] = {
@@ -124,6 +124,8 @@
 
 @dataclass
 class FakeEngine:
+    """An engine with its list entry and its faults.  Times are in milliseconds."""
+
     address: bytes
     kind: int
     zone: int
@@ -132,15 +134,18 @@
     state: int = READY
     started: float = 0.0
     busy_until: float = 0.0
-    outcome: int = SERVED  # of each call; SERVED: it does its work
+    outcome: int = SERVED  # of each attempt; SERVED: the engine does its work
     hung: bool = False
 
     def entry(self) -> bytes:
+        """Returns the engine's entry in an endpoint list."""
         return ENTRY.pack(self.size, self.zone, self.kind, self.state, self.started, self.cell, self.address)
 
 
 @dataclass
 class FakeRequest:
+    """A request with its attempts; lengths are in tokens."""
+
     prompt: float
     answer: float
     attempts: int = 0
@@ -148,16 +153,16 @@
     over: bool = False
 
 
-class Play:
-    """One module instance against engines and clients drawn from a seed."""
+class Scenario:
+    """One instance of the policy with fake engines and clients drawn from a seed."""
 
-    def __init__(self, plain: dict[str, Any], seed: int) -> None:
+    def __init__(self, policy_settings: dict[str, Any], seed: int) -> None:
         self.random = random.Random(seed)
-        self.plain, self.seed = plain, seed
+        self.policy_settings, self.seed = policy_settings, seed
         self.now = 1000.0
         self.engines = [
-            FakeEngine(bytes([10, 0, 0, at, 31, 64]), kind, zone, 2 * zone + at % 2, 1.0 + at % 2)
-            for at, (zone, kind) in enumerate(
+            FakeEngine(bytes([10, 0, 0, number, 31, 64]), kind, zone, 2 * zone + number % 2, 1.0 + number % 2)
+            for number, (zone, kind) in enumerate(
                 (zone, kind)
                 for zone in range(2)
                 for kind in (PREFILL_KIND,) * 4 + (DECODE_KIND,) * 5 + (COMBINED_KIND,) * 2
@@ -165,169 +170,197 @@
         ]
         self.by_address = {engine.address: engine for engine in self.engines}
         self.requests: dict[int, FakeRequest] = {}
-        self.due: list[tuple[float, int, Callable[[], None]]] = []
-        self.order = 0
+        self.scheduled: list[tuple[float, int, Callable[[], None]]] = []
+        self.sequence = 0
         self.events: list[tuple[int, tuple[Any, ...], bytes]] = []
         self.batch = 0
-        self.until = 0.0
+        self.stop_at = 0.0
         self.digest = hashlib.sha256()
         self.actions: dict[int, int] = dict.fromkeys(ACTION_LAYOUTS, 0)
 
     def later(self, delay: float, call: Callable[[], None]) -> None:
-        self.order += 1
-        heapq.heappush(self.due, (self.now + delay, self.order, call))
+        """Schedules a call `delay` ms from now."""
+        self.sequence += 1
+        heapq.heappush(self.scheduled, (self.now + delay, self.sequence, call))
 
-    def tell(self, code: int, *values: Any, tail: bytes = b"") -> None:
+    def add_event(self, code: int, *values: Any, tail: bytes = b"") -> None:
+        """Adds an event to the next frame."""
         self.events.append((code, values, tail))
 
-    # What happens outside.
+    # Requests, faults and endpoint lists.
 
     def begin(self) -> None:
-        self.tell(1, 0, self.seed, tail=json.dumps(self.plain).encode())
-        self.list(FULL_LIST, self.engines)
-        at = 0.0
+        """Sends the settings and the first list, and schedules requests and faults."""
+        self.add_event(1, 0, self.seed, tail=json.dumps(self.policy_settings).encode())
+        self.send_list(FULL_LIST, self.engines)
+        arrival_ms = 0.0
         for number in range(1, REQUESTS + 1):
-            at += self.random.expovariate(1 / MEAN_GAP_MS)
-            self.later(at, lambda number=number: self.arrive(number))  # type: ignore[misc]
+            arrival_ms += self.random.expovariate(1 / MEAN_GAP_MS)
+            self.later(arrival_ms, lambda number=number: self.arrive(number))  # type: ignore[misc]
         for share, fault in (
             (0.1, self.slow_zone),
-            (0.2, self.roll),
-            (0.35, self.fail_some),
-            (0.45, self.crowd),
-            (0.5, self.lists_fail),
-            (0.55, self.replace_most),
-            (0.7, self.hang_some),
-            (0.8, self.drain_some),
+            (0.2, self.rolling_restart),
+            (0.35, self.fail_engines),
+            (0.45, self.fill_decode_engines),
+            (0.5, self.fail_lists),
+            (0.55, self.restart_most),
+            (0.7, self.hang_engines),
+            (0.8, self.drain_engines),
         ):
-            self.later(at * share, fault)
-        self.until = self.now + at + AFTERMATH_MS
+            self.later(arrival_ms * share, fault)
+        self.stop_at = self.now + arrival_ms + DRAIN_MS
 
-    def list(self, scope: int, engines: list[FakeEngine]) -> None:
-        self.tell(2, 0, scope, 0, tail=b"".join(engine.entry() for engine in engines))
+    def send_list(self, scope: int, engines: list[FakeEngine]) -> None:
+        """Sends the list entries of some engines."""
+        self.add_event(2, 0, scope, 0, tail=b"".join(engine.entry() for engine in engines))
 
-    def some(self, count: int) -> list[FakeEngine]:
+    def draw_engines(self, count: int) -> list[FakeEngine]:
+        """Draws `count` different engines."""
         return self.random.sample(self.engines, count)
 
     def slow_zone(self) -> None:
+        """Makes one zone busy for 600 ms."""
         for engine in self.engines:
             if engine.zone:
                 engine.busy_until = self.now + 600
 
-    def roll(self) -> None:
-        for at, engine in enumerate(self.some(6)):
-            self.later(150.0 * at, lambda engine=engine: self.restart(engine))  # type: ignore[misc]
+    def rolling_restart(self) -> None:
+        """Restarts six engines, one after the other."""
+        for number, engine in enumerate(self.draw_engines(6)):
+            self.later(150.0 * number, lambda engine=engine: self.restart(engine))  # type: ignore[misc]
 
     def restart(self, engine: FakeEngine, down_ms: float = 200.0) -> None:
+        """Drains an engine, removes it from the list, and lists it again as restarted."""
         engine.state = DRAINING
-        self.list(DELTA, [engine])
+        self.send_list(DELTA, [engine])
         self.later(100, lambda: self.set_state(engine, GONE))
         self.later(100 + down_ms, lambda: self.set_state(engine, READY))
 
     def set_state(self, engine: FakeEngine, state: int) -> None:
+        """Changes the state of an engine and sends its list entry."""
         engine.state = state
         if state == READY:
             engine.started, engine.hung, engine.outcome = self.now, False, SERVED
-        self.list(DELTA, [engine])
+        self.send_list(DELTA, [engine])
 
-    def fail_some(self) -> None:
-        for engine, outcome in zip(self.some(5), (FAILED, RESET, UNREACHABLE, FULL, NOT_SENT), strict=True):
+    def fail_engines(self) -> None:
+        """Makes five engines fail for 900 ms, each in a different way."""
+        for engine, outcome in zip(
+            self.draw_engines(5), (FAILED, RESET, UNREACHABLE, FULL, NOT_SENT), strict=True
+        ):
             engine.outcome = outcome
             self.later(900, lambda engine=engine: setattr(engine, "outcome", SERVED))  # type: ignore[misc]
 
-    def crowd(self) -> None:
+    def fill_decode_engines(self) -> None:
+        """Makes all decode engines of one zone reject attempts as full for 700 ms."""
         for engine in self.engines:
             if engine.kind == DECODE_KIND and engine.zone == 0:
                 engine.outcome = FULL
                 self.later(700, lambda engine=engine: setattr(engine, "outcome", SERVED))  # type: ignore[misc]
 
-    def lists_fail(self) -> None:
-        self.tell(2, 0, FAILED_LIST, 0, tail=b"")
-        self.later(300, lambda: self.list(FULL_LIST, self.engines[1:]))
-        self.later(500, lambda: self.list(FULL_LIST, self.engines))
+    def fail_lists(self) -> None:
+        """Sends a failed list, then a list without one engine, then the full list."""
+        self.add_event(2, 0, FAILED_LIST, 0, tail=b"")
+        self.later(300, lambda: self.send_list(FULL_LIST, self.engines[1:]))
+        self.later(500, lambda: self.send_list(FULL_LIST, self.engines))
 
-    def replace_most(self) -> None:
-        for engine in self.some(14):
+    def restart_most(self) -> None:
+        """Restarts 14 engines at once."""
+        for engine in self.draw_engines(14):
             self.restart(engine, self.random.uniform(50, 400))
 
-    def hang_some(self) -> None:
-        for engine in self.some(5):
+    def hang_engines(self) -> None:
+        """Makes five engines hang for 1,500 ms."""
+        for engine in self.draw_engines(5):
             engine.hung = True
             self.later(1500, lambda engine=engine: setattr(engine, "hung", False))  # type: ignore[misc]
 
-    def drain_some(self) -> None:
-        for engine in self.some(3):
+    def drain_engines(self) -> None:
+        """Drains three engines."""
+        for engine in self.draw_engines(3):
             engine.state = DRAINING
-            self.list(DELTA, [engine])
+            self.send_list(DELTA, [engine])
 
     def arrive(self, number: int) -> None:
+        """Draws and sends a request."""
         draw = self.random
-        klass = draw.choices(range(5), (6, 1, 2, 1, 1))[0]
+        request_class = draw.choices(range(5), (6, 1, 2, 1, 1))[0]
         prompt, answer = draw.choice((300.0, 900.0, 2000.0, 6000.0)), draw.uniform(5, 60)
         prefix = draw.choice((0, 0x5C, 0xA7, 0xB1))
-        left = draw.uniform(900, 3000)
+        left_ms = draw.uniform(900, 3000)
         repeat = draw.random() < 0.1
         self.requests[number] = FakeRequest(prompt, answer)
         shared = prompt / 2 if prefix else 0.0
         session = draw.randrange(1, 60)
-        self.tell(3, 0, number, klass, 0, session, left, 0.0, prefix, prompt, shared, 300.0, 2 * repeat)
+        self.add_event(
+            3, 0, number, request_class, 0, session, left_ms, 0.0, prefix, prompt, shared, 300.0, 2 * repeat
+        )
         if draw.random() < 0.05:
-            left *= draw.random()
-        self.later(left, lambda: self.disconnect(number))
+            left_ms *= draw.random()
+        self.later(left_ms, lambda: self.disconnect(number))
 
     def disconnect(self, number: int) -> None:
+        """Ends a request that its client has abandoned."""
         if not self.requests[number].over:
             self.requests[number].over = True
-            self.tell(6, 0, number)
+            self.add_event(6, 0, number)
 
-    # What the module asks for.
+    # Actions of the policy.
 
-    def attempt(self, number: int, address: bytes, time_out: float) -> None:
-        request, engine, sent = self.requests[number], self.by_address[address], self.now
-        at = request.attempts
+    def attempt(self, number: int, address: bytes, time_out_ms: float) -> None:
+        """Sends an attempt to an engine and schedules its events."""
+        request, engine, sent_at = self.requests[number], self.by_address[address], self.now
+        index = request.attempts
         request.attempts += 1
-        request.running.add(at)
-        if time_out:
-            self.later(time_out, lambda: self.end(number, at, TIMED_OUT, engine, sent))
+        request.running.add(index)
+        if time_out_ms:
+            self.later(time_out_ms, lambda: self.end(number, index, TIMED_OUT, engine, sent_at))
         if engine.hung:
             return
         if engine.outcome != SERVED or engine.state == GONE:
             outcome = UNREACHABLE if engine.state == GONE else engine.outcome
             note = int(outcome == FULL and self.random.random() < 0.3)
-            self.later(self.random.uniform(1, 30), lambda: self.end(number, at, outcome, engine, sent, note))
+            self.later(
+                self.random.uniform(1, 30), lambda: self.end(number, index, outcome, engine, sent_at, note)
+            )
             return
         prefill_ms = request.prompt * self.random.uniform(0.02, 0.05)
         if engine.kind == PREFILL_KIND:
             engine.busy_until = max(engine.busy_until, self.now) + prefill_ms
-            found = int(request.prompt * self.random.choice((0, 0, 0.4, 0.8)))
-            wait = engine.busy_until - self.now
-            self.later(wait, lambda: self.end(number, at, PREFILLED, engine, sent, found))
+            cached_tokens = int(request.prompt * self.random.choice((0, 0, 0.4, 0.8)))
+            wait_ms = engine.busy_until - self.now
+            self.later(wait_ms, lambda: self.end(number, index, PREFILLED, engine, sent_at, cached_tokens))
             return
-        first = self.random.uniform(3, 40) + (prefill_ms if engine.kind == COMBINED_KIND else 0.0)
-        broken = self.random.random() < 0.03
-        self.later(first, lambda: self.first_token(number, at, engine, sent))
-        end = first + request.answer * self.random.uniform(2, 8)
-        self.later(end, lambda: self.end(number, at, RESET if broken else SERVED, engine, sent))
-
-    def first_token(self, number: int, at: int, engine: FakeEngine, sent: float) -> None:
-        if at in self.requests[number].running:
-            self.tell(4, 0, number, engine.address, at, self.now - sent)
-
-    def end(self, number: int, at: int, outcome: int, engine: FakeEngine, sent: float, note: int = 0) -> None:
+        first_token_ms = self.random.uniform(3, 40) + (prefill_ms if engine.kind == COMBINED_KIND else 0.0)
+        is_reset = self.random.random() < 0.03
+        self.later(first_token_ms, lambda: self.first_token(number, index, engine, sent_at))
+        end_ms = first_token_ms + request.answer * self.random.uniform(2, 8)
+        self.later(end_ms, lambda: self.end(number, index, RESET if is_reset else SERVED, engine, sent_at))
+
+    def first_token(self, number: int, index: int, engine: FakeEngine, sent_at: float) -> None:
+        """Sends the first token of an attempt that still runs."""
+        if index in self.requests[number].running:
+            self.add_event(4, 0, number, engine.address, index, self.now - sent_at)
+
+    def end(
+        self, number: int, index: int, outcome: int, engine: FakeEngine, sent_at: float, note: int = 0
+    ) -> None:
+        """Sends the end of an attempt that still runs."""
         request = self.requests[number]
-        if at not in request.running:
+        if index not in request.running:
             return
-        request.running.discard(at)
-        done = outcome == SERVED and not request.over
-        request.over = request.over or done
-        self.tell(
+        request.running.discard(index)
+        is_served = outcome == SERVED and not request.over
+        request.over = request.over or is_served
+        self.add_event(
             5,
             0,
             number,
-            at,
+            index,
             engine.address,
             outcome,
-            self.now - sent,
-            done,
+            self.now - sent_at,
+            is_served,
             note,
             2,
             len(request.running),
@@ -336,20 +369,26 @@
             0.0,
         )
 
-    def cancel(self, number: int, at: int) -> None:
-        self.later(2.0, lambda: self.end(number, at, CANCELLED, self.engines[0], self.now))
+    def cancel(self, number: int, index: int) -> None:
+        """Cancels an attempt; its end follows 2 ms later."""
+        self.later(2.0, lambda: self.end(number, index, CANCELLED, self.engines[0], self.now))
 
-    def check(self, address: bytes) -> None:
-        engine, sent = self.by_address[address], self.now
+    def check_health(self, address: bytes) -> None:
+        """Sends the result of a health check when it is known."""
+        engine, sent_at = self.by_address[address], self.now
         if engine.hung:
-            delay, outcome = 250.0, TIMED_OUT
+            delay_ms, outcome = 250.0, TIMED_OUT
         elif engine.state == GONE:
-            delay, outcome = 1.0, UNREACHABLE
+            delay_ms, outcome = 1.0, UNREACHABLE
         else:
-            delay, outcome = max(2.0, engine.busy_until - self.now), SERVED
-        self.later(delay, lambda: self.tell(8, 0, address, outcome, self.now - sent, 2, 3.0, 1.0, 0.0, 0.0))
+            delay_ms, outcome = max(2.0, engine.busy_until - self.now), SERVED
+        self.later(
+            delay_ms,
+            lambda: self.add_event(8, 0, address, outcome, self.now - sent_at, 2, 3.0, 1.0, 0.0, 0.0),
+        )
 
-    def carry_out(self, code: int, values: tuple[Any, ...]) -> None:
+    def execute(self, code: int, values: tuple[Any, ...]) -> None:
+        """Counts and executes one action."""
         self.actions[code] += 1
         match code:
             case 1:
@@ -359,13 +398,14 @@
             case 4:
                 self.cancel(values[1], values[2])
             case 5:
-                self.later(values[1], lambda: self.tell(7, 0, values[2]))
+                self.later(values[1], lambda: self.add_event(7, 0, values[2]))
             case 6:
-                self.check(values[1])
+                self.check_health(values[1])
 
-    # The wire.
+    # The wire protocol.
 
     def frame(self) -> bytes:
+        """Returns all new events as one frame."""
         tail, body = bytearray(), b""
         for code, values, data in self.events:
             if code in (1, 2):
@@ -378,20 +418,21 @@
         return BATCH_HEADER.pack(len(self.events), size, self.now, self.batch) + body + bytes(tail)
 
     def read_reply(self, reply: bytes) -> None:
+        """Adds a reply to the digest and executes its actions."""
         self.digest.update(reply)
         size, count, number = REPLY_HEADER.unpack_from(reply)
         assert (size, number) == (len(reply), self.batch)
-        for at in range(count):
-            place = REPLY_HEADER.size + at * ACTION_BYTES
-            code = reply[place]
-            self.carry_out(code, struct.unpack_from("<" + ACTION_LAYOUTS[code], reply, place + 1))
+        for position in range(count):
+            offset = REPLY_HEADER.size + position * ACTION_BYTES
+            code = reply[offset]
+            self.execute(code, struct.unpack_from("<" + ACTION_LAYOUTS[code], reply, offset + 1))
 
     def rounds(self) -> Any:
-        """Yields each frame; sent the reply."""
+        """Yields each frame, and receives the reply to it by `send`."""
         self.begin()
-        while self.now < self.until:
-            while self.due and self.due[0][0] <= self.now:
-                heapq.heappop(self.due)[2]()
+        while self.now < self.stop_at:
+            while self.scheduled and self.scheduled[0][0] <= self.now:
+                heapq.heappop(self.scheduled)[2]()
             if self.events:
                 frame = self.frame()
                 self.events = []
@@ -400,22 +441,25 @@
 
 
 class Pipe(io.RawIOBase):
-    """Both ends of the adapter's standard streams, with the play behind them."""
+    """Standard input and output of the adapter, connected to a scenario."""
 
-    def __init__(self, play: Play) -> None:
-        self.rounds = play.rounds()
+    def __init__(self, scenario: Scenario) -> None:
+        self.rounds = scenario.rounds()
         self.unread = next(self.rounds)
 
     def read(self, size: int = -1) -> bytes:
+        """Returns bytes of the current frame."""
         taken, self.unread = self.unread[:size], self.unread[size:]
         return taken
 
     def write(self, reply: Any) -> int:
+        """Passes a reply to the scenario, which makes the next frame."""
         self.unread += next_frame(self.rounds, bytes(reply))
         return len(reply)
 
 
 def next_frame(rounds: Any, reply: bytes) -> bytes:
+    """Returns the frame after a reply, empty at the end of the scenario."""
     try:
         frame: bytes = rounds.send(reply)
     except StopIteration:
@@ -423,9 +467,9 @@
     return frame
 
 
-def play(variant: str, seed: int) -> Play:
-    """Plays to the end; the digest is over all replies."""
-    one = Play(VARIANTS[variant], seed)
-    pipe: Any = Pipe(one)
+def play(variant: str, seed: int) -> Scenario:
+    """Plays a scenario to its end and returns it; its digest is over all replies."""
+    scenario = Scenario(VARIANTS[variant], seed)
+    pipe: Any = Pipe(scenario)
     assert main(pipe, pipe) == 0
-    return one
+    return scenario
--- a/tests/golden/samples.py
+++ b/tests/golden/samples.py
@@ -1,4 +1,4 @@
-"""Sample values for any message type, derived from the type alone, so that equal forms give equal bytes."""
+"""Sample values of any message type, derived from the type alone: equal layouts give equal bytes."""
 
 from __future__ import annotations
 
@@ -8,11 +8,14 @@
 from msgspec import inspect
 
 UNION_VARIANTS = 8  # samples of a type with a union cover at most this many of its members
-DEEPEST = 6  # nesting at which lists and maps are left empty
+MAX_DEPTH = 6  # nesting at which lists and maps are left empty
 
 
 class SampleBuilder:
-    """Builds the plain form of a type; each scalar is a counter's next value, so that swapped fields show."""
+    """Builds a value of a type from built-in types.
+
+    Each scalar is the next value of a counter, so that swapped fields change the bytes.
+    """
 
     def __init__(self, variant: int) -> None:
         self._variant = variant
@@ -23,15 +26,16 @@
         return self._count
 
     def build(self, kind: Any, depth: int = 0) -> Any:
+        """Returns a value for a type description of msgspec."""
         match kind:
             case inspect.StructType():
                 return self._struct(kind, depth)
             case inspect.UnionType(types=types):
                 return self.build(types[self._variant % len(types)], depth)
             case inspect.DictType(key_type=key, value_type=value):
-                return {self.build(key, depth): self.build(value, depth + 1)} if depth < DEEPEST else {}
+                return {self.build(key, depth): self.build(value, depth + 1)} if depth < MAX_DEPTH else {}
             case inspect.ListType(item_type=item) | inspect.VarTupleType(item_type=item):
-                return [self.build(item, depth + 1)] if depth < DEEPEST else []
+                return [self.build(item, depth + 1)] if depth < MAX_DEPTH else []
             case inspect.TupleType(item_types=items):
                 return [self.build(item, depth + 1) for item in items]
             case inspect.LiteralType(values=values):
@@ -53,7 +57,7 @@
                 return None
             case inspect.AnyType() | inspect.RawType():
                 return self._next()
-        raise TypeError(f"no sample for {kind!r}")
+        raise TypeError(f"cannot build a sample: unsupported type {kind!r}")
 
     def _struct(self, kind: inspect.StructType, depth: int) -> Any:
         values = {field.encode_name: self.build(field.type, depth + 1) for field in kind.fields}
@@ -65,21 +69,21 @@
 
 
 def samples(cls: type[msgspec.Struct]) -> list[msgspec.Struct]:
-    """A value of the type for each variant of its unions, without repeats."""
-    found: list[msgspec.Struct] = []
+    """Returns a value of the type for each variant of its unions, without duplicates."""
+    values: list[msgspec.Struct] = []
     for variant in range(UNION_VARIANTS):
         plain = SampleBuilder(variant).build(inspect.type_info(cls))
-        one = msgspec.msgpack.decode(msgspec.msgpack.encode(plain), type=cls)
-        if one not in found:
-            found.append(one)
-    return found
+        value = msgspec.msgpack.decode(msgspec.msgpack.encode(plain), type=cls)
+        if value not in values:
+            values.append(value)
+    return values
 
 
 def encodings(cls: type[msgspec.Struct]) -> list[list[str]]:
-    """MessagePack (hexadecimal) and JSON of each sample; JSON is empty where a value has no JSON form."""
+    """Returns MessagePack (hexadecimal) and JSON of each sample."""
     rows = []
-    for one in samples(cls):
-        packed = msgspec.msgpack.encode(one)
+    for value in samples(cls):
+        packed = msgspec.msgpack.encode(value)
         assert msgspec.msgpack.encode(msgspec.msgpack.decode(packed, type=cls)) == packed
-        rows.append([packed.hex(), msgspec.json.encode(one).decode()])
+        rows.append([packed.hex(), msgspec.json.encode(value).decode()])
     return rows
--- a/tests/test_golden_decisions.py
+++ b/tests/test_golden_decisions.py
@@ -1,8 +1,8 @@
-"""A seeded play over the bench's wire gives the same bytes as the text before the names were changed.
+"""Seeded scenarios over the simulator's wire protocol give the same replies as before any rename.
 
-Some hundred requests a second meet slow and restarted engines, full answers, resets, silent ones, a zone
-that is late, lists that fail and slow start. A digest that differs means that a decision or the form of a
-message changed.
+More than a hundred requests per second meet restarted, full, hung and failing engines, resets, a slow zone,
+failed endpoint lists and slow start. A different digest means that a decision or the layout of a message
+changed.
 """
 
 from __future__ import annotations
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -1,8 +1,8 @@
 """Files stored by an earlier version are read as they were written, and the same content gives the same rows.
 
-The files under `golden/stored` were written by the text before any rename (commit e47005a). `contents.json`
-lists what each holds, in its stored form. They are never written anew: a version that cannot read them could
-not read the files of a node that is upgraded either.
+The files under `golden/stored` were written by the code before any rename (commit e47005a). `contents.json`
+lists the contents of each in their stored form. The files are never regenerated: a version that cannot read
+them cannot read the files of an upgraded node either.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 import pyarrow.parquet as pq
 import pytest
 from golden.registry import FORMS
-from test_golden_forms import form
+from test_golden_forms import struct_type
 
 from worksmux.config_audit.audit_log import AuditRecord, chain_faults
 from worksmux.consensus.entries import HardState, Snapshot, StorageWrite
@@ -52,16 +52,17 @@
 
 
 def copied(name: str, folder: Path) -> Path:
+    """Copies a stored file to a folder."""
     return Path(shutil.copy(STORED / name, folder / name))
 
 
 def plain(value: Any) -> Any:
-    """The stored form of a value, as `contents.json` has it."""
+    """Returns the stored form of a value, as in `contents.json`."""
     return json.loads(msgspec.json.encode(value))
 
 
 def stored_rows(path: Path) -> tuple[list[tuple[str, str, bytes, int]], list[tuple[str, bytes]]]:
-    """Records and manifests as SQLite holds them."""
+    """Returns the rows of records and manifests in an SQLite file."""
     database = sqlite3.connect(path)
     records = database.execute("SELECT tab, key, value, sum FROM record ORDER BY tab, key").fetchall()
     manifests = database.execute("SELECT tab, value FROM manifest ORDER BY tab").fetchall()
@@ -70,15 +71,18 @@
 
 
 def pinned_rows(name: str) -> tuple[list[tuple[str, str, bytes, int]], list[tuple[str, bytes]]]:
+    """Returns the rows of records and manifests that `contents.json` lists for a file."""
     pinned = CONTENTS[name]
     records = [
-        (one["table"], one["key"], bytes.fromhex(one["value"]), one["sum"]) for one in pinned["records"]
+        (record["table"], record["key"], bytes.fromhex(record["value"]), record["sum"])
+        for record in pinned["records"]
     ]
     return records, [(table, bytes.fromhex(value)) for table, value in pinned["manifests"].items()]
 
 
 def record_type(table: str, key: str) -> type[msgspec.Struct]:
-    return form(FORMS[FORM_OF_KEY.get((table, key)) or FORM_OF_TABLE[table]])
+    """Returns the struct that a record is stored as."""
+    return struct_type(FORMS[FORM_OF_KEY.get((table, key)) or FORM_OF_TABLE[table]])
 
 
 @pytest.mark.parametrize("name", STORES)
@@ -87,11 +91,11 @@
     store = open_store(path)
     assert not store.notes and not store.read_only
     for table in CONTENTS[name]["manifests"]:
-        found = store.read(table)
-        pinned = {one["key"]: one for one in CONTENTS[name]["records"] if one["table"] == table}
-        assert found.is_complete and found.corrupt_records == 0 and found.saved_at_ms == WRITTEN_AT_MS
-        assert found.values == {key: bytes.fromhex(one["value"]) for key, one in pinned.items()}
-        for key, value in found.values.items():
+        stored = store.read(table)
+        pinned = {record["key"]: record for record in CONTENTS[name]["records"] if record["table"] == table}
+        assert stored.is_complete and stored.corrupt_records == 0 and stored.saved_at_ms == WRITTEN_AT_MS
+        assert stored.values == {key: bytes.fromhex(record["value"]) for key, record in pinned.items()}
+        for key, value in stored.values.items():
             decoded = msgspec.msgpack.decode(value, type=record_type(table, key))
             assert plain(decoded) == pinned[key]["content"]
             assert msgspec.msgpack.encode(decoded) == value
@@ -100,19 +104,19 @@
 
 
 @pytest.mark.parametrize("name", STORES)
-@pytest.mark.parametrize("how", ["write", "replace", "one by one"])
-def test_same_content_gives_the_same_rows(name: str, how: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("method", ["write", "replace", "one by one"])
+def test_same_content_gives_the_same_rows(name: str, method: str, tmp_path: Path) -> None:
     tables: dict[str, dict[str, bytes | None]] = {}
-    for one in CONTENTS[name]["records"]:
-        decoded = msgspec.convert(one["content"], record_type(one["table"], one["key"]))
-        tables.setdefault(one["table"], {})[one["key"]] = msgspec.msgpack.encode(decoded)
+    for record in CONTENTS[name]["records"]:
+        decoded = msgspec.convert(record["content"], record_type(record["table"], record["key"]))
+        tables.setdefault(record["table"], {})[record["key"]] = msgspec.msgpack.encode(decoded)
     store = open_store(tmp_path / name)
-    if how == "write":
+    if method == "write":
         store.write(tables, WRITTEN_AT_MS)
     for table, entries in tables.items():
-        if how == "replace":
+        if method == "replace":
             store.replace(table, [(key, value) for key, value in entries.items() if value], WRITTEN_AT_MS)
-        if how == "one by one":
+        if method == "one by one":
             store.write({table: {"removed later": b"x"}}, WRITTEN_AT_MS - 2)
             for key, value in entries.items():
                 store.write({table: {key: value}}, WRITTEN_AT_MS - 1)
@@ -121,7 +125,7 @@
     assert stored_rows(tmp_path / name) == pinned_rows(name)
 
 
-def test_database_is_marked_as_before(tmp_path: Path) -> None:
+def test_database_has_the_stored_identification(tmp_path: Path) -> None:
     open_store(tmp_path / "new").close()
     for path in (tmp_path / "new", copied("memory.db", tmp_path)):
         database = sqlite3.connect(path)
@@ -134,7 +138,7 @@
 def test_consensus_disk_restores_and_writes_the_stored_state(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A disk restores the stored term, vote, snapshot and entries; a new one stores the same rows."""
+    """ConsensusDisk restores the stored term, vote, snapshot and entries; a new disk stores the same rows."""
     monkeypatch.setattr(time, "time", lambda: WRITTEN_AT_S)
     monkeypatch.setattr(secrets, "token_hex", lambda size: "5ca1ab1e"[: 2 * size])
     (tmp_path / "old").mkdir()
@@ -147,7 +151,7 @@
         and old.identity.generation == int(WRITTEN_AT_S) + 1
     )
     assert (old.saved.term, old.saved.voted_for) == (3, "front-1#5ca1ab1e")
-    pinned = {one["key"]: one["content"] for one in CONTENTS["council.db"]["records"]}
+    pinned = {record["key"]: record["content"] for record in CONTENTS["council.db"]["records"]}
     assert plain(old.saved.snapshot) == pinned["base"]
     assert [plain(entry) for entry in old.saved.entries] == [
         pinned[f"e{index:015d}"] for index in (2, 3, 4, 5)
@@ -175,7 +179,9 @@
     learned = read_learned(store)
     store.close()
     pinned = {
-        one["key"]: one["content"] for one in CONTENTS["memory.db"]["records"] if one["table"] == "learned"
+        record["key"]: record["content"]
+        for record in CONTENTS["memory.db"]["records"]
+        if record["table"] == "learned"
     }
     assert plain(learned.timings) == pinned[""]
     assert plain(learned.marks) == {"engine-1": pinned["engine-1"]}
