--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -292,7 +292,7 @@
         spans = [span for span in report["spans"] if span["front"] == "front-4" and span["versions"]]
         assert max(span["versions"]["plan"]["number"] for span in spans) >= 1
     records = checked_records(rig)
-    attempt = next(each for each in records.attempts if each.front == "front-4" and each.plan.isdigit())
+    attempt = next(each for each in records.attempts if each.gateway == "front-4" and each.plan.isdigit())
     decisions = audit_report(rig, "front-5", f"?job={attempt.request}")["decisions"]
     assert {decision["front"] for decision in decisions} == {"front-4"}
     assert int(attempt.plan) in {decision["versions"]["plan"]["number"] for decision in decisions}
--- a/worksmux/fault_trial/clocked.py
+++ b/worksmux/fault_trial/clocked.py
@@ -18,7 +18,7 @@
 class SkewedClock:
     """A clock derived from another one; a change of the rate does not make it jump.
 
-    >>> at = [10.0]; clock = Skewed(lambda: at[0]); clock.set_rate(2.0); at[0] = 11.0; clock()
+    >>> at = [10.0]; clock = SkewedClock(lambda: at[0]); clock.set_rate(2.0); at[0] = 11.0; clock()
     12.0
     """
 
