--- a/worksmux/admission/concurrency_limit.py
+++ b/worksmux/admission/concurrency_limit.py
@@ -59,7 +59,7 @@
         return not self._in_flight or self._in_flight + cost <= self.limit * self._probe_factor
 
     def sent(self, now: float, cost: float) -> None:
-        """An item has been sent to an engine."""
+        """Records that an item was sent to an engine."""
         if self._first_sent_at is None:
             self._first_sent_at = now
             self._next_probe_at = now + PROBE_INTERVAL_TARGETS * self.latency_target_ms
@@ -67,7 +67,7 @@
         self._peak_in_flight = max(self._peak_in_flight, self._in_flight)
 
     def ended(self, now: float, cost: float, elapsed_ms: float, accepted: bool) -> None:
-        """An item that was sent has ended; `accepted` is false if the engines rejected it."""
+        """Records the end of an item that was sent; `accepted` is false if the engines rejected it."""
         self._in_flight = max(0.0, self._in_flight - cost)
         if accepted:
             self._history.add(now, elapsed_ms, cost + self.small_item_cost)
--- a/worksmux/admission/controller.py
+++ b/worksmux/admission/controller.py
@@ -1,11 +1,16 @@
 """The admission controller: admits, queues or rejects each request of a single-stage request class.
 
-A new request passes four checks in this order: load shedding (the gateway itself is overloaded), the retry
-budget (against retry storms), the expected wait (a request that could not be served in time is rejected
-early, so that no work is spent on it), and the limit of the queue (requests of the caller with the most
-queued cost are displaced).  Queued requests are admitted by deficit round robin, first over request classes
-by weight, then over callers, as far as the concurrency limit of their engines allows.  A queued request that
-has waited too long is rejected and never sent.
+A new request passes four checks in this order:
+
+1. Load shedding rejects it if the gateway itself is overloaded.
+2. The retry budget limits retry storms.
+3. The expected wait: a request that could not be served in time is rejected early, so that no work is spent
+   on it.
+4. The limit of the queue: requests of the caller with the most queued cost are displaced.
+
+Queued requests are admitted by deficit round robin, first over request classes by weight, then over callers,
+as far as the concurrency limit of their engines allows.  A queued request that has waited too long is
+rejected and never sent.
 
 Costs are in tokens, times in milliseconds.
 """
@@ -99,7 +104,7 @@
 
 @dataclass(frozen=True, eq=False, slots=True)
 class Rejection:
-    """A request to reject, with the wait that its client is told."""
+    """A request to reject, with the delay after which its client may retry."""
 
     request: AdmissionRequest
     reason: RejectReason
@@ -108,7 +113,7 @@
 
 @dataclass(slots=True)
 class AdmissionResult:
-    """What the caller has to do after an event: requests to send now, and requests to reject."""
+    """The effects of an event: requests to send now, and requests to reject."""
 
     admitted: list[AdmissionRequest] = field(default_factory=list)
     rejected: list[Rejection] = field(default_factory=list)
@@ -212,7 +217,7 @@
         ]
 
     def arrived(self, now: float, request: AdmissionRequest) -> AdmissionResult:
-        """A request has arrived: it is admitted, queued or rejected, and may displace others."""
+        """Admits, queues or rejects a new request, which may displace queued ones."""
         result = AdmissionResult()
         reason = self._reason_to_reject(now, request)
         if reason is not None:
@@ -234,7 +239,7 @@
     def ended(
         self, now: float, request: AdmissionRequest, elapsed_ms: float, accepted: bool
     ) -> AdmissionResult:
-        """An admitted request has its final answer, or its client has disconnected.
+        """Records that an admitted request has its final answer, or that its client has disconnected.
 
         `elapsed_ms` is the time since its admission; `accepted` is false if the engines rejected it.
         """
@@ -258,11 +263,11 @@
         return is_idle or self._budgets[request_class].try_retry()
 
     def sheds(self, request_class: int) -> bool:
-        """Whether load shedding rejects a request; for chat, whose requests are not queued here."""
+        """Whether load shedding rejects a request; chat uses only this check, as it has no queue here."""
         return self.shedder.sheds(request_class, self._random.share())
 
     def update_pressure(self, now: float, pressure: Pressure) -> None:
-        """Must be called regularly; see `LoadShedder.update`."""
+        """Updates load shedding; must be called regularly, see `LoadShedder.update`."""
         self.shedder.update(now, pressure)
 
     def tick(self, now: float) -> AdmissionResult:
@@ -278,7 +283,7 @@
         return result
 
     def next_time(self) -> float | None:
-        """When `tick` should be called next."""
+        """Returns when `tick` is due next; None if no request is queued."""
         while self._expiries and not self._first_expiry_is_queued():
             heapq.heappop(self._expiries)
         return self._expiries[0][0] if self._expiries else None
--- a/worksmux/admission/fair_queue.py
+++ b/worksmux/admission/fair_queue.py
@@ -18,7 +18,7 @@
 
 T = TypeVar("T")
 
-MAX_HEAP_ENTRIES_PER_FLOW = 4  # the heap is rebuilt beyond this and the spare ones
+MAX_HEAP_ENTRIES_PER_FLOW = 4  # the heap is rebuilt beyond this, but not below SPARE_HEAP_ENTRIES
 SPARE_HEAP_ENTRIES = 64
 RELATIVE_TOLERANCE = 1e-9  # for rounding errors in sums
 
@@ -49,7 +49,7 @@
     items: deque[QueuedItem[T]] = field(default_factory=deque)
     cost: float = 0.0  # of the items that are not removed
     count: int = 0  # of the items that are not removed
-    gets_quantum: bool = True  # at its next visit, since its last one is over
+    gets_quantum: bool = True  # the next visit adds a quantum, because the last visit is over
 
     @property
     def weighted_cost(self) -> float:
@@ -144,7 +144,7 @@
         return head.item
 
     def cost_ahead(self, key: Hashable, cost: float, weight: float = 1.0) -> float:
-        """The approximate cost that is served until an item put now has been served, its own included."""
+        """Returns the approximate cost of all items served up to an item put now, that item included."""
         own = self.flows.get(key)
         own_cost = (own.cost if own else 0.0) + cost
         flow_count = max(1, len(self.flows) + (own is None))
--- a/worksmux/admission/retry_budget.py
+++ b/worksmux/admission/retry_budget.py
@@ -31,7 +31,7 @@
         return len(self._current) + len(self._previous)
 
     def record(self, now: float, key: int) -> None:
-        """A request with this key was rejected."""
+        """Records that a request with this key was rejected."""
         self._start_generation_if_due(now)
         self._current.add(key)
 
--- a/worksmux/api/chat.py
+++ b/worksmux/api/chat.py
@@ -166,7 +166,7 @@
 
 
 def text_of(content: Text) -> str:
-    """The text of a message's content; of a list of parts, the parts that are text."""
+    """Returns the text of a message's content; of a list of parts, all texts joined."""
     if isinstance(content, list):
         return "".join(str(part.get("text", "")) for part in content)
     return content or ""
--- a/worksmux/api/embeddings.py
+++ b/worksmux/api/embeddings.py
@@ -2,7 +2,7 @@
 
 `input` is a text, a list of texts, one list of token ids or a list of such lists; `encoding_format` is float
 or base64 (little-endian 32-bit floats); `dimensions` is forwarded to the engine.  Engines are always asked
-for base64, which has a third of the size of decimal digits.
+for base64, which takes a third of the space of decimal digits.
 """
 
 from __future__ import annotations
--- a/worksmux/api/errors.py
+++ b/worksmux/api/errors.py
@@ -8,7 +8,7 @@
 
 
 class ErrorBody(msgspec.Struct):
-    """What went wrong, for people (`message`) and for programs (`type`, `param`, `code`)."""
+    """An error, described for people (`message`) and for programs (`type`, `param`, `code`)."""
 
     message: str
     type: str
--- a/worksmux/batching/planner.py
+++ b/worksmux/batching/planner.py
@@ -1,9 +1,11 @@
 """Divides requests with many inputs into batches for engines, and collects one final result for each request.
 
-A request larger than a batch is split into contiguous parts of similar cost.  A request smaller than a batch
-may share one with others of its group: only while other batches are in flight, since otherwise engines are
-idle and waiting gains nothing; for at most a share of the time left until its latency target; and only if no
-request's deadline is earlier than another's latency target.
+A request larger than a batch is split into contiguous parts of similar cost.  A small request may wait to
+share a batch with others of its group:
+
+- Only while other batches are in flight.  Otherwise engines are idle, and waiting gains nothing.
+- For at most a share of the time left until its latency target.
+- Only if no request's deadline is earlier than the latency target of another request in the batch.
 
 Failures of a batch:
 
@@ -109,11 +111,11 @@
 
 @dataclass(slots=True)
 class Step:
-    """What the caller has to do after an event."""
+    """The effects of an event, which the caller carries out."""
 
     send: list[InputBatch] = field(default_factory=list)
     send_later: list[tuple[float, InputBatch]] = field(default_factory=list)  # with the time to send at
-    cancel: list[InputBatch] = field(default_factory=list)  # no request needs them any more
+    cancel: list[InputBatch] = field(default_factory=list)  # batches that no request needs any more
     results: list[RequestResult] = field(default_factory=list)
 
 
@@ -186,7 +188,7 @@
 
     @staticmethod
     def _fits(batch: InputBatch, request: BatchedRequest, total_cost: float) -> bool:
-        """Whether a batch with this request is within the limits and ends after all its latency targets."""
+        """Whether a batch with this request keeps the limits, and no deadline is before a latency target."""
         deadline = min(batch.deadline, request.deadline)
         return (
             batch.cost + total_cost <= request.limits.max_tokens
@@ -222,7 +224,7 @@
         return step
 
     def next_time(self) -> float | None:
-        """When `tick` should be called next."""
+        """Returns when `tick` is due next; None if no batch is open."""
         return min(self.flush_at.values(), default=None)
 
     def client_disconnected(self, request: BatchedRequest) -> Step:
@@ -246,7 +248,7 @@
     def batch_served(
         self, batch: InputBatch, sent: list[tuple[BatchedRequest, int]], results: dict[int, Any]
     ) -> Step:
-        """A batch has ended with all results of its last attempt."""
+        """Ends a batch whose last attempt returned all missing results."""
         step = Step()
         self._end_batch(batch)
         self.add_results(batch, sent, results)
@@ -261,7 +263,7 @@
             step.results.append(RequestResult(request))
 
     def batch_failed(self, now: float, batch: InputBatch, failure: BatchFailure) -> Step:
-        """A batch has ended without all results: missing inputs are sent again, or their requests fail."""
+        """Ends a batch without all results: missing inputs are sent again, or their requests fail."""
         step = Step()
         self._end_batch(batch)
         for request, indices in batch.missing_inputs_by_request():
@@ -277,7 +279,7 @@
         return step
 
     def input_rejected(self, batch: InputBatch, message: str) -> Step:
-        """An engine has rejected an input of a batch as invalid."""
+        """Ends a batch of which an engine rejected an input as invalid."""
         step = Step()
         self._end_batch(batch)
         was_shared = len(batch.requests()) > 1  # counts ended requests: theirs may be the invalid input
--- a/worksmux/consensus/raft.py
+++ b/worksmux/consensus/raft.py
@@ -2,9 +2,9 @@
 
     output = raft.step(now, raft_input)
 
-The core is free of I/O and clock. Times are milliseconds. `output.writes` have to reach the disk in order.
-`output.messages` may be sent only once these writes, and all before them, are on disk; `WritesSynced` then
-reports that. `raft.due` is when the next `Tick` is due.
+The core does no I/O and reads no clock. Times are milliseconds. `output.writes` have to reach the disk in
+order. `output.messages` may be sent only once these writes, and all before them, are on disk; `WritesSynced`
+then reports that. `raft.due` is when the next `Tick` is due.
 
 Leases rest on one rule: within an election timeout of its last contact with a leader, a server votes for no
 other. A restart counts as contact. So a leader that a majority answered within that time, counted from when
--- a/worksmux/consensus/replica.py
+++ b/worksmux/consensus/replica.py
@@ -1,4 +1,4 @@
-"""A node's replica of the committed state, and its lease on it. Free of I/O and clock.
+"""A node's replica of the committed state, and its lease on it. Does no I/O and reads no clock.
 
     output = replica.step(now, replica_input)
 
--- a/worksmux/failover/planner.py
+++ b/worksmux/failover/planner.py
@@ -63,7 +63,7 @@
         self._shed_share = 0.0  # of all requests of all zones
 
     def update(self, report: FleetReport) -> Plan | None:
-        """Applies previous report of all nodes; returns the new plan, or None if the plan stays."""
+        """Applies one report of all nodes; returns the new plan, or None if the plan stays."""
         if not report.nodes:
             return None
         self.zones.update(report)
@@ -215,7 +215,7 @@
 
 
 def _is_similar(previous: dict[str, Shares], other: dict[str, Shares]) -> bool:
-    """Reports whether all shares are close; a share that only previous side has is always a difference."""
+    """Reports whether all shares are close; a share on one side only is always a difference."""
     return previous.keys() == other.keys() and all(_are_close(previous[key], other[key]) for key in previous)
 
 
--- a/worksmux/fakes/clients.py
+++ b/worksmux/fakes/clients.py
@@ -286,7 +286,7 @@
         return self.random_source.uniform(*span)
 
     def _make_text(self, name: str, span: tuple[float, float]) -> str:
-        """A text in one of the sample languages, with a byte length worth a token count from the range."""
+        """Makes a text in a random sample language, as long as a random token count from the range."""
         length = int(self._uniform(span) * chat.BYTES_PER_TOKEN)
         sample = SAMPLE_TEXTS[self.random_source.randrange(len(SAMPLE_TEXTS))]
         words = f"{name} " + sample * (1 + length // len(sample))
--- a/worksmux/fakes/engine.py
+++ b/worksmux/fakes/engine.py
@@ -263,10 +263,10 @@
             prefix_tokens.append(total_tokens)
         if self.tokenizer is not None:  # count the rendered prompt, to check the gateway's count
             rendered = render([(message.role, chat.text_of(message.content)) for message in request.messages])
-            guessed_tokens = prompt_tokens
+            estimated_tokens = prompt_tokens
             prompt_tokens = float(len(tokens(self.tokenizer, rendered)) // 4)
             prefix_tokens = [
-                tokens_so_far * prompt_tokens / guessed_tokens for tokens_so_far in prefix_tokens
+                tokens_so_far * prompt_tokens / estimated_tokens for tokens_so_far in prefix_tokens
             ]
             counted_by_gateway = exchange.header(calls.PROMPT_TOKENS)
             if counted_by_gateway is not None:
--- a/worksmux/fault_trial/fleet.py
+++ b/worksmux/fault_trial/fleet.py
@@ -1,7 +1,7 @@
 """A small fleet for tests: gateway processes with a disk folder each and relays between all of them.
 
-Registry, engines and clients run in the test's own process.  The test iterates the reactor itself, so that it
-reads from top to bottom: wait `until` a condition holds, then inject the next fault.  `close` kills the
+Registry, engines and clients run in the test's own process.  The test iterates the reactor itself, so that
+its steps are in order: it waits `until` a condition holds, then injects the next fault.  `close` kills the
 gateways through their handles, also when a test fails.
 """
 
@@ -220,7 +220,7 @@
             path = self.folder / f"{name}.kdl"
             path.write_text(self.settings(gateway))
 
-            def line(text: bytes, gateway: GatewayHandle = gateway) -> None:
+            def on_line(text: bytes, gateway: GatewayHandle = gateway) -> None:
                 try:
                     record = msgspec.json.decode(text)
                 except msgspec.DecodeError:
@@ -238,7 +238,7 @@
                 self.reactor,
                 ["-m", "worksmux", "serve", str(path)],
                 self.folder / f"{name}.log",
-                line,
+                on_line,
                 lambda _: None,
             )
 
--- a/worksmux/fault_trial/runner.py
+++ b/worksmux/fault_trial/runner.py
@@ -122,7 +122,7 @@
         self.counts: dict[str, int] = {}
 
     def run(self) -> dict[str, Any]:
-        """Plays the scenario and returns the report of its audit; raises FaultTrialError."""
+        """Runs the scenario and returns the report of its audit; raises FaultTrialError."""
         self.reactor.callWhenRunning(self._begin)
         self.reactor.run()
         if self.error:
@@ -162,7 +162,7 @@
         path = self.folder / f"engine-{handle.engine.id}.jsonl"
         spec = engine_spec(self.scenario, handle.engine, str(path), handle.port, cold, handle.starts)
 
-        def line(text: bytes) -> None:
+        def on_line(text: bytes) -> None:
             port = engine_port(text)
             if port is not None:
                 handle.port = port
@@ -179,7 +179,7 @@
             self.reactor,
             ["-m", "worksmux.fakes.engine", msgspec.json.encode(spec).decode()],
             self.folder / f"engine-{handle.engine.id}.log",
-            line,
+            on_line,
             lambda code: ended(code),
         )
         handle.child = child
@@ -248,7 +248,7 @@
             )
         )
 
-        def line(text: bytes) -> None:
+        def on_line(text: bytes) -> None:
             if self.network and b'"peers"' in text and b'"fleet"' in text:
                 self.network.gateway_started(gateway.name, msgspec.json.decode(text))
             ports = gateway_ports(text)
@@ -265,7 +265,7 @@
             self.reactor,
             ["-m", *module_args, "serve", str(path)],
             self.folder / f"{gateway.name}.log",
-            line,
+            on_line,
             lambda code: ended(code),
         )
         gateway.child, gateway.should_run = child, True
@@ -538,14 +538,14 @@
     keep: Path | None = None,
     counting: bool = True,
 ) -> dict[str, Any]:
-    """Plays one scenario with one policy and returns the report.
+    """Runs one scenario with one policy and returns the report.
 
-    The records stay in `keep`.  Without `keep`, they are removed if every rule was kept.
+    The records stay in `keep`.  Without `keep`, they are removed if the audit found no violation.
     """
     folder = keep or Path(tempfile.mkdtemp(prefix="worksmux-day-"))
     folder.mkdir(parents=True, exist_ok=True)
     if any(folder.glob("*.jsonl")):
-        raise FaultTrialError(f"{folder} holds the records of another run; name an empty folder")
+        raise FaultTrialError(f"{folder} contains the records of another run; choose an empty folder")
     report = {
         "day": scenario.name,
         "policy": policy,
--- a/worksmux/gateway/endpoint_cache.py
+++ b/worksmux/gateway/endpoint_cache.py
@@ -158,9 +158,9 @@
             self._probe(line)
 
     def _entry(self, endpoint: CachedEndpoint) -> EndpointEntry | None:
-        """The endpoint as the policy is given it; None while it is only an address to probe.
+        """Returns the endpoint's entry for the policy; None while its address is only probed.
 
-        The policy does not know such an endpoint.
+        The policy has not been given such an endpoint.
         """
         line, state = endpoint.line, endpoint.status.listed_state
         if state == "gone" and line.id not in self.engine_list.list_reader.known:
--- a/worksmux/gateway/fleet/consensus_disk.py
+++ b/worksmux/gateway/fleet/consensus_disk.py
@@ -128,8 +128,8 @@
             identity = self._discard(identity, error)
         if identity is None:
             identity = StoredIdentity(secrets.token_hex(DISK_ID_BYTES), 0)
-        # The count of starts is lost with the disk. Other nodes would ignore a generation below the newest
-        # one that they know; the seconds of the clock are above nearly every count.
+        # The count of starts is lost with the disk, and other nodes ignore a generation below the newest one
+        # that they know. The seconds since 1970 are above nearly every count, so they are the minimum.
         identity.generation = max(identity.generation + 1, int(time.time()))
         self._write({IDENTITY_TABLE: {IDENTITY_KEY: msgspec.msgpack.encode(identity)}})
         if self.saved.entries:
@@ -205,7 +205,8 @@
         """Logs the first failure of a series."""
         if not self._failing:
             LOG.error(
-                "consensus state cannot be written to disk; this node's voter takes no part until it is",
+                "consensus state cannot be written to disk; "
+                "this node's voter takes no part in consensus until it can be",
                 file=str(self.path),
                 error=str(error),
             )
--- a/worksmux/gateway/fleet/peering.py
+++ b/worksmux/gateway/fleet/peering.py
@@ -50,7 +50,7 @@
 from .zone_reports import ZoneReports
 
 LOG = structlog.get_logger()
-REPLICA_SEED = 2  # random stream of the core
+REPLICA_SEED = 2  # random stream of the replica
 UNKNOWN_GROUP = "?"  # announced by a group member that has not applied the group's id yet
 
 
@@ -67,7 +67,7 @@
         assert fleet is not None
         self.settings, self.fleet = settings, fleet
         self._core, self._reactor = core, reactor
-        self.state_mismatches = 0  # status_by_key by the replica; the voter counts its own
+        self.state_mismatches = 0  # found by the replica; the voter counts its own
         self.on_superseded: Callable[[], None] = lambda: None
         self._closed = False
         self._timers = CoreTimers(reactor)
@@ -75,7 +75,7 @@
 
         disk = ConsensusDisk(Path(fleet.disk), reactor.callFromThread)
         for note in disk.notes:
-            LOG.warning("fault status_by_key while opening the consensus state", note=note)
+            LOG.warning("fault found while opening the consensus state", note=note)
         self.transport.generation = disk.identity.generation
         self.voter = ConsensusVoter(settings.name, fleet, reactor, seed, disk, self._timers, self._send)
         self.voter.on_step = self._on_voter_step
--- a/worksmux/gateway/serve.py
+++ b/worksmux/gateway/serve.py
@@ -66,7 +66,7 @@
     def __init__(
         self, settings: GatewaySettings, reactor: Reactor, make_policy: PolicyFactory | None = None
     ) -> None:
-        """`make_policy` builds the policy instead of the one that the settings name."""
+        """Builds all parts; without `make_policy`, the settings name the policy."""
         self.settings, self.reactor = settings, reactor
         self.metrics = Metrics()
         seed = settings.seed if settings.seed is not None else secrets.randbits(SEED_BITS)
@@ -271,9 +271,9 @@
 
 
 def run(path: str) -> int:
-    """Runs a gateway with the settings at `path` until SIGTERM; the exit code is 1 if the policy failed.
+    """Runs a gateway with the settings at `path` until SIGTERM; returns the exit code.
 
-    Raises SettingsError and TokenizerFormatError.
+    The exit code is 1 if the start or the policy failed.  Raises SettingsError and TokenizerFormatError.
     """
     settings = load_gateway_settings(path)
     reactor = the_reactor()
--- a/worksmux/gateway/stage.py
+++ b/worksmux/gateway/stage.py
@@ -53,13 +53,13 @@
         """Takes the body of a 200 response; returns whether all results are present."""
 
     def served(self) -> None:
-        """All results are present."""
+        """Ends a batch whose results are all present."""
 
     def input_rejected(self, message: str) -> None:
-        """The engine rejected the input with this message."""
+        """Ends a batch whose input the engine rejected with this message."""
 
     def failed(self, is_rejected: bool) -> None:
-        """No engine served the batch; `is_rejected` if it was not executed, else possibly executed."""
+        """Ends a batch that no engine served; without `is_rejected` it was possibly executed."""
 
 
 class BatchCall(EngineCall):
--- a/worksmux/gateway/vectors.py
+++ b/worksmux/gateway/vectors.py
@@ -62,8 +62,8 @@
     ) -> None:
         """Numbers the request classes of the dispatchers and builds the planner.
 
-        `first_admission_number` is the index of the dispatchers' first request class in the admission
-        controller, where theirs follow those of chat.  Without `tokens` lengths are estimated from bytes.
+        The admission controller numbers the request classes of chat first; `first_admission_number` is its
+        number of the dispatchers' first request class.  Without `tokens` lengths are estimated from bytes.
         """
         self.admission = admission
         self.open_requests: dict[VectorRequest, None] = {}
@@ -118,9 +118,9 @@
         except errors.InvalidRequestError as error:
             metrics.not_accepted("bad job")
             return exchange.answer(error.status, error.body)
-        self._take(request)
+        self._accept(request)
 
-    def _take(self, request: VectorRequest) -> None:
+    def _accept(self, request: VectorRequest) -> None:
         """Accepts a request, which gets exactly one final answer, and passes it to admission."""
         self.open_requests[request] = None
         self._core.metrics.arrived(request.vector_class.settings.name)
--- a/worksmux/gossip/probing.py
+++ b/worksmux/gossip/probing.py
@@ -100,8 +100,8 @@
     def end_period(self, now: float, output: Output) -> None:
         """Suspects the node whose probe was not answered, and schedules the next period.
 
-        A node whose own network is broken would blame all others. Helpers that do not even send a Nack are a
-        sign of that, so each of them lowers this node's own health (Lifeguard, LHA-Probe).
+        A node whose own network is broken would suspect all others. Helpers that do not even send a Nack are
+        a sign of that, so each of them lowers this node's own health (Lifeguard, LHA-Probe).
         """
         probe, self.probe = self.probe, None
         if probe is not None and not probe.answered:
--- a/worksmux/net/channel.py
+++ b/worksmux/net/channel.py
@@ -28,8 +28,8 @@
 class Channel(http.HTTPChannel):
     """One connection.  The limit of a request's head is on the sum of its lines.
 
-    Failure: after an error in a head, Twisted's channel goes on to parse the rest of the received data, and
-    takes it for the end of a valid request.  `discarding` is set with the error response, and each method
+    Failure: after an error in a head, Twisted's channel continues to parse the received data, and takes the
+    rest for the end of a valid request.  `discarding` is set with the error response, and each method
     that Twisted calls with data checks it.
     """
 
@@ -40,7 +40,7 @@
 
     discarding = False  # rejected or closed: data that still arrives is discarded
     closing = False  # this side is closed
-    truncated = False  # closed by `Exchange.truncate`: data not yet sent need not be
+    truncated = False  # closed by `Exchange.truncate`: unsent data may be discarded
     pipelined_bytes = 0  # received after the open request
     busy = False  # a complete request waits for its answer
     receiving = False  # a part of a request has arrived
@@ -81,13 +81,13 @@
         super().dataReceived(data)
 
     def _limit_pipelining(self) -> None:
-        """Closes the connection with the answer, or at once: the client sent too much after its request."""
+        """Closes the connection after the answer, or at once if the client pipelines far too much."""
         self.persistent = False
         if self.pipelined_bytes > MAX_BODY_OVERRUN * self.factory.max_body_bytes:
             self._tcp.abortConnection()
 
     def _start_receiving(self) -> None:
-        """The first data of a request has arrived."""
+        """Marks the connection as receiving when the first data of a request has arrived."""
         self.receiving = True
         if self.has_answered:  # the first request's time limit runs from the start of the connection
             self.since_ms = clock.now()
--- a/worksmux/net/client.py
+++ b/worksmux/net/client.py
@@ -258,8 +258,9 @@
     def release(self, connection: Connection) -> None:
         """Makes a connection idle after the reactor has read from it once more.
 
-        Failure: an engine sends a second response right after the first; the next call takes it for its own,
-        and a client gets the answer of another.  One more read finds the data, and the connection is closed.
+        Failure: an engine sends a second response right after the first; the next call takes it for its own
+        response, and a client gets another client's answer.  One more read finds the data, and the connection
+        is closed.
         """
         if not self.max_idle:
             return connection.drop()
--- a/worksmux/net/connection.py
+++ b/worksmux/net/connection.py
@@ -19,7 +19,7 @@
 from .request_writer import RequestWriter
 from .response_parser import BodyEnd, add_header_line, body_framing, parse_chunk_size, parse_status_line
 
-FIRST_FINAL_STATUS = 200  # lower ones, such as 100 Continue, come before the response
+FIRST_FINAL_STATUS = 200  # lower ones, such as 100 Continue, precede the final response
 SWITCHING_PROTOCOLS = 101
 
 
@@ -34,26 +34,26 @@
         """Takes the next bytes of the body."""
 
     def done(self) -> None:
-        """The response is complete."""
+        """Handles the end of a complete response."""
 
     def failed(self, error: CallError) -> None:
-        """The call ends without a complete response."""
+        """Handles the end of a call without a complete response."""
 
 
 class ConnectionOwner(Protocol):
-    """The pool of a connection, as far as the connection uses it."""
+    """The attributes and methods of a pool that its connections use."""
 
     max_head_bytes: int
     max_chunk_bytes: int
 
     def response_started(self, receiver: ResponseReceiver) -> None:
-        """The head of a final response has arrived."""
+        """Records that the head of a final response has arrived."""
 
     def release(self, connection: Connection) -> None:
-        """The connection has no call and may be used again."""
+        """Takes back a connection that has no call and may be used again."""
 
     def forget(self, connection: Connection) -> None:
-        """The connection ends."""
+        """Removes a connection that has ended."""
 
 
 class ReadState(Enum):
@@ -105,7 +105,7 @@
     def send(self, data: bytes, receiver: ResponseReceiver) -> None:
         """Writes an encoded request."""
         self._expect_response()
-        self._head_bytes = 0  # of all heads of a response: the number of 1xx heads is not limited otherwise
+        self._head_bytes = 0  # of all heads of a response: nothing else limits the number of 1xx heads
         self.receiver = receiver
         self._writer = RequestWriter(self._tcp, data)
 
@@ -114,7 +114,7 @@
         self._tcp.setTcpNoDelay(True)
 
     def has_no_unread_data(self) -> bool:
-        """Whether the socket has neither unread data nor a close that the reactor has not seen."""
+        """Whether the socket has no unread data and the remote side has not closed the connection."""
         try:
             self._tcp.getHandle().recv(1, MSG_PEEK)
         except BlockingIOError:
--- a/worksmux/net/eviction.py
+++ b/worksmux/net/eviction.py
@@ -7,7 +7,7 @@
 from itertools import count
 from typing import NamedTuple, Protocol
 
-MAX_ENTRIES_PER_CONNECTION = 4  # outdated entries are removed beyond this and the spare ones
+MAX_ENTRIES_PER_CONNECTION = 4  # outdated entries are removed beyond this plus SPARE_ENTRIES
 SPARE_ENTRIES = 64
 
 
@@ -17,7 +17,7 @@
     since_ms: float
 
     def eviction_rank(self) -> int:
-        """The connection with the highest rank is closed first; one with rank 0 never."""
+        """Returns the rank: the connection with the highest one is closed first, one with rank 0 never."""
 
 
 class _Entry(NamedTuple):
@@ -45,8 +45,8 @@
         self._numbers = count()
 
     def take(self, newest: Evictable) -> Evictable:
-        """The connection to close; `newest` only if there is no other, as it had no time to send anything."""
-        passed_over = []
+        """Returns the connection to close: `newest` only if there is no other, as it had no time to send."""
+        skipped = []
         chosen = newest
         while self._entries:
             entry = heapq.heappop(self._entries)
@@ -55,8 +55,8 @@
             if entry.connection is not newest:
                 chosen = entry.connection
                 break
-            passed_over.append(entry)
-        for entry in passed_over:
+            skipped.append(entry)
+        for entry in skipped:
             heapq.heappush(self._entries, entry)
         return chosen
 
--- a/worksmux/policy/endpoint_index.py
+++ b/worksmux/policy/endpoint_index.py
@@ -66,9 +66,9 @@
     def _split_by_plan(
         all_engines: list[Engine], ready_engines: list[Engine], plan: FailoverPlan | None
     ) -> tuple[list[Engine], dict[Engine, None]]:
-        """Returns the engines that the plan includes, and the excluded ones that still rank as a home.
+        """Returns the engines that the plan includes, and the excluded ones that stay in the ranking.
 
-        Excluded engines stay in the ranking so that the home zone of a request is still known.
+        They stay because the home zone of a request is the zone of its first-ranked engine.
         """
         if plan is None or not plan.zone_shares:
             return ready_engines, {}
--- a/worksmux/policy/outlier_detection.py
+++ b/worksmux/policy/outlier_detection.py
@@ -232,8 +232,8 @@
 
     def forget(self, engine: Engine) -> None:
         """Forgets an engine that has left the fleet."""
-        for known_good in (self.failed, *self.known_good):
-            known_good.pop(engine, None)
+        for engines in (self.failed, *self.known_good):
+            engines.pop(engine, None)
 
     def restore(self, event: StateRestored) -> None:
         """Restores the ejections and known-good engines saved before a restart."""
--- a/worksmux/policy/prefill_order.py
+++ b/worksmux/policy/prefill_order.py
@@ -120,7 +120,7 @@
         if plan and len(ranking):
             planned, moved = self._order_by_plan(list(ranking), plan, prefix_hash)
             ranking = Ranking(len(planned), iter(planned))
-            # Outside its home zone one engine caches a prefix: more would evict the prefixes at home there.
+            # Outside its home zone only one engine caches a prefix: more would evict prefixes at home there.
             cached_count = min(cached_count, 1) if moved else self._cached_engine_count(request, ranking)
         preferred = sorted(
             ranking.ranked_slice(0, cached_count),
@@ -153,7 +153,7 @@
         """Reorders all engines: those known to serve the request class come first."""
         known_good, preferred_set = self._outliers.all_known_good(request.request_class), set(preferred)
         prefill_capable = self._context.index.prefill_capable_set
-        known_good_behind = rank(
+        known_good_not_preferred = rank(
             prefix_hash,
             [
                 engine
@@ -163,7 +163,7 @@
         )
         return chain(
             (engine for engine in preferred if engine in known_good),
-            known_good_behind,
+            known_good_not_preferred,
             (engine for engine in preferred if engine not in known_good),
             (engine for engine in remaining if engine not in known_good),
         )
--- a/worksmux/policy/prefill_probing.py
+++ b/worksmux/policy/prefill_probing.py
@@ -80,7 +80,7 @@
         return self._context.index.cold_engines if is_exempt else NO_ENGINES
 
     def only_known_idle(self, request: Request) -> bool:
-        """Whether of all engines only those that have just answered a check may be used."""
+        """Whether only engines that have just answered a check may be used."""
         return (
             self.needs_known_idle(request)
             and not self._context.index.combined_engines
@@ -88,7 +88,7 @@
         )
 
     def checks_unanswered(self, request: Request) -> bool:
-        """Whether checks for the request are long unanswered, so that all the checked engines have queues."""
+        """Whether the request's checks have waited so long that all the checked engines must have queues."""
         oldest_check_at = min(request.checked_engines.values(), default=inf)
         return self._context.now - oldest_check_at > TOLERATED_WAIT_SHARE * self._context.shortest_target_ms
 
--- a/worksmux/policy/router.py
+++ b/worksmux/policy/router.py
@@ -3,8 +3,8 @@
     router = Router(settings, seed)
     actions = router.decide(now, events)  # once for each batch of events, in order of arrival
 
-The router dispatches events; each rule is in the module of its name in this package.  A router knows only
-its own events: in a large fleet it sends an engine less than one attempt in the time that a fault lasts.
+The router dispatches events; each rule is in the module of its name in this package.  A router learns
+of faults only from its own events; in a large fleet it sends an engine less than one attempt during a fault.
 Times are milliseconds.
 """
 
--- a/worksmux/policy/slow_start.py
+++ b/worksmux/policy/slow_start.py
@@ -31,7 +31,7 @@
         self._budget: float = settings.slow_start_share * settings.overload_multiple * BUDGET_SHARE
         self.prefill_credit = 0.0  # requests that cold prefill engines together may be sent
         self._cold_prefill_share = 0.0  # share of all prefills that is due to cold prefill engines
-        # By role: what an engine would have earned that is due all requests of the role.
+        # By role: the earnings of an imaginary engine whose share is all requests of the role.
         self._earned: dict[str, float] = defaultdict(float)
         self._settled: dict[Engine, float] = {}  # by cold engine: the part of `_earned` already in its credit
 
@@ -45,7 +45,7 @@
         engine.slow_start_credit = credit
 
     def leave(self, engine: Engine) -> None:
-        """Settles an engine whose share or role may change; `set_cold` tells whether it is still cold."""
+        """Settles an engine whose share or role may change; it earns again once it is in `set_cold`."""
         self.settle(engine)
         self._settled.pop(engine, None)
 
