--- a/tests/test_gateway_rules.py
+++ b/tests/test_gateway_rules.py
@@ -160,4 +160,4 @@
     rig.reactor.callLater(1.5, rig.reactor.stop)
     rig.run()
     places = [holding for holding in load(tmp_path).claims if holding.resource == "place"]
-    assert places and all(holding.why == "release" for holding in places)
+    assert places and all(holding.reason == "release" for holding in places)
--- a/worksmux/checker/__init__.py
+++ b/worksmux/checker/__init__.py
@@ -1,2 +1,1 @@
-"""Checks the five rules from what clients, engines and registry recorded, never from the front's own
-words."""
+"""Checks the five rules from the journals of clients, engines and registry, never from a gateway's log."""
--- a/worksmux/checker/records.py
+++ b/worksmux/checker/records.py
@@ -1,5 +1,7 @@
-"""Lays the journals of clients, engines, registry and runner side by side: tries, trips, holdings, what was
-told."""
+"""Merges the journals of clients, engines, registry and runner into records of one run.
+
+The records hold client attempts, gateways' attempts at engines, claims on engines and endpoint updates.
+"""
 
 from __future__ import annotations
 
@@ -13,12 +15,12 @@
 from ..fakes.journal import read
 
 Line = dict[str, Any]
-TURNED_AWAY = frozenset({"full", "state_lost", "draining"})
+REFUSALS = frozenset({"full", "state_lost", "draining"})
 
 
 @dataclass(slots=True)
 class AttemptRecord:
-    """One trip as its engine saw it."""
+    """One attempt of a gateway, as its engine recorded it."""
 
     engine: str
     role: str
@@ -26,108 +28,118 @@
     cell: int
     request: str
     gateway: str
-    try_id: str
+    client_attempt_id: str
     request_class: str
     received_at_ms: float
-    end: float | None = None
+    ended_at_ms: float | None = None
     outcome: str = ""
-    made: int = 0
-    plan: str = ""  # that its front acted on, where fronts decide in common
+    tokens_generated: int = 0
+    plan: str = ""  # the failover plan that its gateway acted on; empty without a fleet
 
     @property
     def may_have_run(self) -> bool:
-        return self.role != "read" and self.outcome not in TURNED_AWAY
+        """Whether the engine may have executed the request, so that a repeat may be a second execution."""
+        return self.role != "read" and self.outcome not in REFUSALS
 
 
 @dataclass(slots=True)
-class TryRecord:
-    """One try as its client saw it."""
+class ClientAttempt:
+    """One attempt of a client, as the client recorded it."""
 
     id: str
     request: str
     request_class: str
     effect: str
-    front: str
-    sent: float
-    left: float
-    first: float | None = None
+    gateway: str
+    sent_at_ms: float
+    time_left_ms: float
+    first_token_at_ms: float | None = None
     answers: list[tuple[float, str]] = field(default_factory=list)
-    odd: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class Claim:
-    """State or a place held for a job at an engine."""
+    """KV cache or a decode slot that an engine holds for a request."""
 
     engine: str
     request: str
-    front: str
+    gateway: str
     resource: str
-    since: float
-    until: float | None = None
-    why: str = ""
+    since_ms: float
+    until_ms: float | None = None
+    reason: str = ""
 
 
 @dataclass(slots=True)
 class EndpointHistory:
-    """What one front was told of one engine, in order."""
+    """The states of one engine that the registry sent to one gateway, in order."""
 
     times: list[float] = field(default_factory=list)
     states: list[tuple[str, float]] = field(default_factory=list)
 
-    def at(self, time: float) -> tuple[float, str, float] | None:
-        """When, which state and which start were last told by then."""
-        at = bisect_right(self.times, time) - 1
-        return (self.times[at], *self.states[at]) if at >= 0 else None
+    def latest(self, time_ms: float) -> tuple[float, str, float] | None:
+        """The last update up to `time_ms`: when it was sent, the state, and the engine's start."""
+        index = bisect_right(self.times, time_ms) - 1
+        return (self.times[index], *self.states[index]) if index >= 0 else None
 
 
 @dataclass
 class Records:
-    tries: dict[str, TryRecord] = field(default_factory=dict)
-    requests: list[Line] = field(default_factory=list)  # ends of clients' jobs
+    """All records of one run."""
+
+    client_attempts: dict[str, ClientAttempt] = field(default_factory=dict)
+    requests: list[Line] = field(default_factory=list)  # the clients' lines "job ended"
     attempts: list[AttemptRecord] = field(default_factory=list)
     claims: list[Claim] = field(default_factory=list)
-    reservation_requests: list[tuple[float, str, str, str]] = field(
-        default_factory=list
-    )  # time, engine, front, job
+    # Time, engine, gateway and request of each reservation of a decode slot.
+    reservation_requests: list[tuple[float, str, str, str]] = field(default_factory=list)
     endpoint_histories: dict[tuple[str, str], EndpointHistory] = field(
         default_factory=lambda: defaultdict(EndpointHistory)
     )
-    token_counts: list[tuple[str, int, int]] = field(
-        default_factory=list
-    )  # job, tokens by front and by engine
+    # The request, and its tokens as the gateway and as the engine counted them.
+    token_counts: list[tuple[str, int, int]] = field(default_factory=list)
     overload_failures: list[tuple[float, str]] = field(default_factory=list)
-    killed_fronts: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
-    frozen_fronts: dict[str, list[tuple[float, float]]] = field(default_factory=lambda: defaultdict(list))
-    cuts: dict[tuple[str, str], list[tuple[float, float]]] = field(default_factory=lambda: defaultdict(list))
-    end: float = 0.0
+    gateway_kills: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
+    gateway_freezes: dict[str, list[tuple[float, float]]] = field(default_factory=lambda: defaultdict(list))
+    # By gateway and engine: the spans in which nothing gets through between them.
+    link_outages: dict[tuple[str, str], list[tuple[float, float]]] = field(
+        default_factory=lambda: defaultdict(list)
+    )
+    end_ms: float = 0.0
     journal_lines: list[Line] = field(default_factory=list)
 
     @property
-    def by_try(self) -> dict[str, list[AttemptRecord]]:
-        found: dict[str, list[AttemptRecord]] = defaultdict(list)
+    def by_client_attempt(self) -> dict[str, list[AttemptRecord]]:
+        """The attempts, grouped by the client attempt that they serve."""
+        groups: dict[str, list[AttemptRecord]] = defaultdict(list)
         for attempt in self.attempts:
-            found[attempt.try_id].append(attempt)
-        return found
+            groups[attempt.client_attempt_id].append(attempt)
+        return groups
 
     @property
     def by_request(self) -> dict[str, list[AttemptRecord]]:
-        found: dict[str, list[AttemptRecord]] = defaultdict(list)
+        """The attempts, grouped by request."""
+        groups: dict[str, list[AttemptRecord]] = defaultdict(list)
         for attempt in self.attempts:
-            found[attempt.request].append(attempt)
-        return found
-
-    def killed_between(self, front: str, start: float, end: float) -> bool:
-        """Or frozen: neither can answer or let go."""
-        return any(start <= time <= end for time in self.killed_fronts.get(front, ())) or self.frozen_between(
-            front, start, end
+            groups[attempt.request].append(attempt)
+        return groups
+
+    def unavailable_between(self, gateway: str, start_ms: float, end_ms: float) -> bool:
+        """Whether the gateway was killed or frozen in the span: it can neither answer nor release claims."""
+        return any(
+            start_ms <= time_ms <= end_ms for time_ms in self.gateway_kills.get(gateway, ())
+        ) or self.frozen_between(gateway, start_ms, end_ms)
+
+    def frozen_between(self, gateway: str, start_ms: float, end_ms: float) -> bool:
+        """Whether the gateway was frozen for a part of the span."""
+        return any(
+            start_ms <= until_ms and since_ms <= end_ms
+            for since_ms, until_ms in self.gateway_freezes.get(gateway, ())
         )
 
-    def frozen_between(self, front: str, start: float, end: float) -> bool:
-        return any(start <= until and since <= end for since, until in self.frozen_fronts.get(front, ()))
-
     def trace(self, *names: str) -> list[str]:
-        """All that was recorded of a job, a try or an engine, in order of time."""
+        """The journal lines about these requests, client attempts or engines, in order of time."""
         wanted = {name for name in names if name}
         return [
             f"{line['t']:.1f} {line['who']}: {line['what']} "
@@ -138,7 +150,7 @@
 
 
 def load(folder: Path) -> Records:
-    """Reads every journal of a run; raises FileNotFoundError where there is none."""
+    """Reads every journal of a run; raises FileNotFoundError if the folder has none."""
     files = sorted(folder.glob("*.jsonl"))
     if not files:
         raise FileNotFoundError(f"no journal (*.jsonl) in {folder}")
@@ -146,154 +158,171 @@
 
 
 def gather(lines: Iterable[Line]) -> Records:
-    found = Records(journal_lines=sorted(lines, key=lambda line: float(line["t"])))
+    """Builds the records of a run from the lines of its journals, in any order."""
+    records = Records(journal_lines=sorted(lines, key=lambda line: float(line["t"])))
     open_attempts: dict[str, AttemptRecord] = {}
-    open_holdings: dict[tuple[str, str, str], Claim] = {}
+    open_claims: dict[tuple[str, str, str], Claim] = {}
     engines: dict[str, Line] = {}
-    listed: dict[str, dict[str, str]] = defaultdict(dict)
-    for line in found.journal_lines:
-        found.end = max(found.end, float(line["t"]))
-        _engine_line(found, line, engines, open_attempts, open_holdings)
-        _client_line(found, line)
-        _other_line(found, line, listed, open_holdings)
-    return found
+    listed_states: dict[str, dict[str, str]] = defaultdict(dict)
+    for line in records.journal_lines:
+        records.end_ms = max(records.end_ms, float(line["t"]))
+        _add_engine_line(records, line, engines, open_attempts, open_claims)
+        _add_client_line(records, line)
+        _add_other_line(records, line, listed_states, open_claims)
+    return records
 
 
-def _engine_line(
-    found: Records,
+def _add_engine_line(
+    records: Records,
     line: Line,
     engines: dict[str, Line],
     open_attempts: dict[str, AttemptRecord],
-    holdings: dict[tuple[str, str, str], Claim],
+    open_claims: dict[tuple[str, str, str], Claim],
 ) -> None:
-    time, who = float(line["t"]), str(line["who"])
+    """Adds a line of an engine's journal; a line of another source changes nothing."""
+    time_ms, engine = float(line["t"]), str(line["who"])
     match line["what"]:
         case "start":
-            engines[who] = line
-            _close_all(who, time, holdings, open_attempts)
+            engines[engine] = line
+            _end_all(engine, time_ms, open_claims, open_attempts)
         case "got":
-            place = engines[who]
+            start_line = engines[engine]
             attempt = AttemptRecord(
-                who,
-                place["role"],
-                place["zone"],
-                place["cell"],
+                engine,
+                start_line["role"],
+                start_line["zone"],
+                start_line["cell"],
                 line["job"],
                 line["front"],
                 line["try"],
                 line["offering"],
-                time,
+                time_ms,
                 plan=str(line.get("plan", "")),
             )
             open_attempts[line["trip"]] = attempt
-            found.attempts.append(attempt)
-            _close(holdings, who, line["job"], "place", time, "taken")
+            records.attempts.append(attempt)
+            _end_claim(open_claims, engine, line["job"], "place", time_ms, "taken")
         case "end" if line["trip"] in open_attempts:
             attempt = open_attempts.pop(line["trip"])
-            attempt.end, attempt.outcome, attempt.made = time, line["how"], int(line.get("made", 0))
+            attempt.ended_at_ms, attempt.outcome, attempt.tokens_generated = (
+                time_ms,
+                line["how"],
+                int(line.get("made", 0)),
+            )
         case "held" | "placed":
-            what = "state" if line["what"] == "held" else "place"
-            holding = Claim(who, line["job"], line["front"], what, time)
-            holdings[who, line["job"], what] = holding
-            found.claims.append(holding)
+            resource = "state" if line["what"] == "held" else "place"
+            claim = Claim(engine, line["job"], line["front"], resource, time_ms)
+            open_claims[engine, line["job"], resource] = claim
+            records.claims.append(claim)
         case "pulled" | "freed":
-            _close(holdings, who, line["job"], "state", time, line.get("why", "pulled"))
+            _end_claim(open_claims, engine, line["job"], "state", time_ms, line.get("why", "pulled"))
         case "unplaced":
-            _close(holdings, who, line["job"], "place", time, line["why"])
-        case "release":  # the front has let go, whatever the engine makes of it
-            _close(holdings, who, line["job"], "state", time, "release")
-            _close(holdings, who, line["job"], "place", time, "release")
+            _end_claim(open_claims, engine, line["job"], "place", time_ms, line["why"])
+        case "release":  # ends the gateway's claim, whether or not the engine frees anything
+            _end_claim(open_claims, engine, line["job"], "state", time_ms, "release")
+            _end_claim(open_claims, engine, line["job"], "place", time_ms, "release")
         case "place asked":
-            found.reservation_requests.append((time, who, line["front"], line["job"]))
+            records.reservation_requests.append((time_ms, engine, line["front"], line["job"]))
         case "counted":
-            found.token_counts.append((line["job"], line["by_front"], line["own"]))
+            records.token_counts.append((line["job"], line["by_front"], line["own"]))
         case "fell":
-            found.overload_failures.append((time, who))
-            _close_all(who, time, holdings, open_attempts)
+            records.overload_failures.append((time_ms, engine))
+            _end_all(engine, time_ms, open_claims, open_attempts)
         case _:
             pass
 
 
-def _close(
-    holdings: dict[tuple[str, str, str], Claim], who: str, request: str, what: str, time: float, why: str
+def _end_claim(
+    open_claims: dict[tuple[str, str, str], Claim],
+    engine: str,
+    request: str,
+    resource: str,
+    time_ms: float,
+    reason: str,
 ) -> None:
-    holding = holdings.pop((who, request, what), None)
-    if holding:
-        holding.until, holding.why = time, why
+    """Ends an open claim; does nothing if there is none."""
+    claim = open_claims.pop((engine, request, resource), None)
+    if claim:
+        claim.until_ms, claim.reason = time_ms, reason
 
 
-def _close_all(
-    who: str, time: float, holdings: dict[tuple[str, str, str], Claim], attempts: dict[str, AttemptRecord]
+def _end_all(
+    engine: str,
+    time_ms: float,
+    open_claims: dict[tuple[str, str, str], Claim],
+    open_attempts: dict[str, AttemptRecord],
 ) -> None:
-    """The process at `who` is no more: what it held is gone and its trips broke."""
-    for key in [key for key in holdings if key[0] == who]:
-        _close(holdings, *key, time, "died")
-    for name in [name for name, attempt in attempts.items() if attempt.engine == who]:
-        attempt = attempts.pop(name)
-        attempt.end, attempt.outcome = time, "died"
-
-
-def _client_line(found: Records, line: Line) -> None:
-    time = float(line["t"])
-    one = found.tries.get(str(line.get("try_id", "")))
+    """Ends all claims and attempts of an engine whose process has ended."""
+    for key in [key for key in open_claims if key[0] == engine]:
+        _end_claim(open_claims, *key, time_ms, "died")
+    for name in [name for name, attempt in open_attempts.items() if attempt.engine == engine]:
+        attempt = open_attempts.pop(name)
+        attempt.ended_at_ms, attempt.outcome = time_ms, "died"
+
+
+def _add_client_line(records: Records, line: Line) -> None:
+    """Adds a line of the clients' journal; a line of another source changes nothing."""
+    time_ms = float(line["t"])
+    client_attempt = records.client_attempts.get(str(line.get("try_id", "")))
     match line["what"]:
         case "try":
-            found.tries[line["try_id"]] = TryRecord(
+            records.client_attempts[line["try_id"]] = ClientAttempt(
                 line["try_id"],
                 line["job"],
                 line["offering"],
                 line["effect"],
                 line["front"],
-                time,
+                time_ms,
                 line["left"],
             )
-        case "first token" if one:
-            one.first = time
-        case "answer" if one:
-            one.answers.append((time, line["how"]))
-        case "after the end" | "wrong text" if one:
-            one.odd.append(line["what"])
+        case "first token" if client_attempt:
+            client_attempt.first_token_at_ms = time_ms
+        case "answer" if client_attempt:
+            client_attempt.answers.append((time_ms, line["how"]))
+        case "after the end" | "wrong text" if client_attempt:
+            client_attempt.violations.append(line["what"])
         case "job ended":
-            found.requests.append(line)
+            records.requests.append(line)
         case _:
             pass
 
 
-def _other_line(
-    found: Records,
+def _add_other_line(
+    records: Records,
     line: Line,
-    listed: dict[str, dict[str, str]],
-    holdings: dict[tuple[str, str, str], Claim],
+    listed_states: dict[str, dict[str, str]],
+    open_claims: dict[tuple[str, str, str], Claim],
 ) -> None:
-    time = float(line["t"])
+    """Adds a line of the registry's or the runner's journal; a line of another source changes nothing."""
+    time_ms = float(line["t"])
     match line["what"]:
         case "told":
-            front, known = line["front"], listed[line["front"]]
+            gateway, known_states = line["front"], listed_states[line["front"]]
             entries = [(name, state, float(started)) for name, state, started in line["engines"]]
-            if line["list"] == "full" and entries:  # an empty list names nobody: a front may doubt it
-                named = {name for name, _, _ in entries}
-                entries += [(name, "gone", 0.0) for name in known if name not in named]
+            if line["list"] == "full" and entries:  # a gateway may ignore an empty list, so it removes nobody
+                listed = {name for name, _, _ in entries}
+                entries += [(name, "gone", 0.0) for name in known_states if name not in listed]
             for name, state, started in entries:
-                known[name] = state
-                told = found.endpoint_histories[front, name]
-                told.times.append(time)
-                told.states.append((state, started))
+                known_states[name] = state
+                history = records.endpoint_histories[gateway, name]
+                history.times.append(time_ms)
+                history.states.append((state, started))
         case "front killed":
-            found.killed_fronts[line["front"]].append(time)
+            records.gateway_kills[line["front"]].append(time_ms)
         case "front frozen":
-            found.frozen_fronts[line["front"]].append((time, float("inf")))
+            records.gateway_freezes[line["front"]].append((time_ms, float("inf")))
         case "front goes on":
-            spans = found.frozen_fronts[line["front"]]
-            spans[-1:] = [(since, time) for since, _ in spans[-1:]]
-        case "swallows" | "resets":  # by front and engine: when nothing gets through
-            source, _, to = line["relay"].partition(">")
-            spans = found.cuts[source, to]
+            spans = records.gateway_freezes[line["front"]]
+            spans[-1:] = [(since_ms, time_ms) for since_ms, _ in spans[-1:]]
+        case "swallows" | "resets":
+            source, _, target = line["relay"].partition(">")
+            spans = records.link_outages[source, target]
             if spans and spans[-1][1] == float("inf"):
-                spans[-1] = spans[-1][0], time
+                spans[-1] = spans[-1][0], time_ms
             if line.get("ways") or line.get("on"):
-                spans.append((time, float("inf")))
+                spans.append((time_ms, float("inf")))
         case "engine killed":
-            for key in [key for key in holdings if key[0] == line["engine"]]:
-                _close(holdings, *key, time, "died")
+            for key in [key for key in open_claims if key[0] == line["engine"]]:
+                _end_claim(open_claims, *key, time_ms, "died")
         case _:
             pass
--- a/worksmux/checker/report.py
+++ b/worksmux/checker/report.py
@@ -1,5 +1,4 @@
-"""What a run came to: jobs by their end, credit, trips, and each rule's verdict with its first offender
-traced."""
+"""The report of a run: outcomes, credit, attempts, and the verdict on each rule with its first finding."""
 
 from __future__ import annotations
 
@@ -11,57 +10,60 @@
 from .records import Records
 from .rules import RuleParameters, Verdict, check
 
-TRACE = 40  # lines of a trace that are shown
+MAX_TRACE_LINES = 40
 
 
 def summary(records: Records, parameters: RuleParameters) -> dict[str, Any]:
-    """All figures of a run as plain values."""
+    """All figures of a run as values that JSON can hold."""
     verdicts = check(records, parameters)
-    ends = Counter(request["how"] for request in records.requests)
-    asked = sum(request["asked"] for request in records.requests)
-    firsts = HdrHistogram(1, 600_000, 3)
+    outcomes = Counter(request["how"] for request in records.requests)
+    requested_credit = sum(request["asked"] for request in records.requests)
+    first_token_waits = HdrHistogram(1, 600_000, 3)
     for request in records.requests:
         if request["first"] is not None:
-            firsts.record_value(max(1, round(request["first"])))
-    writing = [attempt for attempt in records.attempts if attempt.role != "read"]
-    reads = {
+            first_token_waits.record_value(max(1, round(request["first"])))
+    decodes = [attempt for attempt in records.attempts if attempt.role != "read"]
+    prefills = {
         attempt.request: attempt
         for attempt in records.attempts
         if attempt.role == "read" and attempt.outcome == "read"
     }
-    moved = [attempt for attempt in writing if attempt.made and attempt.request in reads]
-    out = [attempt for attempt in moved if attempt.cell != reads[attempt.request].cell]
+    transferred = [attempt for attempt in decodes if attempt.tokens_generated and attempt.request in prefills]
+    moved = [attempt for attempt in transferred if attempt.cell != prefills[attempt.request].cell]
     request_classes = sorted({request["offering"] for request in records.requests})
     return {
         "jobs": len(records.requests),
-        "tries": len(records.tries),
-        "unanswered": len({one.request for one in records.tries.values()}) - len(records.requests),
-        "ends": dict(sorted(ends.items())),
-        "delivered_share": _part(ends["delivered"], len(records.requests)),
-        "credit_share": _part(sum(request["credit"] for request in records.requests), asked),
+        "tries": len(records.client_attempts),
+        "unanswered": len({client_attempt.request for client_attempt in records.client_attempts.values()})
+        - len(records.requests),
+        "ends": dict(sorted(outcomes.items())),
+        "delivered_share": _ratio(outcomes["delivered"], len(records.requests)),
+        "credit_share": _ratio(sum(request["credit"] for request in records.requests), requested_credit),
         "credit_by_offering": {
-            name: _part(
+            name: _ratio(
                 sum(request["credit"] for request in records.requests if request["offering"] == name),
                 sum(request["asked"] for request in records.requests if request["offering"] == name),
             )
             for name in request_classes
         },
-        "first_ms": {f"p{at:g}": firsts.get_value_at_percentile(at) for at in (50, 90, 99)},
-        "one_stage": one_stage(records),
-        "trips_a_job": _part(len(records.attempts), len(records.requests)),
+        "first_ms": {
+            f"p{percent:g}": first_token_waits.get_value_at_percentile(percent) for percent in (50, 90, 99)
+        },
+        "one_stage": single_stage_outcomes(records),
+        "trips_a_job": _ratio(len(records.attempts), len(records.requests)),
         "counts": len(records.token_counts),
-        "counts_wrong": sum(front != own for _, front, own in records.token_counts),
-        "drain_last_send_ms": drain_last_send(records),
-        "moved_out_of_cell": _part(len(out), len(moved)),
+        "counts_wrong": sum(by_gateway != by_engine for _, by_gateway, by_engine in records.token_counts),
+        "drain_last_send_ms": max_send_after_drain_ms(records),
+        "moved_out_of_cell": _ratio(len(moved), len(transferred)),
         "engines_fallen": len(records.overload_failures),
-        "fronts_killed": sum(map(len, records.killed_fronts.values())),
-        "rules": [_verdict(records, verdict) for verdict in verdicts],
+        "fronts_killed": sum(map(len, records.gateway_kills.values())),
+        "rules": [_verdict_entry(records, verdict) for verdict in verdicts],
         "kept": all(verdict.kept for verdict in verdicts),
     }
 
 
-def one_stage(records: Records) -> dict[str, int]:
-    """Trips of embeddings and rerank by how they ended at their engines."""
+def single_stage_outcomes(records: Records) -> dict[str, int]:
+    """Counts the attempts of embeddings and rerank requests by their outcome at the engine."""
     return dict(
         sorted(
             Counter(
@@ -73,23 +75,25 @@
     )
 
 
-def drain_last_send(records: Records) -> float:
-    """The longest time from telling a front of a drain to its last new trip there, in milliseconds."""
-    longest = 0.0
+def max_send_after_drain_ms(records: Records) -> float:
+    """The longest time between a gateway's update that an engine drains and its last attempt there."""
+    max_delay_ms = 0.0
     for attempt in records.attempts:
-        told = records.endpoint_histories.get((attempt.gateway, attempt.engine))
-        last = told.at(attempt.received_at_ms) if told else None
-        if last and last[1] == "draining":
-            longest = max(longest, attempt.received_at_ms - last[0])
-    return round(longest, 1)
+        history = records.endpoint_histories.get((attempt.gateway, attempt.engine))
+        latest = history.latest(attempt.received_at_ms) if history else None
+        if latest and latest[1] == "draining":
+            max_delay_ms = max(max_delay_ms, attempt.received_at_ms - latest[0])
+    return round(max_delay_ms, 1)
 
 
-def _part(part: float, whole: float) -> float:
-    return round(part / whole, 4) if whole else 0.0
+def _ratio(part: float, total: float) -> float:
+    """`part / total` to four digits; 0 if the total is 0."""
+    return round(part / total, 4) if total else 0.0
 
 
-def _verdict(records: Records, verdict: Verdict) -> dict[str, Any]:
-    told: dict[str, Any] = {
+def _verdict_entry(records: Records, verdict: Verdict) -> dict[str, Any]:
+    """The report's entry for one rule, with the first finding and the journal lines about it."""
+    entry: dict[str, Any] = {
         "rule": verdict.rule,
         "name": verdict.name,
         "checked": verdict.checked,
@@ -98,5 +102,5 @@
     }
     if verdict.findings:
         text, names = verdict.findings[0]
-        told |= {"first": text, "trace": records.trace(*names)[:TRACE]}
-    return told
+        entry |= {"first": text, "trace": records.trace(*names)[:MAX_TRACE_LINES]}
+    return entry
--- a/worksmux/checker/rules.py
+++ b/worksmux/checker/rules.py
@@ -1,230 +1,273 @@
-"""The five rules, each checked on its own from the records.
+"""The five rules, each checked on its own from the records of a run.
 
-`slack` (milliseconds) allows for the way between two processes and for their own delay in writing a line
-down. Each finding names the job, so that all that was recorded of it can be shown.
+`slack` (milliseconds) allows for the way between two processes and for the delay until each writes its
+journal line.  Each finding names the request or engine, so that the report can show the journal lines about
+it.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-from .records import AttemptRecord, Claim, Records, TryRecord
+from .records import AttemptRecord, Claim, ClientAttempt, Records
 
 
 @dataclass(frozen=True)
 class RuleParameters:
-    """What the rules' words leave to settings; milliseconds."""
-
-    answer_slack: float
-    drain_grace: float
-    release_within: float
-    fall_time: float
-    groups: dict[str, str] = field(default_factory=dict)  # of labelled offerings: all, zone or cell
-    remembered: dict[str, float] = field(default_factory=dict)
+    """The limits of the rules that the settings decide; times in milliseconds."""
+
+    answer_slack_ms: float
+    drain_grace_ms: float
+    release_within_ms: float
+    overload_window_ms: float
+    # Of request classes that are deduplicated: the scope (all, zone or cell), and the window in milliseconds.
+    deduplication_scopes: dict[str, str] = field(default_factory=dict)
+    deduplication_windows: dict[str, float] = field(default_factory=dict)
     slack: float = 60.0
 
 
 @dataclass
 class Verdict:
-    """How one rule fared."""
+    """The result of checking one rule."""
 
     rule: int
     name: str
     checked: int = 0
-    findings: list[tuple[str, tuple[str, ...]]] = field(default_factory=list)  # text; names to trace
+    # The text of each finding, and the names of requests, client attempts and engines to trace.
+    findings: list[tuple[str, tuple[str, ...]]] = field(default_factory=list)
 
     @property
     def kept(self) -> bool:
+        """Whether the run keeps the rule."""
         return not self.findings
 
-    def find(self, text: str, *names: str) -> None:
+    def add_finding(self, text: str, *names: str) -> None:
+        """Adds a violation of the rule; `names` select the journal lines that are shown with it."""
         self.findings.append((text, names))
 
 
 def check(records: Records, parameters: RuleParameters) -> list[Verdict]:
-    """All five verdicts, in order."""
+    """The verdicts on all five rules, in order."""
     return [
-        one_answer(records, parameters),
-        no_effect_twice(records, parameters),
-        drains_kept(records, parameters),
-        no_cold_push(records, parameters),
-        nothing_pinned(records, parameters),
+        check_final_answers(records, parameters),
+        check_duplicate_executions(records, parameters),
+        check_drains(records, parameters),
+        check_cold_engines(records, parameters),
+        check_releases(records, parameters),
     ]
 
 
-def one_answer(records: Records, parameters: RuleParameters) -> Verdict:
-    """Rule 1: one final answer in time, and nothing sent for the job after it."""
-    verdict = Verdict(1, "one final answer", len(records.tries))
-    attempts = records.by_try
-    for one in records.tries.values():
-        names = (one.id, *{attempt.request for attempt in attempts.get(one.id, [])})
-        limit = one.sent + one.left + parameters.answer_slack + parameters.slack
-        end = one.answers[-1][0] if one.answers else records.end
-        dead = records.killed_between(one.front, one.sent - parameters.slack, end + parameters.slack)
-        for odd in one.odd:
-            verdict.find(f"try {one.id}: {odd}", *names)
-        if len(one.answers) != 1:
-            if not dead:
-                verdict.find(f"try {one.id}: {len(one.answers)} answers", *names)
+def check_final_answers(records: Records, parameters: RuleParameters) -> Verdict:
+    """Rule 1: a client attempt gets one final answer in time, and nothing is sent for it after the answer."""
+    verdict = Verdict(1, "one final answer", len(records.client_attempts))
+    attempts = records.by_client_attempt
+    for client_attempt in records.client_attempts.values():
+        names = (client_attempt.id, *{attempt.request for attempt in attempts.get(client_attempt.id, [])})
+        deadline_ms = (
+            client_attempt.sent_at_ms
+            + client_attempt.time_left_ms
+            + parameters.answer_slack_ms
+            + parameters.slack
+        )
+        end_ms = client_attempt.answers[-1][0] if client_attempt.answers else records.end_ms
+        gateway_failed = records.unavailable_between(
+            client_attempt.gateway, client_attempt.sent_at_ms - parameters.slack, end_ms + parameters.slack
+        )
+        for violation in client_attempt.violations:
+            verdict.add_finding(f"client attempt {client_attempt.id}: {violation}", *names)
+        if len(client_attempt.answers) != 1:
+            if not gateway_failed:
+                verdict.add_finding(
+                    f"client attempt {client_attempt.id}: {len(client_attempt.answers)} final answers, not 1",
+                    *names,
+                )
             continue
-        time, how = one.answers[0]
-        if how == "left" and time < one.sent + one.left - parameters.slack:
-            pass  # the client went before the time that it had named
-        elif how in ("left", "reset", "cut") and not dead:
-            verdict.find(f"try {one.id}: no final answer ({how})", *names)
-        elif time > limit and one.first is None:
-            late = time - one.sent - one.left
-            verdict.find(f"try {one.id}: answered {late:.0f} ms after its client's time", *names)
-        for attempt in attempts.get(one.id, []):
-            # A front that was frozen reads that its client has left after what came before that.
-            if attempt.received_at_ms > time + parameters.slack and not records.frozen_between(
-                one.front, one.sent, attempt.received_at_ms
+        time_ms, outcome = client_attempt.answers[0]
+        if (
+            outcome == "left"
+            and time_ms < client_attempt.sent_at_ms + client_attempt.time_left_ms - parameters.slack
+        ):
+            pass  # the client disconnected before the deadline that it had named
+        elif outcome in ("left", "reset", "cut") and not gateway_failed:
+            verdict.add_finding(f"client attempt {client_attempt.id}: no final answer ({outcome})", *names)
+        elif time_ms > deadline_ms and client_attempt.first_token_at_ms is None:
+            late_ms = time_ms - client_attempt.sent_at_ms - client_attempt.time_left_ms
+            verdict.add_finding(
+                f"client attempt {client_attempt.id}: answered {late_ms:.0f} ms after the client's deadline",
+                *names,
+            )
+        for attempt in attempts.get(client_attempt.id, []):
+            # A gateway that was frozen reads the client's disconnection only after the data that came before.
+            if attempt.received_at_ms > time_ms + parameters.slack and not records.frozen_between(
+                client_attempt.gateway, client_attempt.sent_at_ms, attempt.received_at_ms
             ):
-                verdict.find(
-                    f"try {one.id}: sent to {attempt.engine} "
-                    f"{attempt.received_at_ms - time:.0f} ms after the end",
+                verdict.add_finding(
+                    f"client attempt {client_attempt.id}: an attempt reached engine {attempt.engine} "
+                    f"{attempt.received_at_ms - time_ms:.0f} ms after the final answer",
                     *names,
                 )
     return verdict
 
 
-def no_effect_twice(records: Records, parameters: RuleParameters) -> Verdict:
-    """Rule 2: what may have run is not repeated, or only where its offering allows it."""
+def check_duplicate_executions(records: Records, parameters: RuleParameters) -> Verdict:
+    """Rule 2: a request that may have been executed is repeated only where its request class allows it."""
     verdict = Verdict(2, "no effect twice")
-    made: dict[str, list[AttemptRecord]] = {}
-    for try_id, attempts in records.by_try.items():
-        one = records.tries.get(try_id)
-        if one is None or one.effect == "redoable":
+    executions: dict[str, list[AttemptRecord]] = {}
+    for client_attempt_id, attempts in records.by_client_attempt.items():
+        client_attempt = records.client_attempts.get(client_attempt_id)
+        if client_attempt is None or client_attempt.effect == "redoable":
             continue
         verdict.checked += 1
-        ran: list[AttemptRecord] = []
+        executed: list[AttemptRecord] = []
         for attempt in attempts:
             if attempt.role == "read":
                 continue
-            if ran and not _repeat_allowed(one, ran, attempt, parameters):
-                verdict.find(
-                    f"{one.effect} try {one.id}: sent to {attempt.engine}, but {ran[0].engine} may have "
-                    f"run it ({ran[0].outcome or 'no end'})",
-                    one.id,
+            if executed and not _repeat_allowed(client_attempt, executed, attempt, parameters):
+                verdict.add_finding(
+                    f"{client_attempt.effect} client attempt {client_attempt.id}: sent to engine "
+                    f"{attempt.engine}, but engine {executed[0].engine} may have executed it "
+                    f"({executed[0].outcome or 'no end'})",
+                    client_attempt.id,
                     attempt.request,
                 )
             if attempt.may_have_run:
-                ran.append(attempt)
-            if attempt.made:
-                made.setdefault(one.request, []).append(attempt)
-        deferred = any(how == "deferred" for _, how in one.answers)
+                executed.append(attempt)
+            if attempt.tokens_generated:
+                executions.setdefault(client_attempt.request, []).append(attempt)
+        rejected = any(outcome == "deferred" for _, outcome in client_attempt.answers)
         if (
-            ran
-            and deferred
-            and (one.effect == "irreversible" or parameters.groups.get(one.request_class) != "all")
+            executed
+            and rejected
+            and (
+                client_attempt.effect == "irreversible"
+                or parameters.deduplication_scopes.get(client_attempt.request_class) != "all"
+            )
         ):
-            verdict.find(
-                f"{one.effect} try {one.id}: deferred, but {ran[0].engine} may have run it",
-                one.id,
-                ran[0].request,
+            verdict.add_finding(
+                f"{client_attempt.effect} client attempt {client_attempt.id}: rejected, but engine "
+                f"{executed[0].engine} may have executed it",
+                client_attempt.id,
+                executed[0].request,
             )
-    for request, attempts in made.items():
-        one = records.tries[attempts[0].try_id]
-        if one.effect == "irreversible" and len(attempts) > 1:
-            verdict.find(
-                f"irreversible job {request}: ran {len(attempts)} times",
-                *(attempt.try_id for attempt in attempts),
+    for request, attempts in executions.items():
+        client_attempt = records.client_attempts[attempts[0].client_attempt_id]
+        if client_attempt.effect == "irreversible" and len(attempts) > 1:
+            verdict.add_finding(
+                f"irreversible request {request}: executed {len(attempts)} times",
+                *(attempt.client_attempt_id for attempt in attempts),
             )
     return verdict
 
 
 def _repeat_allowed(
-    one: TryRecord, ran: list[AttemptRecord], attempt: AttemptRecord, parameters: RuleParameters
+    client_attempt: ClientAttempt,
+    executed: list[AttemptRecord],
+    attempt: AttemptRecord,
+    parameters: RuleParameters,
 ) -> bool:
-    if one.effect == "irreversible":
+    """Whether a repeat is deduplicated: it is within the scope and the window of the first execution."""
+    if client_attempt.effect == "irreversible":
         return False
-    group = parameters.groups.get(one.request_class, "all")
-    inside = all(
-        group == "all" or other.zone == attempt.zone and (group == "zone" or other.cell == attempt.cell)
-        for other in ran
+    scope = parameters.deduplication_scopes.get(client_attempt.request_class, "all")
+    in_scope = all(
+        scope == "all" or other.zone == attempt.zone and (scope == "zone" or other.cell == attempt.cell)
+        for other in executed
     )
     return (
-        inside
-        and attempt.received_at_ms - ran[0].received_at_ms
-        <= parameters.remembered.get(one.request_class, 0.0) + parameters.slack
+        in_scope
+        and attempt.received_at_ms - executed[0].received_at_ms
+        <= parameters.deduplication_windows.get(client_attempt.request_class, 0.0) + parameters.slack
     )
 
 
-def drains_kept(records: Records, parameters: RuleParameters) -> Verdict:
-    """Rule 3: nothing new, places included, to an engine that the front was told drains or is gone."""
+def check_drains(records: Records, parameters: RuleParameters) -> Verdict:
+    """Rule 3: a gateway sends no attempt or reservation to an engine listed as draining or gone."""
     verdict = Verdict(3, "drains kept")
     sent = [
         (attempt.received_at_ms, attempt.engine, attempt.gateway, attempt.request)
         for attempt in records.attempts
     ]
-    for time, engine, front, request in sent + records.reservation_requests:
-        told = records.endpoint_histories.get((front, engine))
-        last = told.at(time) if told else None
-        if last is None:
+    for time_ms, engine, gateway, request in sent + records.reservation_requests:
+        history = records.endpoint_histories.get((gateway, engine))
+        latest = history.latest(time_ms) if history else None
+        if latest is None:
             continue
         verdict.checked += 1
-        when, state, _ = last
-        late = time - when - parameters.drain_grace - parameters.slack
-        if state != "ready" and late > 0:
-            verdict.find(
-                f"job {request}: {front} sent to {engine}, told '{state}' {time - when:.0f} ms before",
+        listed_at_ms, state, _ = latest
+        late_ms = time_ms - listed_at_ms - parameters.drain_grace_ms - parameters.slack
+        if state != "ready" and late_ms > 0:
+            verdict.add_finding(
+                f"request {request}: gateway {gateway} sent to engine {engine}, listed as '{state}' "
+                f"{time_ms - listed_at_ms:.0f} ms before",
                 request,
             )
     return verdict
 
 
-def no_cold_push(records: Records, parameters: RuleParameters) -> Verdict:
-    """Rule 4: no engine fell over by the work of fronts that were told it had just started."""
+def check_cold_engines(records: Records, parameters: RuleParameters) -> Verdict:
+    """Rule 4: no engine fails of overload by attempts of gateways that knew that it had just started."""
     verdict = Verdict(4, "no cold engine pushed over", len({attempt.engine for attempt in records.attempts}))
-    for time, engine in records.overload_failures:
-        window = [
+    for time_ms, engine in records.overload_failures:
+        recent = [
             attempt
             for attempt in records.attempts
-            if attempt.engine == engine and time - parameters.fall_time <= attempt.received_at_ms <= time
+            if attempt.engine == engine
+            and time_ms - parameters.overload_window_ms <= attempt.received_at_ms <= time_ms
         ]
-        knew = 0
-        for attempt in window:
-            told = records.endpoint_histories.get((attempt.gateway, engine))
-            last = told.at(attempt.received_at_ms) if told else None
-            knew += bool(last and last[2] > 0)
-        if window and knew >= 2 / 3 * len(window):
-            verdict.find(
-                f"engine {engine} fell over: {len(window)} trips in {parameters.fall_time:.0f} ms, "
-                f"{knew} of them from fronts that knew of its start",
+        informed = 0
+        for attempt in recent:
+            history = records.endpoint_histories.get((attempt.gateway, engine))
+            latest = history.latest(attempt.received_at_ms) if history else None
+            informed += bool(latest and latest[2] > 0)
+        if recent and informed >= 2 / 3 * len(recent):
+            verdict.add_finding(
+                f"engine {engine} failed of overload: {len(recent)} attempts in "
+                f"{parameters.overload_window_ms:.0f} ms, {informed} of them from gateways that knew of its "
+                f"start",
                 engine,
             )
     return verdict
 
 
-def nothing_pinned(records: Records, parameters: RuleParameters) -> Verdict:
-    """Rule 5: with no trip out, held state or place is taken or let go in time."""
+def check_releases(records: Records, parameters: RuleParameters) -> Verdict:
+    """Rule 5: while no attempt is open, KV cache or a reserved decode slot is used or released in time."""
     verdict = Verdict(5, "nothing left pinned", len(records.claims))
     attempts = records.by_request
     for claim in records.claims:
-        until = claim.until if claim.until is not None else records.end
-        if records.killed_between(claim.front, claim.since - parameters.slack, until + parameters.slack):
+        until_ms = claim.until_ms if claim.until_ms is not None else records.end_ms
+        if records.unavailable_between(
+            claim.gateway, claim.since_ms - parameters.slack, until_ms + parameters.slack
+        ):
             continue
-        # What lies beyond a cut cannot be let go, and a trip that vanished in one was out all the same: while
-        # its front is cut off from any engine a job is not judged, the time begins when that is over.
-        out = [(attempt.received_at_ms, attempt.end) for attempt in attempts.get(claim.request, [])]
-        out += [span for (front, _), spans in records.cuts.items() if front == claim.front for span in spans]
-        gap = _longest_gap(claim, until, out)
-        if gap > parameters.release_within + parameters.slack:
-            verdict.find(
-                f"job {claim.request}: its {claim.resource} lay at {claim.engine} for {gap:.0f} ms, no "
-                f"trip out ({claim.why or 'to the end'})",
+        # A gateway cannot release a claim across a partition, and an attempt that a partition swallowed was
+        # open all the same.  So the time while the gateway is cut off from any engine does not count, and the
+        # limit starts anew when the partition ends.
+        busy_spans = [
+            (attempt.received_at_ms, attempt.ended_at_ms) for attempt in attempts.get(claim.request, [])
+        ]
+        busy_spans += [
+            span
+            for (gateway, _), spans in records.link_outages.items()
+            if gateway == claim.gateway
+            for span in spans
+        ]
+        gap_ms = _longest_gap_ms(claim, until_ms, busy_spans)
+        if gap_ms > parameters.release_within_ms + parameters.slack:
+            verdict.add_finding(
+                f"request {claim.request}: its {claim.resource} was held at engine {claim.engine} for "
+                f"{gap_ms:.0f} ms without an open attempt ({claim.reason or 'to the end'})",
                 claim.request,
             )
     return verdict
 
 
-def _longest_gap(claim: Claim, until: float, out: list[tuple[float, float | None]]) -> float:
-    """The longest time within the claim in which none of the job's trips was out; `out` are their spans."""
-    longest, free_since = 0.0, claim.since
-    for start, over in sorted(out, key=lambda span: span[0]):
-        end = over if over is not None else until
-        if end <= claim.since or start >= until:
+def _longest_gap_ms(claim: Claim, until_ms: float, busy_spans: list[tuple[float, float | None]]) -> float:
+    """The longest time within the claim that none of `busy_spans` covers; a span without an end is open."""
+    longest_ms, idle_since_ms = 0.0, claim.since_ms
+    for start_ms, ended_at_ms in sorted(busy_spans, key=lambda span: span[0]):
+        end_ms = ended_at_ms if ended_at_ms is not None else until_ms
+        if end_ms <= claim.since_ms or start_ms >= until_ms:
             continue
-        longest = max(longest, start - free_since)
-        free_since = max(free_since, end)
-    return max(longest, until - free_since)
+        longest_ms = max(longest_ms, start_ms - idle_since_ms)
+        idle_since_ms = max(idle_since_ms, end_ms)
+    return max(longest_ms, until_ms - idle_since_ms)
