--- a/worksmux/load/__init__.py
+++ b/worksmux/load/__init__.py
@@ -1,1 +1,1 @@
-"""A load generator that keeps to its intended times, and says so when it cannot."""
+"""An open-loop load generator that sends at the intended times and reports when it cannot."""
--- a/worksmux/load/arrivals.py
+++ b/worksmux/load/arrivals.py
@@ -1,8 +1,9 @@
-"""When jobs are due: a Poisson process whose rate ramps, waves and bursts.  Free of I/O; chance is seeded.
+"""Arrival times: a Poisson process whose rate ramps, waves and bursts.
 
-Rates that change are met by thinning (Lewis and Shedler, 1979): arrivals at the highest rate, each kept with
-the part that the rate has at that moment.  Processes that each take an even part of the rate are together the
-whole process.
+The module does no I/O, and its random source is seeded.
+A changing rate is met by thinning (Lewis and Shedler, 1979): arrivals are drawn at the highest rate, and each
+is kept with the probability of the current rate over the highest.  Processes that each take an equal share of
+the rate add up to the same process.
 """
 
 from __future__ import annotations
@@ -15,47 +16,49 @@
 
 @dataclass(frozen=True)
 class Phase:
-    """A stretch of the load; rates in jobs a second, times in milliseconds.
+    """A stretch of the load; rates in requests a second.
 
-    The rate goes from `rate` to `to` in a line, times a wave of height `wave` (0 to 1) and period `every`,
-    times `burst` in the first `burst_for` of each `every`.
+    The rate goes linearly from `rate` to `end_rate`, times a wave of height `wave` (0 to 1) and period
+    `period_ms`, times `burst_factor` in the first `burst_length_ms` of each period.
     """
 
-    length: float
+    length_ms: float
     rate: float
-    to: float
+    end_rate: float
     wave: float = 0.0
-    every: float = 1000.0
-    burst: float = 1.0
-    burst_for: float = 0.0
+    period_ms: float = 1000.0
+    burst_factor: float = 1.0
+    burst_length_ms: float = 0.0
 
-    def at(self, time: float) -> float:
-        """
-        >>> Phase(10.0, 100.0, 200.0).at(5.0), Phase(10.0, 100.0, 100.0, 0.5, 10.0).at(0.0)
+    def rate_at(self, time_ms: float) -> float:
+        """The rate at a time within the phase.
+
+        >>> Phase(10.0, 100.0, 200.0).rate_at(5.0), Phase(10.0, 100.0, 100.0, 0.5, 10.0).rate_at(0.0)
         (150.0, 50.0)
         """
-        rate = self.rate + (self.to - self.rate) * time / self.length
+        rate = self.rate + (self.end_rate - self.rate) * time_ms / self.length_ms
         if self.wave:
-            rate *= 1 - self.wave * cos(2 * pi * time / self.every)
-        if self.burst != 1.0 and time % self.every < self.burst_for:
-            rate *= self.burst
+            rate *= 1 - self.wave * cos(2 * pi * time_ms / self.period_ms)
+        if self.burst_factor != 1.0 and time_ms % self.period_ms < self.burst_length_ms:
+            rate *= self.burst_factor
         return rate
 
     @property
-    def most(self) -> float:
-        return max(self.rate, self.to) * (1 + self.wave) * max(1.0, self.burst)
+    def max_rate(self) -> float:
+        """An upper bound of the phase's rate."""
+        return max(self.rate, self.end_rate) * (1 + self.wave) * max(1.0, self.burst_factor)
 
 
-def arrivals(phases: list[Phase], part: float, seed: int) -> Iterator[float]:
-    """Times of arrival in milliseconds from the start, in order; `part` of the rate."""
-    chance, begin = random.Random(seed), 0.0
+def arrivals(phases: list[Phase], share: float, seed: int) -> Iterator[float]:
+    """Arrival times in milliseconds from the start, in order, at `share` of the rate."""
+    random_source, phase_start_ms = random.Random(seed), 0.0
     for phase in phases:
-        most = phase.most * part / 1000
-        time = 0.0
-        while most > 0:
-            time += chance.expovariate(most)
-            if time >= phase.length:
+        max_rate_per_ms = phase.max_rate * share / 1000
+        time_ms = 0.0
+        while max_rate_per_ms > 0:
+            time_ms += random_source.expovariate(max_rate_per_ms)
+            if time_ms >= phase.length_ms:
                 break
-            if chance.random() * phase.most < phase.at(time):
-                yield begin + time
-        begin += phase.length
+            if random_source.random() * phase.max_rate < phase.rate_at(time_ms):
+                yield phase_start_ms + time_ms
+        phase_start_ms += phase.length_ms
--- a/worksmux/load/generator.py
+++ b/worksmux/load/generator.py
@@ -1,4 +1,7 @@
-"""Runs a load: a process for each part, their figures merged, valid only if they kept to their times."""
+"""Runs a load in several worker processes and merges their reports.
+
+A run is valid only if every worker kept to its intended times.
+"""
 
 from __future__ import annotations
 
@@ -20,52 +23,54 @@
 from .trace import merge
 from .worker import SecondStats, WorkerReport, WorkerTask, histogram
 
-HEAD_START = 1500.0  # milliseconds for the processes to come up
-PERCENTS = (50.0, 90.0, 99.0, 99.9)
+STARTUP_MS = 1500.0  # for the worker processes to start, before the load begins
+PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 
 class LoadError(WorksmuxError):
-    """A process of the generator ended early; the message has its last words."""
+    """A worker process ended early; the message has the end of its error output."""
 
 
-def run(settings: LoadSettings, say: Callable[[str], None], record: Path | None = None) -> dict[str, Any]:
-    """Plays the load and gives its report; raises LoadError."""
-    start = clock.now() + HEAD_START
-    parts = (
-        [record.with_name(f"{record.name}.{part}") for part in range(settings.processes)] if record else []
+def run(
+    settings: LoadSettings, show_progress: Callable[[str], None], record: Path | None = None
+) -> dict[str, Any]:
+    """Runs the load and returns its report; raises LoadError."""
+    start_ms = clock.now() + STARTUP_MS
+    part_paths = (
+        [record.with_name(f"{record.name}.{index}") for index in range(settings.processes)] if record else []
     )
     workers = []
-    for part in range(settings.processes):
-        work = WorkerTask(
+    for index in range(settings.processes):
+        task = WorkerTask(
             settings.targets,
             [astuple(phase) for phase in settings.phases],
             settings.request_classes,
-            part,
+            index,
             settings.processes,
             settings.seed,
-            start,
-            settings.length,
-            settings.time_out,
-            settings.most_open,
-            settings.closed // settings.processes if settings.closed else 0,
+            start_ms,
+            settings.length_ms,
+            settings.timeout_ms,
+            settings.max_open_requests,
+            settings.closed_loop_clients // settings.processes if settings.closed_loop_clients else 0,
             settings.trace,
             settings.speed,
-            str(parts[part]) if parts else "",
+            str(part_paths[index]) if part_paths else "",
         )
-        workers.append(_Part(work, say))
-    finals = [worker.result() for worker in workers]
+        workers.append(_WorkerProcess(task, show_progress))
+    reports = [worker.result() for worker in workers]
     if record is not None:
-        merge(parts, record)
-        for path in parts:
+        merge(part_paths, record)
+        for path in part_paths:
             path.unlink()
-    return report(settings, finals)
+    return report(settings, reports)
 
 
-class _Part:
-    """One process and the thread that reads what it says."""
+class _WorkerProcess:
+    """A worker process and the threads that read its output."""
 
-    def __init__(self, work: WorkerTask, say: Callable[[str], None]) -> None:
-        self.say, self.part = say, work.part
+    def __init__(self, task: WorkerTask, show_progress: Callable[[str], None]) -> None:
+        self.show_progress, self.worker_index = show_progress, task.worker_index
         self.process = subprocess.Popen(
             [sys.executable, "-m", "worksmux.load.worker"],
             stdin=subprocess.PIPE,
@@ -73,91 +78,103 @@
             stderr=subprocess.PIPE,
         )
         assert self.process.stdin is not None
-        self.process.stdin.write(msgspec.json.encode(work))
+        self.process.stdin.write(msgspec.json.encode(task))
         self.process.stdin.close()
-        self.final: WorkerReport | None = None
-        self.words = b""
-        self.reader = threading.Thread(target=self._read, daemon=True)
-        self.errors = threading.Thread(target=self._listen, daemon=True)
-        self.reader.start()
-        self.errors.start()
-
-    def _read(self) -> None:
+        self.final_report: WorkerReport | None = None
+        self.error_output = b""
+        self.report_reader = threading.Thread(target=self._read_reports, daemon=True)
+        self.error_reader = threading.Thread(target=self._read_errors, daemon=True)
+        self.report_reader.start()
+        self.error_reader.start()
+
+    def _read_reports(self) -> None:
+        """Shows each progress report, and keeps the final one."""
         assert self.process.stdout is not None
         for line in self.process.stdout:
-            told = msgspec.json.decode(line, type=WorkerReport)
-            if told.final:
-                self.final = told
+            report = msgspec.json.decode(line, type=WorkerReport)
+            if report.is_final:
+                self.final_report = report
             else:
-                behind = f"; BEHIND by {told.lag:.0f} ms at the worst" if told.lag > 10 else ""
-                self.say(
-                    f"{told.at / 1000:6.1f} s, process {told.part}: {sum(told.ends.values())} ended, "
-                    f"{told.open} open{behind}"
+                behind = f"; BEHIND by up to {report.max_lag_ms:.0f} ms" if report.max_lag_ms > 10 else ""
+                self.show_progress(
+                    f"{report.elapsed_ms / 1000:6.1f} s, process {report.worker_index}: "
+                    f"{sum(report.outcomes.values())} ended, {report.open_requests} open{behind}"
                 )
 
-    def _listen(self) -> None:
+    def _read_errors(self) -> None:
+        """Collects what the process writes to standard error."""
         assert self.process.stderr is not None
-        self.words = self.process.stderr.read()
+        self.error_output = self.process.stderr.read()
 
     def result(self) -> WorkerReport:
+        """Waits for the process and returns its final report; raises LoadError if there is none."""
         self.process.wait()
-        self.reader.join()
-        self.errors.join()
-        if self.final is None:
+        self.report_reader.join()
+        self.error_reader.join()
+        if self.final_report is None:
             raise LoadError(
-                f"process {self.part} ended with {self.process.returncode}: "
-                f"{self.words.decode(errors='replace')[-400:]}"
+                f"load worker process {self.worker_index} ended with exit code {self.process.returncode} and "
+                f"without a final report: {self.error_output.decode(errors='replace')[-400:]}"
             )
-        return self.final
+        return self.final_report
 
 
 def merged(encoded: list[str]) -> Any:
-    """Histograms of several processes as one."""
-    whole = histogram()
-    for one in encoded:
-        whole.add(HdrHistogram.decode(one))
-    return whole
+    """The sum of the encoded histograms of several processes."""
+    total = histogram()
+    for text in encoded:
+        total.add(HdrHistogram.decode(text))
+    return total
 
 
-def quantiles(found: Any) -> dict[str, float]:
-    """In milliseconds."""
-    told = {f"p{percent:g}": found.get_value_at_percentile(percent) / 10 for percent in PERCENTS}
-    return {**told, "max": found.get_max_value() / 10, "count": float(found.get_total_count())}
+def quantiles(distribution: Any) -> dict[str, float]:
+    """Percentiles and maximum of a histogram in milliseconds, and its count."""
+    values = {f"p{percent:g}": distribution.get_value_at_percentile(percent) / 10 for percent in PERCENTILES}
+    return {
+        **values,
+        "max": distribution.get_max_value() / 10,
+        "count": float(distribution.get_total_count()),
+    }
 
 
-def report(settings: LoadSettings, finals: list[WorkerReport]) -> dict[str, Any]:
-    ends: Counter[str] = Counter()
+def report(settings: LoadSettings, reports: list[WorkerReport]) -> dict[str, Any]:
+    """Merges the final reports of the workers and decides whether the run is valid."""
+    outcomes: Counter[str] = Counter()
     seconds: list[SecondStats] = []
-    for told in finals:
-        ends.update(told.ends)
-        for at, second in enumerate(told.seconds):
-            if len(seconds) <= at:
+    for worker in reports:
+        outcomes.update(worker.outcomes)
+        for index, second in enumerate(worker.seconds):
+            if len(seconds) <= index:
                 seconds.append(SecondStats())
-            seconds[at].sent += second.sent
-            seconds[at].ended += second.ended
-            seconds[at].open += second.open
-            seconds[at].lag = max(seconds[at].lag, second.lag)
-    worst = max(told.lag for told in finals)
-    late = [at for at, second in enumerate(seconds) if second.lag > settings.most_lag]
-    unsent = ends.get("not sent: too many open", 0)
-    why = []
-    if late:
-        why.append(
-            f"the generator was up to {worst:.0f} ms behind, over {settings.most_lag:g} ms in "
-            f"{len(late)} of {len(seconds)} seconds, first in second {late[0]}"
+            seconds[index].sent += second.sent
+            seconds[index].ended += second.ended
+            seconds[index].open_requests += second.open_requests
+            seconds[index].max_lag_ms = max(seconds[index].max_lag_ms, second.max_lag_ms)
+    max_lag_ms = max(worker.max_lag_ms for worker in reports)
+    late_seconds = [index for index, second in enumerate(seconds) if second.max_lag_ms > settings.max_lag_ms]
+    unsent = outcomes.get("not sent: too many open", 0)
+    reasons = []
+    if late_seconds:
+        reasons.append(
+            f"the generator was up to {max_lag_ms:.0f} ms behind, over {settings.max_lag_ms:g} ms in "
+            f"{len(late_seconds)} of {len(seconds)} seconds, first in second {late_seconds[0]}"
         )
     if unsent:
-        why.append(f"{unsent} jobs were not sent: {settings.most_open} were open in a process")
+        reasons.append(
+            f"{unsent} requests were not sent: {settings.max_open_requests} were open in a process"
+        )
     return {
         "name": settings.name,
-        "valid": not why,
-        "why": "; ".join(why),
+        "valid": not reasons,
+        "why": "; ".join(reasons),
         "processes": settings.processes,
         "sent": sum(second.sent for second in seconds),
-        "ends": dict(sorted(ends.items())),
-        "first_ms": quantiles(merged([told.first for told in finals])),
-        "whole_ms": quantiles(merged([told.whole for told in finals])),
-        "first_from_send_ms": quantiles(merged([told.from_send for told in finals])),
-        "lag_ms": quantiles(merged([told.lags for told in finals])),
+        "ends": dict(sorted(outcomes.items())),
+        "first_ms": quantiles(merged([worker.first_token_histogram for worker in reports])),
+        "whole_ms": quantiles(merged([worker.answer_histogram for worker in reports])),
+        "first_from_send_ms": quantiles(
+            merged([worker.first_token_from_send_histogram for worker in reports])
+        ),
+        "lag_ms": quantiles(merged([worker.lag_histogram for worker in reports])),
         "seconds": [msgspec.to_builtins(second) for second in seconds],
     }
--- a/worksmux/load/page.py
+++ b/worksmux/load/page.py
@@ -1,4 +1,4 @@
-"""The report of a load as one HTML page with its plots inside."""
+"""The report of a load as one HTML page with embedded plots."""
 
 from __future__ import annotations
 
@@ -15,60 +15,61 @@
 <p class="{kind}">{verdict}</p>
 <table><tr><th></th>{heads}</tr>{rows}</table>
 <p>{ends}</p>
-{pictures}
+{plots}
 </html>
 """
 
 
-def page(told: dict[str, Any]) -> str:
-    """All of the report; a page of its own, without links."""
+def page(report: dict[str, Any]) -> str:
+    """The HTML page of a report; it refers to no other file."""
     names = {
         "first_ms": "first token, from the intended time",
-        "whole_ms": "whole answer, from the intended time",
+        "whole_ms": "complete answer, from the intended time",
         "first_from_send_ms": "first token, from the sending",
-        "lag_ms": "the generator's own lateness",
+        "lag_ms": "the generator's own lag",
     }
-    heads = list(told["first_ms"])
+    heads = list(report["first_ms"])
     rows = "".join(
         f"<tr><th>{escape(name)}, ms</th>"
-        + "".join(f"<td>{told[key][head]:.1f}</td>" for head in heads)
+        + "".join(f"<td>{report[key][head]:.1f}</td>" for head in heads)
         + "</tr>"
         for key, name in names.items()
     )
-    verdict = "The generator kept to its times." if told["valid"] else f"INVALID: {told['why']}."
+    verdict = "The generator kept to its times." if report["valid"] else f"INVALID: {report['why']}."
     return PAGE.format(
-        title=escape(f"Load: {told['name']}"),
-        kind="" if told["valid"] else "bad",
+        title=escape(f"Load: {report['name']}"),
+        kind="" if report["valid"] else "bad",
         verdict=escape(verdict),
         heads="".join(f"<th>{escape(head)}</th>" for head in heads),
         rows=rows,
-        ends=escape("Ends: " + ", ".join(f"{count} {how}" for how, count in told["ends"].items())),
-        pictures="".join(
-            f'<img alt="{escape(name)}" src="data:image/png;base64,{data}">' for name, data in pictures(told)
+        ends=escape("Ends: " + ", ".join(f"{count} {outcome}" for outcome, count in report["ends"].items())),
+        plots="".join(
+            f'<img alt="{escape(name)}" src="data:image/png;base64,{data}">' for name, data in plots(report)
         ),
     )
 
 
-def pictures(told: dict[str, Any]) -> list[tuple[str, str]]:
+def plots(report: dict[str, Any]) -> list[tuple[str, str]]:
+    """The plots over the seconds of the run: title, and PNG in base64."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    found = []
-    for name, series in (
-        ("jobs a second", ("sent", "ended")),
-        ("open jobs", ("open",)),
-        ("lateness of the generator, ms", ("lag",)),
+    encoded_plots = []
+    for title, series in (
+        ("requests a second", ("sent", "ended")),
+        ("open requests", ("open",)),
+        ("lag of the generator, ms", ("lag",)),
     ):
-        picture, plane = pyplot.subplots(figsize=(7, 2.6))
-        for one in series:
-            plane.plot([second[one] for second in told["seconds"]], label=one)
-        plane.set_xlabel("second")
-        plane.set_title(name)
-        plane.legend(fontsize=8)
+        figure, axes = pyplot.subplots(figsize=(7, 2.6))
+        for key in series:
+            axes.plot([second[key] for second in report["seconds"]], label=key)
+        axes.set_xlabel("second")
+        axes.set_title(title)
+        axes.legend(fontsize=8)
         data = BytesIO()
-        picture.savefig(data, dpi=90, bbox_inches="tight")
-        pyplot.close(picture)
-        found.append((name, base64.b64encode(data.getvalue()).decode()))
-    return found
+        figure.savefig(data, dpi=90, bbox_inches="tight")
+        pyplot.close(figure)
+        encoded_plots.append((title, base64.b64encode(data.getvalue()).decode()))
+    return encoded_plots
--- a/worksmux/load/trace.py
+++ b/worksmux/load/trace.py
@@ -1,4 +1,4 @@
-"""Recorded loads: one row a job, in columns (Parquet), written and read in pieces, never whole."""
+"""Recorded loads: Parquet files with one row for each request, written and read in batches."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from ..errors import WorksmuxError
 
-PIECE = 4096
+BATCH_ROWS = 4096
 COLUMNS = pa.schema(
     [
         ("at", pa.float64()),
@@ -26,35 +26,37 @@
 
 
 class TraceFormatError(WorksmuxError):
-    """The file is no recorded load; the message says what is wrong."""
+    """The file is not a recorded load; the message says what is wrong."""
 
 
 class Row(msgspec.Struct):
-    """One job: milliseconds from the start, lengths in tokens; `beginning` names a text that jobs share."""
+    """One request; lengths in tokens.  `prefix` names a text that the prompts of several requests share."""
 
-    at: float
+    arrival_ms: float = msgspec.field(name="at")  # from the start of the load
     request_class: str = msgspec.field(name="offering")
     session: int
-    beginning: str
-    beginning_tokens: float
+    prefix: str = msgspec.field(name="beginning")
+    prefix_tokens: float = msgspec.field(name="beginning_tokens")
     prompt_tokens: float
     answer_tokens: int
 
 
 class Recorder:
-    """Writes beside the path and renames at the end, so that no half trace is ever read as whole."""
+    """Writes a trace beside its path and renames it at the end, so that no partial trace is ever read."""
 
     def __init__(self, path: Path) -> None:
-        self.path, self.beside = path, path.with_name(path.name + ".part")
-        self.writer = pq.ParquetWriter(self.beside, COLUMNS)
+        self.path, self.partial_path = path, path.with_name(path.name + ".part")
+        self.writer = pq.ParquetWriter(self.partial_path, COLUMNS)
         self.rows: list[Row] = []
 
     def add(self, row: Row) -> None:
+        """Adds a row to the current batch, and writes the batch when it is full."""
         self.rows.append(row)
-        if len(self.rows) >= PIECE:
+        if len(self.rows) >= BATCH_ROWS:
             self._flush()
 
     def _flush(self) -> None:
+        """Writes the rows of the current batch."""
         if self.rows:
             rows = [msgspec.to_builtins(row) for row in self.rows]
             columns = {name: [row[name] for row in rows] for name in COLUMNS.names}
@@ -62,19 +64,20 @@
             self.rows = []
 
     def close(self) -> None:
+        """Writes the remaining rows and moves the file to its path."""
         self._flush()
         self.writer.close()
-        self.beside.replace(self.path)
+        self.partial_path.replace(self.path)
 
 
 def read(path: Path, part: int = 0, parts: int = 1, speed: float = 1.0) -> Iterator[Row]:
-    """The rows of every `parts`th session, in the order of the file; raises TraceFormatError."""
+    """Reads the rows of one of `parts` shares of the sessions, in file order; raises TraceFormatError."""
     try:
         file = pq.ParquetFile(path)
         missing = set(COLUMNS.names) - set(file.schema_arrow.names)
         if missing:
             raise TraceFormatError(f"{path}: columns are missing: {', '.join(sorted(missing))}")
-        for batch in file.iter_batches(PIECE, columns=COLUMNS.names):
+        for batch in file.iter_batches(BATCH_ROWS, columns=COLUMNS.names):
             for values in batch.to_pylist():
                 if values["session"] % parts == part:
                     values["at"] /= speed
@@ -84,10 +87,10 @@
 
 
 def merge(paths: list[Path], out: Path) -> None:
-    """Traces of several processes as one, by time; each is read in pieces."""
+    """Merges the traces of several processes by arrival time, in batches."""
     import heapq
 
     recorder = Recorder(out)
-    for row in heapq.merge(*(read(path) for path in paths), key=lambda row: row.at):
+    for row in heapq.merge(*(read(path) for path in paths), key=lambda row: row.arrival_ms):
         recorder.add(row)
     recorder.close()
--- a/worksmux/load/worker.py
+++ b/worksmux/load/worker.py
@@ -1,9 +1,10 @@
-"""One process of the generator: sends each job at its intended time, whatever became of those before.
+"""A worker process of the load generator: sends each request at its intended time, open loop.
 
-`python -m worksmux.load.worker` reads its `WorkerTask` as JSON from standard input and writes a line of JSON
-each second and one at the end.  Delays count from the intended time, so a stall of the front, or of this very
-process, stands in the figures of every job that it made late (the fault otherwise made is called coordinated
-omission); how late the sending itself was is told apart, second by second.
+`python -m worksmux.load.worker` reads a `WorkerTask` as JSON from standard input and writes a `WorkerReport`
+as a line of JSON each second and at the end.  Delays are measured from the intended time, so a stall of the
+gateway or of this process shows in the figures of every request that it delays; a measurement from the time
+of sending would leave it out (coordinated omission).  The lag of the sending itself is reported for each
+second.
 """
 
 from __future__ import annotations
@@ -27,91 +28,94 @@
 from .timer_queue import TimerQueue
 from .trace import Recorder, Row, read
 
-LONGEST = 3_600_000  # milliseconds that a histogram holds, in tenths
-AHEAD = 1000.0  # milliseconds: arrivals are put on the wheel so long before they are due
+MAX_DELAY_MS = 3_600_000  # that a histogram holds; histograms count tenths of a millisecond
+LOOKAHEAD_MS = 1000.0  # arrivals enter the timer queue this long before they are due
 TEXT = "the pump of bench seven was primed at noon and ran dry before the second reading, "
 
 
 class RequestClassLoad(msgspec.Struct):
-    """How one offering is asked; spans are (lowest, highest), times in milliseconds, lengths in tokens."""
+    """The requests of one request class; ranges are (lowest, highest), lengths in tokens."""
 
     name: str
     share: float
     new_tokens: tuple[float, float]
     answer_tokens: tuple[float, float]
     turns: tuple[float, float]
-    think: tuple[float, float]
-    beginnings: int
-    beginning_tokens: float
+    think_ms: tuple[float, float] = msgspec.field(name="think")
+    prefix_count: int = msgspec.field(name="beginnings")
+    prefix_tokens: float = msgspec.field(name="beginning_tokens")
     retries: int
-    wait: tuple[float, float]
-    patience: float  # to a first token
+    retry_delay_ms: tuple[float, float] = msgspec.field(name="wait")
+    patience_ms: float = msgspec.field(name="patience")  # until the first token
 
 
 class WorkerTask(msgspec.Struct):
-    """What one process does."""
+    """The part of a load that one worker process sends."""
 
     targets: list[tuple[str, int]]
     phases: list[tuple[float, float, float, float, float, float, float]]  # see arrivals.Phase
     request_classes: list[RequestClassLoad] = msgspec.field(name="offerings")
-    part: int
-    parts: int
+    worker_index: int = msgspec.field(name="part")
+    worker_count: int = msgspec.field(name="parts")
     seed: int
-    start: float  # on the machine's clock
-    length: float
-    time_out: float
-    most_open: int
-    closed: int = 0  # as many clients that each wait for their answer: the baseline
+    start_ms: float = msgspec.field(name="start")  # on the machine's clock
+    length_ms: float = msgspec.field(name="length")
+    timeout_ms: float = msgspec.field(name="time_out")
+    max_open_requests: int = msgspec.field(name="most_open")
+    # The number of clients that each wait for their answer; 0 for an open loop.
+    closed_loop_clients: int = msgspec.field(name="closed", default=0)
     trace: str = ""
     speed: float = 1.0
     record: str = ""
 
 
 class SecondStats(msgspec.Struct):
-    """One second of sending, as seen from the intended times."""
+    """One second of the load: the requests that were due in it, and those that ended in it."""
 
     sent: int = 0
     ended: int = 0
-    lag: float = 0.0  # the worst
-    open: int = 0
+    max_lag_ms: float = msgspec.field(name="lag", default=0.0)
+    open_requests: int = msgspec.field(name="open", default=0)
 
 
 class WorkerReport(msgspec.Struct):
-    """A line of output; `final` carries the histograms (HDR, in tenths of a millisecond)."""
-
-    part: int
-    at: float
-    ends: dict[str, int]
-    lag: float
-    open: int
-    final: bool = False
-    first: str = ""
-    whole: str = ""
-    from_send: str = ""
-    lags: str = ""
+    """A line of output; the final one has encoded HDR histograms in tenths of a millisecond."""
+
+    worker_index: int = msgspec.field(name="part")
+    elapsed_ms: float = msgspec.field(name="at")
+    outcomes: dict[str, int] = msgspec.field(name="ends")
+    max_lag_ms: float = msgspec.field(name="lag")
+    open_requests: int = msgspec.field(name="open")
+    is_final: bool = msgspec.field(name="final", default=False)
+    first_token_histogram: str = msgspec.field(name="first", default="")
+    answer_histogram: str = msgspec.field(name="whole", default="")
+    first_token_from_send_histogram: str = msgspec.field(name="from_send", default="")
+    lag_histogram: str = msgspec.field(name="lags", default="")
     seconds: list[SecondStats] = []
 
 
 def histogram() -> Any:
-    return HdrHistogram(1, LONGEST * 10, 3)
+    """An empty histogram of delays in tenths of a millisecond."""
+    return HdrHistogram(1, MAX_DELAY_MS * 10, 3)
 
 
-def count(into: Any, ms: float) -> None:
-    into.record_value(max(1, min(LONGEST * 10, round(ms * 10))))
+def count(into: Any, delay_ms: float) -> None:
+    """Counts a delay in a histogram, within the histogram's bounds."""
+    into.record_value(max(1, min(MAX_DELAY_MS * 10, round(delay_ms * 10))))
 
 
 class Request:
-    """One job of one session, from its intended time on."""
+    """One request of a session, with its retries."""
 
     __slots__ = (
         "request_class",
         "session",
         "turns",
-        "beginning",
-        "prompt",
-        "answer",
-        "intended",
-        "tries",
+        "prefix",
+        "prompt_tokens",
+        "answer_tokens",
+        "intended_ms",
+        "attempts",
         "seen",
     )
 
@@ -120,41 +124,43 @@
         request_class: RequestClassLoad,
         session: int,
         turns: int,
-        beginning: str,
-        prompt: float,
-        answer: int,
-        intended: float,
+        prefix: str,
+        prompt_tokens: float,
+        answer_tokens: int,
+        intended_ms: float,
     ) -> None:
-        self.request_class, self.session, self.turns, self.beginning = (
+        self.request_class, self.session, self.turns, self.prefix = (
             request_class,
             session,
             turns,
-            beginning,
+            prefix,
         )
-        self.prompt, self.answer, self.intended = prompt, answer, intended
-        self.tries = 0
+        self.prompt_tokens, self.answer_tokens, self.intended_ms = prompt_tokens, answer_tokens, intended_ms
+        self.attempts = 0
         self.seen = False
 
 
-class Try:
-    """One try on the wire; see `client.ResponseReceiver`."""
+class ClientAttempt:
+    """One attempt of a request; receives the response (see `client.ResponseReceiver`)."""
 
-    def __init__(self, worker: Worker, request: Request, sent: float) -> None:
-        self.worker, self.request, self.sent = worker, request, sent
+    def __init__(self, worker: Worker, request: Request, sent_ms: float) -> None:
+        self.worker, self.request, self.sent_ms = worker, request, sent_ms
         self.status = 0
         self.events: EventParser | None = None
         self.body = bytearray()
-        self.first = 0.0
-        self.code, self.finished, self.over = "", False, False
+        self.first_token_at_ms = 0.0
+        self.error_code, self.stream_complete, self.over = "", False, False
         self.call: client.Call | None = None
-        self.guard: Any = None
+        self.timeout: Any = None
 
     def head_received(self, status: int, headers: dict[str, str]) -> None:
+        """Takes the status, and whether the body is an event stream."""
         self.status = status
         if headers.get("content-type", "").startswith("text/event-stream"):
             self.events = EventParser(2**20)
 
     def body_received(self, data: bytes) -> None:
+        """Notes the first token, an error and the end of an event stream; collects another body."""
         if self.over:
             return
         if self.events is None:
@@ -162,263 +168,336 @@
             return
         for event in self.events.feed(data):
             if event == b"[DONE]":
-                self.finished = True
-            elif not self.first and b'"content"' in event:
-                self.first = clock.now()
+                self.stream_complete = True
+            elif not self.first_token_at_ms and b'"content"' in event:
+                self.first_token_at_ms = clock.now()
             elif b'"error"' in event:
-                self.code = errors.code_of(event) or "error"
+                self.error_code = errors.code_of(event) or "error"
 
     def done(self) -> None:
+        """Ends the attempt after a complete response; a stream without its end marker counts as cut."""
         if self.events is None:
-            self.code = errors.code_of(bytes(self.body)) or f"status {self.status}"
-        self._end(self.code or ("delivered" if self.finished else "cut"))
+            self.error_code = errors.code_of(bytes(self.body)) or f"status {self.status}"
+        self._end(self.error_code or ("delivered" if self.stream_complete else "cut"))
 
-    def failed(self, trouble: client.CallError) -> None:
-        self._end(self.code or ("unreachable" if isinstance(trouble, client.NotSentError) else "reset"))
+    def failed(self, error: client.CallError) -> None:
+        """Ends the attempt after an error of the connection."""
+        self._end(self.error_code or ("unreachable" if isinstance(error, client.NotSentError) else "reset"))
 
-    def late(self) -> None:
-        if not self.over and not self.first:
+    def on_timeout(self) -> None:
+        """Disconnects, as a client whose patience has run out, unless a first token has come."""
+        if not self.over and not self.first_token_at_ms:
             self._end("left")
             if self.call is not None:
                 self.call.abandon()
 
-    def _end(self, how: str) -> None:
+    def _end(self, outcome: str) -> None:
+        """Reports the outcome to the worker, once."""
         if not self.over:
             self.over = True
-            if self.guard is not None and self.guard.active():
-                self.guard.cancel()
-            self.worker.ended(self, how)
+            if self.timeout is not None and self.timeout.active():
+                self.timeout.cancel()
+            self.worker.ended(self, outcome)
 
 
 class Worker:
-    def __init__(self, work: WorkerTask, reactor: Reactor, say: Any) -> None:
-        self.work, self.reactor, self.say = work, reactor, say
-        self.chance = random.Random(work.seed * 1009 + work.part)
+    """Sends the requests of a task and collects their figures."""
+
+    def __init__(self, task: WorkerTask, reactor: Reactor, write_report: Any) -> None:
+        self.task, self.reactor, self.write_report = task, reactor, write_report
+        self.random_source = random.Random(task.seed * 1009 + task.worker_index)
         self.pools = [
-            client.Pool(reactor, host, port, 2000.0, 10_000.0, 256, 65_536) for host, port in work.targets
+            client.Pool(reactor, host, port, 2000.0, 10_000.0, 256, 65_536) for host, port in task.targets
         ]
-        self.wheel: TimerQueue[Request] = TimerQueue()
-        self.first, self.whole, self.from_send, self.lags = (histogram() for _ in range(4))
-        self.ends: Counter[str] = Counter()
+        self.timer_queue: TimerQueue[Request] = TimerQueue()
+        self.first_token_delays, self.answer_delays, self.first_token_delays_from_send, self.lags = (
+            histogram() for _ in range(4)
+        )
+        self.outcomes: Counter[str] = Counter()
         self.seconds: list[SecondStats] = []
-        self.open = self.sessions = self.count = 0
-        self.worst = 0.0
-        self.coming = self._coming()
-        self.next: Request | None = None
-        self.recorder = Recorder(Path(work.record)) if work.record else None
+        self.open_requests = self.sessions = self.attempts_sent = 0
+        self.max_lag_ms = 0.0
+        self.arrivals = self._arrivals()
+        self.next_request: Request | None = None
+        self.recorder = Recorder(Path(task.record)) if task.record else None
         self.over = False
         self.timer: Any = None
 
     def _now(self) -> float:
-        return clock.now() - self.work.start
+        """Milliseconds since the start of the load; negative before it."""
+        return clock.now() - self.task.start_ms
 
     def run(self) -> None:
-        self.next = next(self.coming, None)
-        self.reactor.callLater(max(0.0, -self._now()) / 1000, self._begin)
-
-    def _begin(self) -> None:
-        for _ in range(self.work.closed):
-            self._send(self._new(self._now()))
-        self._turn()
-        self.reactor.callLater(1.0, self._progress)
-
-    # What is to come.
-
-    def _coming(self) -> Iterator[Request]:
-        work = self.work
-        if work.closed:
+        """Schedules the start of the load."""
+        self.next_request = next(self.arrivals, None)
+        self.reactor.callLater(max(0.0, -self._now()) / 1000, self._start)
+
+    def _start(self) -> None:
+        """Starts the clients of a closed loop, the timer and the progress reports."""
+        for _ in range(self.task.closed_loop_clients):
+            self._send(self._new_session(self._now()))
+        self._on_timer()
+        self.reactor.callLater(1.0, self._report_progress)
+
+    # Arrivals.
+
+    def _arrivals(self) -> Iterator[Request]:
+        """The first requests of all sessions, or all requests of a trace, in order of time."""
+        task = self.task
+        if task.closed_loop_clients:
             return
-        if work.trace:
-            by_name = {one.name: one for one in work.request_classes}
-            plain = work.request_classes[0]
-            for row in read(Path(work.trace), work.part, work.parts, work.speed):
-                one = by_name.get(row.request_class, msgspec.structs.replace(plain, name=row.request_class))
+        if task.trace:
+            by_name = {request_class.name: request_class for request_class in task.request_classes}
+            default = task.request_classes[0]
+            for row in read(Path(task.trace), task.worker_index, task.worker_count, task.speed):
+                traced_class = by_name.get(
+                    row.request_class, msgspec.structs.replace(default, name=row.request_class)
+                )
                 yield Request(
-                    one, row.session, 1, row.beginning, row.prompt_tokens, row.answer_tokens, row.at
+                    traced_class,
+                    row.session,
+                    1,
+                    row.prefix,
+                    row.prompt_tokens,
+                    row.answer_tokens,
+                    row.arrival_ms,
                 )
             return
-        turns = sum(one.share * sum(one.turns) / 2 for one in work.request_classes) / sum(
-            one.share for one in work.request_classes
-        )
-        phases = [Phase(*phase) for phase in work.phases]
-        for time in arrivals(phases, 1 / work.parts / turns, work.seed * 1009 + work.part):
-            yield self._new(time)
-
-    def _new(self, intended: float) -> Request:
-        """The first job of a new session."""
-        one = self.chance.choices(
-            self.work.request_classes, [other.share for other in self.work.request_classes]
+        mean_turns = sum(
+            request_class.share * sum(request_class.turns) / 2 for request_class in task.request_classes
+        ) / sum(request_class.share for request_class in task.request_classes)
+        phases = [Phase(*phase) for phase in task.phases]
+        for time_ms in arrivals(
+            phases, 1 / task.worker_count / mean_turns, task.seed * 1009 + task.worker_index
+        ):
+            yield self._new_session(time_ms)
+
+    def _new_session(self, intended_ms: float) -> Request:
+        """The first request of a new session."""
+        chosen_class = self.random_source.choices(
+            self.task.request_classes, [request_class.share for request_class in self.task.request_classes]
         )[0]
         self.sessions += 1
-        beginning = f"lab {self.chance.randrange(one.beginnings)}" if one.beginnings else ""
-        prompt = self.chance.uniform(*one.new_tokens) + (one.beginning_tokens if beginning else 0.0)
-        session = self.sessions * self.work.parts + self.work.part
+        prefix = (
+            f"lab {self.random_source.randrange(chosen_class.prefix_count)}"
+            if chosen_class.prefix_count
+            else ""
+        )
+        prompt_tokens = self.random_source.uniform(*chosen_class.new_tokens) + (
+            chosen_class.prefix_tokens if prefix else 0.0
+        )
+        session = self.sessions * self.task.worker_count + self.task.worker_index
         return Request(
-            one,
+            chosen_class,
             session,
-            round(self.chance.uniform(*one.turns)),
-            beginning,
-            prompt,
-            round(self.chance.uniform(*one.answer_tokens)),
-            intended,
+            round(self.random_source.uniform(*chosen_class.turns)),
+            prefix,
+            prompt_tokens,
+            round(self.random_source.uniform(*chosen_class.answer_tokens)),
+            intended_ms,
         )
 
-    def _turn(self) -> None:
-        """Puts what comes soon on the wheel, and sends what is due."""
+    def _on_timer(self) -> None:
+        """Queues the arrivals within the lookahead, sends the requests that are due, and sets a new timer."""
         now = self._now()
-        while self.next is not None and self.next.intended <= now + AHEAD:
-            self.wheel.put(self.next.intended, self.next)
-            self.next = next(self.coming, None)
-        for timer in self.wheel.due(now):
+        while self.next_request is not None and self.next_request.intended_ms <= now + LOOKAHEAD_MS:
+            self.timer_queue.put(self.next_request.intended_ms, self.next_request)
+            self.next_request = next(self.arrivals, None)
+        for timer in self.timer_queue.due(now):
             self._send(timer.item)
-        at = self.wheel.next_time()
-        wait = min(at if at is not None else now + AHEAD / 2, now + AHEAD / 2) - self._now()
-        if self._ended():
+        next_ms = self.timer_queue.next_time()
+        wait_ms = (
+            min(next_ms if next_ms is not None else now + LOOKAHEAD_MS / 2, now + LOOKAHEAD_MS / 2)
+            - self._now()
+        )
+        if self._is_complete():
             return self._finish()
-        self.timer = self.reactor.callLater(max(0.0, wait) / 1000, self._turn)
+        self.timer = self.reactor.callLater(max(0.0, wait_ms) / 1000, self._on_timer)
 
-    def _ended(self) -> bool:
-        if self.work.closed:
-            return self._now() >= self.work.length and not self.open
-        return self.next is None and not self.wheel.count and not self.open
+    def _is_complete(self) -> bool:
+        """Whether no request is open and none will be sent."""
+        if self.task.closed_loop_clients:
+            return self._now() >= self.task.length_ms and not self.open_requests
+        return self.next_request is None and not self.timer_queue.count and not self.open_requests
 
     # Sending.
 
-    def _second(self, time: float) -> SecondStats:
-        at = max(0, int(time / 1000))
-        while len(self.seconds) <= at:
+    def _second(self, time_ms: float) -> SecondStats:
+        """The figures of the second that holds a time."""
+        index = max(0, int(time_ms / 1000))
+        while len(self.seconds) <= index:
             self.seconds.append(SecondStats())
-        return self.seconds[at]
+        return self.seconds[index]
 
     def _send(self, request: Request) -> None:
+        """Sends an attempt of a request, unless too many requests are open."""
         now = self._now()
-        request.tries += 1
-        if request.tries == 1:
-            lag = now - request.intended
-            count(self.lags, lag)
-            second = self._second(request.intended)
+        request.attempts += 1
+        if request.attempts == 1:
+            lag_ms = now - request.intended_ms
+            count(self.lags, lag_ms)
+            second = self._second(request.intended_ms)
             second.sent += 1
-            second.lag = max(second.lag, lag)
-            self.worst = max(self.worst, lag)
+            second.max_lag_ms = max(second.max_lag_ms, lag_ms)
+            self.max_lag_ms = max(self.max_lag_ms, lag_ms)
             self._record(request)
-        if self.open >= self.work.most_open:  # told, never quietly left out
-            self.ends["not sent: too many open"] += 1
+        if self.open_requests >= self.task.max_open_requests:  # counted, so that the report shows it
+            self.outcomes["not sent: too many open"] += 1
             return
-        self.open += 1
-        one = request.request_class
-        self.count += 1
+        self.open_requests += 1
+        request_class = request.request_class
+        self.attempts_sent += 1
         text = (
-            request.beginning
+            request.prefix
             + " "
-            + TEXT * (1 + int(one.beginning_tokens * chat.BYTES_PER_TOKEN / len(TEXT)))
+            + TEXT * (1 + int(request_class.prefix_tokens * chat.BYTES_PER_TOKEN / len(TEXT)))
         )
-        shared = text[: int(one.beginning_tokens * chat.BYTES_PER_TOKEN)] if request.beginning else ""
-        own = f"{request.session} {self.count} " + TEXT * (
-            1 + int(request.prompt * chat.BYTES_PER_TOKEN / len(TEXT))
+        shared_text = (
+            text[: int(request_class.prefix_tokens * chat.BYTES_PER_TOKEN)] if request.prefix else ""
         )
-        length = max(8, int(request.prompt * chat.BYTES_PER_TOKEN) - len(shared))
-        messages = [{"role": "system", "content": shared}] if shared else []
+        own_text = f"{request.session} {self.attempts_sent} " + TEXT * (
+            1 + int(request.prompt_tokens * chat.BYTES_PER_TOKEN / len(TEXT))
+        )
+        own_length = max(8, int(request.prompt_tokens * chat.BYTES_PER_TOKEN) - len(shared_text))
+        messages = [{"role": "system", "content": shared_text}] if shared_text else []
         body = msgspec.json.encode(
             {
-                "model": one.name,
+                "model": request_class.name,
                 "stream": True,
-                "max_tokens": max(1, request.answer),
-                "messages": [*messages, {"role": "user", "content": own[:length]}],
+                "max_tokens": max(1, request.answer_tokens),
+                "messages": [*messages, {"role": "user", "content": own_text[:own_length]}],
             }
         )
-        trial = Try(self, request, now)
+        attempt = ClientAttempt(self, request, now)
         headers = [
             ("Content-Type", "application/json"),
             (chat.SESSION, f"s{request.session}"),
-            (chat.TIME_LEFT, f"{one.patience:.0f}"),
-            (chat.CLIENT_RETRIES, str(request.tries - 1)),
+            (chat.TIME_LEFT, f"{request_class.patience_ms:.0f}"),
+            (chat.CLIENT_RETRIES, str(request.attempts - 1)),
         ]
-        if request.beginning:
-            headers += [(chat.PREFIX, request.beginning), (chat.PREFIX_TOKENS, str(one.beginning_tokens))]
-        pool = self.pools[(request.session + request.tries) % len(self.pools)]
-        trial.guard = self.reactor.callLater(min(one.patience, self.work.time_out) / 1000, trial.late)
-        trial.call = pool.call("POST", CHAT, trial, headers, body)
+        if request.prefix:
+            headers += [
+                (chat.PREFIX, request.prefix),
+                (chat.PREFIX_TOKENS, str(request_class.prefix_tokens)),
+            ]
+        pool = self.pools[(request.session + request.attempts) % len(self.pools)]
+        attempt.timeout = self.reactor.callLater(
+            min(request_class.patience_ms, self.task.timeout_ms) / 1000, attempt.on_timeout
+        )
+        attempt.call = pool.call("POST", CHAT, attempt, headers, body)
 
     def _record(self, request: Request) -> None:
+        """Adds a request to the recorded trace."""
         if self.recorder is not None:
             self.recorder.add(
                 Row(
-                    request.intended,
+                    request.intended_ms,
                     request.request_class.name,
                     request.session,
-                    request.beginning,
-                    request.request_class.beginning_tokens if request.beginning else 0.0,
-                    request.prompt,
-                    request.answer,
+                    request.prefix,
+                    request.request_class.prefix_tokens if request.prefix else 0.0,
+                    request.prompt_tokens,
+                    request.answer_tokens,
                 )
             )
 
-    def ended(self, one: Try, how: str) -> None:
-        request, now = one.request, self._now()
-        self.open -= 1
-        if how in ("deferred", "unreachable") and request.tries <= request.request_class.retries:
-            self.wheel.put(now + self.chance.uniform(*request.request_class.wait), request)
-            return self._wake()
-        self.ends[how] += 1
+    def ended(self, attempt: ClientAttempt, outcome: str) -> None:
+        """Counts the outcome of an attempt; queues its retry or the next request of its session."""
+        request, now = attempt.request, self._now()
+        self.open_requests -= 1
+        if outcome in ("deferred", "unreachable") and request.attempts <= request.request_class.retries:
+            self.timer_queue.put(
+                now + self.random_source.uniform(*request.request_class.retry_delay_ms), request
+            )
+            return self._reschedule()
+        self.outcomes[outcome] += 1
         self._second(now).ended += 1
-        if how == "delivered":
-            count(self.first, one.first - self.work.start - request.intended)
-            count(self.from_send, one.first - self.work.start - one.sent)
-            count(self.whole, now - request.intended)
-        if self.work.closed:
-            if now < self.work.length:
-                self._send(self._new(now))
-        elif request.turns > 1 and how == "delivered" and now < self.work.length:
-            new = self.chance.uniform(*request.request_class.new_tokens)
-            prompt = request.prompt + request.answer + new
-            again = Request(
+        if outcome == "delivered":
+            count(
+                self.first_token_delays,
+                attempt.first_token_at_ms - self.task.start_ms - request.intended_ms,
+            )
+            count(
+                self.first_token_delays_from_send,
+                attempt.first_token_at_ms - self.task.start_ms - attempt.sent_ms,
+            )
+            count(self.answer_delays, now - request.intended_ms)
+        if self.task.closed_loop_clients:
+            if now < self.task.length_ms:
+                self._send(self._new_session(now))
+        elif request.turns > 1 and outcome == "delivered" and now < self.task.length_ms:
+            new_tokens = self.random_source.uniform(*request.request_class.new_tokens)
+            prompt_tokens = request.prompt_tokens + request.answer_tokens + new_tokens
+            next_turn = Request(
                 request.request_class,
                 request.session,
                 request.turns - 1,
-                request.beginning,
-                prompt,
-                round(self.chance.uniform(*request.request_class.answer_tokens)),
-                now + self.chance.uniform(*request.request_class.think),
+                request.prefix,
+                prompt_tokens,
+                round(self.random_source.uniform(*request.request_class.answer_tokens)),
+                now + self.random_source.uniform(*request.request_class.think_ms),
             )
-            self.wheel.put(again.intended, again)
-        self._wake()
+            self.timer_queue.put(next_turn.intended_ms, next_turn)
+        self._reschedule()
 
-    def _wake(self) -> None:
-        """What was just put on the wheel may be due before the turn that was asked for."""
+    def _reschedule(self) -> None:
+        """Runs the timer at once: a request that was just queued may be due before the timer that is set."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
-            self.timer = self.reactor.callLater(0, self._turn)
-
-    # Telling.
-
-    def _told(self, final: bool = False) -> WorkerReport:
-        told = WorkerReport(self.work.part, self._now(), dict(self.ends), self.worst, self.open, final)
-        if final:
-            told.first, told.whole, told.from_send, told.lags = (
-                one.encode().decode() for one in (self.first, self.whole, self.from_send, self.lags)
+            self.timer = self.reactor.callLater(0, self._on_timer)
+
+    # Reports.
+
+    def _report(self, is_final: bool = False) -> WorkerReport:
+        """The report of the load so far."""
+        report = WorkerReport(
+            self.task.worker_index,
+            self._now(),
+            dict(self.outcomes),
+            self.max_lag_ms,
+            self.open_requests,
+            is_final,
+        )
+        if is_final:
+            (
+                report.first_token_histogram,
+                report.answer_histogram,
+                report.first_token_from_send_histogram,
+                report.lag_histogram,
+            ) = (
+                delays.encode().decode()
+                for delays in (
+                    self.first_token_delays,
+                    self.answer_delays,
+                    self.first_token_delays_from_send,
+                    self.lags,
+                )
             )
-            told.seconds = self.seconds
-        return told
+            report.seconds = self.seconds
+        return report
 
-    def _progress(self) -> None:
+    def _report_progress(self) -> None:
+        """Writes a progress report each second until the load is over."""
         if not self.over:
-            self._second(self._now()).open = self.open
-            self.say(self._told())
-            self.reactor.callLater(1.0, self._progress)
+            self._second(self._now()).open_requests = self.open_requests
+            self.write_report(self._report())
+            self.reactor.callLater(1.0, self._report_progress)
 
     def _finish(self) -> None:
+        """Closes the trace, writes the final report and stops the reactor, once."""
         if not self.over:
             self.over = True
             if self.recorder is not None:
                 self.recorder.close()
-            self.say(self._told(final=True))
+            self.write_report(self._report(is_final=True))
             self.reactor.callLater(0, self.reactor.stop)
 
 
 def main() -> None:
-    work = msgspec.json.decode(sys.stdin.buffer.read(), type=WorkerTask)
+    """Runs the task from standard input."""
+    task = msgspec.json.decode(sys.stdin.buffer.read(), type=WorkerTask)
     reactor = the_reactor()
-    Worker(work, reactor, lambda told: print(msgspec.json.encode(told).decode(), flush=True)).run()
+    Worker(task, reactor, lambda report: print(msgspec.json.encode(report).decode(), flush=True)).run()
     reactor.run()
 
 
