--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -190,7 +190,7 @@
 def test_experiment_runs_are_read_and_written_as_before(tmp_path: Path) -> None:
     pinned = CONTENTS["runs.db"]
     old, new = RunStore(copied("runs.db", tmp_path)), RunStore(tmp_path / "new.db")
-    assert old.rows() == pinned["read"] and old.done() == {"k1", "k2"}
+    assert old.rows() == pinned["read"] and old.completed_keys() == {"k1", "k2"}
     for key, seed, values, figures in pinned["rows"]:
         new.add(key, seed, json.loads(values), json.loads(figures))
     old.close()
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -1,13 +1,20 @@
-"""The search for worst days: stays in its ranges, finds what is planted, makes it small, writes it down."""
+"""The search for scenarios of high regret: its ranges, what it finds, shrinking, and the written file."""
 
 from __future__ import annotations
 
 import random
 from pathlib import Path
 
-from worksmux.experiment.play import play
-from worksmux.experiment.search import LOADS, LONGEST, MOST, CandidateScenario, Search, scenario_file_text
-from worksmux.experiment.worst import one
+from worksmux.experiment.play import simulate_scenario
+from worksmux.experiment.search import (
+    LOAD_FACTORS,
+    MAX_FAULT_SHARE,
+    MAX_FAULTS,
+    CandidateScenario,
+    Search,
+    scenario_file_text,
+)
+from worksmux.experiment.worst import regret_and_credit
 from worksmux.scenarios.scenario import load_scenario, read_scenario
 from worksmux.settings.document import parse
 from worksmux.simulation.day import SUPPORTED_FAULTS
@@ -16,63 +23,68 @@
 BASE = load_scenario(FILE)
 
 
-def planted(days: list[CandidateScenario]) -> list[tuple[float, float]]:
-    """Regret by hangs alone, as much as they last and strike."""
+def hang_regret(candidates: list[CandidateScenario]) -> list[tuple[float, float]]:
+    """A regret that only hangs cause, in proportion to their length and the share of engines that hang."""
     return [
         (
-            sum(trouble.length * trouble.part for trouble in day.faults if trouble.kind == "hang")
+            sum(fault.length * fault.part for fault in candidate.faults if fault.kind == "hang")
             / BASE.length,
             0.5,
         )
-        for day in days
+        for candidate in candidates
     ]
 
 
-def test_every_day_stays_in_its_ranges() -> None:
+def test_every_candidate_stays_in_the_ranges() -> None:
     search = Search(BASE, 1)
     for _ in range(30):
-        days = search.batch(12)
-        for day in days:
-            assert 1 <= len(day.faults) <= MOST and LOADS[0] <= day.load <= LOADS[1]
-            for trouble in day.faults:
+        candidates = search.batch(12)
+        for candidate in candidates:
+            assert (
+                1 <= len(candidate.faults) <= MAX_FAULTS
+                and LOAD_FACTORS[0] <= candidate.load_factor <= LOAD_FACTORS[1]
+            )
+            for fault in candidate.faults:
                 assert (
-                    trouble.kind in SUPPORTED_FAULTS
-                    and trouble.at >= 0
-                    and trouble.length <= LONGEST * BASE.length
+                    fault.kind in SUPPORTED_FAULTS
+                    and fault.at >= 0
+                    and fault.length <= MAX_FAULT_SHARE * BASE.length
                 )
-                assert 0 < trouble.part <= 1
-        search.add_results(days, [(random.Random(1).random(), 0.5) for _ in days])
+                assert 0 < fault.part <= 1
+        search.add_results(candidates, [(random.Random(1).random(), 0.5) for _ in candidates])
 
 
-def test_what_is_planted_is_found_and_all_else_is_left_out() -> None:
+def test_cause_of_regret_is_found_and_other_faults_are_removed() -> None:
     search = Search(BASE, 2)
     for _ in range(40):
-        days = search.batch(12)
-        search.add_results(days, planted(days))
+        candidates = search.batch(12)
+        search.add_results(candidates, hang_regret(candidates))
     worst = search.highest_regret[0]
     assert worst.regret > 0.3
-    small = search.shrink(worst, planted, 40)
-    assert {trouble.kind for trouble in small.faults} == {"hang"} and small.regret >= 0.7 * worst.regret
-    assert small.load <= max(1.0, worst.load)
+    small = search.shrink(worst, hang_regret, 40)
+    assert {fault.kind for fault in small.faults} == {"hang"} and small.regret >= 0.7 * worst.regret
+    assert small.load_factor <= max(1.0, worst.load_factor)
 
 
-def test_same_seed_searches_the_same_days() -> None:
+def test_same_seed_gives_the_same_candidates() -> None:
     assert Search(BASE, 3).batch(20) == Search(BASE, 3).batch(20) != Search(BASE, 4).batch(20)
 
 
-def test_day_that_was_found_is_written_and_plays_as_it_did() -> None:
+def test_written_scenario_file_has_the_faults_and_the_result_of_its_candidate() -> None:
     search = Search(BASE, 5)
-    found = search.fresh()
-    day = read_scenario(parse(scenario_file_text(FILE.read_text(), BASE, found)))
-    wanted = found.day(BASE)
-    assert [(t.kind, t.at, t.length, t.part, t.role, t.zone) for t in day.faults] == [
-        (t.kind, t.at, t.length, t.part, t.role, t.zone) for t in wanted.faults
+    candidate = search.random_candidate()
+    written = read_scenario(parse(scenario_file_text(FILE.read_text(), BASE, candidate)))
+    expected = candidate.scenario(BASE)
+    assert [
+        (fault.kind, fault.at, fault.length, fault.part, fault.role, fault.zone) for fault in written.faults
+    ] == [
+        (fault.kind, fault.at, fault.length, fault.part, fault.role, fault.zone) for fault in expected.faults
     ]
-    assert one(day) == one(wanted)
+    assert regret_and_credit(written) == regret_and_credit(expected)
 
 
-def test_worst_day_that_was_found_keeps_all_rules_and_the_fleet_comes_back() -> None:
-    day = load_scenario(FILE.parent / "worst-restart-day.kdl")
-    found = play(day, True)
-    assert found["rules_broken"] == 0.0 and found["unanswered"] == 0.0
-    assert found["falls"] == 0.0 and found["credit"] > 0.8
+def test_worst_scenario_found_so_far_keeps_all_rules_and_the_fleet_recovers() -> None:
+    scenario = load_scenario(FILE.parent / "worst-restart-day.kdl")
+    figures = simulate_scenario(scenario, True)
+    assert figures["rules_broken"] == 0.0 and figures["unanswered"] == 0.0
+    assert figures["falls"] == 0.0 and figures["credit"] > 0.8
--- a/worksmux/experiment/__init__.py
+++ b/worksmux/experiment/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments on the model of the fleet: sweeps over days, run in parallel, resumed, compared."""
+"""Experiments on the simulated fleet: sweeps over scenarios, run in parallel, resumed, compared."""
--- a/worksmux/experiment/play.py
+++ b/worksmux/experiment/play.py
@@ -1,4 +1,4 @@
-"""One run of an experiment: plays the day in the model and gives its figures as plain numbers."""
+"""One run of an experiment: simulates a scenario and returns its figures as numbers."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 from ..scenarios.scenario import Scenario
 from ..simulation.day import EPOCH_MS, Model
 
-BACK = 0.9  # of the delivered before the first trouble: service counts as whole again
-PERCENT = (50, 90, 99)
+RECOVERED_SHARE = 0.9  # of the rate of served requests before the first fault: service has recovered
+PERCENTILES = (50, 90, 99)
 
 
-def play(day: Scenario, audit: bool) -> dict[str, float]:
-    """Shares are of all jobs, times in milliseconds, `cpu_ms_job` of this process for one job."""
-    model = Model(day, journal=audit)
-    ends: list[tuple[float, str]] = []
-    model.clients.on_end = lambda how, now: ends.append((now - EPOCH_MS - 1000.0, how))
-    start = time.process_time()
+def simulate_scenario(scenario: Scenario, audit: bool) -> dict[str, float]:
+    """Simulates a scenario; shares are of all requests, times in milliseconds, CPU time is this process's."""
+    model = Model(scenario, journal=audit)
+    outcomes: list[tuple[float, str]] = []
+    model.clients.on_end = lambda outcome, now: outcomes.append((now - EPOCH_MS - 1000.0, outcome))
+    cpu_start_s = time.process_time()
     records = model.run()
-    cpu = time.process_time() - start
+    cpu_s = time.process_time() - cpu_start_s
     totals = model.clients.totals
     requests = max(1, totals.requests)
-    firsts = sorted(totals.first_token_waits_ms)
-    fronts = [front for front in model.gateways if front is not None]
-    engines = [engine.counts for engine in model.engines.values()]
-    found = {
+    first_token_waits_ms = sorted(totals.first_token_waits_ms)
+    gateways = [gateway for gateway in model.gateways if gateway is not None]
+    engine_counts = [engine.counts for engine in model.engines.values()]
+    figures = {
         "jobs": float(totals.requests),
         "unanswered": float(model.clients.open_requests),
         "credit": totals.credit / (totals.requested_credit or 1.0),
         **{
-            f"{how}_share": totals.ends.get(name, 0) / requests
-            for how, name in (
+            f"{name}_share": totals.ends.get(outcome, 0) / requests
+            for name, outcome in (
                 ("delivered", "delivered"),
                 ("late", "late"),
                 ("deferred", "deferred"),
@@ -42,50 +42,63 @@
         },
         "other_share": sum(
             count
-            for how, count in totals.ends.items()
-            if how not in ("delivered", "late", "deferred", "broken off")
+            for outcome, count in totals.ends.items()
+            if outcome not in ("delivered", "late", "deferred", "broken off")
         )
         / requests,
         **{
-            f"first_p{at}": firsts[min(len(firsts) - 1, len(firsts) * at // 100)] if firsts else 0.0
-            for at in PERCENT
+            f"first_p{percent}": (
+                first_token_waits_ms[
+                    min(len(first_token_waits_ms) - 1, len(first_token_waits_ms) * percent // 100)
+                ]
+                if first_token_waits_ms
+                else 0.0
+            )
+            for percent in PERCENTILES
         },
         "tries_job": totals.tries / requests,
-        "trips_job": sum(front.counts.attempts for front in fronts) / requests,
-        "probes_job": sum(front.counts.probes for front in fronts) / requests,
-        "unreachable_job": sum(front.counts.unreachable for front in fronts) / requests,
-        "cold_peak": max((one.cold_peak for one in engines), default=0.0),
-        "falls": float(sum(one.falls for one in engines)),
-        "busiest": busiest([float(one.attempts) for one in engines]),
-        "cpu_ms_job": 1000 * cpu / requests,
+        "trips_job": sum(gateway.counts.attempts for gateway in gateways) / requests,
+        "probes_job": sum(gateway.counts.probes for gateway in gateways) / requests,
+        "unreachable_job": sum(gateway.counts.unreachable for gateway in gateways) / requests,
+        "cold_peak": max((counts.cold_peak for counts in engine_counts), default=0.0),
+        "falls": float(sum(counts.falls for counts in engine_counts)),
+        "busiest": max_to_mean([float(counts.attempts) for counts in engine_counts]),
+        "cpu_ms_job": 1000 * cpu_s / requests,
         "memory_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
-        "back_after": back_after(day, ends),
+        "back_after": recovery_time_s(scenario, outcomes),
     }
     if records is not None:
-        found["rules_broken"] = float(sum(not one.kept for one in check(records, rule_parameters(day))))
-    return found
+        figures["rules_broken"] = float(
+            sum(not verdict.kept for verdict in check(records, rule_parameters(scenario)))
+        )
+    return figures
 
 
-def busiest(attempts: list[float]) -> float:
-    """The busiest engine's trips over the mean: a hash that leans shows here."""
+def max_to_mean(attempts: list[float]) -> float:
+    """The busiest engine's attempts over the mean; an uneven hash shows here."""
     return max(attempts) * len(attempts) / sum(attempts) if sum(attempts) else 0.0
 
 
-def back_after(day: Scenario, ends: list[tuple[float, str]]) -> float:
-    """Seconds from the end of the last trouble until as much is delivered as before the first, for two
-    seconds together; -1 where that never comes, 0 where there is no trouble."""
-    if not day.faults:
+def recovery_time_s(scenario: Scenario, outcomes: list[tuple[float, str]]) -> float:
+    """Seconds from the end of the last fault until service has recovered.
+
+    Service has recovered when the rate of served requests is near that before the first fault for two seconds
+    in a row.  The result is -1 if that does not happen, and 0 if there is no fault.
+    """
+    if not scenario.faults:
         return 0.0
-    first = min(one.at for one in day.faults)
-    last = max(one.at + one.length for one in day.faults)
-    good = [time for time, how in ends if how == "delivered"]
-    before = sum(1000.0 <= time < first for time in good) / max(1e-3, (first - 1000.0) / 1000)
-    seconds = int(day.length / 1000)
+    first_fault_ms = min(fault.at for fault in scenario.faults)
+    last_end_ms = max(fault.at + fault.length for fault in scenario.faults)
+    served_ms = [time_ms for time_ms, outcome in outcomes if outcome == "delivered"]
+    rate_before = sum(1000.0 <= time_ms < first_fault_ms for time_ms in served_ms) / max(
+        1e-3, (first_fault_ms - 1000.0) / 1000
+    )
+    seconds = int(scenario.length / 1000)
     rate = [0] * (seconds + 1)
-    for time_ in good:
-        if 0 <= time_ < day.length:
-            rate[int(time_ / 1000)] += 1
-    for second in range(int(last / 1000), seconds - 1):
-        if min(rate[second], rate[second + 1]) >= BACK * before:
-            return max(0.0, second - last / 1000)
+    for time_ms in served_ms:
+        if 0 <= time_ms < scenario.length:
+            rate[int(time_ms / 1000)] += 1
+    for second in range(int(last_end_ms / 1000), seconds - 1):
+        if min(rate[second], rate[second + 1]) >= RECOVERED_SHARE * rate_before:
+            return max(0.0, second - last_end_ms / 1000)
     return -1.0
--- a/worksmux/experiment/runner.py
+++ b/worksmux/experiment/runner.py
@@ -1,4 +1,4 @@
-"""Plays the runs that are not in the book yet, several at once, each in a process of its own."""
+"""Simulates the runs that are not stored yet, several at once, each in a process of its own."""
 
 from __future__ import annotations
 
@@ -9,71 +9,88 @@
 
 from .book import RunStore
 from .plan import Experiment, Run
-from .play import play
+from .play import simulate_scenario
 
 
-def _one(experiment: Experiment, run: Run) -> dict[str, float]:
-    return play(experiment.scenario(run), experiment.journal)
+def _simulate(experiment: Experiment, run: Run) -> dict[str, float]:
+    """Simulates one run, in a worker process."""
+    return simulate_scenario(experiment.scenario(run), experiment.audit)
 
 
-def run_all(experiment: Experiment, book: RunStore, workers: int, say: Callable[[str], None]) -> int:
-    """Plays what is missing and writes each run as it ends; returns how many failed.
+def run_all(
+    experiment: Experiment, store: RunStore, workers: int, show_progress: Callable[[str], None]
+) -> int:
+    """Simulates the runs that are missing and stores each as it ends; returns the number of failed runs.
 
-    A kill loses the runs that are out, nothing else; a process that dies takes its own run along and the rest
-    go on in new ones.
+    If this process is killed, only the runs in progress are lost.  If a worker process dies, one of the
+    runs in progress counts as failed, and the other runs go on in new processes.
     """
     runs = list(experiment.runs())
-    done = book.done()
-    waiting = [run for run in runs if run.key not in done]
-    say(f"{experiment.name}: {len(runs)} runs, {len(runs) - len(waiting)} done before")
+    completed = store.completed_keys()
+    waiting = [run for run in runs if run.key not in completed]
+    show_progress(f"{experiment.name}: {len(runs)} runs, {len(runs) - len(waiting)} done before")
     failed = 0
     while waiting:
-        left, lost = _batch(experiment, book, waiting, workers, say)
-        failed += lost
-        waiting = left
+        remaining, newly_failed = _batch(experiment, store, waiting, workers, show_progress)
+        failed += newly_failed
+        waiting = remaining
     return failed
 
 
 def _batch(
-    experiment: Experiment, book: RunStore, waiting: list[Run], workers: int, say: Callable[[str], None]
+    experiment: Experiment,
+    store: RunStore,
+    waiting: list[Run],
+    workers: int,
+    show_progress: Callable[[str], None],
 ) -> tuple[list[Run], int]:
-    """Plays until all are done or a process has died; what is left, and how many failed."""
-    failed, number, whole = 0, 0, len(waiting)
+    """Simulates until all runs are done or a process has died.
+
+    Returns the remaining runs and the number of failed ones.
+    """
+    failed, finished, total = 0, 0, len(waiting)
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(workers, mp_context=context, max_tasks_per_child=1) as pool:
-        out: dict[Future[dict[str, float]], Run] = {}
-        line = iter(waiting)
+        in_progress: dict[Future[dict[str, float]], Run] = {}
+        queue = iter(waiting)
         try:
             while True:
-                for run in line:
-                    out[pool.submit(_one, experiment, run)] = run
-                    if len(out) >= workers:
+                for run in queue:
+                    in_progress[pool.submit(_simulate, experiment, run)] = run
+                    if len(in_progress) >= workers:
                         break
-                if not out:
+                if not in_progress:
                     return [], failed
-                for future in wait(out, return_when=FIRST_COMPLETED).done:
-                    run = out.pop(future)
-                    number += 1
+                for future in wait(in_progress, return_when=FIRST_COMPLETED).done:
+                    run = in_progress.pop(future)
+                    finished += 1
                     try:
                         figures = future.result()
                     except BrokenProcessPool:
-                        out[future] = run
+                        in_progress[future] = run
                         raise
                     except Exception as error:
                         failed += 1
-                        say(f"{number} of {whole} failed: {_told(run)}: {type(error).__name__}: {error}")
+                        show_progress(
+                            f"{finished} of {total} failed: {_description(run)}: "
+                            f"{type(error).__name__}: {error}"
+                        )
                         continue
-                    book.add(run.key, run.seed, run.values, figures)
-                    say(
-                        f"{number} of {whole}: {_told(run)}: credit {figures['credit']:.3f}, "
-                        f"{figures['cpu_ms_job']:.2f} ms a job"
+                    store.add(run.key, run.seed, run.values, figures)
+                    show_progress(
+                        f"{finished} of {total}: {_description(run)}: credit {figures['credit']:.3f}, "
+                        f"{figures['cpu_ms_job']:.2f} ms of CPU time a request"
                     )
         except BrokenProcessPool:
-            lost = next(iter(out.values()))
-            say(f"a process died in the run {_told(lost)} or beside it; the others go on without it")
-            done = book.done()
-            return [run for run in waiting if run.key not in done and run is not lost], failed + 1
+            lost = next(iter(in_progress.values()))
+            show_progress(
+                f"a worker process died; the run {_description(lost)} was in progress and counts as failed, "
+                f"the other runs go on"
+            )
+            completed = store.completed_keys()
+            return [run for run in waiting if run.key not in completed and run is not lost], failed + 1
 
 
-def _told(run: Run) -> str:
+def _description(run: Run) -> str:
+    """The axis values and seed of a run, for progress messages."""
     return ", ".join(f"{name} {value}" for name, value in run.values) + f", seed {run.seed}"
--- a/worksmux/experiment/search.py
+++ b/worksmux/experiment/search.py
@@ -1,10 +1,11 @@
-"""Looks for days on which the decisions do worst against plain policies, and makes them small.  Free of I/O;
-chance is seeded, and who plays a day is passed in.
+"""Searches for scenarios in which the router does worse than the baseline policies, and shrinks them.
 
-What counts is regret: the best plain policy's credit less the module's.  Credit alone would only find days on
-which nobody could have done well.  Days begin at random within the ranges below, the worst are mutated and
-crossed, and the worst of all is shrunk: troubles are left out, shortened and weakened as long as most of the
-regret stays.
+The search maximizes regret: the credit of the best baseline policy less that of the router.  Low credit alone
+would only find scenarios in which no policy does well.  Candidates start at random within the ranges below,
+those of the highest regret are mutated and crossed, and the one of the highest regret is shrunk: faults are
+removed, shortened and weakened as long as most of the regret remains.
+
+The module does no I/O; its random source is seeded, and the caller passes the function that simulates.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 from ..scenarios.scenario import Scenario, ScenarioFault
 
-KINDS = (
+FAULT_KINDS = (
     "crash",
     "vanish",
     "hang",
@@ -33,11 +34,11 @@
     "heavy-tail",
     "give-up",
 )
-OF_A_ROLE = ("crash", "hang", "slow", "drain")
-LONGEST = 0.5  # of the day: one trouble at most
-MOST = 6  # troubles of a day
-LOADS = (0.5, 2.0)  # times the day's own
-FACTORS = {
+ROLE_FAULT_KINDS = ("crash", "hang", "slow", "drain")
+MAX_FAULT_SHARE = 0.5  # of the scenario's length, for one fault
+MAX_FAULTS = 6
+LOAD_FACTORS = (0.5, 2.0)  # times the request rate of the base scenario
+SEVERITIES = {
     "slow": (1.5, 10.0),
     "burst": (1.2, 4.0),
     "heavy-tail": (2.0, 10.0),
@@ -45,181 +46,203 @@
     "hot-beginning": (200.0, 2000.0),
     "list-stale": (1000.0, 8000.0),
 }
-KEEPS = 0.7  # of the regret must stay while a day is shrunk
-BEAM = 6  # days that are carried on
+MIN_REGRET_SHARE = 0.7  # of the regret that shrinking keeps
+BEAM_WIDTH = 6  # candidates that are kept for mutation and crossing
 
 
 @dataclass(frozen=True)
 class CandidateScenario:
-    """A day's changes to its base, and what they came to."""
+    """Changes to the base scenario, and their regret and the router's credit once simulated."""
 
     faults: tuple[ScenarioFault, ...]
-    load: float
+    load_factor: float
     regret: float = 0.0
     credit: float = 0.0
 
-    def day(self, base: Scenario) -> Scenario:
-        troubles = sorted(self.faults, key=lambda one: one.at)
-        return replace(base, faults=troubles, rate=base.rate * self.load)
+    def scenario(self, base: Scenario) -> Scenario:
+        """The base scenario with the faults and the load of this candidate."""
+        faults = sorted(self.faults, key=lambda fault: fault.at)
+        return replace(base, faults=faults, rate=base.rate * self.load_factor)
 
 
-# Regret and credit of each, in order.
-Players = Callable[[list[CandidateScenario]], list[tuple[float, float]]]
+# Simulates candidates; returns the regret and the credit of each, in order.
+Evaluate = Callable[[list[CandidateScenario]], list[tuple[float, float]]]
 
 
 class Search:
+    """An evolutionary search for scenarios of high regret."""
+
     def __init__(self, base: Scenario, seed: int) -> None:
-        self.base, self.chance = base, random.Random(seed)
+        self.base, self.random_source = base, random.Random(seed)
         self.highest_regret: list[CandidateScenario] = []
         self.evaluated_count = 0
 
-    # What is tried.
+    # Candidates.
 
     def random_fault(self) -> ScenarioFault:
-        """One at random."""
-        chance, base = self.chance, self.base
-        kind = chance.choice(KINDS)
-        length = base.length * LONGEST * chance.uniform(0.05, 1.0)
-        at = chance.uniform(0.1 * base.length, max(0.1 * base.length, base.length - length))
-        zone = chance.choice(base.zones) if kind == "zone-loss" else ""
+        """A fault at random within the ranges."""
+        random_source, base = self.random_source, self.base
+        kind = random_source.choice(FAULT_KINDS)
+        length_ms = base.length * MAX_FAULT_SHARE * random_source.uniform(0.05, 1.0)
+        start_ms = random_source.uniform(0.1 * base.length, max(0.1 * base.length, base.length - length_ms))
+        zone = random_source.choice(base.zones) if kind == "zone-loss" else ""
         return ScenarioFault(
             kind,
-            round(at),
-            round(length),
-            round(chance.uniform(0.05, 0.6), 2),
-            chance.choice(["", "read", "write"]) if kind in OF_A_ROLE else "",
+            round(start_ms),
+            round(length_ms),
+            round(random_source.uniform(0.05, 0.6), 2),
+            random_source.choice(["", "read", "write"]) if kind in ROLE_FAULT_KINDS else "",
             zone,
             -1,
             (),
-            round(chance.uniform(0.2, 1.0), 2),
-            round(chance.uniform(*FACTORS.get(kind, (1.0, 1.0))), 2),
-            chance.choice(base.request_classes).name if kind == "offering-fails" else "",
+            round(random_source.uniform(0.2, 1.0), 2),
+            round(random_source.uniform(*SEVERITIES.get(kind, (1.0, 1.0))), 2),
+            random_source.choice(base.request_classes).name if kind == "offering-fails" else "",
             "",
-            round(min(1000.0, length / 4)),
+            round(min(1000.0, length_ms / 4)),
             0,
         )
 
-    def fresh(self) -> CandidateScenario:
-        count = self.chance.randint(1, MOST)
+    def random_candidate(self) -> CandidateScenario:
+        """A candidate with faults and load at random."""
+        count = self.random_source.randint(1, MAX_FAULTS)
         return CandidateScenario(
-            tuple(self.random_fault() for _ in range(count)), round(self.chance.uniform(*LOADS), 2)
+            tuple(self.random_fault() for _ in range(count)),
+            round(self.random_source.uniform(*LOAD_FACTORS), 2),
         )
 
-    def mutated(self, found: CandidateScenario) -> CandidateScenario:
-        chance, troubles = self.chance, list(found.faults)
-        match chance.randrange(5):
-            case 0 if len(troubles) < MOST:
-                troubles.append(self.random_fault())
-            case 1 if len(troubles) > 1:
-                del troubles[chance.randrange(len(troubles))]
+    def mutated(self, candidate: CandidateScenario) -> CandidateScenario:
+        """The candidate with one change: a fault added, removed, altered or replaced, or another load."""
+        random_source, faults = self.random_source, list(candidate.faults)
+        match random_source.randrange(5):
+            case 0 if len(faults) < MAX_FAULTS:
+                faults.append(self.random_fault())
+            case 1 if len(faults) > 1:
+                del faults[random_source.randrange(len(faults))]
             case 2:
-                load = found.load * chance.uniform(0.7, 1.4)
-                return replace(found, load=round(max(LOADS[0], min(LOADS[1], load)), 2))
+                load_factor = candidate.load_factor * random_source.uniform(0.7, 1.4)
+                return replace(
+                    candidate, load_factor=round(max(LOAD_FACTORS[0], min(LOAD_FACTORS[1], load_factor)), 2)
+                )
             case 3:
-                at = chance.randrange(len(troubles))
-                one = troubles[at]
-                troubles[at] = replace(
-                    one,
-                    at=round(max(0.0, one.at + chance.uniform(-0.2, 0.2) * self.base.length)),
-                    length=round(min(LONGEST * self.base.length, one.length * chance.uniform(0.5, 2.0))),
-                    part=round(min(1.0, one.part * chance.uniform(0.5, 2.0)), 2),
+                index = random_source.randrange(len(faults))
+                fault = faults[index]
+                faults[index] = replace(
+                    fault,
+                    at=round(max(0.0, fault.at + random_source.uniform(-0.2, 0.2) * self.base.length)),
+                    length=round(
+                        min(
+                            MAX_FAULT_SHARE * self.base.length, fault.length * random_source.uniform(0.5, 2.0)
+                        )
+                    ),
+                    part=round(min(1.0, fault.part * random_source.uniform(0.5, 2.0)), 2),
                 )
             case _:
-                troubles[chance.randrange(len(troubles))] = self.random_fault()
-        return CandidateScenario(tuple(troubles), found.load)
+                faults[random_source.randrange(len(faults))] = self.random_fault()
+        return CandidateScenario(tuple(faults), candidate.load_factor)
 
-    def crossed(self, one: CandidateScenario, other: CandidateScenario) -> CandidateScenario:
-        pool = [*one.faults, *other.faults]
-        count = min(MOST, len(pool), max(1, (len(one.faults) + len(other.faults)) // 2))
-        return CandidateScenario(tuple(self.chance.sample(pool, count)), one.load)
+    def crossed(self, first: CandidateScenario, second: CandidateScenario) -> CandidateScenario:
+        """A candidate with faults of both and the load of the first."""
+        pool = [*first.faults, *second.faults]
+        count = min(MAX_FAULTS, len(pool), max(1, (len(first.faults) + len(second.faults)) // 2))
+        return CandidateScenario(tuple(self.random_source.sample(pool, count)), first.load_factor)
 
     def batch(self, size: int) -> list[CandidateScenario]:
-        """What to play next: a third new, the rest from the worst so far."""
-        days = []
-        for at in range(size):
-            if not self.highest_regret or at % 3 == 0:
-                days.append(self.fresh())
-            elif at % 3 == 1 or len(self.highest_regret) < 2:
-                days.append(self.mutated(self.chance.choice(self.highest_regret)))
+        """The next candidates: a third at random, the rest from those of the highest regret."""
+        candidates = []
+        for index in range(size):
+            if not self.highest_regret or index % 3 == 0:
+                candidates.append(self.random_candidate())
+            elif index % 3 == 1 or len(self.highest_regret) < 2:
+                candidates.append(self.mutated(self.random_source.choice(self.highest_regret)))
             else:
-                days.append(self.crossed(*self.chance.sample(self.highest_regret, 2)))
-        return days
-
-    # What came of it.
-
-    def add_results(self, days: Iterable[CandidateScenario], figures: Iterable[tuple[float, float]]) -> None:
-        told = [
-            replace(day, regret=regret, credit=credit)
-            for day, (regret, credit) in zip(days, figures, strict=True)
+                candidates.append(self.crossed(*self.random_source.sample(self.highest_regret, 2)))
+        return candidates
+
+    # Results.
+
+    def add_results(
+        self, candidates: Iterable[CandidateScenario], results: Iterable[tuple[float, float]]
+    ) -> None:
+        """Takes the regret and credit of candidates; keeps those of the highest regret."""
+        evaluated = [
+            replace(candidate, regret=regret, credit=credit)
+            for candidate, (regret, credit) in zip(candidates, results, strict=True)
         ]
-        self.evaluated_count += len(told)
-        self.highest_regret = sorted([*self.highest_regret, *told], key=lambda one: -one.regret)[:BEAM]
-
-    def smaller(self, found: CandidateScenario) -> list[CandidateScenario]:
-        """Each one step smaller, the largest steps first."""
-        tries = []
-        if len(found.faults) > 1:
-            tries += [
-                replace(found, faults=found.faults[:at] + found.faults[at + 1 :])
-                for at in range(len(found.faults))
+        self.evaluated_count += len(evaluated)
+        self.highest_regret = sorted(
+            [*self.highest_regret, *evaluated], key=lambda candidate: -candidate.regret
+        )[:BEAM_WIDTH]
+
+    def smaller_variants(self, candidate: CandidateScenario) -> list[CandidateScenario]:
+        """The candidate made smaller by one step, in each possible way, the largest steps first."""
+        variants = []
+        if len(candidate.faults) > 1:
+            variants += [
+                replace(candidate, faults=candidate.faults[:index] + candidate.faults[index + 1 :])
+                for index in range(len(candidate.faults))
             ]
-        for at, one in enumerate(found.faults):
-            rest = found.faults[:at], found.faults[at + 1 :]
+        for index, fault in enumerate(candidate.faults):
+            rest = candidate.faults[:index], candidate.faults[index + 1 :]
             for changed in (
-                replace(one, length=round(one.length / 2)),
-                replace(one, part=round(one.part / 2, 2)),
+                replace(fault, length=round(fault.length / 2)),
+                replace(fault, part=round(fault.part / 2, 2)),
             ):
                 if changed.length >= 0.02 * self.base.length and changed.part >= 0.02:
-                    tries.append(replace(found, faults=(*rest[0], changed, *rest[1])))
-        if found.load > 1.05:
-            tries.append(replace(found, load=round(max(1.0, found.load * 0.8), 2)))
-        return tries
-
-    def shrink(self, found: CandidateScenario, play: Players, rounds: int = 12) -> CandidateScenario:
-        """The smallest day that keeps most of the regret."""
-        bound = KEEPS * found.regret
+                    variants.append(replace(candidate, faults=(*rest[0], changed, *rest[1])))
+        if candidate.load_factor > 1.05:
+            variants.append(replace(candidate, load_factor=round(max(1.0, candidate.load_factor * 0.8), 2)))
+        return variants
+
+    def shrink(self, candidate: CandidateScenario, evaluate: Evaluate, rounds: int = 12) -> CandidateScenario:
+        """The candidate made smaller step by step while it keeps most of its regret."""
+        min_regret = MIN_REGRET_SHARE * candidate.regret
         for _ in range(rounds):
-            tries = self.smaller(found)
-            figures = play(tries)
-            self.evaluated_count += len(tries)
-            kept = next(
+            variants = self.smaller_variants(candidate)
+            results = evaluate(variants)
+            self.evaluated_count += len(variants)
+            smaller = next(
                 (
-                    replace(one, regret=regret, credit=credit)
-                    for one, (regret, credit) in zip(tries, figures, strict=True)
-                    if regret >= bound
+                    replace(variant, regret=regret, credit=credit)
+                    for variant, (regret, credit) in zip(variants, results, strict=True)
+                    if regret >= min_regret
                 ),
                 None,
             )
-            if kept is None:
+            if smaller is None:
                 break
-            found = kept
-        return found
+            candidate = smaller
+        return candidate
 
 
-def lines(found: CandidateScenario) -> str:
-    """The troubles as they stand in a day's file."""
-    told = []
-    for one in sorted(found.faults, key=lambda one: one.at):
-        more = "".join(
+def fault_lines(candidate: CandidateScenario) -> str:
+    """The faults as lines of a scenario file."""
+    lines = []
+    for fault in sorted(candidate.faults, key=lambda fault: fault.at):
+        filters = "".join(
             f' {key}="{value}"'
-            for key, value in (("role", one.role), ("zone", one.zone), ("offering", one.request_class))
+            for key, value in (("role", fault.role), ("zone", fault.zone), ("offering", fault.request_class))
             if value
         )
-        told.append(
-            f'trouble "{one.kind}" at="{one.at:.0f}ms" for="{one.length:.0f}ms" '
-            f'every="{one.every:.0f}ms" part={one.part:g} share={one.share:g} '
-            f"factor={one.factor:g}{more}"
+        lines.append(
+            f'trouble "{fault.kind}" at="{fault.at:.0f}ms" for="{fault.length:.0f}ms" '
+            f'every="{fault.every:.0f}ms" part={fault.part:g} share={fault.share:g} '
+            f"factor={fault.factor:g}{filters}"
         )
-    return "\n".join(told) + "\n"
+    return "\n".join(lines) + "\n"
 
 
-def scenario_file_text(text: str, base: Scenario, found: CandidateScenario) -> str:
-    """The base day's file with these troubles in place of its own, and the load."""
-    kept = [
+def scenario_file_text(text: str, base: Scenario, candidate: CandidateScenario) -> str:
+    """The text of the base scenario's file with the faults and the load of the candidate."""
+    kept_lines = [
         line for line in text.splitlines() if not line.startswith("trouble ") and not line.startswith("load ")
     ]
-    head = (
-        f"// Regret {found.regret:.3f}: the best plain policy's credit over the module's "
-        f"{found.credit:.3f}, in the model.\n"
+    header = (
+        f"// Regret {candidate.regret:.3f}: the credit of the best baseline policy less that of worksmux, "
+        f"{candidate.credit:.3f}, in simulation.\n"
+    )
+    return (
+        header
+        + "\n".join(kept_lines)
+        + f"\nload jobs-per-second={base.rate * candidate.load_factor:g}\n{fault_lines(candidate)}"
     )
-    return head + "\n".join(kept) + f"\nload jobs-per-second={base.rate * found.load:g}\n{lines(found)}"
--- a/worksmux/experiment/stats.py
+++ b/worksmux/experiment/stats.py
@@ -1,6 +1,7 @@
-"""Means with confidence intervals, and differences paired by seed.  Free of I/O; chance is seeded.
+"""Means with confidence intervals, and differences paired by seed.
 
-Intervals are bootstrap percentiles (Efron, 1979): few runs, and figures that are far from normal.
+Intervals are bootstrap percentiles (Efron, 1979), as there are few runs and the figures are far from normally
+distributed.  The module does no I/O, and its random source is seeded.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 @dataclass(frozen=True)
 class Mean:
-    """A mean and its interval; `count` values."""
+    """The mean of `count` values and its confidence interval."""
 
     mean: float
     low: float
@@ -28,38 +29,41 @@
 
 
 def mean(values: list[float], seed: int = 1) -> Mean:
-    """
+    """The mean of values, with a bootstrap interval.
+
     >>> mean([1.0, 1.0, 1.0])
     Mean(mean=1.0, low=1.0, high=1.0, count=3)
     """
     if not values:
         return Mean(0.0, 0.0, 0.0, 0)
-    chance, count = random.Random(seed), len(values)
-    means = sorted(sum(chance.choices(values, k=count)) / count for _ in range(RESAMPLES if count > 1 else 1))
-    cut = (1 - LEVEL) / 2
+    random_source, count = random.Random(seed), len(values)
+    means = sorted(
+        sum(random_source.choices(values, k=count)) / count for _ in range(RESAMPLES if count > 1 else 1)
+    )
+    tail = (1 - LEVEL) / 2
     return Mean(
         sum(values) / count,
-        means[int(cut * (len(means) - 1))],
-        means[int((1 - cut) * (len(means) - 1))],
+        means[int(tail * (len(means) - 1))],
+        means[int((1 - tail) * (len(means) - 1))],
         count,
     )
 
 
 def group(rows: list[dict[str, Any]], axes: list[str]) -> dict[tuple[Any, ...], list[dict[str, Any]]]:
-    """Runs by their values, in the order in which these first come."""
-    found: dict[tuple[Any, ...], list[dict[str, Any]]] = defaultdict(list)
+    """Groups runs by their axis values, in the order of the first run of each group."""
+    groups: dict[tuple[Any, ...], list[dict[str, Any]]] = defaultdict(list)
     for row in rows:
-        found[tuple(row.get(axis) for axis in axes)].append(row)
-    return dict(found)
+        groups[tuple(row.get(axis) for axis in axes)].append(row)
+    return dict(groups)
 
 
-def paired(one: list[dict[str, Any]], other: list[dict[str, Any]], figure: str) -> Mean:
-    """The mean difference of `one` from `other`, over the seeds that both have."""
-    by_seed = {row["seed"]: row for row in other}
+def paired(rows: list[dict[str, Any]], base: list[dict[str, Any]], figure: str) -> Mean:
+    """The mean difference of `rows` from `base`, over the seeds that both have."""
+    by_seed = {row["seed"]: row for row in base}
     return mean(
         [
             row[figure] - by_seed[row["seed"]][figure]
-            for row in one
+            for row in rows
             if row["seed"] in by_seed and figure in row
         ]
     )
--- a/worksmux/experiment/worst.py
+++ b/worksmux/experiment/worst.py
@@ -1,4 +1,4 @@
-"""Plays the days of a search, each with the module and the plain policies, several at once."""
+"""Simulates the candidates of a search under each policy, several at once."""
 
 from __future__ import annotations
 
@@ -9,37 +9,43 @@
 
 from ..scenarios.scenario import Scenario
 from ..settings.front import POLICIES
-from .play import play
+from .play import simulate_scenario
 from .search import CandidateScenario
 
-SEEDS = 2  # of each day: a single lucky one counts for less
+SEEDS = 2  # of each candidate, so that one lucky seed counts for less
 
 
-def one(day: Scenario) -> tuple[float, float]:
-    """The regret and the module's credit, as means of the seeds."""
-    found = []
+def regret_and_credit(scenario: Scenario) -> tuple[float, float]:
+    """The regret, and the credit of the first policy (worksmux), as means over the seeds."""
+    policy_credits = []
     for policy in POLICIES:
         credits = [
-            play(replace(day, policy=policy, seed=day.seed + seed), False)["credit"] for seed in range(SEEDS)
+            simulate_scenario(replace(scenario, policy=policy, seed=scenario.seed + seed), False)["credit"]
+            for seed in range(SEEDS)
         ]
-        found.append(sum(credits) / SEEDS)
-    return max(found[1:]) - found[0], found[0]
+        policy_credits.append(sum(credits) / SEEDS)
+    return max(policy_credits[1:]) - policy_credits[0], policy_credits[0]
 
 
 class EvaluationPool:
-    """A pool of processes for one base day."""
+    """A pool of processes that simulate variants of one base scenario."""
 
     def __init__(self, base: Scenario, workers: int) -> None:
         self.base = base
         self.pool = ProcessPoolExecutor(workers, mp_context=multiprocessing.get_context("spawn"))
 
     def __enter__(self) -> EvaluationPool:
+        """Returns the pool; its processes start with the first evaluation."""
         return self
 
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
+        """Cancels the evaluations that have not started and waits for the rest."""
         self.pool.shutdown(cancel_futures=True)
 
-    def evaluate(self, days: list[CandidateScenario]) -> list[tuple[float, float]]:
-        return list(self.pool.map(one, [found.day(self.base) for found in days]))
+    def evaluate(self, candidates: list[CandidateScenario]) -> list[tuple[float, float]]:
+        """The regret and credit of each candidate, in order."""
+        return list(
+            self.pool.map(regret_and_credit, [candidate.scenario(self.base) for candidate in candidates])
+        )
