--- a/worksmux/experiment/play.py
+++ b/worksmux/experiment/play.py
@@ -10,7 +10,8 @@
 from ..scenarios.scenario import Scenario
 from ..simulation.day import EPOCH_MS, Model
 
-RECOVERED_SHARE = 0.9  # of the rate of served requests before the first fault: service has recovered
+# Service has recovered at this share of the rate of served requests before the first fault.
+RECOVERED_SHARE = 0.9
 PERCENTILES = (50, 90, 99)
 
 
@@ -82,8 +83,8 @@
 def recovery_time_s(scenario: Scenario, outcomes: list[tuple[float, str]]) -> float:
     """Seconds from the end of the last fault until service has recovered.
 
-    Service has recovered when the rate of served requests is near that before the first fault for two seconds
-    in a row.  The result is -1 if that does not happen, and 0 if there is no fault.
+    Service has recovered when the rate of served requests is at least `RECOVERED_SHARE` of that before the
+    first fault for two seconds in a row.  The result is -1 if that does not happen, and 0 without faults.
     """
     if not scenario.faults:
         return 0.0
--- a/worksmux/experiment/search.py
+++ b/worksmux/experiment/search.py
@@ -46,7 +46,7 @@
     "hot-beginning": (200.0, 2000.0),
     "list-stale": (1000.0, 8000.0),
 }
-MIN_REGRET_SHARE = 0.7  # of the regret that shrinking keeps
+MIN_REGRET_SHARE = 0.7  # of a candidate's regret must remain while it is shrunk
 BEAM_WIDTH = 6  # candidates that are kept for mutation and crossing
 
 
