--- a/worksmux/batching/planner.py
+++ b/worksmux/batching/planner.py
@@ -1,18 +1,20 @@
-"""Turns calls of many inputs into loads for engines and their results into one final answer for each call.
+"""Divides requests with many inputs into batches for engines, and collects one final result for each request.
 
-A call larger than a load is split into contiguous parts of like size.  Calls smaller than a load may join one
-with others of the same model and form: only while other loads are out, for else the engines are free and
-waiting gains nothing; never longer than a ratio of the time until the answer is promised; and only where
-nobody's time would be cut below another's promised time.
+A request larger than a batch is split into contiguous parts of similar cost.  A small request may wait to
+share a batch with others of its group:
 
-What can go wrong with a load, and what follows:
+- Only while other batches are in flight.  Otherwise engines are idle, and waiting gains nothing.
+- For at most a share of the time left until its latency target.
+- Only if no request's deadline is earlier than the latency target of another request in the batch.
 
-- Its trip brought some of the results: those count, and the next trip asks for the rest.
-- It was deferred or broken off: its missing inputs go out again while there is time and the budget for
-  repeats allows it; else every call that needs them ends so, and nothing more is sent for these.
-- Its input was refused as bad: alone, its call ends with that message; joined, each call goes out by itself,
-  so that one bad input harms none of the others.
-- A client leaves: its inputs are no longer asked for; a load that nobody needs is dropped.
+Failures of a batch:
+
+- An attempt returned some of the results: they are kept, and the next attempt sends the other inputs only.
+- The batch was rejected or aborted: its missing inputs are sent again if the latency target and the retry
+  budget allow; otherwise each request that needs them fails, and nothing more is sent for it.
+- An engine rejected its input: a request in a batch of its own fails with that message; a shared batch is
+  divided into one batch for each request, so that an invalid input affects no other request.
+- A client disconnects: its inputs are no longer sent, and a batch without other inputs is cancelled.
 """
 
 from __future__ import annotations
@@ -23,42 +25,42 @@
 from math import ceil
 from typing import Any
 
-WAIT = 0.05  # of the time until an answer is promised: how long a small call waits for others
-SMALL = 0.5  # of a load: what is larger goes alone
-PAUSE = 0.02  # of the same time: before what was deferred goes out again
+MAX_WAIT_SHARE = 0.05  # of the time until the latency target: a small request waits this long for others
+SMALL_REQUEST_SHARE = 0.5  # of the batch limits: a larger request shares no batch
+RETRY_PAUSE_SHARE = 0.02  # of the time from arrival to latency target: the pause before a retry
 
 
-class How(Enum):
-    """How a load ended without all of its results."""
+class BatchFailure(Enum):
+    """Why a batch ended without all of its results."""
 
-    DEFERRED = "deferred"  # it has had no effect; nobody could take it in time
-    BROKEN = "broken off"  # its time or its trips ran out
+    REJECTED = "deferred"  # nothing was executed; no engine could accept it in time
+    ABORTED = "broken off"  # its deadline passed or its attempts were used up
 
 
 @dataclass(frozen=True)
-class Bounds:
-    """Of one load: tokens and inputs; `join` is off where a load can serve one call alone."""
+class BatchLimits:
+    """Limits of one batch; `may_join` is false if a batch can serve one request only."""
 
-    tokens: float
-    inputs: int
-    join: bool = True
+    max_tokens: float
+    max_inputs: int
+    may_join: bool = True
 
 
 @dataclass(eq=False, slots=True)
-class Call:
-    """One client's call; `costs` are tokens by input."""
+class BatchedRequest:
+    """One client's request; `costs` are the tokens of its inputs."""
 
     costs: list[float]
-    group: Hashable  # calls of one group may share a load
-    bounds: Bounds
-    arrived: float
-    promised_at: float
-    give_up_at: float
-    item: Any = None
+    group: Hashable  # requests of the same group may share a batch
+    limits: BatchLimits
+    arrived_at: float
+    latency_target_at: float
+    deadline: float
+    item: Any = None  # the caller's own
     results: list[Any] = field(default_factory=list)
-    missing: int = 0
-    loads: dict[Load, None] = field(default_factory=dict)
-    over: bool = False
+    missing: int = 0  # inputs without a result
+    batches: dict[InputBatch, None] = field(default_factory=dict)
+    ended: bool = False
 
     def __post_init__(self) -> None:
         self.results = [None] * len(self.costs)
@@ -66,247 +68,283 @@
 
 
 @dataclass(eq=False, slots=True)
-class Load:
-    """What one engine is asked at once: inputs of one or more calls, (call, index) in order."""
+class InputBatch:
+    """Inputs of one or more requests for one engine, as (request, index) in order."""
 
-    wanted: list[tuple[Call, int]]
+    inputs: list[tuple[BatchedRequest, int]]
     group: Hashable
     cost: float
-    give_up_at: float
+    deadline: float
     number: int = 0
     ended: bool = False
 
-    def needs(self) -> list[tuple[Call, int]]:
-        """What is still asked for: the next trip's inputs, in order."""
-        return [(call, at) for call, at in self.wanted if not call.over and call.results[at] is None]
+    def missing_inputs(self) -> list[tuple[BatchedRequest, int]]:
+        """The inputs of the next attempt, in order: no result yet, and the request has not ended."""
+        return [
+            (request, index)
+            for request, index in self.inputs
+            if not request.ended and request.results[index] is None
+        ]
 
-    def calls(self) -> list[Call]:
-        return list(dict.fromkeys(call for call, _ in self.wanted))
+    def requests(self) -> list[BatchedRequest]:
+        """The requests that have inputs in the batch."""
+        return list(dict.fromkeys(request for request, _ in self.inputs))
 
-    def needs_by_call(self) -> list[tuple[Call, list[int]]]:
-        """Each call that is not over with those of its inputs that are still asked for."""
-        found: dict[Call, list[int]] = {call: [] for call in self.calls() if not call.over}
-        for call, at in self.needs():
-            found[call].append(at)
-        return list(found.items())
+    def missing_inputs_by_request(self) -> list[tuple[BatchedRequest, list[int]]]:
+        """Each request that has not ended, with the indices of its missing inputs in the batch."""
+        indices: dict[BatchedRequest, list[int]] = {
+            request: [] for request in self.requests() if not request.ended
+        }
+        for request, index in self.missing_inputs():
+            indices[request].append(index)
+        return list(indices.items())
 
 
 @dataclass(slots=True)
-class Done:
-    """A call's one final answer: all results, or how it ended, or the message of a bad input."""
+class RequestResult:
+    """The final result of a request: all results, the failure, or the message about an invalid input."""
 
-    call: Call
-    how: How | None = None
-    bad: str = ""
+    request: BatchedRequest
+    failure: BatchFailure | None = None
+    input_error: str = ""
 
 
 @dataclass(slots=True)
 class Step:
-    send: list[Load] = field(default_factory=list)
-    later: list[tuple[float, Load]] = field(default_factory=list)  # at that time
-    drop: list[Load] = field(default_factory=list)  # nobody needs them: called off
-    done: list[Done] = field(default_factory=list)
+    """The effects of an event, which the caller carries out."""
+
+    send: list[InputBatch] = field(default_factory=list)
+    send_later: list[tuple[float, InputBatch]] = field(default_factory=list)  # with the time to send at
+    cancel: list[InputBatch] = field(default_factory=list)  # batches that no request needs any more
+    results: list[RequestResult] = field(default_factory=list)
 
 
 class Planner:
-    """`again` tells whether a part may be sent again: the budget for repeats."""
+    """Assigns inputs of requests to batches.
+
+    `may_retry` returns whether a part of a request may be sent again, by the retry budget.
+    """
 
-    def __init__(self, again: Callable[[Call], bool]) -> None:
-        self.again = again
-        self.joining: dict[Hashable, Load] = {}
-        self.until: dict[Hashable, float] = {}
-        self.out: dict[Hashable, int] = {}
-        self.number = 0
+    def __init__(self, may_retry: Callable[[BatchedRequest], bool]) -> None:
+        self.may_retry = may_retry
+        self.open_batches: dict[Hashable, InputBatch] = {}  # batches that wait for more requests, by group
+        self.flush_at: dict[Hashable, float] = {}  # when an open batch is sent, by group
+        self.in_flight: dict[Hashable, int] = {}  # count of batches, by group
+        self.last_number = 0
 
-    # Calls.
+    # Requests.
 
-    def add(self, now: float, call: Call) -> Step:
+    def add(self, now: float, request: BatchedRequest) -> Step:
+        """Plans a new request; one without inputs is served at once."""
         step = Step()
-        if not call.costs:
-            call.over = True
-            step.done.append(Done(call))
+        if not request.costs:
+            request.ended = True
+            step.results.append(RequestResult(request))
             return step
-        total = sum(call.costs)
-        small = (
-            call.bounds.join
-            and total <= SMALL * call.bounds.tokens
-            and len(call.costs) <= SMALL * call.bounds.inputs
+        total_cost = sum(request.costs)
+        is_small = (
+            request.limits.may_join
+            and total_cost <= SMALL_REQUEST_SHARE * request.limits.max_tokens
+            and len(request.costs) <= SMALL_REQUEST_SHARE * request.limits.max_inputs
         )
-        if small and self.out.get(call.group, 0):
-            self._join(now, call, total, step)
+        if is_small and self.in_flight.get(request.group, 0):
+            self._join(now, request, total_cost, step)
         else:
-            for part in split(call.costs, call.bounds):
-                self._send(self._alone(call, part), step)
+            for part in split(request.costs, request.limits):
+                self._send(self._own_batch(request, part), step)
         return step
 
     @staticmethod
-    def _alone(call: Call, inputs: list[int]) -> Load:
-        """A load of one call's inputs."""
-        return Load(
-            [(call, at) for at in inputs], call.group, sum(call.costs[at] for at in inputs), call.give_up_at
+    def _own_batch(request: BatchedRequest, indices: list[int]) -> InputBatch:
+        """A batch of inputs of one request."""
+        return InputBatch(
+            [(request, index) for index in indices],
+            request.group,
+            sum(request.costs[index] for index in indices),
+            request.deadline,
         )
 
-    def _join(self, now: float, call: Call, total: float, step: Step) -> None:
-        load = self.joining.get(call.group)
-        if load is not None and not self._fits(load, call, total):
-            self._flush(call.group, step)
-            load = None
-        if load is None:
-            load = self.joining[call.group] = Load([], call.group, 0.0, call.give_up_at)
-            self.until[call.group] = float("inf")
-        load.wanted += [(call, at) for at in range(len(call.costs))]
-        load.cost += total
-        load.give_up_at = min(load.give_up_at, call.give_up_at)
-        call.loads[load] = None
-        self.until[call.group] = min(self.until[call.group], now + WAIT * max(0.0, call.promised_at - now))
-        if load.cost >= call.bounds.tokens * (1 - SMALL / 2) or len(load.wanted) >= call.bounds.inputs:
-            self._flush(call.group, step)
+    def _join(self, now: float, request: BatchedRequest, total_cost: float, step: Step) -> None:
+        """Adds a request to the open batch of its group, and sends the batch if it is full."""
+        batch = self.open_batches.get(request.group)
+        if batch is not None and not self._fits(batch, request, total_cost):
+            self._flush(request.group, step)
+            batch = None
+        if batch is None:
+            batch = self.open_batches[request.group] = InputBatch([], request.group, 0.0, request.deadline)
+            self.flush_at[request.group] = float("inf")
+        batch.inputs += [(request, index) for index in range(len(request.costs))]
+        batch.cost += total_cost
+        batch.deadline = min(batch.deadline, request.deadline)
+        request.batches[batch] = None
+        self.flush_at[request.group] = min(
+            self.flush_at[request.group], now + MAX_WAIT_SHARE * max(0.0, request.latency_target_at - now)
+        )
+        if (
+            batch.cost >= request.limits.max_tokens * (1 - SMALL_REQUEST_SHARE / 2)
+            or len(batch.inputs) >= request.limits.max_inputs
+        ):
+            self._flush(request.group, step)
 
     @staticmethod
-    def _fits(load: Load, call: Call, total: float) -> bool:
-        ends = min(load.give_up_at, call.give_up_at)
+    def _fits(batch: InputBatch, request: BatchedRequest, total_cost: float) -> bool:
+        """Whether a batch with this request keeps the limits, and no deadline is before a latency target."""
+        deadline = min(batch.deadline, request.deadline)
         return (
-            load.cost + total <= call.bounds.tokens
-            and len(load.wanted) + len(call.costs) <= call.bounds.inputs
-            and ends >= max(call.promised_at, *(other.promised_at for other in load.calls()))
+            batch.cost + total_cost <= request.limits.max_tokens
+            and len(batch.inputs) + len(request.costs) <= request.limits.max_inputs
+            and deadline
+            >= max(request.latency_target_at, *(other.latency_target_at for other in batch.requests()))
         )
 
     def _flush(self, group: Hashable, step: Step) -> None:
-        load = self.joining.pop(group, None)
-        self.until.pop(group, None)
-        if load is not None and load.needs():
-            self._send(load, step)
-
-    def _send(self, load: Load, step: Step, at: float | None = None) -> None:
-        self.number += 1
-        load.number = self.number
-        for call in load.calls():
-            call.loads[load] = None
-        self.out[load.group] = self.out.get(load.group, 0) + 1
-        if at is None:
-            step.send.append(load)
+        """Sends the open batch of a group, if any of its inputs is still needed."""
+        batch = self.open_batches.pop(group, None)
+        self.flush_at.pop(group, None)
+        if batch is not None and batch.missing_inputs():
+            self._send(batch, step)
+
+    def _send(self, batch: InputBatch, step: Step, send_at: float | None = None) -> None:
+        """Sends a batch, at once or at `send_at`; it counts as in flight from now on."""
+        self.last_number += 1
+        batch.number = self.last_number
+        for request in batch.requests():
+            request.batches[batch] = None
+        self.in_flight[batch.group] = self.in_flight.get(batch.group, 0) + 1
+        if send_at is None:
+            step.send.append(batch)
         else:
-            step.later.append((at, load))
+            step.send_later.append((send_at, batch))
 
     def tick(self, now: float) -> Step:
-        """Sends what has waited long enough for others."""
+        """Sends the open batches that have waited long enough for more requests."""
         step = Step()
-        for group in [group for group, until in self.until.items() if until <= now]:
+        for group in [group for group, flush_at in self.flush_at.items() if flush_at <= now]:
             self._flush(group, step)
         return step
 
     def next_time(self) -> float | None:
-        return min(self.until.values(), default=None)
+        """Returns when `tick` is due next; None if no batch is open."""
+        return min(self.flush_at.values(), default=None)
 
-    def left(self, call: Call) -> Step:
-        """Its client has hung up."""
+    def client_disconnected(self, request: BatchedRequest) -> Step:
+        """Ends a request without a result."""
         step = Step()
-        self._over(call, step)
+        self._end_request(request, step)
         return step
 
-    # Loads.
+    # Batches.
 
-    def partial(self, load: Load, asked: list[tuple[Call, int]], results: dict[int, Any]) -> None:
-        """Some results of a trip that failed, by position in what it asked for; the rest is asked again."""
+    def add_results(
+        self, batch: InputBatch, sent: list[tuple[BatchedRequest, int]], results: dict[int, Any]
+    ) -> None:
+        """Stores the results of an attempt, by position in the inputs it `sent`; some may be missing."""
         for position, result in results.items():
-            call, at = asked[position]
-            if not call.over and call.results[at] is None:
-                call.results[at] = result
-                call.missing -= 1
-
-    def delivered(self, load: Load, asked: list[tuple[Call, int]], results: dict[int, Any]) -> Step:
-        """All results of a trip."""
+            request, index = sent[position]
+            if not request.ended and request.results[index] is None:
+                request.results[index] = result
+                request.missing -= 1
+
+    def batch_served(
+        self, batch: InputBatch, sent: list[tuple[BatchedRequest, int]], results: dict[int, Any]
+    ) -> Step:
+        """Ends a batch whose last attempt returned all missing results."""
         step = Step()
-        self._ended(load)
-        self.partial(load, asked, results)
-        for call in load.calls():
-            self._maybe_done(call, step)
+        self._end_batch(batch)
+        self.add_results(batch, sent, results)
+        for request in batch.requests():
+            self._end_if_complete(request, step)
         return step
 
     @staticmethod
-    def _maybe_done(call: Call, step: Step) -> None:
-        if not call.over and not call.missing:
-            call.over = True
-            step.done.append(Done(call))
+    def _end_if_complete(request: BatchedRequest, step: Step) -> None:
+        if not request.ended and not request.missing:
+            request.ended = True
+            step.results.append(RequestResult(request))
 
-    def failed(self, now: float, load: Load, how: How) -> Step:
+    def batch_failed(self, now: float, batch: InputBatch, failure: BatchFailure) -> Step:
+        """Ends a batch without all results: missing inputs are sent again, or their requests fail."""
         step = Step()
-        self._ended(load)
-        for call, needed in load.needs_by_call():
-            if not needed:
-                self._maybe_done(call, step)  # its last results came by a trip that failed
+        self._end_batch(batch)
+        for request, indices in batch.missing_inputs_by_request():
+            if not indices:
+                self._end_if_complete(request, step)  # an earlier attempt returned its last results
                 continue
-            pause = PAUSE * max(0.0, call.promised_at - call.arrived)
-            if now + 2 * pause < min(call.promised_at, call.give_up_at) and self.again(call):
-                self._send(self._alone(call, needed), step, now + pause)
+            pause = RETRY_PAUSE_SHARE * max(0.0, request.latency_target_at - request.arrived_at)
+            if now + 2 * pause < min(request.latency_target_at, request.deadline) and self.may_retry(request):
+                self._send(self._own_batch(request, indices), step, now + pause)
             else:
-                self._over(call, step)
-                step.done.append(Done(call, how))
+                self._end_request(request, step)
+                step.results.append(RequestResult(request, failure))
         return step
 
-    def refused(self, load: Load, message: str) -> Step:
-        """The engine calls the input bad."""
+    def input_rejected(self, batch: InputBatch, message: str) -> Step:
+        """Ends a batch of which an engine rejected an input as invalid."""
         step = Step()
-        self._ended(load)
-        joined = len(load.calls()) > 1  # also where only one is left: it may not be the bad one
-        for call, needed in load.needs_by_call():
-            if not needed:
-                self._maybe_done(call, step)
-            elif joined:
-                self._send(self._alone(call, needed), step)
+        self._end_batch(batch)
+        was_shared = len(batch.requests()) > 1  # counts ended requests: theirs may be the invalid input
+        for request, indices in batch.missing_inputs_by_request():
+            if not indices:
+                self._end_if_complete(request, step)
+            elif was_shared:
+                self._send(self._own_batch(request, indices), step)
             else:
-                self._over(call, step)
-                step.done.append(Done(call, bad=message or "the engine refused the input"))
+                self._end_request(request, step)
+                step.results.append(
+                    RequestResult(request, input_error=message or "the engine refused the input")
+                )
         return step
 
-    def _ended(self, load: Load) -> None:
-        if load.ended:
+    def _end_batch(self, batch: InputBatch) -> None:
+        if batch.ended:
             return
-        load.ended = True
-        for call in load.calls():
-            call.loads.pop(load, None)
-        left = self.out.get(load.group, 0) - 1
-        if left > 0:
-            self.out[load.group] = left
+        batch.ended = True
+        for request in batch.requests():
+            request.batches.pop(batch, None)
+        in_flight = self.in_flight.get(batch.group, 0) - 1
+        if in_flight > 0:
+            self.in_flight[batch.group] = in_flight
         else:
-            self.out.pop(load.group, None)
-
-    def _over(self, call: Call, step: Step) -> None:
-        """Nothing more is wanted for it."""
-        call.over = True
-        for load in list(call.loads):
-            if not load.needs():
-                if self.joining.get(load.group) is load:
-                    del self.joining[load.group]
-                    del self.until[load.group]
+            self.in_flight.pop(batch.group, None)
+
+    def _end_request(self, request: BatchedRequest, step: Step) -> None:
+        """Ends a request, and cancels the batches that no other request needs."""
+        request.ended = True
+        for batch in list(request.batches):
+            if not batch.missing_inputs():
+                if self.open_batches.get(batch.group) is batch:
+                    del self.open_batches[batch.group]
+                    del self.flush_at[batch.group]
                 else:
-                    self._ended(load)
-                    step.drop.append(load)
-        call.loads.clear()
+                    self._end_batch(batch)
+                    step.cancel.append(batch)
+        request.batches.clear()
+
 
+def split(costs: list[float], limits: BatchLimits) -> list[list[int]]:
+    """Divides inputs into contiguous parts of similar cost within the limits, given as indices.
 
-def split(costs: list[float], bounds: Bounds) -> list[list[int]]:
-    """Indices in contiguous parts of like cost, each within the bounds; an input over the bound goes alone.
+    An input that exceeds the limit by itself is a part of its own.
 
-    >>> split([4.0, 4.0, 4.0, 4.0, 30.0, 1.0], Bounds(12.0, 3))
+    >>> split([4.0, 4.0, 4.0, 4.0, 30.0, 1.0], BatchLimits(12.0, 3))
     [[0, 1, 2], [3], [4], [5]]
-    >>> split([1.0] * 8, Bounds(5.0, 100))
+    >>> split([1.0] * 8, BatchLimits(5.0, 100))
     [[0, 1, 2, 3], [4, 5, 6, 7]]
     """
-    count = max(ceil(sum(costs) / bounds.tokens), ceil(len(costs) / bounds.inputs), 1)
-    target = min(bounds.tokens, max(sum(costs) / count, max(costs, default=0.0)))
+    count = max(ceil(sum(costs) / limits.max_tokens), ceil(len(costs) / limits.max_inputs), 1)
+    target_cost = min(limits.max_tokens, max(sum(costs) / count, max(costs, default=0.0)))
     parts: list[list[int]] = []
-    size = 0.0
-    for at, cost in enumerate(costs):
-        full = parts and (
-            size + cost > bounds.tokens
-            or len(parts[-1]) >= bounds.inputs
-            or size + cost / 2 > target
-            and size >= target / 2
+    part_cost = 0.0
+    for index, cost in enumerate(costs):
+        is_full = parts and (
+            part_cost + cost > limits.max_tokens
+            or len(parts[-1]) >= limits.max_inputs
+            or part_cost + cost / 2 > target_cost
+            and part_cost >= target_cost / 2
         )
-        if not parts or full:
+        if not parts or is_full:
             parts.append([])
-            size = 0.0
-        parts[-1].append(at)
-        size += cost
+            part_cost = 0.0
+        parts[-1].append(index)
+        part_cost += cost
     return parts
--- a/worksmux/gateway/vectors.py
+++ b/worksmux/gateway/vectors.py
@@ -1,8 +1,8 @@
 """Serves embeddings and rerank: admission, token counting, batching, and one final answer to each request.
 
-A request passes the admission controller, is counted, and goes to the planner, which cuts requests into
-batches; the dispatcher of its path sends these to engines.  Statuses: 200 delivered; 400 and 404 for what
-can't be served; the others are in `vector_answers`.
+The admission controller admits a request, the token service counts its tokens, and the planner divides
+requests into batches, which the dispatcher of their path sends to engines.  Statuses: 200 for a served
+request; 400 and 404 for a request that cannot be served; `answers` lists the others.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from ..admission.controller import AdmissionController, AdmissionResult, Rejection, RequestState
 from ..api import errors
-from ..batching.planner import Bounds, Done, How, Load, Planner
+from ..batching.planner import BatchFailure, BatchLimits, InputBatch, Planner, RequestResult
 from ..batching.planner import Step as PlanStep
 from ..net import clock
 from ..net.server import Exchange
@@ -23,7 +23,7 @@
 from .answers import (
     SERVICE_UNAVAILABLE,
     TOO_MANY_REQUESTS,
-    answer_deferred,
+    answer_rejected,
     answer_timed_out,
 )
 from .chat_engine_client import ChatEngineClient
@@ -45,11 +45,11 @@
 RETRY_AFTER_STOP_MS = 1000.0
 NO_TOKEN_LIMIT = 10**9
 NO_SESSION = 0
-ACCEPTED_ENDS = (RequestEnd.DELIVERED, RequestEnd.CLIENT_DISCONNECTED, RequestEnd.BAD_INPUT)
+ACCEPTED_ENDS = (RequestEnd.SERVED, RequestEnd.CLIENT_DISCONNECTED, RequestEnd.BAD_INPUT)
 
 
 class VectorService:
-    """Takes the exchanges of both paths."""
+    """Serves the exchanges of both paths."""
 
     def __init__(
         self,
@@ -60,12 +60,15 @@
         first_admission_number: int,
         tokens: TokenService | None = None,
     ) -> None:
-        """`first_admission_number` is that of the dispatchers' first request class; theirs follow those of
-        chat.  Without `tokens` the lengths are estimated from bytes."""
+        """Numbers the request classes of the dispatchers and builds the planner.
+
+        The admission controller numbers the request classes of chat first; `first_admission_number` is its
+        number of the dispatchers' first request class.  Without `tokens` lengths are estimated from bytes.
+        """
         self.admission = admission
-        self.open: dict[VectorRequest, None] = {}
-        self.batches: dict[Load, VectorBatch] = {}
-        self.planner = Planner(lambda call: admission.may_retry(call.item.admission.request_class))
+        self.open_requests: dict[VectorRequest, None] = {}
+        self.batches: dict[InputBatch, VectorBatch] = {}
+        self.planner = Planner(lambda batched: admission.may_retry(batched.item.admission.request_class))
         self.stopping = False
         self._core = core
         self._dispatchers = dispatchers
@@ -75,36 +78,36 @@
         self._reader = RequestReader(
             self._classes,
             {
-                EMBEDDINGS: Bounds(bounds.load_tokens, bounds.load_inputs),
-                RERANK: Bounds(bounds.load_tokens, bounds.load_inputs, join=False),
+                EMBEDDINGS: BatchLimits(bounds.load_tokens, bounds.load_inputs),
+                RERANK: BatchLimits(bounds.load_tokens, bounds.load_inputs, may_join=False),
             },
         )
         self._timer: Any = None
         self._timer_at = 0.0
 
     def _number_classes(self, first_admission_number: int) -> dict[tuple[str, str], VectorClass]:
-        found: dict[tuple[str, str], VectorClass] = {}
+        classes: dict[tuple[str, str], VectorClass] = {}
         for dispatcher in self._dispatchers.values():
             for number, settings in enumerate(dispatcher.settings.request_classes):
                 key = dispatcher.settings.call, settings.name
-                found[key] = VectorClass(settings, first_admission_number + len(found), number)
-        return found
+                classes[key] = VectorClass(settings, first_admission_number + len(classes), number)
+        return classes
 
-    def names(self) -> list[str]:
-        """The names of the request classes, which are the models that clients ask for."""
+    def model_names(self) -> list[str]:
+        """The names of the request classes, which clients use as model names."""
         return [name for _, name in self._classes]
 
     def __call__(self, exchange: Exchange, path: str) -> None:
         metrics = self._core.metrics
         if self.stopping:
-            metrics.turned_away("stopping")
+            metrics.not_accepted("stopping")
             exchange.set_header("connection", "close")
-            return answer_deferred(
+            return answer_rejected(
                 exchange, SERVICE_UNAVAILABLE, "the front is stopping; try another", RETRY_AFTER_STOP_MS
             )
-        if len(self.open) >= self._bounds.open_calls:
-            metrics.turned_away("too many open")
-            return answer_deferred(
+        if len(self.open_requests) >= self._bounds.open_calls:
+            metrics.not_accepted("too many open")
+            return answer_rejected(
                 exchange,
                 TOO_MANY_REQUESTS,
                 "the front holds as many calls as it may",
@@ -112,19 +115,19 @@
             )
         try:
             request = self._reader.read(exchange, PATHS[path], self._core.settings.transport.answer_margin)
-        except errors.InvalidRequestError as bad:
-            metrics.turned_away("bad job")
-            return exchange.answer(bad.status, bad.body)
-        self._take(request)
+        except errors.InvalidRequestError as error:
+            metrics.not_accepted("bad job")
+            return exchange.answer(error.status, error.body)
+        self._accept(request)
 
-    def _take(self, request: VectorRequest) -> None:
-        """From here on the request is owed one final answer."""
-        self.open[request] = None
+    def _accept(self, request: VectorRequest) -> None:
+        """Accepts a request, which gets exactly one final answer, and passes it to admission."""
+        self.open_requests[request] = None
         self._core.metrics.arrived(request.vector_class.settings.name)
-        slack_ms = float(self._core.settings.module.answer_slack_ms)
-        left_ms = request.call.give_up_at - request.arrived_at
+        slack_ms = float(self._core.settings.policy_settings.answer_slack_ms)
+        time_left_ms = request.batched.deadline - request.arrived_at
         request.overdue_timer = self._core.reactor.callLater(
-            (left_ms + slack_ms) / 1000, self._time_out, request
+            (time_left_ms + slack_ms) / 1000, self._time_out, request
         )
         request.exchange.on_disconnect = lambda: self._finish(request, RequestEnd.CLIENT_DISCONNECTED)
         self._apply_admission(self.admission.arrived(clock.now(), request.admission))
@@ -140,128 +143,130 @@
         self._schedule_tick()
 
     def _count_tokens(self, request: VectorRequest) -> None:
-        """Counts an admitted request's tokens and plans it; without a count in time, by the estimate.
+        """Counts an admitted request's tokens and plans it; without a count in time the estimate is used.
 
-        Counting comes after admission, so that a rejected request costs none.
+        Counting follows admission, so that no count is spent on a rejected request.
         """
         texts = request.texts_to_count()
         if self._tokens is None or not request.vector_class.settings.tokenizer or not texts:
-            return self._apply_plan(self.planner.add(clock.now(), request.call))
+            return self._apply_plan(self.planner.add(clock.now(), request.batched))
         request.prompt = self._tokens.count(
             [("user", text) for text in texts],
             request.admission.request_class,
             NO_TOKEN_LIMIT,
-            max(1.0, request.call.promised_at - clock.now()),
+            max(1.0, request.batched.latency_target_at - clock.now()),
             NO_SESSION,
             lambda result: self._tokens_counted(request, result),
         )
 
     def _tokens_counted(self, request: VectorRequest, result: Result) -> None:
-        """Shares an exact count out over the inputs in proportion to their estimates."""
-        if request.end is not None or request.is_planned:  # it has ended, or was planned by the estimate
+        """Divides an exact count among the inputs in proportion to their estimates, and plans the request."""
+        if request.end is not None or request.is_planned:  # ended, or planned with the estimate
             return
         request.is_planned = True
-        call = request.call
+        batched = request.batched
         if result.exact:
-            estimate = sum(call.costs)
-            call.costs = [cost * result.prompt / estimate for cost in call.costs]
-        self._apply_plan(self.planner.add(clock.now(), call))
+            estimate = sum(batched.costs)
+            batched.costs = [cost * result.prompt / estimate for cost in batched.costs]
+        self._apply_plan(self.planner.add(clock.now(), batched))
 
     def _apply_plan(self, step: PlanStep) -> None:
-        for load in step.drop:
-            batch = self.batches.pop(load, None)
+        for input_batch in step.cancel:
+            batch = self.batches.pop(input_batch, None)
             if batch is not None and batch.context is not None:
                 self._dispatcher_of(batch).drop(batch.context)
-        for done in step.done:
-            self._answer(done)
-        for load in step.send:
-            self._send(load)
-        for at, load in step.later:
-            self._core.reactor.callLater(max(0.0, at - clock.now()) / 1000, self._send, load)
+        for result in step.results:
+            self._answer(result)
+        for input_batch in step.send:
+            self._send(input_batch)
+        for due_at, input_batch in step.send_later:
+            self._core.reactor.callLater(max(0.0, due_at - clock.now()) / 1000, self._send, input_batch)
         self._schedule_tick()
 
     def _dispatcher_of(self, batch: VectorBatch) -> StageDispatcher:
         return self._dispatchers[PATHS[batch.path()]]
 
-    def _send(self, load: Load) -> None:
-        if load.ended or not load.needs():
-            return self._apply_plan(self.planner.delivered(load, [], {}))
-        batch = self.batches[load] = VectorBatch(load, self.planner, self._batch_ended)
+    def _send(self, input_batch: InputBatch) -> None:
+        if input_batch.ended or not input_batch.missing_inputs():
+            return self._apply_plan(self.planner.batch_served(input_batch, [], {}))
+        batch = self.batches[input_batch] = VectorBatch(input_batch, self.planner, self._batch_ended)
         request_class = batch.first_request.vector_class.dispatcher_number
-        session = xxhash.xxh3_64_intdigest(str(load.number).encode())
+        session = xxhash.xxh3_64_intdigest(str(input_batch.number).encode())
         batch.context = self._dispatcher_of(batch).submit(
-            request_class, batch, load.cost, load.give_up_at, session
+            request_class, batch, input_batch.cost, input_batch.deadline, session
         )
 
     def _batch_ended(self, batch: VectorBatch, step: PlanStep) -> None:
-        self.batches.pop(batch.load, None)
+        self.batches.pop(batch.input_batch, None)
         self._apply_plan(step)
 
     def _schedule_tick(self) -> None:
-        times = [at for at in (self.admission.next_time(), self.planner.next_time()) if at is not None]
-        at = min(times, default=None)
+        times = [
+            due_at for due_at in (self.admission.next_time(), self.planner.next_time()) if due_at is not None
+        ]
+        due_at = min(times, default=None)
         if self._timer is not None and self._timer.active():
-            if at == self._timer_at:  # called several times a request, and most calls change nothing
+            if due_at == self._timer_at:  # runs several times per request, and most runs change nothing
                 return
             self._timer.cancel()
-        if at is not None:
-            self._timer_at = at
-            self._timer = self._core.reactor.callLater(max(0.0, at - clock.now()) / 1000, self._tick)
+        if due_at is not None:
+            self._timer_at = due_at
+            self._timer = self._core.reactor.callLater(max(0.0, due_at - clock.now()) / 1000, self._tick)
 
     def _tick(self) -> None:
         now = clock.now()
         self._apply_admission(self.admission.tick(now))
         self._apply_plan(self.planner.tick(now))
 
-    def _answer(self, done: Done) -> None:
-        """The planner is done with a request."""
-        request: VectorRequest = done.call.item
+    def _answer(self, result: RequestResult) -> None:
+        """Answers a request that the planner has finished."""
+        request: VectorRequest = result.request.item
         exchange, headers = request.exchange, request.answer_headers
-        if done.bad:
-            body = errors.error(done.bad, "invalid_request_error", "input")
+        if result.input_error:
+            body = errors.error(result.input_error, "invalid_request_error", "input")
             exchange.answer(BAD_REQUEST, body, headers=headers)
             self._finish(request, RequestEnd.BAD_INPUT)
-        elif done.how is None:
-            exchange.answer(OK, request.answer_body(done.call.results), headers=headers)
-            self._finish(request, RequestEnd.DELIVERED)
-        elif done.how is How.DEFERRED:
-            answer_deferred(
+        elif result.failure is None:
+            exchange.answer(OK, request.answer_body(result.request.results), headers=headers)
+            self._finish(request, RequestEnd.SERVED)
+        elif result.failure is BatchFailure.REJECTED:
+            answer_rejected(
                 exchange,
                 SERVICE_UNAVAILABLE,
                 "the call was deferred: it has had no effect, and trying again is harmless",
                 self._bounds.stay_away[0],
                 headers,
             )
-            self._finish(request, RequestEnd.DEFERRED)
+            self._finish(request, RequestEnd.REJECTED)
         else:
             answer_timed_out(exchange, headers)
-            self._finish(request, RequestEnd.BROKEN_OFF)
+            self._finish(request, RequestEnd.ABORTED)
 
     def _time_out(self, request: VectorRequest) -> None:
         if request.end is None:
             answer_timed_out(request.exchange, request.answer_headers)
-            self._finish(request, RequestEnd.BROKEN_OFF)
+            self._finish(request, RequestEnd.ABORTED)
 
     def _reject(self, rejection: Rejection) -> None:
         request: VectorRequest = rejection.request.item
         if request.end is None:
             reason = rejection.reason.value
-            self._core.metrics.turned_away(reason)
-            answer_deferred(
+            self._core.metrics.not_accepted(reason)
+            answer_rejected(
                 request.exchange,
                 TOO_MANY_REQUESTS,
                 f"turned away: {reason}; come back later",
                 rejection.retry_after_ms,
                 request.answer_headers,
             )
-            self._finish(request, RequestEnd.DEFERRED)
+            self._finish(request, RequestEnd.REJECTED)
 
     def _finish(self, request: VectorRequest, end: RequestEnd) -> None:
-        """Bookkeeping of the one final answer."""
+        """Records the final answer of a request; later calls do nothing."""
         if request.end is not None:
             return
         request.end = end
-        self.open.pop(request, None)
+        self.open_requests.pop(request, None)
         if request.overdue_timer is not None and request.overdue_timer.active():
             request.overdue_timer.cancel()
         if request.prompt is not None and not request.is_planned and self._tokens is not None:
@@ -269,15 +274,15 @@
         now = clock.now()
         elapsed_ms, name = now - request.arrived_at, request.vector_class.settings.name
         self._core.metrics.ended(name, end.value, elapsed_ms, None, 0)
-        if not request.call.over:
-            self._apply_plan(self.planner.left(request.call))
+        if not request.batched.ended:
+            self._apply_plan(self.planner.client_disconnected(request.batched))
         self._end_admission(request, now, end in ACCEPTED_ENDS)
         LOG.info(
-            "call",
+            "vector request ended",
             request_class=name,
             answer=end.value,
             ms=round(elapsed_ms, 1),
-            inputs=len(request.call.costs),
+            inputs=len(request.batched.costs),
             tokens=round(request.admission.cost),
         )
         if self._core.on_empty:
