--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -9,7 +9,7 @@
 from fault_injection import schedule as s
 from fault_injection.ledger import Rule
 from fault_injection.world import play
-from node_rig import PREFILL_REPLY, Engine, Rig
+from node_rig import ENGINE_HOST, PREFILL_REPLY, Engine, Rig
 from twisted.internet.epollreactor import EPollReactor
 
 from worksmux.net import client
@@ -103,7 +103,7 @@
     engine: Engine = rig.engine("prefill", lambda _: PREFILL_REPLY)
     now = rig.reactor.seconds()
     rig.reactor.seconds = lambda: now
-    pool = client.Pool(rig.reactor, "127.0.0.1", engine.port_number, 250.0, 0.0, 0, 1000)
+    pool = client.Pool(rig.reactor, ENGINE_HOST, engine.port_number, 250.0, 0.0, 0, 1000)
     receiver = StatusReceiver()
     pool.call("GET", "/alive", receiver)
     now += 0.3  # the iteration was late
